--- a/fireflycroft-wire/src/decode.rs
+++ b/fireflycroft-wire/src/decode.rs
@@ -356,7 +356,7 @@
         peer: peer(record.peer)?,
         data_centre: read_name(&record.data_centre, "record.data_centre")?,
         state: read_member_state(record.state)?,
-        turn: record.turn,
+        revision: record.turn,
         serves: serves
             .map(|name| read_name(name, "record.serves"))
             .collect::<Result<_, _>>()?,
--- a/fireflycroft-wire/src/encode.rs
+++ b/fireflycroft-wire/src/encode.rs
@@ -370,7 +370,7 @@
         peer: Some(peer(&record.peer)),
         data_centre: record.data_centre.to_string(),
         state: member_state(record.state),
-        turn: record.turn,
+        turn: record.revision,
         serves: record.serves.iter().map(Name::to_string).collect(),
     }
 }
--- a/fireflycroft-wire/tests/faults.rs
+++ b/fireflycroft-wire/tests/faults.rs
@@ -129,7 +129,7 @@
         peer: peer("agent-2"),
         data_centre: "north".into(),
         state: MemberState::Alive,
-        turn: 0,
+        revision: 0,
         serves: vec!["model".into(); serves],
     };
     packet(&[Message::Ping {
--- a/fireflycroft-wire/tests/support/mod.rs
+++ b/fireflycroft-wire/tests/support/mod.rs
@@ -226,11 +226,11 @@
         MemberState::Dead,
     ]);
     (peer(), name(), state, any::<u64>(), vec(name(), 0..3)).prop_map(
-        |(peer, data_centre, state, turn, serves)| MemberRecord {
+        |(peer, data_centre, state, revision, serves)| MemberRecord {
             peer,
             data_centre,
             state,
-            turn,
+            revision,
             serves,
         },
     )
--- a/fireflycroft/examples/membership.rs
+++ b/fireflycroft/examples/membership.rs
@@ -33,27 +33,27 @@
         seed.unwrap_or(DEFAULT_SEED),
     );
     println!("members={count} seed={seed}");
-    state(count);
+    measure_table_memory(count);
     let mut fleet = cold_start(count, seed);
-    steady(&mut fleet);
-    deaths(&mut fleet);
-    joining(&mut fleet, count);
-    leaving(&mut fleet);
-    lossy(&mut fleet);
-    cut(&mut fleet);
-    println!("longest_packet_bytes={}", fleet.longest);
+    measure_idle(&mut fleet);
+    measure_deaths(&mut fleet);
+    measure_joining(&mut fleet, count);
+    measure_leaving(&mut fleet);
+    measure_loss(&mut fleet);
+    measure_partition(&mut fleet);
+    println!("longest_packet_bytes={}", fleet.longest_packet);
 }
 
 /// Resident bytes of tables filled from decoded messages.
-fn state(count: usize) {
+fn measure_table_memory(count: usize) {
     let before = resident_bytes();
-    let tables: Vec<Members> = (0..TABLES).map(|_| filled(count)).collect();
+    let tables: Vec<Members> = (0..TABLES).map(|_| filled_table(count)).collect();
     let held: usize = tables.iter().map(|table| table.records().count()).sum();
     let bytes = (resident_bytes() - before) / held;
     println!("resident_bytes_per_member_held={bytes} tables={TABLES}");
 }
 
-fn filled(count: usize) -> Members {
+fn filled_table(count: usize) -> Members {
     let mut members = Members::new(MemberSetup {
         me: agent(0),
         data_centre: "north".into(),
@@ -67,7 +67,7 @@
             peer: agent(n),
             data_centre: "north".into(),
             state: MemberState::Alive,
-            turn: 1,
+            revision: 1,
             serves: vec!["model-of-the-archive".into()],
         };
         let body = Message::ViewPage {
@@ -107,7 +107,7 @@
     fleet
 }
 
-fn steady(fleet: &mut Fleet) {
+fn measure_idle(fleet: &mut Fleet) {
     fleet.run(Duration::from_mins(3));
     let before: Vec<u64> = fleet.nodes.iter().map(|node| node.bytes).collect();
     let begun = Instant::now();
@@ -124,7 +124,7 @@
     println!("steady_micros_per_second_per_member={micros} with encoding and this driver");
 }
 
-fn deaths(fleet: &mut Fleet) {
+fn measure_deaths(fleet: &mut Fleet) {
     for n in 0..DEATHS {
         let victim = NodeIx(10 + 7 * n);
         let name = fleet.node(victim).peer.name.clone();
@@ -143,7 +143,7 @@
     }
 }
 
-fn leaving(fleet: &mut Fleet) {
+fn measure_leaving(fleet: &mut Fleet) {
     for (loss, at) in [(0, 60), (20, 61)] {
         fleet.loss = loss;
         let leaver = NodeIx(at);
@@ -171,7 +171,7 @@
     fleet.run(Duration::from_mins(1));
 }
 
-fn joining(fleet: &mut Fleet, count: usize) {
+fn measure_joining(fleet: &mut Fleet, count: usize) {
     let name = "member-new";
     let bytes = fleet.bytes();
     let new = fleet.start(name, count);
@@ -190,7 +190,7 @@
 }
 
 /// Views of a running member that called it dead for a while.
-fn lossy(fleet: &mut Fleet) {
+fn measure_loss(fleet: &mut Fleet) {
     let (begun, bytes) = (fleet.now, fleet.bytes());
     fleet.loss = 20;
     let span = Duration::from_mins(1);
@@ -209,7 +209,7 @@
     fleet.run(Duration::from_mins(2));
 }
 
-fn cut(fleet: &mut Fleet) {
+fn measure_partition(fleet: &mut Fleet) {
     let bytes = fleet.bytes();
     fleet.cut(0);
     let cut_for = Duration::from_mins(1);
--- a/fireflycroft/src/gossip.rs
+++ b/fireflycroft/src/gossip.rs
@@ -5,9 +5,9 @@
 //! logarithm when many changes wait. The bytes of a second are bounded. What
 //! finds no room in the queue is left to the comparison of whole tables.
 
-use crate::allowance::Allowance;
 use crate::ids::Name;
 use crate::member_record::{MemberRecord, MemberState};
+use crate::rate_limiter::RateLimiter;
 use crate::roster::{MemberIx, Roster};
 use crate::time::Time;
 
@@ -18,42 +18,42 @@
 const MAX_PENDING: usize = 256;
 
 /// Changes from which on each is told less often.
-const MANY_PENDING: usize = 32;
+const BUSY_PENDING: usize = 32;
 
 /// Times that a change is told, for each doubling of the fleet.
-const TELL_FACTOR: u32 = 3;
-const TELL_FACTOR_OF_MANY: u32 = 1;
+const SENDS_PER_DOUBLING: u32 = 3;
+const SENDS_PER_DOUBLING_BUSY: u32 = 1;
 
 /// Bytes of changes told a second on average, and at once after a quiet time.
 const BYTES_PER_SECOND: u64 = 2 * 1_024;
 const BURST_BYTES: u64 = 4 * 1_024;
 
 /// Bytes of a record without its address and names.
-const RECORD_BYTES: usize = 36;
+const RECORD_BASE_BYTES: usize = 36;
 const V4_BYTES: usize = 6;
 const V6_BYTES: usize = 18;
 
 /// Bytes round each name served.
-const NAME_BYTES: usize = 3;
+const NAME_OVERHEAD_BYTES: usize = 3;
 
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     ix: MemberIx,
-    told: u32,
+    sends: u32,
 }
 
 /// Changes that wait to be told.
 #[derive(Clone, Debug)]
 pub(crate) struct Gossip {
     pending: Vec<Pending>,
-    bytes: Allowance,
+    bytes: RateLimiter,
 }
 
 impl Default for Gossip {
     fn default() -> Self {
         Self {
             pending: Vec::new(),
-            bytes: Allowance::new(BYTES_PER_SECOND, BURST_BYTES),
+            bytes: RateLimiter::new(BYTES_PER_SECOND, BURST_BYTES),
         }
     }
 }
@@ -70,7 +70,7 @@
     pub(crate) fn add(&mut self, record: &MemberRecord) -> bool {
         let bytes = record_bytes(record);
         let fits = self.records.is_empty() || self.bytes + bytes <= MAX_RECORD_BYTES;
-        if !fits || self.names(&record.peer.name) {
+        if !fits || self.contains(&record.peer.name) {
             return false;
         }
         self.bytes += bytes;
@@ -87,7 +87,7 @@
         self.records
     }
 
-    fn names(&self, name: &Name) -> bool {
+    fn contains(&self, name: &Name) -> bool {
         self.records.iter().any(|held| held.peer.name == *name)
     }
 }
@@ -102,9 +102,9 @@
     pub(crate) fn push(&mut self, ix: MemberIx) {
         self.forget(ix);
         if self.pending.len() >= MAX_PENDING {
-            self.drop_most_told();
+            self.drop_most_sent();
         }
-        self.pending.push(Pending { ix, told: 0 });
+        self.pending.push(Pending { ix, sends: 0 });
     }
 
     /// Drops the changes of a member.
@@ -114,36 +114,36 @@
 
     /// Fills `payload` with changes, least told first, those who leave before.
     pub(crate) fn fill(&mut self, now: Time, roster: &Roster, payload: &mut Payload) {
-        if !self.bytes.is_open(now) {
+        if !self.bytes.has_budget(now) {
             return;
         }
         let before = payload.bytes();
         self.pending.sort_by_key(|p| {
             let leaving = roster.get(p.ix).record.state == MemberState::Leaving;
-            (!leaving, p.told)
+            (!leaving, p.sends)
         });
         for pending in &mut self.pending {
             if payload.add(&roster.get(pending.ix).record) {
-                pending.told += 1;
+                pending.sends += 1;
             }
         }
-        self.bytes.spend((payload.bytes() - before) as u64);
-        let bound = self.times_told(roster);
-        self.pending.retain(|p| p.told < bound);
+        self.bytes.consume((payload.bytes() - before) as u64);
+        let limit = self.send_limit(roster);
+        self.pending.retain(|p| p.sends < limit);
     }
 
     /// Times that each change is told.
-    fn times_told(&self, roster: &Roster) -> u32 {
-        let factor = if self.pending.len() < MANY_PENDING {
-            TELL_FACTOR
+    fn send_limit(&self, roster: &Roster) -> u32 {
+        let factor = if self.pending.len() < BUSY_PENDING {
+            SENDS_PER_DOUBLING
         } else {
-            TELL_FACTOR_OF_MANY
+            SENDS_PER_DOUBLING_BUSY
         };
         factor * (roster.len() + 1).ilog2().max(1)
     }
 
-    fn drop_most_told(&mut self) {
-        let most = (0..self.pending.len()).max_by_key(|at| self.pending[*at].told);
+    fn drop_most_sent(&mut self) {
+        let most = (0..self.pending.len()).max_by_key(|at| self.pending[*at].sends);
         if let Some(at) = most {
             self.pending.swap_remove(at);
         }
@@ -158,6 +158,9 @@
     } else {
         V6_BYTES
     };
-    let serves = record.serves.iter().map(|name| name.len() + NAME_BYTES);
-    RECORD_BYTES + addr + names + serves.sum::<usize>()
+    let serves = record
+        .serves
+        .iter()
+        .map(|name| name.len() + NAME_OVERHEAD_BYTES);
+    RECORD_BASE_BYTES + addr + names + serves.sum::<usize>()
 }
--- a/fireflycroft/src/farewell.rs
+++ b/fireflycroft/src/leave_broadcast.rs
@@ -15,47 +15,47 @@
 use std::time::Duration;
 
 /// Pings of one round of telling.
-const PINGS_A_ROUND: usize = 64;
+const PINGS_PER_ROUND: usize = 64;
 
 /// Time between two rounds.
-const ROUND: Duration = Duration::from_millis(100);
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time that an answer may take.
-const ANSWER_WAIT: Duration = Duration::from_millis(300);
+const PONG_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Pings to one member.
-const MAX_TRIES: u32 = 8;
+const MAX_ATTEMPTS: u32 = 8;
 
 #[derive(Clone, Copy, Debug)]
-struct Untold {
+struct PendingNotice {
     ix: MemberIx,
-    tries: u32,
+    attempts: u32,
     due: Time,
 }
 
 /// Members that were not yet told.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Farewell {
+pub(crate) struct LeaveBroadcast {
     nonce: u64,
-    untold: VecDeque<Untold>,
+    pending: VecDeque<PendingNotice>,
     round_at: Time,
 }
 
-impl Farewell {
+impl LeaveBroadcast {
     pub(crate) fn forget(&mut self, ix: MemberIx) {
-        self.untold.retain(|u| u.ix != ix);
+        self.pending.retain(|u| u.ix != ix);
     }
 
     /// Next member to ping at `now`.
     fn next(&mut self, now: Time) -> Option<MemberIx> {
-        let at = self.untold.iter().position(|u| u.due <= now)?;
-        let mut untold = self.untold.remove(at)?;
-        untold.tries += 1;
-        untold.due = now + ANSWER_WAIT;
-        if untold.tries < MAX_TRIES {
-            self.untold.push_back(untold);
+        let at = self.pending.iter().position(|u| u.due <= now)?;
+        let mut pending = self.pending.remove(at)?;
+        pending.attempts += 1;
+        pending.due = now + PONG_TIMEOUT;
+        if pending.attempts < MAX_ATTEMPTS {
+            self.pending.push_back(pending);
         }
-        Some(untold.ix)
+        Some(pending.ix)
     }
 }
 
@@ -65,59 +65,59 @@
         if self.own().state == MemberState::Leaving {
             return;
         }
-        self.restate(now, |own| own.state = MemberState::Leaving, out);
+        self.update_own(now, |own| own.state = MemberState::Leaving, out);
         out.push(MemberAction::Note(Note::new("member_leaves")));
-        self.farewell = Farewell {
+        self.leave_broadcast = LeaveBroadcast {
             nonce: self.draw_nonce(),
-            untold: self.all_untold(now),
+            pending: self.all_recipients(now),
             round_at: now,
         };
-        self.tick_farewell(now, out);
+        self.tick_leave_broadcast(now, out);
     }
 
     /// Pings members that were not yet told.
-    pub(crate) fn tick_farewell(&mut self, now: Time, out: &mut Vec<MemberAction>) {
-        if self.farewell.untold.is_empty() || now < self.farewell.round_at {
+    pub(crate) fn tick_leave_broadcast(&mut self, now: Time, out: &mut Vec<MemberAction>) {
+        if self.leave_broadcast.pending.is_empty() || now < self.leave_broadcast.round_at {
             return;
         }
-        self.farewell.round_at = now + ROUND;
-        for _ in 0..PINGS_A_ROUND {
-            let Some(ix) = self.farewell.next(now) else {
+        self.leave_broadcast.round_at = now + ROUND_INTERVAL;
+        for _ in 0..PINGS_PER_ROUND {
+            let Some(ix) = self.leave_broadcast.next(now) else {
                 return;
             };
-            self.tell_leaving(ix, out);
+            self.send_leave_notice(ix, out);
         }
     }
 
     /// Notes that the answerer of a farewell's ping knows.
-    pub(crate) fn on_farewell_answer(&mut self, ix: MemberIx, nonce: u64) {
-        if nonce == self.farewell.nonce {
-            self.farewell.forget(ix);
+    pub(crate) fn on_leave_acknowledged(&mut self, ix: MemberIx, nonce: u64) {
+        if nonce == self.leave_broadcast.nonce {
+            self.leave_broadcast.forget(ix);
         }
     }
 
-    fn tell_leaving(&mut self, ix: MemberIx, out: &mut Vec<MemberAction>) {
+    fn send_leave_notice(&mut self, ix: MemberIx, out: &mut Vec<MemberAction>) {
         let addr = self.roster.get(ix).record.peer.addr;
         let message = Message::Ping {
-            nonce: self.farewell.nonce,
+            nonce: self.leave_broadcast.nonce,
             records: vec![self.own().clone()],
             view: self.view(),
         };
         out.push(MemberAction::Send(addr, message));
     }
 
-    fn all_untold(&self, now: Time) -> VecDeque<Untold> {
+    fn all_recipients(&self, now: Time) -> VecDeque<PendingNotice> {
         let mut all: Vec<MemberIx> = self
             .roster
             .indices()
             .filter(|ix| *ix != OWN && self.roster.get(*ix).is_present())
             .collect();
         all.sort_by_key(|ix| self.roster.get(*ix).record.peer.role != Role::Entry);
-        let untold = |ix| Untold {
+        let pending = |ix| PendingNotice {
             ix,
-            tries: 0,
+            attempts: 0,
             due: now,
         };
-        all.into_iter().map(untold).collect()
+        all.into_iter().map(pending).collect()
     }
 }
--- a/fireflycroft/src/member.rs
+++ b/fireflycroft/src/member.rs
@@ -12,9 +12,9 @@
 //! comparing whole tables in `reconcile`, the table itself in `roster`, a
 //! planned stop in `farewell`.
 
-use crate::farewell::Farewell;
 use crate::gossip::{Gossip, Payload};
 use crate::ids::{IdSource, Name, Peer, Role};
+use crate::leave_broadcast::LeaveBroadcast;
 use crate::member_record::{MemberAction, MemberEvent, MemberRecord, MemberSetup, MemberState, Vm};
 use crate::message::Message;
 use crate::note::Note;
@@ -31,26 +31,26 @@
 pub const MAX_MEMBERS: usize = 4_096;
 
 /// How long a member stays suspect before it is dead.
-pub const SUSPECT_SPAN: Duration = Duration::from_millis(2_500);
+pub const SUSPECT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// How long the dead are kept, so that old news does not revive them.
-pub const DEAD_KEEP: Duration = Duration::from_mins(10);
+pub const DEAD_RETENTION: Duration = Duration::from_mins(10);
 
 /// Longest lag of the VM list that does no harm.
 ///
 /// Its word that a VM leaves is not taken for a life known for a shorter time:
 /// it may concern the VM that was at the address before.
-pub const VM_LIST_LAG: Duration = Duration::from_secs(90);
+pub const MAX_VM_LIST_LAG: Duration = Duration::from_secs(90);
 
 /// Time between two ticks from which on the process was paused.
-pub const PAUSE: Duration = Duration::from_secs(1);
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// How long after a pause nobody is called suspect or dead.
-pub const GRACE: Duration = Duration::from_secs(5);
+pub const GRACE_PERIOD: Duration = Duration::from_secs(5);
 
-const FIRST_TURN: u64 = 1;
+const FIRST_REVISION: u64 = 1;
 
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Membership as one process sees it.
 #[derive(Clone, Debug)]
@@ -60,15 +60,15 @@
     pub(crate) prober: Prober,
     pub(crate) reconciler: Reconciler,
     pub(crate) relays: Relays,
-    pub(crate) farewell: Farewell,
+    pub(crate) leave_broadcast: LeaveBroadcast,
     pub(crate) ids: IdSource,
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) vms: Vec<SocketAddr>,
     /// Until when nobody is called suspect or dead.
     pub(crate) grace_until: Time,
-    ticked: Option<Time>,
-    swept: Time,
-    entries: u32,
+    last_tick: Option<Time>,
+    last_sweep: Time,
+    entry_count: u32,
     replaced: bool,
 }
 
@@ -80,7 +80,7 @@
             peer: setup.me,
             data_centre: setup.data_centre,
             state: MemberState::Alive,
-            turn: FIRST_TURN,
+            revision: FIRST_REVISION,
             serves: setup.serves,
         };
         let mut gossip = Gossip::default();
@@ -93,14 +93,14 @@
             prober: Prober::default(),
             reconciler: Reconciler::default(),
             relays: Relays::default(),
-            farewell: Farewell::default(),
+            leave_broadcast: LeaveBroadcast::default(),
             ids: IdSource::new(setup.seed),
             seeds,
             vms: Vec::new(),
             grace_until: Time::default(),
-            ticked: None,
-            swept: Time::default(),
-            entries: 0,
+            last_tick: None,
+            last_sweep: Time::default(),
+            entry_count: 0,
             replaced: false,
         }
     }
@@ -109,7 +109,7 @@
     pub fn on_event(&mut self, now: Time, event: MemberEvent, out: &mut Vec<MemberAction>) {
         match event {
             MemberEvent::Message(from, message) => self.on_message(now, &from, message, out),
-            MemberEvent::Heard(from) => self.on_heard(now, &from, out),
+            MemberEvent::Received(from) => self.on_received(now, &from, out),
             MemberEvent::Vms(vms) => self.on_vms(now, vms, out),
             MemberEvent::Serves(serves) => self.on_serves(now, serves, out),
             MemberEvent::Leave => self.leave(now, out),
@@ -173,46 +173,46 @@
                 reply,
             } => self.on_view_hashes(now, from, parts, hashes, reply, out),
             Message::ViewPage { records } => self.on_view_page(now, from, records, out),
-            _ => self.on_heard(now, from, out),
+            _ => self.on_received(now, from, out),
         }
     }
 
     fn on_tick(&mut self, now: Time, out: &mut Vec<MemberAction>) {
-        match self.ticked.replace(now) {
+        match self.last_tick.replace(now) {
             None => self.join(now, out),
-            Some(last) if now.since(last) >= PAUSE => self.on_pause(now, out),
+            Some(last) if now.since(last) >= PAUSE_THRESHOLD => self.on_pause(now, out),
             Some(_) => {}
         }
         self.relays.expire(now);
-        self.tick_farewell(now, out);
+        self.tick_leave_broadcast(now, out);
         self.tick_probes(now, out);
         self.tick_reconciler(now, out);
-        if now.since(self.swept) >= SWEEP_EVERY {
-            self.swept = now;
+        if now.since(self.last_sweep) >= SWEEP_INTERVAL {
+            self.last_sweep = now;
             self.sweep(now);
         }
     }
 
     /// Any message is evidence that its sender is alive.
-    pub(crate) fn on_heard(&mut self, now: Time, from: &Peer, out: &mut Vec<MemberAction>) {
-        if let Some(ix) = self.note_heard(now, from, out) {
-            self.contradict(now, ix, out);
+    pub(crate) fn on_received(&mut self, now: Time, from: &Peer, out: &mut Vec<MemberAction>) {
+        if let Some(ix) = self.record_received(now, from, out) {
+            self.prompt_refutation(now, ix, out);
         }
     }
 
     /// Notes that a member was heard; greets the unknown.
-    pub(crate) fn note_heard(
+    pub(crate) fn record_received(
         &mut self,
         now: Time,
         from: &Peer,
         out: &mut Vec<MemberAction>,
     ) -> Option<MemberIx> {
         if from.name == self.own().peer.name {
-            self.note_replaced(from, out);
+            self.record_replaced(from, out);
             return None;
         }
         let Some(ix) = self.roster.find(&from.name) else {
-            self.greet(now, from.addr, out);
+            self.introduce_limited(now, from.addr, out);
             return None;
         };
         let held = self.roster.get(ix).record.peer.incarnation;
@@ -220,16 +220,16 @@
             return Some(ix);
         }
         if from.incarnation > held {
-            self.on_new_life(now, ix, from, out);
-            self.greet(now, from.addr, out);
+            self.on_new_incarnation(now, ix, from, out);
+            self.introduce_limited(now, from.addr, out);
         }
-        self.roster.get_mut(ix).heard = Some(now);
-        self.on_answer(ix);
+        self.roster.get_mut(ix).last_received = Some(now);
+        self.on_probe_answered(ix);
         Some(ix)
     }
 
     /// Makes a new statement of this process about itself.
-    pub(crate) fn restate(
+    pub(crate) fn update_own(
         &mut self,
         now: Time,
         edit: impl FnOnce(&mut MemberRecord),
@@ -237,7 +237,7 @@
     ) {
         let mut record = self.own().clone();
         edit(&mut record);
-        record.turn = record.turn.saturating_add(1);
+        record.revision = record.revision.saturating_add(1);
         self.roster.replace(now, OWN, record);
         self.gossip.push(OWN);
         self.count_entries(out);
@@ -245,7 +245,7 @@
 
     fn on_serves(&mut self, now: Time, serves: Vec<Name>, out: &mut Vec<MemberAction>) {
         if self.own().serves != serves {
-            self.restate(now, |own| own.serves = serves, out);
+            self.update_own(now, |own| own.serves = serves, out);
         }
     }
 
@@ -263,7 +263,8 @@
             return;
         };
         let slot = self.roster.get(ix);
-        if slot.record.state == MemberState::Leaving || now.since(slot.learned) < VM_LIST_LAG {
+        if slot.record.state == MemberState::Leaving || now.since(slot.first_seen) < MAX_VM_LIST_LAG
+        {
             return;
         }
         if ix == OWN {
@@ -293,8 +294,8 @@
             out.push(MemberAction::Note(note));
             return None;
         };
-        self.prober.enter(ix, |bound| self.ids.draw_below(bound));
-        self.tell(ix, out);
+        self.prober.add(ix, |bound| self.ids.draw_below(bound));
+        self.report_change(ix, out);
         Some(ix)
     }
 
@@ -304,18 +305,18 @@
         now: Time,
         ix: MemberIx,
         record: MemberRecord,
-        spread: bool,
+        disseminate: bool,
         out: &mut Vec<MemberAction>,
     ) {
         let before = self.roster.get(ix).record.clone();
-        let other_life = before.peer.incarnation != record.peer.incarnation;
-        let later = record.turn > before.turn && record.state != MemberState::Suspect;
+        let new_incarnation = before.peer.incarnation != record.peer.incarnation;
+        let later = record.revision > before.revision && record.state != MemberState::Suspect;
         let dead = record.state == MemberState::Dead;
-        if other_life || later || dead {
+        if new_incarnation || later || dead {
             self.prober.cancel(ix);
         }
         self.roster.replace(now, ix, record);
-        if spread {
+        if disseminate {
             self.gossip.push(ix);
         }
         let after = &self.roster.get(ix).record;
@@ -324,11 +325,11 @@
             && before.serves == after.serves
             && before.data_centre == after.data_centre;
         if !same {
-            self.tell(ix, out);
+            self.report_change(ix, out);
         }
     }
 
-    fn tell(&mut self, ix: MemberIx, out: &mut Vec<MemberAction>) {
+    fn report_change(&mut self, ix: MemberIx, out: &mut Vec<MemberAction>) {
         let record = self.roster.get(ix).record.clone();
         let event = match record.state {
             MemberState::Alive => "member_alive",
@@ -336,24 +337,27 @@
             MemberState::Leaving => "member_leaving",
             MemberState::Dead => "member_dead",
         };
-        let note = Note::new(event).peer(&record.peer.name).count(record.turn);
+        let note = Note::new(event)
+            .peer(&record.peer.name)
+            .count(record.revision);
         out.push(MemberAction::Note(note));
         out.push(MemberAction::Changed(record));
         self.count_entries(out);
     }
 
     pub(crate) fn count_entries(&mut self, out: &mut Vec<MemberAction>) {
-        let takes = |r: &MemberRecord| r.peer.role == Role::Entry && r.state < MemberState::Leaving;
-        let count = self.records().filter(|r| takes(r)).count();
+        let accepts_requests =
+            |r: &MemberRecord| r.peer.role == Role::Entry && r.state < MemberState::Leaving;
+        let count = self.records().filter(|r| accepts_requests(r)).count();
         let count = u32::try_from(count).unwrap_or(u32::MAX);
-        if count != self.entries {
-            self.entries = count;
+        if count != self.entry_count {
+            self.entry_count = count;
             out.push(MemberAction::Entries(count));
         }
     }
 
     /// Puts a member into a state that this process found itself.
-    pub(crate) fn mark(
+    pub(crate) fn set_state(
         &mut self,
         now: Time,
         ix: MemberIx,
@@ -365,7 +369,7 @@
         self.change(now, ix, record, true, out);
     }
 
-    pub(crate) fn note_replaced(&mut self, by: &Peer, out: &mut Vec<MemberAction>) {
+    pub(crate) fn record_replaced(&mut self, by: &Peer, out: &mut Vec<MemberAction>) {
         let later = by.incarnation > self.own().peer.incarnation;
         if !later || self.replaced {
             return;
@@ -382,7 +386,7 @@
             .indices()
             .filter(|ix| {
                 let slot = self.roster.get(*ix);
-                !slot.is_present() && now.since(slot.since) >= DEAD_KEEP
+                !slot.is_present() && now.since(slot.state_since) >= DEAD_RETENTION
             })
             .collect();
         for ix in expired {
@@ -395,7 +399,7 @@
             .roster
             .indices()
             .filter(|ix| !self.roster.get(*ix).is_present());
-        let longest = dead.min_by_key(|ix| self.roster.get(*ix).since);
+        let longest = dead.min_by_key(|ix| self.roster.get(*ix).state_since);
         if let Some(ix) = longest {
             self.forget(ix);
         }
@@ -405,7 +409,7 @@
         self.roster.remove(ix);
         self.gossip.forget(ix);
         self.prober.forget(ix);
-        self.farewell.forget(ix);
+        self.leave_broadcast.forget(ix);
     }
 
     /// Payload of the changes of late, after what `first` put into it.
--- a/fireflycroft/src/member_record.rs
+++ b/fireflycroft/src/member_record.rs
@@ -28,7 +28,7 @@
     /// Its state.
     pub state: MemberState,
     /// Counts the member's own statements about itself in this life.
-    pub turn: u64,
+    pub revision: u64,
     /// Models or plain services that its upstream serves; empty for entries.
     pub serves: Vec<Name>,
 }
@@ -63,7 +63,7 @@
     /// A message of membership came; any other counts as heard.
     Message(Peer, Message),
     /// Some other message came from that process.
-    Heard(Peer),
+    Received(Peer),
     /// The VM list was read.
     Vms(Vec<Vm>),
     /// The upstream serves other models than before.
--- a/fireflycroft/src/merge.rs
+++ b/fireflycroft/src/merge.rs
@@ -5,7 +5,7 @@
 //! Leaving is kept for the rest of a life; bad news by hearsay is checked.
 
 use crate::ids::Peer;
-use crate::member::{Members, SUSPECT_SPAN};
+use crate::member::{Members, SUSPECT_TIMEOUT};
 use crate::member_record::{MemberAction, MemberRecord, MemberState};
 use crate::note::Note;
 use crate::probe::ProbeKind;
@@ -14,15 +14,15 @@
 use std::time::Duration;
 
 /// Direct evidence of that age outweighs bad news.
-const FRESH: Duration = Duration::from_secs(1);
+const FRESH_EVIDENCE_AGE: Duration = Duration::from_secs(1);
 
 /// Turn of a record made up from a message's header; any statement of the
 /// member itself is later.
-const HEADER_TURN: u64 = 0;
+const HEADER_REVISION: u64 = 0;
 
 /// Where a record came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Source {
+pub(crate) enum RecordSource {
     /// The member itself.
     Direct,
     /// Another process, as a change of late.
@@ -33,122 +33,123 @@
 
 /// What became of a record that arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Learned {
+pub(crate) enum MergeOutcome {
     /// It changed the table, or is being checked.
-    News,
+    Applied,
     /// It was known.
-    Same,
+    Unchanged,
     /// The table holds a later one.
-    Older,
+    Outdated,
 }
 
 impl Members {
     /// Takes records that came with a message; gives those that are out of date.
-    pub(crate) fn learn_all(
+    pub(crate) fn merge_records(
         &mut self,
         now: Time,
         from: &Peer,
         records: Vec<MemberRecord>,
-        source: Source,
+        source: RecordSource,
         out: &mut Vec<MemberAction>,
     ) -> Vec<MemberIx> {
-        let mut behind = Vec::new();
+        let mut outdated = Vec::new();
         for record in records {
             let name = record.peer.name.clone();
             let source = if record.peer == *from {
-                Source::Direct
+                RecordSource::Direct
             } else {
                 source
             };
-            if self.learn(now, record, source, out) == Learned::Older {
-                behind.extend(self.roster.find(&name));
+            if self.merge_record(now, record, source, out) == MergeOutcome::Outdated {
+                outdated.extend(self.roster.find(&name));
             }
         }
-        behind
+        outdated
     }
 
-    fn learn(
+    fn merge_record(
         &mut self,
         now: Time,
         record: MemberRecord,
-        source: Source,
+        source: RecordSource,
         out: &mut Vec<MemberAction>,
-    ) -> Learned {
+    ) -> MergeOutcome {
         if record.peer.name == self.own().peer.name {
-            return self.learn_own(now, &record, out);
+            return self.merge_own(now, &record, out);
         }
-        let hearsay = source != Source::Direct && record.state != MemberState::Dead;
-        if hearsay && self.is_displaced(&record) {
-            return Learned::Older;
+        let second_hand = source != RecordSource::Direct && record.state != MemberState::Dead;
+        if second_hand && self.is_address_reassigned(&record) {
+            return MergeOutcome::Outdated;
         }
         let Some(ix) = self.roster.find(&record.peer.name) else {
-            return self.learn_new(now, record, source, out);
+            return self.merge_unknown(now, record, source, out);
         };
         let held = &self.roster.get(ix).record;
         if record.peer.incarnation < held.peer.incarnation {
-            return Learned::Older;
+            return MergeOutcome::Outdated;
         }
         if record.peer.incarnation > held.peer.incarnation {
             self.change(now, ix, record, true, out);
-            self.displace_others(now, ix, out);
-            self.check_if_suspect(now, ix);
-            return Learned::News;
+            self.mark_former_holders_dead(now, ix, out);
+            self.probe_if_suspect(now, ix);
+            return MergeOutcome::Applied;
         }
-        self.learn_turn(now, ix, record, source, out)
+        self.merge_same_incarnation(now, ix, record, source, out)
     }
 
     /// A record of a member not held; of the dead none is made.
-    fn learn_new(
+    fn merge_unknown(
         &mut self,
         now: Time,
         record: MemberRecord,
-        source: Source,
+        source: RecordSource,
         out: &mut Vec<MemberAction>,
-    ) -> Learned {
+    ) -> MergeOutcome {
         if record.state == MemberState::Dead {
-            return Learned::Same;
+            return MergeOutcome::Unchanged;
         }
         let Some(ix) = self.insert(now, record, out) else {
-            return Learned::Same;
+            return MergeOutcome::Unchanged;
         };
-        if source != Source::Page {
+        if source != RecordSource::Page {
             self.gossip.push(ix);
         }
-        self.displace_others(now, ix, out);
-        self.check_if_suspect(now, ix);
-        Learned::News
+        self.mark_former_holders_dead(now, ix, out);
+        self.probe_if_suspect(now, ix);
+        MergeOutcome::Applied
     }
 
     /// A record of the life that is held.
-    fn learn_turn(
+    fn merge_same_incarnation(
         &mut self,
         now: Time,
         ix: MemberIx,
         record: MemberRecord,
-        source: Source,
+        source: RecordSource,
         out: &mut Vec<MemberAction>,
-    ) -> Learned {
+    ) -> MergeOutcome {
         let held = &self.roster.get(ix).record;
-        let order = (record.turn, record.state).cmp(&(held.turn, held.state));
+        let order = (record.revision, record.state).cmp(&(held.revision, held.state));
         if order.is_eq() {
-            return Learned::Same;
+            return MergeOutcome::Unchanged;
         }
         // Leaving is kept even by a record that is behind in its turn.
-        let leaves = record.state == MemberState::Leaving && held.state < MemberState::Leaving;
-        if order.is_lt() && !leaves {
-            return Learned::Older;
+        let starts_leaving =
+            record.state == MemberState::Leaving && held.state < MemberState::Leaving;
+        if order.is_lt() && !starts_leaving {
+            return MergeOutcome::Outdated;
         }
         if record.state == MemberState::Dead {
-            self.learn_dead(now, ix, record, source, out);
+            self.merge_dead(now, ix, record, source, out);
         } else if record.state == MemberState::Suspect {
-            self.learn_suspect(now, ix, record, out);
+            self.merge_suspect(now, ix, record, out);
         } else {
-            self.learn_good(now, ix, record, out);
+            self.merge_alive_or_leaving(now, ix, record, out);
         }
-        Learned::News
+        MergeOutcome::Applied
     }
 
-    fn learn_good(
+    fn merge_alive_or_leaving(
         &mut self,
         now: Time,
         ix: MemberIx,
@@ -159,12 +160,12 @@
         if held.state == MemberState::Leaving {
             record.state = MemberState::Leaving;
         }
-        record.turn = record.turn.max(held.turn);
+        record.revision = record.revision.max(held.revision);
         self.change(now, ix, record, true, out);
-        self.displace_others(now, ix, out);
+        self.mark_former_holders_dead(now, ix, out);
     }
 
-    fn learn_suspect(
+    fn merge_suspect(
         &mut self,
         now: Time,
         ix: MemberIx,
@@ -173,71 +174,76 @@
     ) {
         let slot = self.roster.get(ix);
         let held = slot.record.state;
-        let fresh = held == MemberState::Alive && slot.heard_within(now, FRESH);
-        if held == MemberState::Leaving || fresh {
+        let recently_received =
+            held == MemberState::Alive && slot.received_within(now, FRESH_EVIDENCE_AGE);
+        if held == MemberState::Leaving || recently_received {
             record.state = held;
             self.change(now, ix, record, false, out);
-            self.check(now, ix, ProbeKind::Accused);
+            self.request_probe(now, ix, ProbeKind::Reported);
             return;
         }
         self.change(now, ix, record, true, out);
-        self.check(now, ix, ProbeKind::Suspected);
+        self.request_probe(now, ix, ProbeKind::Suspected);
     }
 
-    fn learn_dead(
+    fn merge_dead(
         &mut self,
         now: Time,
         ix: MemberIx,
         mut record: MemberRecord,
-        source: Source,
+        source: RecordSource,
         out: &mut Vec<MemberAction>,
     ) {
         let slot = self.roster.get(ix);
         let held = slot.record.state;
-        let waited = now.since(slot.since) >= SUSPECT_SPAN && now >= self.grace_until;
-        let stayed = held == MemberState::Suspect && waited && !slot.heard_within(now, FRESH);
-        if held == MemberState::Dead || stayed || source == Source::Direct {
+        let timed_out = now.since(slot.state_since) >= SUSPECT_TIMEOUT && now >= self.grace_until;
+        let suspicion_expired = held == MemberState::Suspect
+            && timed_out
+            && !slot.received_within(now, FRESH_EVIDENCE_AGE);
+        if held == MemberState::Dead || suspicion_expired || source == RecordSource::Direct {
             self.change(now, ix, record, true, out);
             return;
         }
         record.state = held;
         self.change(now, ix, record, false, out);
-        self.check(now, ix, ProbeKind::Accused);
+        self.request_probe(now, ix, ProbeKind::Reported);
     }
 
     /// What others say of this process.
-    fn learn_own(
+    fn merge_own(
         &mut self,
         now: Time,
         record: &MemberRecord,
         out: &mut Vec<MemberAction>,
-    ) -> Learned {
+    ) -> MergeOutcome {
         let own = self.own();
         if record.peer.incarnation > own.peer.incarnation {
-            self.note_replaced(&record.peer, out);
-            return Learned::Same;
+            self.record_replaced(&record.peer, out);
+            return MergeOutcome::Unchanged;
         }
         if record.peer.incarnation < own.peer.incarnation {
-            return Learned::Older;
+            return MergeOutcome::Outdated;
         }
-        if (record.turn, record.state) == (own.turn, own.state) {
-            return Learned::Same;
+        if (record.revision, record.state) == (own.revision, own.state) {
+            return MergeOutcome::Unchanged;
         }
         if record.state == MemberState::Leaving && own.state == MemberState::Alive {
             self.leave(now, out);
             out.push(MemberAction::Changed(self.own().clone()));
-            return Learned::Older;
+            return MergeOutcome::Outdated;
         }
-        if (record.turn, record.state) > (own.turn, own.state) {
-            let turn = record.turn;
-            self.restate(now, |own| own.turn = own.turn.max(turn), out);
-            out.push(MemberAction::Note(Note::new("member_refuted").count(turn)));
+        if (record.revision, record.state) > (own.revision, own.state) {
+            let revision = record.revision;
+            self.update_own(now, |own| own.revision = own.revision.max(revision), out);
+            out.push(MemberAction::Note(
+                Note::new("member_refuted").count(revision),
+            ));
         }
-        Learned::Older
+        MergeOutcome::Outdated
     }
 
     /// Calls dead whoever else was known at the address of `ix`.
-    fn displace_others(&mut self, now: Time, ix: MemberIx, out: &mut Vec<MemberAction>) {
+    fn mark_former_holders_dead(&mut self, now: Time, ix: MemberIx, out: &mut Vec<MemberAction>) {
         let slot = self.roster.get(ix);
         if !slot.is_present() {
             return;
@@ -245,15 +251,15 @@
         let addr = slot.record.peer.addr;
         while let Some(former) = self.roster.holder_of(addr, Some(ix)) {
             if former == OWN {
-                self.mark(now, ix, MemberState::Dead, out);
+                self.set_state(now, ix, MemberState::Dead, out);
                 return;
             }
-            self.mark(now, former, MemberState::Dead, out);
+            self.set_state(now, former, MemberState::Dead, out);
         }
     }
 
     /// Whether a later life of another name is known at the record's address.
-    fn is_displaced(&self, record: &MemberRecord) -> bool {
+    fn is_address_reassigned(&self, record: &MemberRecord) -> bool {
         let except = self.roster.find(&record.peer.name);
         let Some(holder) = self.roster.holder_of(record.peer.addr, except) else {
             return false;
@@ -262,14 +268,14 @@
         holder == OWN || later
     }
 
-    fn check_if_suspect(&mut self, now: Time, ix: MemberIx) {
+    fn probe_if_suspect(&mut self, now: Time, ix: MemberIx) {
         if self.roster.get(ix).record.state == MemberState::Suspect {
-            self.check(now, ix, ProbeKind::Suspected);
+            self.request_probe(now, ix, ProbeKind::Suspected);
         }
     }
 
     /// Takes the header of a later life until its own record comes.
-    pub(crate) fn on_new_life(
+    pub(crate) fn on_new_incarnation(
         &mut self,
         now: Time,
         ix: MemberIx,
@@ -280,10 +286,10 @@
             peer: peer.clone(),
             data_centre: self.roster.get(ix).record.data_centre.clone(),
             state: MemberState::Alive,
-            turn: HEADER_TURN,
+            revision: HEADER_REVISION,
             serves: Vec::new(),
         };
         self.change(now, ix, record, false, out);
-        self.displace_others(now, ix, out);
+        self.mark_former_holders_dead(now, ix, out);
     }
 }
--- a/fireflycroft/src/ping.rs
+++ b/fireflycroft/src/ping.rs
@@ -7,7 +7,7 @@
 use crate::ids::{Name, Peer};
 use crate::member::Members;
 use crate::member_record::{MemberAction, MemberRecord, MemberState};
-use crate::merge::Source;
+use crate::merge::RecordSource;
 use crate::message::Message;
 use crate::probe::ProbeKind;
 use crate::roster::{MemberIx, OWN};
@@ -16,19 +16,19 @@
 use std::time::Duration;
 
 /// Members named to a newcomer, so that it does not lean on the seeds alone.
-const SAMPLE: usize = 16;
+const NEWCOMER_SAMPLE: usize = 16;
 
 /// Pings under way for others.
 const MAX_RELAYS: usize = 64;
-const RELAY_WAIT: Duration = Duration::from_secs(2);
+const RELAY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A ping sent for another member.
 #[derive(Clone, Debug)]
 struct Relay {
     nonce: u64,
     target: Name,
-    asker: SocketAddr,
-    asker_nonce: u64,
+    requester: SocketAddr,
+    requester_nonce: u64,
     at: Time,
 }
 
@@ -39,7 +39,7 @@
 impl Relays {
     /// Drops those that were not answered in time.
     pub(crate) fn expire(&mut self, now: Time) {
-        self.0.retain(|r| now.since(r.at) < RELAY_WAIT);
+        self.0.retain(|r| now.since(r.at) < RELAY_TIMEOUT);
     }
 
     fn take(&mut self, nonce: u64, target: &Name) -> Option<Relay> {
@@ -59,26 +59,26 @@
         view: u64,
         out: &mut Vec<MemberAction>,
     ) {
-        let turn = self.own().turn;
+        let revision = self.own().revision;
         let introduced = records.iter().any(|r| r.peer.name == from.name);
         let newcomer = self.is_newcomer(from);
-        let behind = self.learn_all(now, from, records, Source::Gossip, out);
-        let sender = self.note_heard(now, from, out);
+        let outdated = self.merge_records(now, from, records, RecordSource::Gossip, out);
+        let sender = self.record_received(now, from, out);
         let sample = if newcomer {
-            self.some_members(sender, SAMPLE)
+            self.sample_members(sender, NEWCOMER_SAMPLE)
         } else {
             Vec::new()
         };
-        let doubt = sender.and_then(|ix| self.answer_doubt(ix, from));
-        let restated = self.own().turn != turn;
+        let disputed = sender.and_then(|ix| self.record_for_sender(ix, from));
+        let own_updated = self.own().revision != revision;
         let records = self.payload(now, |roster, payload| {
-            if introduced || restated {
+            if introduced || own_updated {
                 payload.add(roster.own());
             }
-            if let Some(record) = &doubt {
+            if let Some(record) = &disputed {
                 payload.add(record);
             }
-            for ix in behind.into_iter().chain(sample) {
+            for ix in outdated.into_iter().chain(sample) {
                 payload.add(&roster.get(ix).record);
             }
         });
@@ -100,19 +100,19 @@
         view: u64,
         out: &mut Vec<MemberAction>,
     ) {
-        let behind = self.learn_all(now, from, records, Source::Gossip, out);
-        self.on_heard(now, from, out);
+        let outdated = self.merge_records(now, from, records, RecordSource::Gossip, out);
+        self.on_received(now, from, out);
         if let Some(relay) = self.relays.take(nonce, &from.name) {
-            self.pass_on(&relay, out);
+            self.answer_requester(&relay, out);
         }
         if let Some(ix) = self.roster.find(&from.name) {
-            self.on_farewell_answer(ix, nonce);
+            self.on_leave_acknowledged(ix, nonce);
         }
         if let Some(ix) = self.prober.probed_by(nonce) {
-            self.on_answer(ix);
+            self.on_probe_answered(ix);
         }
-        if behind.contains(&OWN) {
-            self.greet(now, from.addr, out);
+        if outdated.contains(&OWN) {
+            self.introduce_limited(now, from.addr, out);
         }
         self.compare_views(now, from, view, out);
     }
@@ -129,32 +129,42 @@
         let relay = Relay {
             nonce: self.draw_nonce(),
             target: target.peer.name.clone(),
-            asker: from.addr,
-            asker_nonce: nonce,
+            requester: from.addr,
+            requester_nonce: nonce,
             at: now,
         };
-        self.learn_all(now, from, vec![target.clone()], Source::Gossip, out);
-        self.on_heard(now, from, out);
+        self.merge_records(now, from, vec![target.clone()], RecordSource::Gossip, out);
+        self.on_received(now, from, out);
         if relay.target == self.own().peer.name {
-            self.pass_on(&relay, out);
+            self.answer_requester(&relay, out);
         } else if self.relays.0.len() < MAX_RELAYS {
-            self.send_ping(target.peer.addr, relay.nonce, doubts(target), out);
+            self.send_ping(target.peer.addr, relay.nonce, refutable(target), out);
             self.relays.0.push(relay);
         }
     }
 
     /// Tells a member that was heard how it is held, so that it may refute it.
-    pub(crate) fn contradict(&mut self, now: Time, ix: MemberIx, out: &mut Vec<MemberAction>) {
+    pub(crate) fn prompt_refutation(
+        &mut self,
+        now: Time,
+        ix: MemberIx,
+        out: &mut Vec<MemberAction>,
+    ) {
         let state = self.roster.get(ix).record.state;
-        let doubted = matches!(state, MemberState::Suspect | MemberState::Dead);
-        if doubted && self.prober.extra.take(now) {
+        let needs_refutation = matches!(state, MemberState::Suspect | MemberState::Dead);
+        if needs_refutation && self.prober.extra_pings.try_consume(now) {
             self.ping(ix, out);
         }
     }
 
     /// Introduces this process to a mailbox whose owner is not known.
-    pub(crate) fn greet(&mut self, now: Time, addr: SocketAddr, out: &mut Vec<MemberAction>) {
-        if self.prober.extra.take(now) {
+    pub(crate) fn introduce_limited(
+        &mut self,
+        now: Time,
+        addr: SocketAddr,
+        out: &mut Vec<MemberAction>,
+    ) {
+        if self.prober.extra_pings.try_consume(now) {
             self.introduce(now, addr, out);
         }
     }
@@ -172,7 +182,7 @@
     pub(crate) fn ping(&mut self, ix: MemberIx, out: &mut Vec<MemberAction>) {
         let nonce = self.draw_nonce();
         let record = self.roster.get(ix).record.clone();
-        self.send_ping(record.peer.addr, nonce, doubts(record), out);
+        self.send_ping(record.peer.addr, nonce, refutable(record), out);
     }
 
     pub(crate) fn send_ping(
@@ -191,9 +201,9 @@
     }
 
     /// The record of a member, as a probe of that kind puts it.
-    pub(crate) fn accusation(&self, ix: MemberIx, kind: ProbeKind) -> MemberRecord {
+    pub(crate) fn probed_record(&self, ix: MemberIx, kind: ProbeKind) -> MemberRecord {
         let mut record = self.roster.get(ix).record.clone();
-        if kind == ProbeKind::Accused {
+        if kind == ProbeKind::Reported {
             record.state = MemberState::Dead;
         }
         record
@@ -204,13 +214,13 @@
     }
 
     /// Gives the asker of a relay its pong.
-    fn pass_on(&self, relay: &Relay, out: &mut Vec<MemberAction>) {
+    fn answer_requester(&self, relay: &Relay, out: &mut Vec<MemberAction>) {
         let pong = Message::Pong {
-            nonce: relay.asker_nonce,
+            nonce: relay.requester_nonce,
             records: self.get(&relay.target).cloned().into_iter().collect(),
             view: self.view(),
         };
-        out.push(MemberAction::Send(relay.asker, pong));
+        out.push(MemberAction::Send(relay.requester, pong));
     }
 
     /// Whether this life of the sender is not yet known.
@@ -220,17 +230,17 @@
     }
 
     /// What the sender of a ping should know of how it is held.
-    fn answer_doubt(&self, ix: MemberIx, from: &Peer) -> Option<MemberRecord> {
+    fn record_for_sender(&self, ix: MemberIx, from: &Peer) -> Option<MemberRecord> {
         let record = self.roster.get(ix).record.clone();
         if record.peer.incarnation > from.incarnation {
             return Some(record);
         }
-        doubts(record).pop()
+        refutable(record).pop()
     }
 }
 
 /// The record, if its member is to refute it.
-pub(crate) fn doubts(record: MemberRecord) -> Vec<MemberRecord> {
+pub(crate) fn refutable(record: MemberRecord) -> Vec<MemberRecord> {
     match record.state {
         MemberState::Suspect | MemberState::Dead => vec![record],
         MemberState::Alive | MemberState::Leaving => Vec::new(),
--- a/fireflycroft/src/probe.rs
+++ b/fireflycroft/src/probe.rs
@@ -6,19 +6,19 @@
 //! probe of one's own. The dead, the seeds and the VMs listed are tried now and
 //! then, so that the halves of a divided fleet find each other again.
 
-use crate::allowance::Allowance;
-use crate::member::{GRACE, Members, SUSPECT_SPAN};
+use crate::member::{GRACE_PERIOD, Members, SUSPECT_TIMEOUT};
 use crate::member_record::{MemberAction, MemberState};
 use crate::message::Message;
 use crate::note::Note;
-use crate::ping::doubts;
+use crate::ping::refutable;
+use crate::rate_limiter::RateLimiter;
 use crate::roster::{MemberIx, OWN};
 use crate::time::Time;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const ROUTINE_EVERY: Duration = Duration::from_secs(1);
-const SLOW_EVERY: Duration = Duration::from_secs(10);
+const ROUTINE_INTERVAL: Duration = Duration::from_secs(1);
+const RECONNECT_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Parts of an interval that chance adds or takes away at most.
 const JITTER_PARTS: u32 = 10;
@@ -27,24 +27,24 @@
 const JITTER_STEPS: u32 = 128;
 
 /// Time that an answer to a routine ping may take.
-const ANSWER_WAIT: Duration = Duration::from_secs(1);
-const ROUTINE_TRIES: u32 = 2;
+const PONG_TIMEOUT: Duration = Duration::from_secs(1);
+const ROUTINE_ATTEMPTS: u32 = 2;
 
 /// Pings to a doubtful member within [`SUSPECT_SPAN`].
-const DOUBT_TRIES: u32 = 4;
+const SUSPECT_ATTEMPTS: u32 = 4;
 
 /// Members asked to ping another.
-const ROUTINE_HELPERS: usize = 2;
-const DOUBT_HELPERS: usize = 1;
+const ROUTINE_RELAYS: usize = 2;
+const SUSPECT_RELAYS: usize = 1;
 
 /// Probes and pings that others' messages cause, a second and at once.
-const EXTRA_PER_SECOND: u64 = 4;
+const EXTRA_PINGS_PER_SECOND: u64 = 4;
 
 /// Seeds asked at the start, and members asked after a pause.
 const JOIN_PINGS: usize = 3;
 
 /// Draws for a mailbox to try that is not held by a member.
-const SLOW_DRAWS: usize = 8;
+const RECONNECT_DRAWS: usize = 8;
 
 /// Why a member is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
     /// It is suspect and dead unless it answers.
     Suspected,
     /// Others call it worse than it is held here; it is dead unless it answers.
-    Accused,
+    Reported,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -73,11 +73,11 @@
     order: Vec<MemberIx>,
     next: usize,
     routine_at: Time,
-    slow_at: Time,
+    reconnect_at: Time,
     probes: Vec<Probe>,
-    waiting: Vec<(MemberIx, ProbeKind)>,
+    queued: Vec<(MemberIx, ProbeKind)>,
     /// Pings that may be sent beyond the routine.
-    pub(crate) extra: Allowance,
+    pub(crate) extra_pings: RateLimiter,
 }
 
 impl Default for Prober {
@@ -86,24 +86,24 @@
             order: Vec::new(),
             next: 0,
             routine_at: Time::default(),
-            slow_at: Time::default(),
+            reconnect_at: Time::default(),
             probes: Vec::new(),
-            waiting: Vec::new(),
-            extra: Allowance::new(EXTRA_PER_SECOND, EXTRA_PER_SECOND),
+            queued: Vec::new(),
+            extra_pings: RateLimiter::new(EXTRA_PINGS_PER_SECOND, EXTRA_PINGS_PER_SECOND),
         }
     }
 }
 
 impl Probe {
     /// Waits `span` from when it was due; nearly as long when that is past.
-    fn wait(&mut self, now: Time, span: Duration) {
+    fn schedule_next(&mut self, now: Time, span: Duration) {
         self.due = (self.due + span).max(now + span / 2);
     }
 }
 
 impl Prober {
     /// Puts a new member into the round, at a place drawn from `draw`.
-    pub(crate) fn enter(&mut self, ix: MemberIx, draw: impl FnOnce(usize) -> usize) {
+    pub(crate) fn add(&mut self, ix: MemberIx, draw: impl FnOnce(usize) -> usize) {
         let at = draw(self.order.len() + 1);
         self.order.insert(at, ix);
     }
@@ -117,7 +117,7 @@
     /// Ends the probes of a member.
     pub(crate) fn cancel(&mut self, ix: MemberIx) {
         self.probes.retain(|p| p.ix != ix);
-        self.waiting.retain(|(held, _)| *held != ix);
+        self.queued.retain(|(held, _)| *held != ix);
     }
 
     /// Drops all trace of a member.
@@ -127,8 +127,8 @@
     }
 
     fn is_probed(&self, ix: MemberIx) -> bool {
-        let waits = self.waiting.iter().any(|(held, _)| *held == ix);
-        waits || self.probes.iter().any(|p| p.ix == ix)
+        let is_queued = self.queued.iter().any(|(held, _)| *held == ix);
+        is_queued || self.probes.iter().any(|p| p.ix == ix)
     }
 }
 
@@ -136,8 +136,8 @@
     /// First pings of this life.
     pub(crate) fn join(&mut self, now: Time, out: &mut Vec<MemberAction>) {
         self.count_entries(out);
-        self.prober.routine_at = now + self.jittered(ROUTINE_EVERY);
-        self.prober.slow_at = now + self.jittered(SLOW_EVERY);
+        self.prober.routine_at = now + self.jittered(ROUTINE_INTERVAL);
+        self.prober.reconnect_at = now + self.jittered(RECONNECT_INTERVAL);
         let first = self.ids.draw_below(self.seeds.len());
         let mut seeds = self.seeds.clone();
         seeds.rotate_left(first);
@@ -149,24 +149,24 @@
     /// After a pause others are heard before any of them is doubted.
     pub(crate) fn on_pause(&mut self, now: Time, out: &mut Vec<MemberAction>) {
         out.push(MemberAction::Note(Note::new("member_paused")));
-        self.grace_until = now + GRACE;
+        self.grace_until = now + GRACE_PERIOD;
         self.prober.probes.clear();
-        self.prober.waiting.clear();
+        self.prober.queued.clear();
         let suspects: Vec<MemberIx> = self.in_state(MemberState::Suspect).collect();
         for ix in suspects {
-            self.roster.get_mut(ix).since = now;
-            self.prober.waiting.push((ix, ProbeKind::Suspected));
+            self.roster.get_mut(ix).state_since = now;
+            self.prober.queued.push((ix, ProbeKind::Suspected));
         }
-        for ix in self.some_members(None, JOIN_PINGS) {
+        for ix in self.sample_members(None, JOIN_PINGS) {
             self.ping(ix, out);
         }
     }
 
     /// Sends what is due and starts what waits.
     pub(crate) fn tick_probes(&mut self, now: Time, out: &mut Vec<MemberAction>) {
-        self.start_waiting(now);
+        self.start_queued(now);
         self.tick_routine(now, out);
-        self.tick_slow(now, out);
+        self.tick_reconnect(now, out);
         let probes = std::mem::take(&mut self.prober.probes);
         for probe in probes {
             let next = if probe.due <= now {
@@ -179,7 +179,7 @@
     }
 
     /// Has a member probed because of what others say.
-    pub(crate) fn check(&mut self, now: Time, ix: MemberIx, kind: ProbeKind) {
+    pub(crate) fn request_probe(&mut self, now: Time, ix: MemberIx, kind: ProbeKind) {
         let prober = &mut self.prober;
         if let Some(probe) = prober.probes.iter_mut().find(|p| p.ix == ix) {
             if probe.kind == ProbeKind::Routine {
@@ -187,14 +187,14 @@
             }
             return;
         }
-        if !prober.waiting.iter().any(|(held, _)| *held == ix) {
-            prober.waiting.push((ix, kind));
+        if !prober.queued.iter().any(|(held, _)| *held == ix) {
+            prober.queued.push((ix, kind));
         }
-        self.start_waiting(now);
+        self.start_queued(now);
     }
 
     /// Ends the doubts in a member that answered, directly or through another.
-    pub(crate) fn on_answer(&mut self, ix: MemberIx) {
+    pub(crate) fn on_probe_answered(&mut self, ix: MemberIx) {
         if self.roster.get(ix).record.state != MemberState::Suspect {
             self.prober.cancel(ix);
             return;
@@ -205,10 +205,10 @@
         }
     }
 
-    fn start_waiting(&mut self, now: Time) {
-        while !self.prober.waiting.is_empty() && self.prober.extra.take(now) {
-            let at = self.ids.draw_below(self.prober.waiting.len());
-            let (ix, kind) = self.prober.waiting.swap_remove(at);
+    fn start_queued(&mut self, now: Time) {
+        while !self.prober.queued.is_empty() && self.prober.extra_pings.try_consume(now) {
+            let at = self.ids.draw_below(self.prober.queued.len());
+            let (ix, kind) = self.prober.queued.swap_remove(at);
             self.start(now, ix, kind);
         }
     }
@@ -229,72 +229,77 @@
         if !self.roster.get(probe.ix).is_present() {
             return None;
         }
-        if probe.kind == ProbeKind::Routine && probe.sent >= ROUTINE_TRIES {
+        if probe.kind == ProbeKind::Routine && probe.sent >= ROUTINE_ATTEMPTS {
             if now < self.grace_until {
                 return None;
             }
-            self.suspect(now, probe.ix, out);
+            self.mark_suspect(now, probe.ix, out);
             (probe.kind, probe.sent) = (ProbeKind::Suspected, 0);
         }
         if probe.kind == ProbeKind::Routine {
-            return Some(self.ask(now, probe, out));
+            return Some(self.send_routine(now, probe, out));
         }
-        if probe.sent >= DOUBT_TRIES && now < self.grace_until {
+        if probe.sent >= SUSPECT_ATTEMPTS && now < self.grace_until {
             probe.sent = 0;
         }
-        if probe.sent >= DOUBT_TRIES {
-            self.mark(now, probe.ix, MemberState::Dead, out);
+        if probe.sent >= SUSPECT_ATTEMPTS {
+            self.set_state(now, probe.ix, MemberState::Dead, out);
             return None;
         }
-        Some(self.ask_doubtful(now, probe, out))
+        Some(self.send_verification(now, probe, out))
     }
 
-    fn suspect(&mut self, now: Time, ix: MemberIx, out: &mut Vec<MemberAction>) {
+    fn mark_suspect(&mut self, now: Time, ix: MemberIx, out: &mut Vec<MemberAction>) {
         if self.roster.get(ix).record.state == MemberState::Alive {
-            self.mark(now, ix, MemberState::Suspect, out);
+            self.set_state(now, ix, MemberState::Suspect, out);
         }
     }
 
-    fn ask(&mut self, now: Time, mut probe: Probe, out: &mut Vec<MemberAction>) -> Probe {
+    fn send_routine(&mut self, now: Time, mut probe: Probe, out: &mut Vec<MemberAction>) -> Probe {
         if probe.sent == 0 {
-            let accusation = self.accusation(probe.ix, probe.kind);
-            let addr = accusation.peer.addr;
-            let doubts = doubts(accusation);
+            let probed_record = self.probed_record(probe.ix, probe.kind);
+            let addr = probed_record.peer.addr;
+            let refutable = refutable(probed_record);
             let records = self.payload(now, |_, payload| {
-                for record in &doubts {
+                for record in &refutable {
                     payload.add(record);
                 }
             });
             self.send_ping(addr, probe.nonce, records, out);
         } else {
             self.send_probe(&probe, out);
-            self.ask_helpers(&probe, ROUTINE_HELPERS, out);
+            self.request_relayed_pings(&probe, ROUTINE_RELAYS, out);
         }
         probe.sent += 1;
-        probe.wait(now, ANSWER_WAIT);
+        probe.schedule_next(now, PONG_TIMEOUT);
         probe
     }
 
-    fn ask_doubtful(&mut self, now: Time, mut probe: Probe, out: &mut Vec<MemberAction>) -> Probe {
+    fn send_verification(
+        &mut self,
+        now: Time,
+        mut probe: Probe,
+        out: &mut Vec<MemberAction>,
+    ) -> Probe {
         self.send_probe(&probe, out);
-        if probe.sent == DOUBT_TRIES / 2 {
-            self.ask_helpers(&probe, DOUBT_HELPERS, out);
+        if probe.sent == SUSPECT_ATTEMPTS / 2 {
+            self.request_relayed_pings(&probe, SUSPECT_RELAYS, out);
         }
         probe.sent += 1;
-        probe.wait(now, SUSPECT_SPAN / DOUBT_TRIES);
+        probe.schedule_next(now, SUSPECT_TIMEOUT / SUSPECT_ATTEMPTS);
         probe
     }
 
     /// Pings without changes of late: they would likely reach nobody.
     fn send_probe(&self, probe: &Probe, out: &mut Vec<MemberAction>) {
-        let accusation = self.accusation(probe.ix, probe.kind);
-        let addr = accusation.peer.addr;
-        self.send_ping(addr, probe.nonce, doubts(accusation), out);
+        let probed_record = self.probed_record(probe.ix, probe.kind);
+        let addr = probed_record.peer.addr;
+        self.send_ping(addr, probe.nonce, refutable(probed_record), out);
     }
 
-    fn ask_helpers(&mut self, probe: &Probe, count: usize, out: &mut Vec<MemberAction>) {
-        let target = self.accusation(probe.ix, probe.kind);
-        for ix in self.some_members(Some(probe.ix), count) {
+    fn request_relayed_pings(&mut self, probe: &Probe, count: usize, out: &mut Vec<MemberAction>) {
+        let target = self.probed_record(probe.ix, probe.kind);
+        for ix in self.sample_members(Some(probe.ix), count) {
             let addr = self.roster.get(ix).record.peer.addr;
             let message = Message::PingVia {
                 nonce: probe.nonce,
@@ -306,16 +311,20 @@
 
     /// Members alive, drawn at random, first from data centres that are neither
     /// this process's nor that of `target`.
-    pub(crate) fn some_members(&mut self, target: Option<MemberIx>, count: usize) -> Vec<MemberIx> {
+    pub(crate) fn sample_members(
+        &mut self,
+        target: Option<MemberIx>,
+        count: usize,
+    ) -> Vec<MemberIx> {
         let shift = self.ids.draw_below(self.prober.order.len());
-        let turned = self.prober.order.iter().cycle().skip(shift);
-        let alive = turned.take(self.prober.order.len()).copied().filter(|ix| {
+        let rotated = self.prober.order.iter().cycle().skip(shift);
+        let alive = rotated.take(self.prober.order.len()).copied().filter(|ix| {
             let state = self.roster.get(*ix).record.state;
             Some(*ix) != target && state == MemberState::Alive
         });
-        let place = |ix: MemberIx| &self.roster.get(ix).record.data_centre;
+        let data_centre_of = |ix: MemberIx| &self.roster.get(ix).record.data_centre;
         let near = |ix: MemberIx| {
-            let same = |other: MemberIx| place(other) == place(ix);
+            let same = |other: MemberIx| data_centre_of(other) == data_centre_of(ix);
             same(OWN) || target.is_some_and(same)
         };
         let (near, mut chosen): (Vec<_>, Vec<_>) = alive.partition(|ix| near(*ix));
@@ -328,7 +337,7 @@
         if now < self.prober.routine_at {
             return;
         }
-        self.prober.routine_at = now + self.jittered(ROUTINE_EVERY);
+        self.prober.routine_at = now + self.jittered(ROUTINE_INTERVAL);
         if let Some(ix) = self.next_in_round() {
             self.start(now, ix, ProbeKind::Routine);
         }
@@ -342,17 +351,17 @@
     }
 
     /// Tries a dead member, a seed or a VM listed.
-    fn tick_slow(&mut self, now: Time, out: &mut Vec<MemberAction>) {
-        if now < self.prober.slow_at {
+    fn tick_reconnect(&mut self, now: Time, out: &mut Vec<MemberAction>) {
+        if now < self.prober.reconnect_at {
             return;
         }
-        self.prober.slow_at = now + self.jittered(SLOW_EVERY);
+        self.prober.reconnect_at = now + self.jittered(RECONNECT_INTERVAL);
         let dead = self.in_state(MemberState::Dead);
         let mut addrs: Vec<SocketAddr> = dead
             .map(|ix| self.roster.get(ix).record.peer.addr)
             .collect();
         addrs.extend(self.seeds.iter().chain(&self.vms));
-        for _ in 0..SLOW_DRAWS {
+        for _ in 0..RECONNECT_DRAWS {
             let at = self.ids.draw_below(addrs.len());
             let Some(addr) = addrs.get(at).copied() else {
                 return;
@@ -400,7 +409,7 @@
     pub(crate) fn jittered(&mut self, span: Duration) -> Duration {
         let step = self.ids.draw_below(JITTER_STEPS as usize);
         let step = u32::try_from(step).unwrap_or(0);
-        let least = span * (JITTER_PARTS - 1) / JITTER_PARTS;
-        least + span * 2 * step / JITTER_STEPS / JITTER_PARTS
+        let shortest = span * (JITTER_PARTS - 1) / JITTER_PARTS;
+        shortest + span * 2 * step / JITTER_STEPS / JITTER_PARTS
     }
 }
--- a/fireflycroft/src/reconcile.rs
+++ b/fireflycroft/src/reconcile.rs
@@ -6,13 +6,13 @@
 //! and the same the other way round. The bytes of a second are bounded; what
 //! finds no room is left to the next comparison.
 
-use crate::allowance::Allowance;
 use crate::gossip::Payload;
 use crate::ids::Peer;
 use crate::member::Members;
 use crate::member_record::{MemberAction, MemberRecord};
-use crate::merge::Source;
+use crate::merge::RecordSource;
 use crate::message::Message;
+use crate::rate_limiter::RateLimiter;
 use crate::roster::{OWN, PARTS, is_of_name};
 use crate::time::Time;
 use std::collections::VecDeque;
@@ -20,13 +20,13 @@
 use std::time::Duration;
 
 /// Least time between two comparisons that this process begins.
-const COMPARE_EVERY: Duration = Duration::from_secs(2);
+const MIN_COMPARE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Time after which a comparison is begun though changes wait to be told.
-const OVERDUE: Duration = Duration::from_secs(5);
+const MAX_COMPARE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How long views must have differed; changes of late need that time to spread.
-const SETTLE: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
 /// Bytes sent a second on average, and at once after a quiet time.
 const BYTES_PER_SECOND: u64 = 2 * 1_024;
@@ -34,17 +34,17 @@
 
 /// Bytes of one hash, and round the hashes of one message.
 const HASH_BYTES: usize = 8;
-const HEAD_BYTES: usize = 64;
+const HEADER_BYTES: usize = 64;
 
 /// Hashes in one message, but for those of its last part.
 const MAX_HASHES: usize = 128;
 
 /// Processes that are compared with at the same time.
-const MAX_RUNS: usize = 8;
+const MAX_TRANSFERS: usize = 8;
 
 /// Parts whose hashes one process is still to be sent.
 #[derive(Clone, Copy, Debug)]
-struct HashRun {
+struct HashTransfer {
     to: SocketAddr,
     /// One bit for each part.
     parts: u64,
@@ -53,41 +53,46 @@
 /// Comparisons under way.
 #[derive(Clone, Debug)]
 pub(crate) struct Reconciler {
-    begun: Option<Time>,
+    last_begun: Option<Time>,
     /// Since when the views of others have differed.
-    differs: Option<Time>,
-    runs: VecDeque<HashRun>,
-    bytes: Allowance,
+    differs_since: Option<Time>,
+    transfers: VecDeque<HashTransfer>,
+    bytes: RateLimiter,
 }
 
 impl Default for Reconciler {
     fn default() -> Self {
         Self {
-            begun: None,
-            differs: None,
-            runs: VecDeque::new(),
-            bytes: Allowance::new(BYTES_PER_SECOND, BURST_BYTES),
+            last_begun: None,
+            differs_since: None,
+            transfers: VecDeque::new(),
+            bytes: RateLimiter::new(BYTES_PER_SECOND, BURST_BYTES),
         }
     }
 }
 
 impl Reconciler {
     /// Whether to compare with a process whose view differs.
-    fn may_begin(&mut self, now: Time, quiet: bool) -> bool {
-        let differs = *self.differs.get_or_insert(now);
-        let Some(begun) = self.begun else {
+    fn may_begin(&mut self, now: Time, nothing_pending: bool) -> bool {
+        let differs_since = *self.differs_since.get_or_insert(now);
+        let Some(last_begun) = self.last_begun else {
             return true;
         };
-        let waited = now.since(begun);
-        let due = waited >= OVERDUE || (quiet && waited >= COMPARE_EVERY);
-        due && now.since(differs) >= SETTLE && self.bytes.is_open(now)
+        let waited = now.since(last_begun);
+        let due =
+            waited >= MAX_COMPARE_INTERVAL || (nothing_pending && waited >= MIN_COMPARE_INTERVAL);
+        due && now.since(differs_since) >= SETTLE_TIME && self.bytes.has_budget(now)
     }
 
-    fn add_run(&mut self, run: HashRun) {
-        if let Some(held) = self.runs.iter_mut().find(|held| held.to == run.to) {
-            held.parts |= run.parts;
-        } else if self.runs.len() < MAX_RUNS {
-            self.runs.push_back(run);
+    fn add_transfer(&mut self, transfer: HashTransfer) {
+        if let Some(held) = self
+            .transfers
+            .iter_mut()
+            .find(|held| held.to == transfer.to)
+        {
+            held.parts |= transfer.parts;
+        } else if self.transfers.len() < MAX_TRANSFERS {
+            self.transfers.push_back(transfer);
         }
     }
 }
@@ -102,14 +107,14 @@
         out: &mut Vec<MemberAction>,
     ) {
         if view == self.view() {
-            self.reconciler.differs = None;
+            self.reconciler.differs_since = None;
             return;
         }
         if !self.reconciler.may_begin(now, self.gossip.is_empty()) {
             return;
         }
-        self.reconciler.begun = Some(now);
-        self.spend_bytes(HEAD_BYTES + HASH_BYTES * PARTS);
+        self.reconciler.last_begun = Some(now);
+        self.consume_bytes(HEADER_BYTES + HASH_BYTES * PARTS);
         let parts = self.roster.parts().to_vec();
         out.push(MemberAction::Send(from.addr, Message::ViewParts { parts }));
     }
@@ -121,7 +126,7 @@
         parts: &[u64],
         out: &mut Vec<MemberAction>,
     ) {
-        self.on_heard(now, from, out);
+        self.on_received(now, from, out);
         if parts.len() != PARTS {
             return;
         }
@@ -129,11 +134,11 @@
         let differing = pairs.filter(|(_, (theirs, ours))| theirs != ours);
         let parts = differing.fold(0, |bits, (part, _)| bits | (1 << part));
         if parts != 0 {
-            let run = HashRun {
+            let transfer = HashTransfer {
                 to: from.addr,
                 parts,
             };
-            self.reconciler.add_run(run);
+            self.reconciler.add_transfer(transfer);
             self.tick_reconciler(now, out);
         }
     }
@@ -147,13 +152,13 @@
         reply: bool,
         out: &mut Vec<MemberAction>,
     ) {
-        self.on_heard(now, from, out);
+        self.on_received(now, from, out);
         hashes.sort_unstable();
-        if !reply && self.reconciler.bytes.is_open(now) {
+        if !reply && self.reconciler.bytes.has_budget(now) {
             let ours = self.hashes_of(parts);
             self.send_hashes(from.addr, parts, ours, true, out);
         }
-        self.send_lacking(now, from.addr, parts, &hashes, out);
+        self.send_missing(now, from.addr, parts, &hashes, out);
     }
 
     pub(crate) fn on_view_page(
@@ -163,35 +168,35 @@
         records: Vec<MemberRecord>,
         out: &mut Vec<MemberAction>,
     ) {
-        let behind = self.learn_all(now, from, records, Source::Page, out);
-        self.on_heard(now, from, out);
-        if behind.contains(&OWN) {
-            self.greet(now, from.addr, out);
+        let outdated = self.merge_records(now, from, records, RecordSource::Page, out);
+        self.on_received(now, from, out);
+        if outdated.contains(&OWN) {
+            self.introduce_limited(now, from.addr, out);
         }
     }
 
     /// Sends hashes of parts that differ as far as the bytes allow.
     pub(crate) fn tick_reconciler(&mut self, now: Time, out: &mut Vec<MemberAction>) {
-        while self.reconciler.bytes.is_open(now) {
-            let Some(run) = self.reconciler.runs.pop_front() else {
+        while self.reconciler.bytes.has_budget(now) {
+            let Some(transfer) = self.reconciler.transfers.pop_front() else {
                 return;
             };
-            self.step_run(run, out);
+            self.step_transfer(transfer, out);
         }
     }
 
-    fn step_run(&mut self, mut run: HashRun, out: &mut Vec<MemberAction>) {
+    fn step_transfer(&mut self, mut transfer: HashTransfer, out: &mut Vec<MemberAction>) {
         let mut sent = 0;
         let mut hashes = Vec::new();
-        while run.parts != 0 && hashes.len() < MAX_HASHES {
-            let part = 1 << run.parts.trailing_zeros();
+        while transfer.parts != 0 && hashes.len() < MAX_HASHES {
+            let part = 1 << transfer.parts.trailing_zeros();
             hashes.extend(self.hashes_of(part));
-            run.parts &= !part;
+            transfer.parts &= !part;
             sent |= part;
         }
-        self.send_hashes(run.to, sent, hashes, false, out);
-        if run.parts != 0 {
-            self.reconciler.runs.push_back(run);
+        self.send_hashes(transfer.to, sent, hashes, false, out);
+        if transfer.parts != 0 {
+            self.reconciler.transfers.push_back(transfer);
         }
     }
 
@@ -203,7 +208,7 @@
         reply: bool,
         out: &mut Vec<MemberAction>,
     ) {
-        self.spend_bytes(HEAD_BYTES + HASH_BYTES * hashes.len());
+        self.consume_bytes(HEADER_BYTES + HASH_BYTES * hashes.len());
         let message = Message::ViewHashes {
             parts,
             hashes,
@@ -214,7 +219,7 @@
 
     /// Sends records of `parts` that are not among `theirs`, which are sorted;
     /// of the dead only those that the other side holds as not dead.
-    fn send_lacking(
+    fn send_missing(
         &mut self,
         now: Time,
         to: SocketAddr,
@@ -222,7 +227,7 @@
         theirs: &[u64],
         out: &mut Vec<MemberAction>,
     ) {
-        let lacking: Vec<MemberRecord> = self
+        let missing: Vec<MemberRecord> = self
             .roster
             .slots()
             .filter(|slot| parts & (1 << slot.part()) != 0)
@@ -237,12 +242,12 @@
             })
             .map(|slot| slot.record.clone())
             .collect();
-        let mut rest = lacking.as_slice();
-        while !rest.is_empty() && self.reconciler.bytes.is_open(now) {
+        let mut rest = missing.as_slice();
+        while !rest.is_empty() && self.reconciler.bytes.has_budget(now) {
             let mut payload = Payload::default();
             let taken = rest.iter().take_while(|r| payload.add(r)).count();
             rest = &rest[taken.max(1)..];
-            self.spend_bytes(HEAD_BYTES + payload.bytes());
+            self.consume_bytes(HEADER_BYTES + payload.bytes());
             let records = payload.into_records();
             out.push(MemberAction::Send(to, Message::ViewPage { records }));
         }
@@ -256,7 +261,7 @@
             .collect()
     }
 
-    fn spend_bytes(&mut self, bytes: usize) {
-        self.reconciler.bytes.spend(bytes as u64);
+    fn consume_bytes(&mut self, bytes: usize) {
+        self.reconciler.bytes.consume(bytes as u64);
     }
 }
--- a/fireflycroft/src/roster.rs
+++ b/fireflycroft/src/roster.rs
@@ -17,7 +17,7 @@
 pub(crate) const PARTS: usize = 64;
 
 /// Names shared among records; the unused go when there are more.
-const MAX_NAMES: usize = 1_024;
+const MAX_INTERNED_NAMES: usize = 1_024;
 
 /// Bits below the name in a hash.
 const NAME_SHIFT: u32 = 32;
@@ -34,11 +34,11 @@
 pub(crate) struct Slot {
     pub(crate) record: MemberRecord,
     /// When this life of the member was learned of.
-    pub(crate) learned: Time,
+    pub(crate) first_seen: Time,
     /// When it came into its present state and turn.
-    pub(crate) since: Time,
+    pub(crate) state_since: Time,
     /// When a message of its own came last.
-    pub(crate) heard: Option<Time>,
+    pub(crate) last_received: Option<Time>,
     name_hash: u32,
     state_hash: u32,
 }
@@ -52,7 +52,7 @@
     /// Indices in use, in order of name.
     by_name: Vec<MemberIx>,
     parts: [u64; PARTS],
-    names: HashSet<Name>,
+    interned: HashSet<Name>,
 }
 
 impl MemberIx {
@@ -67,9 +67,9 @@
             name_hash: hash_of_name(&record.peer.name),
             state_hash: hash_of_state(&record),
             record,
-            learned: now,
-            since: now,
-            heard: None,
+            first_seen: now,
+            state_since: now,
+            last_received: None,
         }
     }
 
@@ -89,8 +89,8 @@
     }
 
     /// Whether a message of its own came less than `span` ago.
-    pub(crate) fn heard_within(&self, now: Time, span: Duration) -> bool {
-        self.heard.is_some_and(|at| now.since(at) < span)
+    pub(crate) fn received_within(&self, now: Time, span: Duration) -> bool {
+        self.last_received.is_some_and(|at| now.since(at) < span)
     }
 }
 
@@ -102,7 +102,7 @@
             vacant: Vec::new(),
             by_name: Vec::new(),
             parts: [0; PARTS],
-            names: HashSet::new(),
+            interned: HashSet::new(),
         };
         roster.insert(Time::default(), own);
         roster
@@ -136,7 +136,7 @@
 
     /// Member of that name.
     pub(crate) fn find(&self, name: &str) -> Option<MemberIx> {
-        let at = self.place_of(name).ok()?;
+        let at = self.position_of(name).ok()?;
         Some(self.by_name[at])
     }
 
@@ -149,11 +149,11 @@
 
     /// Adds a member of a name that is not held; `None` when the table is full.
     pub(crate) fn insert(&mut self, now: Time, record: MemberRecord) -> Option<MemberIx> {
-        let at = self.place_of(&record.peer.name).err()?;
+        let at = self.position_of(&record.peer.name).err()?;
         if self.len() >= MAX_MEMBERS {
             return None;
         }
-        let slot = Slot::new(now, self.share_names(record));
+        let slot = Slot::new(now, self.intern_names(record));
         let ix = self.occupy(slot);
         self.add_hash(ix);
         self.by_name.insert(at, ix);
@@ -162,13 +162,13 @@
 
     /// Puts a later record of the same member in place.
     pub(crate) fn replace(&mut self, now: Time, ix: MemberIx, record: MemberRecord) {
-        let record = self.share_names(record);
-        self.take_hash(ix);
+        let record = self.intern_names(record);
+        self.subtract_hash(ix);
         let slot = self.get_mut(ix);
         let before = &slot.record;
         if before.peer.incarnation == record.peer.incarnation {
-            if (before.turn, before.state) != (record.turn, record.state) {
-                slot.since = now;
+            if (before.revision, before.state) != (record.revision, record.state) {
+                slot.state_since = now;
             }
             slot.state_hash = hash_of_state(&record);
             slot.record = record;
@@ -180,7 +180,7 @@
 
     /// Forgets a member.
     pub(crate) fn remove(&mut self, ix: MemberIx) {
-        self.take_hash(ix);
+        self.subtract_hash(ix);
         self.by_name.retain(|held| *held != ix);
         self.vacant.push(ix);
     }
@@ -205,7 +205,7 @@
         ix
     }
 
-    fn place_of(&self, name: &str) -> Result<usize, usize> {
+    fn position_of(&self, name: &str) -> Result<usize, usize> {
         self.by_name.binary_search_by(|ix| {
             let held: &str = &self.get(*ix).record.peer.name;
             held.cmp(name)
@@ -214,37 +214,37 @@
 
     /// Adds a record to the digest of its part, unless it is dead.
     fn add_hash(&mut self, ix: MemberIx) {
-        let (part, hash) = self.counted_hash(ix);
+        let (part, hash) = self.hash_in_digest(ix);
         self.parts[part] = self.parts[part].wrapping_add(hash);
     }
 
-    fn take_hash(&mut self, ix: MemberIx) {
-        let (part, hash) = self.counted_hash(ix);
+    fn subtract_hash(&mut self, ix: MemberIx) {
+        let (part, hash) = self.hash_in_digest(ix);
         self.parts[part] = self.parts[part].wrapping_sub(hash);
     }
 
-    fn counted_hash(&self, ix: MemberIx) -> (usize, u64) {
+    fn hash_in_digest(&self, ix: MemberIx) -> (usize, u64) {
         let slot = self.get(ix);
         let hash = if slot.is_present() { slot.hash() } else { 0 };
         (slot.part(), hash)
     }
 
     /// The record with names that other records hold as well.
-    fn share_names(&mut self, mut record: MemberRecord) -> MemberRecord {
-        if self.names.len() >= MAX_NAMES {
-            self.names
+    fn intern_names(&mut self, mut record: MemberRecord) -> MemberRecord {
+        if self.interned.len() >= MAX_INTERNED_NAMES {
+            self.interned
                 .retain(|name| std::sync::Arc::strong_count(name) > 1);
         }
-        record.data_centre = self.share(record.data_centre);
-        record.serves = record.serves.into_iter().map(|n| self.share(n)).collect();
+        record.data_centre = self.intern(record.data_centre);
+        record.serves = record.serves.into_iter().map(|n| self.intern(n)).collect();
         record
     }
 
-    fn share(&mut self, name: Name) -> Name {
-        if let Some(held) = self.names.get(&name) {
+    fn intern(&mut self, name: Name) -> Name {
+        if let Some(held) = self.interned.get(&name) {
             return held.clone();
         }
-        self.names.insert(name.clone());
+        self.interned.insert(name.clone());
         name
     }
 }
@@ -261,7 +261,7 @@
 fn hash_of_state(record: &MemberRecord) -> u32 {
     low_bits(Digest::of(&[
         &record.peer.incarnation.0.to_le_bytes(),
-        &record.turn.to_le_bytes(),
+        &record.revision.to_le_bytes(),
         &[record.state as u8],
     ]))
 }
--- a/fireflycroft/tests/burn.rs
+++ b/fireflycroft/tests/burn.rs
@@ -106,7 +106,7 @@
             peer: agent(),
             data_centre: "dc".into(),
             state: MemberState::Alive,
-            turn: 0,
+            revision: 0,
             serves: vec!["model".into()],
         }));
         world
--- a/fireflycroft/tests/member.rs
+++ b/fireflycroft/tests/member.rs
@@ -3,9 +3,9 @@
 mod members;
 
 use fireflycroft::{
-    DEAD_KEEP, GRACE, Incarnation, MAX_MEMBERS, MemberAction, MemberEvent, MemberRecord,
-    MemberSetup, MemberState, Members, Message, Name, Peer, Role, SUSPECT_SPAN, Time, VM_LIST_LAG,
-    Vm,
+    DEAD_RETENTION, GRACE_PERIOD, Incarnation, MAX_MEMBERS, MAX_VM_LIST_LAG, MemberAction,
+    MemberEvent, MemberRecord, MemberSetup, MemberState, Members, Message, Name, Peer, Role,
+    SUSPECT_TIMEOUT, Time, Vm,
 };
 use members::fleet::{Fleet, NodeIx, addr};
 use std::time::Duration;
@@ -15,10 +15,10 @@
 const BOUND: Duration = Duration::from_mins(1);
 
 /// Bytes a second of one member of two hundred when nothing happens.
-const STEADY_BYTES: u64 = 1_024;
+const MAX_IDLE_BYTES_PER_SECOND: u64 = 1_024;
 /// Members of a table that is compared.
-const TABLE: usize = 200;
-const LONGEST_PACKET: usize = 1_500;
+const TABLE_MEMBERS: usize = 200;
+const MAX_PACKET_BYTES: usize = 1_500;
 
 /// One test for each scenario, on a settled fleet of its size.
 macro_rules! fleets {
@@ -39,9 +39,9 @@
     one_alone(1): |fleet| {
         assert_eq!(fleet.node(NodeIx(0)).entries, 1);
     };
-    nobody_doubts_when_nothing_happens(20): |fleet| {
+    no_suspicion_when_idle(20): |fleet| {
         fleet.run(Duration::from_mins(5));
-        assert_eq!(doubts(fleet), 0);
+        assert_eq!(count_suspected(fleet), 0);
     };
     dead_everywhere(20): |fleet| {
         fleet.end(NodeIx(7));
@@ -51,7 +51,7 @@
     };
     dead_is_forgotten_after_a_while(5): |fleet| {
         fleet.end(NodeIx(4));
-        fleet.run(less(DEAD_KEEP, 10_000));
+        fleet.run(shorter_by(DEAD_RETENTION, 10_000));
         assert!(fleet.all_hold("member-4", is_dead));
         fleet.run(BOUND);
         assert!(fleet.all_hold("member-4", |state| state.is_none()));
@@ -59,37 +59,37 @@
     paused_is_dead_then_alive(12): |fleet| {
         fleet.pause(NodeIx(5));
         assert!(fleet.run_until(BOUND, |f| f.all_hold("member-5", is_dead)).is_some());
-        fleet.thaw(NodeIx(5));
+        fleet.resume(NodeIx(5));
         let took = fleet.run_until(BOUND, Fleet::is_agreed);
         assert_within(took, 15_000);
     };
-    thawed_calls_nobody_dead(12): |fleet| {
+    resumed_process_reports_no_deaths(12): |fleet| {
         for pause in [2, 20, 200] {
             fleet.pause(NodeIx(5));
             fleet.run(Duration::from_secs(pause));
-            fleet.thaw(NodeIx(5));
+            fleet.resume(NodeIx(5));
             fleet.run(BOUND);
             assert!(fleet.is_agreed());
         }
         assert_eq!(deaths_seen_by(fleet, NodeIx(5)), 0);
     };
-    all_paused_together_call_nobody_dead(12): |fleet| {
+    all_paused_together_report_no_deaths(12): |fleet| {
         let all = fleet.running();
         for ix in &all {
             fleet.pause(*ix);
         }
         fleet.run(BOUND);
         for ix in &all {
-            fleet.thaw(*ix);
+            fleet.resume(*ix);
         }
         fleet.run(BOUND);
         assert!(fleet.is_agreed());
         assert_eq!(false_deaths(fleet), 0);
     };
-    short_pause_kills_nobody(12): |fleet| {
+    short_pause_causes_no_false_death(12): |fleet| {
         fleet.pause(NodeIx(5));
         fleet.run(Duration::from_secs(2));
-        fleet.thaw(NodeIx(5));
+        fleet.resume(NodeIx(5));
         fleet.run(BOUND);
         assert!(fleet.is_agreed());
         assert_eq!(false_deaths(fleet), 0);
@@ -99,10 +99,10 @@
         let new = fleet.start("member-5", 5);
         let took = fleet.run_until(BOUND, Fleet::is_agreed);
         assert_within(took, 8_000);
-        let life = fleet.node(new).peer.incarnation;
+        let incarnation = fleet.node(new).peer.incarnation;
         for at in fleet.running() {
             let held = fleet.node(at).members.get("member-5").unwrap();
-            assert_eq!(held.peer.incarnation, life);
+            assert_eq!(held.peer.incarnation, incarnation);
         }
     };
     replaced_at_the_same_address(12): |fleet| {
@@ -125,12 +125,12 @@
     };
     cut_for_longer_than_the_dead_are_kept(9): |fleet| {
         fleet.cut(1);
-        fleet.run(DEAD_KEEP + BOUND);
+        fleet.run(DEAD_RETENTION + BOUND);
         assert_eq!(fleet.state(NodeIx(0), "member-4"), None);
         fleet.cuts.clear();
         assert!(fleet.run_until(BOUND, Fleet::is_agreed).is_some());
     };
-    cut_between_two_of_three_kills_nobody(18): |fleet| {
+    cut_between_two_of_three_causes_no_false_death(18): |fleet| {
         fleet.cut_between(0, 1);
         fleet.run(Duration::from_mins(5));
         assert_eq!(false_deaths(fleet), 0);
@@ -167,7 +167,7 @@
         assert!(fleet.run_until(BOUND, |f| f.all_hold("member-5", is_dead)).is_some());
     };
     listed_as_leaving(12): |fleet| {
-        fleet.run(VM_LIST_LAG);
+        fleet.run(MAX_VM_LIST_LAG);
         fleet.list_vms(NodeIx(2), &[Vm { addr: addr(5), leaving: true }]);
         let took = fleet.run_until(BOUND, |f| f.all_hold("member-5", is_leaving));
         assert_within(took, 3_000);
@@ -175,7 +175,7 @@
         assert_eq!(own.state, MemberState::Leaving);
     };
     listed_late_as_leaving(12): |fleet| {
-        fleet.run(VM_LIST_LAG);
+        fleet.run(MAX_VM_LIST_LAG);
         fleet.end(NodeIx(5));
         fleet.start("member-5", 5);
         for _ in 0..60 {
@@ -214,26 +214,26 @@
         });
         assert_within(took, 5_000);
     };
-    what_no_gossip_tells_is_compared(2): |fleet| {
+    comparison_passes_on_ungossiped_records(2): |fleet| {
         // Records of a page are not told on, so only tables can pass them.
-        let records = (0..TABLE).map(|n| numbered(n, Alive)).collect();
+        let records = (0..TABLE_MEMBERS).map(|n| numbered(n, Alive)).collect();
         let third = peer("third", 9, 60);
         fleet.deliver(NodeIx(0), third, Message::ViewPage { records });
-        let known = |f: &Fleet| f.node(NodeIx(1)).members.records().count() > TABLE;
+        let known = |f: &Fleet| f.node(NodeIx(1)).members.records().count() > TABLE_MEMBERS;
         assert!(!known(fleet));
         let took = fleet.run_until(BOUND, known);
         assert_within(took, 10_000);
     };
-    few_bytes_when_nothing_happens(200): |fleet| {
+    few_bytes_when_idle(200): |fleet| {
         fleet.run(BOUND);
         let before: Vec<u64> = fleet.nodes.iter().map(|node| node.bytes).collect();
         let secs = 20;
         fleet.run(Duration::from_secs(secs));
         for (node, before) in fleet.nodes.iter().zip(before) {
             let rate = (node.bytes - before) / secs;
-            assert!(rate <= STEADY_BYTES, "{rate} bytes a second");
+            assert!(rate <= MAX_IDLE_BYTES_PER_SECOND, "{rate} bytes a second");
         }
-        assert!(fleet.longest <= LONGEST_PACKET, "{} bytes", fleet.longest);
+        assert!(fleet.longest_packet <= MAX_PACKET_BYTES, "{} bytes", fleet.longest_packet);
     };
 }
 
@@ -243,7 +243,7 @@
 }
 
 /// The span less some milliseconds.
-fn less(span: Duration, millis: u64) -> Duration {
+fn shorter_by(span: Duration, millis: u64) -> Duration {
     span.saturating_sub(Duration::from_millis(millis))
 }
 
@@ -256,7 +256,7 @@
 }
 
 /// Members that some process ever held as suspect or dead.
-fn doubts(fleet: &Fleet) -> usize {
+fn count_suspected(fleet: &Fleet) -> usize {
     let seen = fleet.nodes.iter().flat_map(|node| node.seen.keys());
     seen.filter(|(_, state)| matches!(state, MemberState::Suspect | MemberState::Dead))
         .count()
@@ -280,34 +280,34 @@
 }
 
 /// One process, driven by hand, that knows one member named `other`.
-struct Alone {
+struct SingleProcess {
     members: Members,
     now: Time,
     out: Vec<MemberAction>,
 }
 
-const OTHER_LIFE: u64 = 50;
+const OTHER_INCARNATION: u64 = 50;
 
-fn peer(name: &str, place: usize, life: u64) -> Peer {
+fn peer(name: &str, place: usize, incarnation: u64) -> Peer {
     Peer {
         name: name.into(),
         addr: addr(place),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
         role: Role::Entry,
     }
 }
 
-fn record(life: u64, turn: u64, state: MemberState) -> MemberRecord {
+fn record(incarnation: u64, revision: u64, state: MemberState) -> MemberRecord {
     MemberRecord {
-        peer: peer("other", 1, life),
+        peer: peer("other", 1, incarnation),
         data_centre: "north".into(),
         state,
-        turn,
+        revision,
         serves: Vec::new(),
     }
 }
 
-impl Alone {
+impl SingleProcess {
     fn new() -> Self {
         let members = Members::new(MemberSetup {
             me: peer("me", 0, 40),
@@ -316,50 +316,50 @@
             seeds: vec![addr(0), addr(1)],
             seed: [7; 32],
         });
-        let mut alone = Self {
+        let mut process = Self {
             members,
             now: Time::from_millis(0),
             out: Vec::new(),
         };
-        alone.give(MemberEvent::Tick);
-        alone.tell(record(OTHER_LIFE, 5, MemberState::Alive));
-        alone.run(Duration::from_secs(1));
-        alone
+        process.feed(MemberEvent::Tick);
+        process.deliver_record(record(OTHER_INCARNATION, 5, MemberState::Alive));
+        process.run(Duration::from_secs(1));
+        process
     }
 
-    fn give(&mut self, event: MemberEvent) {
+    fn feed(&mut self, event: MemberEvent) {
         self.members.on_event(self.now, event, &mut self.out);
     }
 
     /// Gives a record that a third process tells.
-    fn tell(&mut self, record: MemberRecord) {
-        self.tell_by(peer("third", 2, 60), record);
+    fn deliver_record(&mut self, record: MemberRecord) {
+        self.deliver_record_from(peer("third", 2, 60), record);
     }
 
-    fn tell_by(&mut self, from: Peer, record: MemberRecord) {
+    fn deliver_record_from(&mut self, from: Peer, record: MemberRecord) {
         let message = Message::Ping {
             nonce: 1,
             records: vec![record],
             view: 0,
         };
-        self.give(MemberEvent::Message(from, message));
+        self.feed(MemberEvent::Message(from, message));
     }
 
     fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + Duration::from_millis(100);
-            self.give(MemberEvent::Tick);
+            self.feed(MemberEvent::Tick);
         }
     }
 
     fn held(&self) -> (u64, u64, MemberState) {
         let held = self.members.get("other").unwrap();
-        (held.peer.incarnation.0, held.turn, held.state)
+        (held.peer.incarnation.0, held.revision, held.state)
     }
 
     /// Whether a message to `place` tells so of a member.
-    fn told(&self, place: usize, wanted: impl Fn(&MemberRecord) -> bool) -> bool {
+    fn sent_to(&self, place: usize, wanted: impl Fn(&MemberRecord) -> bool) -> bool {
         self.out.iter().any(|action| match action {
             MemberAction::Send(
                 to,
@@ -372,13 +372,13 @@
 
 /// One test for each record told about a member held alive in turn 5.
 macro_rules! merges {
-    ($($name:ident: $($told:expr),+ => $held:expr;)+) => {
+    ($($name:ident: $($received:expr),+ => $held:expr;)+) => {
         $(
             #[test]
             fn $name() {
-                let mut alone = Alone::new();
-                $(alone.tell($told);)+
-                assert_eq!(alone.held(), $held);
+                let mut process = SingleProcess::new();
+                $(process.deliver_record($received);)+
+                assert_eq!(process.held(), $held);
             }
         )+
     };
@@ -388,177 +388,189 @@
 
 merges! {
     same_record: record(50, 5, Alive) => (50, 5, Alive);
-    older_turn: record(50, 4, Suspect) => (50, 5, Alive);
-    older_life: record(49, 9, Dead) => (50, 5, Alive);
-    older_life_alive: record(49, 9, Alive) => (50, 5, Alive);
-    later_turn: record(50, 6, Alive) => (50, 6, Alive);
-    later_life: record(51, 1, Alive) => (51, 1, Alive);
-    later_life_dead: record(51, 1, Dead) => (51, 1, Dead);
-    suspect_in_its_turn: record(50, 5, Suspect) => (50, 5, Suspect);
+    older_revision: record(50, 4, Suspect) => (50, 5, Alive);
+    older_incarnation: record(49, 9, Dead) => (50, 5, Alive);
+    older_incarnation_alive: record(49, 9, Alive) => (50, 5, Alive);
+    later_revision: record(50, 6, Alive) => (50, 6, Alive);
+    later_incarnation: record(51, 1, Alive) => (51, 1, Alive);
+    later_incarnation_dead: record(51, 1, Dead) => (51, 1, Dead);
+    suspect_in_the_same_revision: record(50, 5, Suspect) => (50, 5, Suspect);
     suspect_then_refuted: record(50, 5, Suspect), record(50, 6, Alive) => (50, 6, Alive);
     refuted_then_suspect: record(50, 6, Alive), record(50, 5, Suspect) => (50, 6, Alive);
-    dead_by_hearsay_is_checked: record(50, 5, Dead) => (50, 5, Alive);
-    dead_in_a_later_turn_is_checked: record(50, 8, Dead) => (50, 8, Alive);
-    leaving_by_hearsay: record(50, 5, Leaving) => (50, 5, Leaving);
-    leaving_in_an_older_turn: record(50, 4, Leaving) => (50, 5, Leaving);
+    second_hand_death_is_checked: record(50, 5, Dead) => (50, 5, Alive);
+    dead_in_a_later_revision_is_checked: record(50, 8, Dead) => (50, 8, Alive);
+    second_hand_leaving: record(50, 5, Leaving) => (50, 5, Leaving);
+    leaving_in_an_older_revision: record(50, 4, Leaving) => (50, 5, Leaving);
     leaving_is_not_taken_back: record(50, 6, Leaving), record(50, 7, Alive) => (50, 7, Leaving);
     leaving_is_not_suspected: record(50, 6, Leaving), record(50, 7, Suspect) => (50, 7, Leaving);
-    leaving_ends_with_the_life: record(50, 6, Leaving), record(51, 1, Alive) => (51, 1, Alive);
+    leaving_ends_with_the_incarnation: record(50, 6, Leaving), record(51, 1, Alive) => (51, 1, Alive);
 }
 
 #[test]
-fn dead_by_hearsay_and_silent_is_dead() {
-    let mut alone = Alone::new();
-    alone.tell(record(50, 5, Dead));
-    alone.run(SUSPECT_SPAN + Duration::from_millis(200));
-    assert_eq!(alone.held(), (50, 5, Dead));
-    assert!(alone.told(1, |r| r.state == Dead && r.turn == 5));
+fn second_hand_death_and_silence_is_dead() {
+    let mut process = SingleProcess::new();
+    process.deliver_record(record(50, 5, Dead));
+    process.run(SUSPECT_TIMEOUT + Duration::from_millis(200));
+    assert_eq!(process.held(), (50, 5, Dead));
+    assert!(process.sent_to(1, |r| r.state == Dead && r.revision == 5));
 }
 
 #[test]
-fn dead_by_hearsay_and_heard_is_alive() {
-    let mut alone = Alone::new();
-    alone.tell(record(50, 5, Dead));
+fn second_hand_death_and_messages_is_alive() {
+    let mut process = SingleProcess::new();
+    process.deliver_record(record(50, 5, Dead));
     for _ in 0..10 {
-        alone.run(Duration::from_millis(500));
-        alone.give(MemberEvent::Heard(peer("other", 1, OTHER_LIFE)));
+        process.run(Duration::from_millis(500));
+        process.feed(MemberEvent::Received(peer("other", 1, OTHER_INCARNATION)));
     }
-    assert_eq!(alone.held(), (50, 5, Alive));
+    assert_eq!(process.held(), (50, 5, Alive));
 }
 
 #[test]
-fn suspect_for_the_whole_span_then_dead_by_hearsay() {
-    let mut alone = Alone::new();
-    alone.tell(record(50, 5, Suspect));
-    alone.tell(record(50, 5, Dead));
-    assert_eq!(alone.held(), (50, 5, Suspect));
-    alone.run(less(SUSPECT_SPAN, 100));
-    assert_eq!(alone.held(), (50, 5, Suspect));
-    alone.run(Duration::from_millis(300));
-    assert_eq!(alone.held(), (50, 5, Dead));
+fn suspect_until_the_timeout_then_second_hand_death() {
+    let mut process = SingleProcess::new();
+    process.deliver_record(record(50, 5, Suspect));
+    process.deliver_record(record(50, 5, Dead));
+    assert_eq!(process.held(), (50, 5, Suspect));
+    process.run(shorter_by(SUSPECT_TIMEOUT, 100));
+    assert_eq!(process.held(), (50, 5, Suspect));
+    process.run(Duration::from_millis(300));
+    assert_eq!(process.held(), (50, 5, Dead));
 }
 
 #[test]
 fn fresh_evidence_outweighs_suspicion() {
-    let mut alone = Alone::new();
-    alone.give(MemberEvent::Heard(peer("other", 1, OTHER_LIFE)));
-    alone.tell(record(50, 5, Suspect));
-    assert_eq!(alone.held(), (50, 5, Alive));
+    let mut process = SingleProcess::new();
+    process.feed(MemberEvent::Received(peer("other", 1, OTHER_INCARNATION)));
+    process.deliver_record(record(50, 5, Suspect));
+    assert_eq!(process.held(), (50, 5, Alive));
 }
 
 #[test]
 fn dead_of_nobody_known_is_not_taken() {
-    let mut alone = Alone::new();
+    let mut process = SingleProcess::new();
     let mut unknown = record(7, 1, Dead);
     unknown.peer = peer("unknown", 9, 7);
-    alone.tell(unknown);
-    assert!(alone.members.get("unknown").is_none());
+    process.deliver_record(unknown);
+    assert!(process.members.get("unknown").is_none());
 }
 
 #[test]
-fn header_of_a_later_life_ends_the_former() {
-    let mut alone = Alone::new();
-    alone.out.clear();
-    alone.give(MemberEvent::Heard(peer("other", 1, OTHER_LIFE + 1)));
-    assert_eq!(alone.held(), (51, 0, Alive));
+fn header_of_a_later_incarnation_replaces_the_former() {
+    let mut process = SingleProcess::new();
+    process.out.clear();
+    process.feed(MemberEvent::Received(peer(
+        "other",
+        1,
+        OTHER_INCARNATION + 1,
+    )));
+    assert_eq!(process.held(), (51, 0, Alive));
     assert!(
-        alone
+        process
             .out
             .iter()
             .any(|action| matches!(action, MemberAction::Changed(_)))
     );
-    alone.tell(record(51, 1, Alive));
-    assert_eq!(alone.held(), (51, 1, Alive));
+    process.deliver_record(record(51, 1, Alive));
+    assert_eq!(process.held(), (51, 1, Alive));
 }
 
 #[test]
-fn header_of_a_former_life_is_ignored() {
-    let mut alone = Alone::new();
-    alone.tell(record(50, 5, Suspect));
-    alone.give(MemberEvent::Heard(peer("other", 1, OTHER_LIFE - 1)));
-    assert_eq!(alone.held(), (50, 5, Suspect));
+fn header_of_a_former_incarnation_is_ignored() {
+    let mut process = SingleProcess::new();
+    process.deliver_record(record(50, 5, Suspect));
+    process.feed(MemberEvent::Received(peer(
+        "other",
+        1,
+        OTHER_INCARNATION - 1,
+    )));
+    assert_eq!(process.held(), (50, 5, Suspect));
 }
 
 #[test]
-fn unknown_sender_is_asked_who_it_is() {
-    let mut alone = Alone::new();
-    alone.out.clear();
-    alone.give(MemberEvent::Heard(peer("unknown", 9, 7)));
-    assert!(alone.told(9, |r| *r.peer.name == *"me"));
+fn unknown_sender_is_asked_for_its_record() {
+    let mut process = SingleProcess::new();
+    process.out.clear();
+    process.feed(MemberEvent::Received(peer("unknown", 9, 7)));
+    assert!(process.sent_to(9, |r| *r.peer.name == *"me"));
 }
 
 #[test]
-fn dead_member_that_is_heard_is_told() {
-    let mut alone = Alone::new();
-    alone.tell(record(51, 1, Dead));
-    alone.run(Duration::from_secs(2));
-    alone.out.clear();
-    alone.give(MemberEvent::Heard(peer("other", 1, OTHER_LIFE + 1)));
-    assert!(alone.told(1, |r| r.state == Dead && r.turn == 1));
+fn dead_member_that_sends_is_notified() {
+    let mut process = SingleProcess::new();
+    process.deliver_record(record(51, 1, Dead));
+    process.run(Duration::from_secs(2));
+    process.out.clear();
+    process.feed(MemberEvent::Received(peer(
+        "other",
+        1,
+        OTHER_INCARNATION + 1,
+    )));
+    assert!(process.sent_to(1, |r| r.state == Dead && r.revision == 1));
 }
 
 #[test]
 fn own_death_is_refuted_in_the_pong() {
-    let mut alone = Alone::new();
-    let mut mine = alone.members.own().clone();
-    let turn = mine.turn;
+    let mut process = SingleProcess::new();
+    let mut mine = process.members.own().clone();
+    let revision = mine.revision;
     mine.state = Dead;
-    alone.out.clear();
-    alone.tell(mine);
-    assert_eq!(alone.members.own().state, Alive);
-    assert_eq!(alone.members.own().turn, turn + 1);
-    assert!(alone.told(2, |r| *r.peer.name == *"me" && r.turn == turn + 1));
+    process.out.clear();
+    process.deliver_record(mine);
+    assert_eq!(process.members.own().state, Alive);
+    assert_eq!(process.members.own().revision, revision + 1);
+    assert!(process.sent_to(2, |r| *r.peer.name == *"me" && r.revision == revision + 1));
 }
 
 #[test]
-fn own_leaving_is_accepted_and_told() {
-    let mut alone = Alone::new();
-    let mut mine = alone.members.own().clone();
+fn own_leaving_is_accepted_and_announced() {
+    let mut process = SingleProcess::new();
+    let mut mine = process.members.own().clone();
     mine.state = Leaving;
-    alone.out.clear();
-    alone.tell(mine);
-    assert_eq!(alone.members.own().state, Leaving);
-    assert!(alone.told(1, |r| *r.peer.name == *"me" && r.state == Leaving));
-    let changed = MemberAction::Changed(alone.members.own().clone());
-    assert!(alone.out.contains(&changed));
+    process.out.clear();
+    process.deliver_record(mine);
+    assert_eq!(process.members.own().state, Leaving);
+    assert!(process.sent_to(1, |r| *r.peer.name == *"me" && r.state == Leaving));
+    let changed = MemberAction::Changed(process.members.own().clone());
+    assert!(process.out.contains(&changed));
 }
 
 #[test]
-fn later_life_of_its_own_name_is_noted() {
-    let mut alone = Alone::new();
-    assert!(!alone.members.is_replaced());
-    alone.give(MemberEvent::Heard(peer("me", 0, 41)));
-    assert!(alone.members.is_replaced());
+fn later_incarnation_of_its_own_name_is_recorded() {
+    let mut process = SingleProcess::new();
+    assert!(!process.members.is_replaced());
+    process.feed(MemberEvent::Received(peer("me", 0, 41)));
+    assert!(process.members.is_replaced());
 }
 
 #[test]
 fn pause_is_followed_by_grace() {
-    let mut alone = Alone::new();
-    alone.run(Duration::from_secs(2));
-    alone.now = alone.now + BOUND;
-    alone.run(less(GRACE, 200));
-    assert_eq!(alone.held().2, Alive);
-    alone.run(BOUND);
-    assert_eq!(alone.held().2, Dead);
+    let mut process = SingleProcess::new();
+    process.run(Duration::from_secs(2));
+    process.now = process.now + BOUND;
+    process.run(shorter_by(GRACE_PERIOD, 200));
+    assert_eq!(process.held().2, Alive);
+    process.run(BOUND);
+    assert_eq!(process.held().2, Dead);
 }
 
 #[test]
 fn full_table_drops_the_dead_and_turns_newcomers_away() {
-    let mut alone = Alone::new();
-    let known = alone.members.records().count();
+    let mut process = SingleProcess::new();
+    let known = process.members.records().count();
     for n in known..MAX_MEMBERS {
-        alone.tell(numbered(n, Alive));
+        process.deliver_record(numbered(n, Alive));
     }
-    assert_eq!(alone.members.records().count(), MAX_MEMBERS);
-    alone.out.clear();
-    alone.tell(numbered(MAX_MEMBERS, Alive));
-    assert!(alone.members.get("numbered-4096").is_none());
+    assert_eq!(process.members.records().count(), MAX_MEMBERS);
+    process.out.clear();
+    process.deliver_record(numbered(MAX_MEMBERS, Alive));
+    assert!(process.members.get("numbered-4096").is_none());
     let full = |action: &MemberAction| matches!(action, MemberAction::Note(note) if note.event == "members_full");
-    assert!(alone.out.iter().any(full));
-    alone.tell(record(51, 1, Dead));
-    alone.tell(numbered(MAX_MEMBERS, Alive));
-    assert!(alone.members.get("numbered-4096").is_some());
-    assert!(alone.members.get("other").is_none());
+    assert!(process.out.iter().any(full));
+    process.deliver_record(record(51, 1, Dead));
+    process.deliver_record(numbered(MAX_MEMBERS, Alive));
+    assert!(process.members.get("numbered-4096").is_some());
+    assert!(process.members.get("other").is_none());
 }
 
 fn numbered(n: usize, state: MemberState) -> MemberRecord {
@@ -569,19 +581,19 @@
 
 #[test]
 fn view_does_not_depend_on_the_order() {
-    let mut forward = Alone::new();
-    let mut backward = Alone::new();
+    let mut forward = SingleProcess::new();
+    let mut backward = SingleProcess::new();
     for n in 0..50 {
-        forward.tell(numbered(n, Alive));
-        backward.tell(numbered(49 - n, Alive));
+        forward.deliver_record(numbered(n, Alive));
+        backward.deliver_record(numbered(49 - n, Alive));
     }
     assert_eq!(forward.members.view(), backward.members.view());
-    forward.tell(numbered(3, Suspect));
+    forward.deliver_record(numbered(3, Suspect));
     assert_ne!(forward.members.view(), backward.members.view());
 }
 
 #[test]
-fn later_lives_compare_greater() {
+fn later_incarnations_compare_greater() {
     let earlier = Incarnation::begun(1_780_000_000_000, u64::MAX);
     let later = Incarnation::begun(1_780_000_000_001, 0);
     assert!(earlier < later);
--- a/fireflycroft/tests/member_model.rs
+++ b/fireflycroft/tests/member_model.rs
@@ -9,7 +9,7 @@
 
 use fireflycroft::{Incarnation, MemberState, Name, Time};
 use members::config;
-use members::fleet::{Fleet, Life, NodeIx};
+use members::fleet::{Fleet, NodeIx, ProcessState};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use std::collections::HashMap;
@@ -22,13 +22,13 @@
 const MAX_LOSS: u64 = 20;
 
 /// Time without any event after which all must agree.
-const CALM: Duration = Duration::from_secs(45);
+const SETTLE_TIME: Duration = Duration::from_secs(45);
 
 /// Time after which a leaving member is held so everywhere.
 const LEAVE_BOUND: Duration = Duration::from_secs(3);
 
 /// Time between two looks at all records.
-const LOOK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What is at one place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Truth {
+struct Oracle {
     seed: u64,
     places: [Place; PLACES],
     cut: bool,
@@ -52,17 +52,17 @@
     Start(usize, bool),
     End(usize),
     Pause(usize),
-    Thaw(usize),
+    Resume(usize),
     Leave(usize),
     /// Cuts a data centre off from all others, or from the next one only.
     Cut(usize, bool),
     Heal,
     /// Lets messages of a hundred be lost.
-    Lose(u64),
+    SetLoss(u64),
     Run(u64),
 }
 
-impl Truth {
+impl Oracle {
     /// Whether a seed other than at `place` can be reached.
     fn has_other_seed(&self, place: usize) -> bool {
         let seeds = self.places[..SEED_PLACES].iter().enumerate();
@@ -72,7 +72,7 @@
     }
 }
 
-impl ReferenceStateMachine for Truth {
+impl ReferenceStateMachine for Oracle {
     type State = Self;
     type Transition = Step;
 
@@ -92,11 +92,11 @@
             2 => (place.clone(), any::<bool>()).prop_map(|(at, own)| Step::Start(at, own)),
             2 => place.clone().prop_map(Step::End),
             2 => place.clone().prop_map(Step::Pause),
-            2 => place.clone().prop_map(Step::Thaw),
+            2 => place.clone().prop_map(Step::Resume),
             2 => place.prop_map(Step::Leave),
             1 => (0..DATA_CENTRES, any::<bool>()).prop_map(|(dc, all)| Step::Cut(dc, all)),
             2 => Just(Step::Heal),
-            1 => (0..=MAX_LOSS).prop_map(Step::Lose),
+            1 => (0..=MAX_LOSS).prop_map(Step::SetLoss),
             4 => (1..60_u64).prop_map(Step::Run),
         ]
         .boxed()
@@ -107,22 +107,22 @@
             Step::Start(at, _) => state.places[at] == Place::Empty,
             Step::End(at) => state.places[at] != Place::Empty && state.has_other_seed(at),
             Step::Pause(at) => state.places[at] == Place::Running && state.has_other_seed(at),
-            Step::Thaw(at) => state.places[at] == Place::Paused,
+            Step::Resume(at) => state.places[at] == Place::Paused,
             Step::Leave(at) => state.places[at] == Place::Running,
             Step::Heal => state.cut,
-            Step::Cut(..) | Step::Lose(_) | Step::Run(_) => true,
+            Step::Cut(..) | Step::SetLoss(_) | Step::Run(_) => true,
         }
     }
 
     fn apply(mut state: Self, step: &Step) -> Self {
         match *step {
-            Step::Start(at, _) | Step::Thaw(at) => state.places[at] = Place::Running,
+            Step::Start(at, _) | Step::Resume(at) => state.places[at] = Place::Running,
             Step::End(at) => state.places[at] = Place::Empty,
             Step::Pause(at) => state.places[at] = Place::Paused,
             Step::Leave(at) => state.places[at] = Place::Leaving,
             Step::Cut(..) => state.cut = true,
             Step::Heal => state.cut = false,
-            Step::Lose(_) | Step::Run(_) => {}
+            Step::SetLoss(_) | Step::Run(_) => {}
         }
         state
     }
@@ -132,23 +132,23 @@
 type Held = (Incarnation, u64, MemberState);
 
 /// The fleet, and what the oracle keeps of it.
-struct Watched {
+struct CheckedFleet {
     fleet: Fleet,
     at: [NodeIx; PLACES],
     /// When something last happened, or messages were last lost or cut.
-    disturbed: Time,
-    held: HashMap<(NodeIx, Name), Held>,
+    last_disturbed: Time,
+    last_held: HashMap<(NodeIx, Name), Held>,
     started: usize,
 }
 
-impl Watched {
+impl CheckedFleet {
     fn new(seed: u64) -> Self {
         let fleet = Fleet::settled(seed, PLACES, Duration::from_secs(20));
         Self {
-            disturbed: fleet.now,
+            last_disturbed: fleet.now,
             fleet,
             at: std::array::from_fn(NodeIx),
-            held: HashMap::new(),
+            last_held: HashMap::new(),
             started: PLACES,
         }
     }
@@ -166,7 +166,7 @@
     fn leave(&mut self, place: usize) {
         let leaver = self.at[place];
         let name = self.fleet.node(leaver).peer.name.clone();
-        let life = self.fleet.node(leaver).peer.incarnation;
+        let leaver_incarnation = self.fleet.node(leaver).peer.incarnation;
         self.fleet.leave(leaver);
         self.run(LEAVE_BOUND);
         if !self.fleet.cuts.is_empty() {
@@ -181,7 +181,7 @@
             let held = self.fleet.node(at).members.get(&name);
             if known.is_some_and(|r| r.state < MemberState::Dead)
                 && let Some(held) = held
-                && held.peer.incarnation == life
+                && held.peer.incarnation == leaver_incarnation
             {
                 assert_eq!(held.state, MemberState::Leaving, "{name} at {at:?}");
             }
@@ -191,9 +191,10 @@
     fn run(&mut self, span: Duration) {
         let end = self.fleet.now + span;
         while self.fleet.now < end {
-            self.fleet.run(LOOK.min(end.since(self.fleet.now)));
+            self.fleet
+                .run(CHECK_INTERVAL.min(end.since(self.fleet.now)));
             if self.fleet.loss > 0 || !self.fleet.cuts.is_empty() {
-                self.disturbed = self.fleet.now;
+                self.last_disturbed = self.fleet.now;
             }
             self.check_order();
             self.check_agreement();
@@ -204,15 +205,15 @@
     fn check_order(&mut self) {
         for at in self.fleet.running() {
             for record in self.fleet.node(at).members.records() {
-                let now: Held = (record.peer.incarnation, record.turn, record.state);
+                let now: Held = (record.peer.incarnation, record.revision, record.state);
                 let key = (at, record.peer.name.clone());
-                let before = self.held.insert(key, now);
+                let before = self.last_held.insert(key, now);
                 let Some(before) = before else {
                     continue;
                 };
                 assert!((now.0, now.1) >= (before.0, before.1), "{before:?} {now:?}");
-                let same_life = now.0 == before.0;
-                if same_life && before.2 == MemberState::Leaving {
+                let same_incarnation = now.0 == before.0;
+                if same_incarnation && before.2 == MemberState::Leaving {
                     assert!(now.2 >= MemberState::Leaving, "{before:?} {now:?}");
                 }
             }
@@ -221,7 +222,7 @@
 
     /// After a calm time all hold the truth.
     fn check_agreement(&self) {
-        if self.fleet.now.since(self.disturbed) < CALM {
+        if self.fleet.now.since(self.last_disturbed) < SETTLE_TIME {
             return;
         }
         let running = self.fleet.running();
@@ -240,7 +241,7 @@
 
     fn check_held(&self, at: NodeIx, other: NodeIx) {
         let node = self.fleet.node(other);
-        let wanted = if node.leaves {
+        let wanted = if node.is_leaving {
             MemberState::Leaving
         } else {
             MemberState::Alive
@@ -254,11 +255,11 @@
     fn check_gone(&self, at: NodeIx) {
         let running = self.fleet.running();
         for record in self.fleet.node(at).members.records() {
-            let lives = running
+            let is_running = running
                 .iter()
                 .any(|ix| self.fleet.node(*ix).peer == record.peer);
             assert!(
-                lives || record.state == MemberState::Dead,
+                is_running || record.state == MemberState::Dead,
                 "{record:?} at {at:?}"
             );
         }
@@ -266,50 +267,52 @@
 
     fn entries(&self) -> u32 {
         let running = self.fleet.running().into_iter();
-        let takes = running
+        let accepting = running
             .map(|ix| self.fleet.node(ix))
-            .filter(|node| node.peer.role == fireflycroft::Role::Entry && !node.leaves);
-        u32::try_from(takes.count()).unwrap()
+            .filter(|node| node.peer.role == fireflycroft::Role::Entry && !node.is_leaving);
+        u32::try_from(accepting.count()).unwrap()
     }
 }
 
 struct Membership;
 
 impl StateMachineTest for Membership {
-    type SystemUnderTest = Watched;
-    type Reference = Truth;
+    type SystemUnderTest = CheckedFleet;
+    type Reference = Oracle;
 
-    fn init_test(truth: &Truth) -> Watched {
-        Watched::new(truth.seed)
+    fn init_test(oracle: &Oracle) -> CheckedFleet {
+        CheckedFleet::new(oracle.seed)
     }
 
-    fn apply(mut watched: Watched, _: &Truth, step: Step) -> Watched {
+    fn apply(mut checked: CheckedFleet, _: &Oracle, step: Step) -> CheckedFleet {
         match step {
-            Step::Start(place, own_name) => watched.start(place, own_name),
-            Step::End(place) => watched.fleet.end(watched.at[place]),
-            Step::Pause(place) => watched.fleet.pause(watched.at[place]),
-            Step::Thaw(place) => watched.fleet.thaw(watched.at[place]),
-            Step::Leave(place) => watched.leave(place),
-            Step::Cut(dc, true) => watched.fleet.cut(dc),
-            Step::Cut(dc, false) => watched.fleet.cut_between(dc, (dc + 1) % DATA_CENTRES),
-            Step::Heal => watched.fleet.cuts.clear(),
-            Step::Lose(loss) => watched.fleet.loss = loss,
-            Step::Run(secs) => watched.run(Duration::from_secs(secs)),
+            Step::Start(place, own_name) => checked.start(place, own_name),
+            Step::End(place) => checked.fleet.end(checked.at[place]),
+            Step::Pause(place) => checked.fleet.pause(checked.at[place]),
+            Step::Resume(place) => checked.fleet.resume(checked.at[place]),
+            Step::Leave(place) => checked.leave(place),
+            Step::Cut(dc, true) => checked.fleet.cut(dc),
+            Step::Cut(dc, false) => checked.fleet.cut_between(dc, (dc + 1) % DATA_CENTRES),
+            Step::Heal => checked.fleet.cuts.clear(),
+            Step::SetLoss(loss) => checked.fleet.loss = loss,
+            Step::Run(secs) => checked.run(Duration::from_secs(secs)),
         }
         if !matches!(step, Step::Run(_)) {
-            watched.disturbed = watched.fleet.now;
+            checked.last_disturbed = checked.fleet.now;
         }
-        watched
+        checked
     }
 
     /// Ends every case with a calm time, so that each is judged.
-    fn teardown(mut watched: Watched, _: Truth) {
-        watched.fleet.cuts.clear();
-        watched.fleet.loss = 0;
-        watched.disturbed = watched.fleet.now;
-        watched.run(CALM + LOOK);
-        let paused = watched.fleet.nodes.iter();
-        let paused = paused.filter(|node| node.life == Life::Paused).count();
+    fn teardown(mut checked: CheckedFleet, _: Oracle) {
+        checked.fleet.cuts.clear();
+        checked.fleet.loss = 0;
+        checked.last_disturbed = checked.fleet.now;
+        checked.run(SETTLE_TIME + CHECK_INTERVAL);
+        let paused = checked.fleet.nodes.iter();
+        let paused = paused
+            .filter(|node| node.process_state == ProcessState::Paused)
+            .count();
         assert!(paused < PLACES);
     }
 }
@@ -318,5 +321,5 @@
     #![proptest_config(config(CASES))]
 
     #[test]
-    fn members_agree_with_the_truth(sequential 1..24 => Membership);
+    fn members_agree_with_the_oracle(sequential 1..24 => Membership);
 }
--- a/fireflycroft/tests/members/fleet.rs
+++ b/fireflycroft/tests/members/fleet.rs
@@ -18,11 +18,11 @@
 const MAX_INBOX: usize = 4_096;
 
 /// Slowest and fastest way of a message, in microseconds.
-const LEAST_LATENCY: u64 = 200;
-const LATENCY_SPREAD: u64 = 4_000;
+const MIN_LATENCY_MICROS: u64 = 200;
+const LATENCY_RANGE_MICROS: u64 = 4_000;
 
 const FIRST_PORT: usize = 7_000;
-const PORTS_A_HOST: usize = 10_000;
+const PORTS_PER_HOST: usize = 10_000;
 const DATA_CENTRES: [&str; 3] = ["north", "middle", "south"];
 
 /// Processes that all know from the start.
@@ -37,7 +37,7 @@
 
 /// Whether a process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Life {
+pub(crate) enum ProcessState {
     Running,
     Paused,
     Ended,
@@ -47,27 +47,27 @@
 #[derive(Clone)]
 pub(crate) struct Node {
     pub(crate) members: Members,
-    pub(crate) life: Life,
+    pub(crate) process_state: ProcessState,
     pub(crate) peer: Peer,
     pub(crate) data_centre: usize,
     /// Whether it was told to leave.
-    pub(crate) leaves: bool,
+    pub(crate) is_leaving: bool,
     /// Bytes sent, as encoded.
     pub(crate) bytes: u64,
     /// Entries that it last counted.
     pub(crate) entries: u32,
     /// When it last saw a member come into a state.
     pub(crate) seen: HashMap<(Name, MemberState), Time>,
-    begun: Time,
+    started_at: Time,
     inbox: Vec<(Peer, Message)>,
 }
 
 /// Numbers that follow from a seed.
 #[derive(Clone)]
-pub(crate) struct Chance(u64);
+pub(crate) struct SplitMix64(u64);
 
 #[derive(Clone)]
-enum Happening {
+enum Scheduled {
     Tick(NodeIx),
     Arrival(Peer, SocketAddr, Box<Message>),
 }
@@ -81,15 +81,15 @@
     pub(crate) loss: u64,
     /// Data centres from which nothing passes to the other.
     pub(crate) cuts: HashSet<(usize, usize)>,
-    pub(crate) chance: Chance,
+    pub(crate) rng: SplitMix64,
     /// Longest packet sent.
-    pub(crate) longest: usize,
-    agenda: BTreeMap<(Time, u64), Happening>,
+    pub(crate) longest_packet: usize,
+    event_queue: BTreeMap<(Time, u64), Scheduled>,
     by_addr: HashMap<SocketAddr, NodeIx>,
     serial: u64,
 }
 
-impl Chance {
+impl SplitMix64 {
     /// Next number, by `SplitMix64`.
     pub(crate) fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -106,8 +106,8 @@
 
 /// Address number `place` of the fleet.
 pub(crate) fn addr(place: usize) -> SocketAddr {
-    let host = u8::try_from(place / PORTS_A_HOST + 1).unwrap();
-    let port = u16::try_from(FIRST_PORT + place % PORTS_A_HOST).unwrap();
+    let host = u8::try_from(place / PORTS_PER_HOST + 1).unwrap();
+    let port = u16::try_from(FIRST_PORT + place % PORTS_PER_HOST).unwrap();
     SocketAddr::from(([10, 0, 0, host], port))
 }
 
@@ -118,9 +118,9 @@
             now: Time::from_millis(1),
             loss: 0,
             cuts: HashSet::new(),
-            chance: Chance(seed),
-            longest: 0,
-            agenda: BTreeMap::new(),
+            rng: SplitMix64(seed),
+            longest_packet: 0,
+            event_queue: BTreeMap::new(),
             by_addr: HashMap::new(),
             serial: 0,
         }
@@ -144,7 +144,7 @@
         let peer = Peer {
             name: name.into(),
             addr: addr(place),
-            incarnation: Incarnation::begun(millis, self.chance.next()),
+            incarnation: Incarnation::begun(millis, self.rng.next()),
             role: if is_entry { Role::Entry } else { Role::Agent },
         };
         let serves = if is_entry {
@@ -163,18 +163,18 @@
         self.by_addr.insert(peer.addr, ix);
         self.nodes.push(Node {
             members,
-            life: Life::Running,
+            process_state: ProcessState::Running,
             peer,
             data_centre,
-            leaves: false,
+            is_leaving: false,
             bytes: 0,
             entries: 0,
             seen: HashMap::new(),
-            begun: self.now,
+            started_at: self.now,
             inbox: Vec::new(),
         });
-        let offset = Duration::from_micros(self.chance.below(100_000));
-        self.schedule(self.now + offset, Happening::Tick(ix));
+        let offset = Duration::from_micros(self.rng.below(100_000));
+        self.schedule(self.now + offset, Scheduled::Tick(ix));
         ix
     }
 
@@ -185,40 +185,40 @@
     /// Indices of processes that run.
     pub(crate) fn running(&self) -> Vec<NodeIx> {
         let all = (0..self.nodes.len()).map(NodeIx);
-        all.filter(|ix| self.node(*ix).life == Life::Running)
+        all.filter(|ix| self.node(*ix).process_state == ProcessState::Running)
             .collect()
     }
 
     /// Ends a process without a word.
     pub(crate) fn end(&mut self, ix: NodeIx) {
-        self.nodes[ix.0].life = Life::Ended;
+        self.nodes[ix.0].process_state = ProcessState::Ended;
         self.nodes[ix.0].inbox.clear();
     }
 
     pub(crate) fn pause(&mut self, ix: NodeIx) {
-        self.nodes[ix.0].life = Life::Paused;
+        self.nodes[ix.0].process_state = ProcessState::Paused;
     }
 
     /// Lets a paused process go on; it first reads what has come meanwhile.
-    pub(crate) fn thaw(&mut self, ix: NodeIx) {
-        self.nodes[ix.0].life = Life::Running;
+    pub(crate) fn resume(&mut self, ix: NodeIx) {
+        self.nodes[ix.0].process_state = ProcessState::Running;
         for (from, message) in std::mem::take(&mut self.nodes[ix.0].inbox) {
             self.deliver(ix, from, message);
         }
-        self.schedule(self.now, Happening::Tick(ix));
+        self.schedule(self.now, Scheduled::Tick(ix));
     }
 
     pub(crate) fn leave(&mut self, ix: NodeIx) {
-        self.nodes[ix.0].leaves = true;
-        self.give(ix, MemberEvent::Leave);
+        self.nodes[ix.0].is_leaving = true;
+        self.feed(ix, MemberEvent::Leave);
     }
 
     pub(crate) fn list_vms(&mut self, ix: NodeIx, vms: &[Vm]) {
-        self.give(ix, MemberEvent::Vms(vms.to_vec()));
+        self.feed(ix, MemberEvent::Vms(vms.to_vec()));
     }
 
     pub(crate) fn serve(&mut self, ix: NodeIx, serves: &[Name]) {
-        self.give(ix, MemberEvent::Serves(serves.to_vec()));
+        self.feed(ix, MemberEvent::Serves(serves.to_vec()));
     }
 
     /// Cuts one data centre off from all others.
@@ -236,14 +236,14 @@
     /// Lets `span` go by.
     pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
-        while let Some(next) = self.agenda.first_entry() {
+        while let Some(next) = self.event_queue.first_entry() {
             if next.key().0 > end {
                 break;
             }
             self.now = self.now.max(next.key().0);
             match next.remove() {
-                Happening::Tick(ix) => self.tick(ix),
-                Happening::Arrival(from, to, message) => self.arrive(from, to, *message),
+                Scheduled::Tick(ix) => self.tick(ix),
+                Scheduled::Arrival(from, to, message) => self.arrive(from, to, *message),
             }
         }
         self.now = end;
@@ -255,10 +255,10 @@
         bound: Duration,
         done: impl Fn(&Self) -> bool,
     ) -> Option<Duration> {
-        let begun = self.now;
-        while self.now.since(begun) <= bound {
+        let started_at = self.now;
+        while self.now.since(started_at) <= bound {
             if done(self) {
-                return Some(self.now.since(begun));
+                return Some(self.now.since(started_at));
             }
             self.run(TICK);
         }
@@ -316,61 +316,61 @@
     fn draw_seed(&mut self) -> [u8; 32] {
         let mut seed = [0; 32];
         for part in seed.chunks_mut(8) {
-            part.copy_from_slice(&self.chance.next().to_le_bytes());
+            part.copy_from_slice(&self.rng.next().to_le_bytes());
         }
         seed
     }
 
-    fn schedule(&mut self, at: Time, what: Happening) {
+    fn schedule(&mut self, at: Time, what: Scheduled) {
         self.serial += 1;
-        self.agenda.insert((at, self.serial), what);
+        self.event_queue.insert((at, self.serial), what);
     }
 
     /// Time as the process itself counts it.
     fn own_time(&self, ix: NodeIx) -> Time {
-        Time::from_millis(0) + self.now.since(self.node(ix).begun)
+        Time::from_millis(0) + self.now.since(self.node(ix).started_at)
     }
 
     fn tick(&mut self, ix: NodeIx) {
-        if self.node(ix).life != Life::Running {
+        if self.node(ix).process_state != ProcessState::Running {
             return;
         }
-        self.give(ix, MemberEvent::Tick);
-        self.schedule(self.now + TICK, Happening::Tick(ix));
+        self.feed(ix, MemberEvent::Tick);
+        self.schedule(self.now + TICK, Scheduled::Tick(ix));
     }
 
     fn arrive(&mut self, from: Peer, to: SocketAddr, message: Message) {
         let Some(ix) = self.by_addr.get(&to).copied() else {
             return;
         };
-        match self.node(ix).life {
-            Life::Running => self.deliver(ix, from, message),
-            Life::Paused if self.node(ix).inbox.len() < MAX_INBOX => {
+        match self.node(ix).process_state {
+            ProcessState::Running => self.deliver(ix, from, message),
+            ProcessState::Paused if self.node(ix).inbox.len() < MAX_INBOX => {
                 self.nodes[ix.0].inbox.push((from, message));
             }
-            Life::Paused | Life::Ended => {}
+            ProcessState::Paused | ProcessState::Ended => {}
         }
     }
 
     pub(crate) fn deliver(&mut self, ix: NodeIx, from: Peer, message: Message) {
-        self.give(ix, MemberEvent::Message(from, message));
+        self.feed(ix, MemberEvent::Message(from, message));
     }
 
-    fn give(&mut self, ix: NodeIx, event: MemberEvent) {
+    fn feed(&mut self, ix: NodeIx, event: MemberEvent) {
         let now = self.own_time(ix);
         let mut out = Vec::new();
         self.nodes[ix.0].members.on_event(now, event, &mut out);
         for action in out {
             match action {
                 MemberAction::Send(to, message) => self.send(ix, to, message),
-                MemberAction::Changed(record) => self.note(ix, record),
+                MemberAction::Changed(record) => self.record_seen(ix, record),
                 MemberAction::Entries(count) => self.nodes[ix.0].entries = count,
                 MemberAction::Note(_) => {}
             }
         }
     }
 
-    fn note(&mut self, ix: NodeIx, record: MemberRecord) {
+    fn record_seen(&mut self, ix: NodeIx, record: MemberRecord) {
         let now = self.now;
         let seen = &mut self.nodes[ix.0].seen;
         seen.insert((record.peer.name, record.state), now);
@@ -378,19 +378,19 @@
 
     fn send(&mut self, ix: NodeIx, to: SocketAddr, message: Message) {
         let from = self.node(ix).peer.clone();
-        let load = (from.role == Role::Agent).then(busy);
+        let load = (from.role == Role::Agent).then(sample_load);
         let bodies = std::slice::from_ref(&message);
         let packet =
             fireflycroft_wire::encode_all(&from, ConfigVersion(1_000), load.as_ref(), bodies);
         self.nodes[ix.0].bytes += packet.len() as u64;
-        self.longest = self.longest.max(packet.len());
-        let latency = LEAST_LATENCY + self.chance.below(LATENCY_SPREAD);
-        let lost = self.chance.below(100) < self.loss;
+        self.longest_packet = self.longest_packet.max(packet.len());
+        let latency = MIN_LATENCY_MICROS + self.rng.below(LATENCY_RANGE_MICROS);
+        let lost = self.rng.below(100) < self.loss;
         if lost || self.is_cut(ix, to) {
             return;
         }
         let at = self.now + Duration::from_micros(latency);
-        self.schedule(at, Happening::Arrival(from, to, Box::new(message)));
+        self.schedule(at, Scheduled::Arrival(from, to, Box::new(message)));
     }
 
     fn is_cut(&self, from: NodeIx, to: SocketAddr) -> bool {
@@ -403,7 +403,7 @@
 }
 
 /// Load of an agent as it rides on each of its messages.
-fn busy() -> Load {
+fn sample_load() -> Load {
     Load {
         running: 24,
         queued: 12,
--- a/fireflycroft/tests/recheck.rs
+++ b/fireflycroft/tests/recheck.rs
@@ -97,7 +97,7 @@
                 peer: peer(n),
                 data_centre: "dc1".into(),
                 state: MemberState::Alive,
-                turn: 0,
+                revision: 0,
                 serves: vec!["model".into()],
             }));
         }
--- a/fireflycroft/tests/route.rs
+++ b/fireflycroft/tests/route.rs
@@ -47,7 +47,7 @@
         },
         data_centre: Name::from("dc"),
         state,
-        turn: 1,
+        revision: 1,
         serves: vec![Name::from("model")],
     }
 }
--- a/fireflycroft/tests/support/world/messages.rs
+++ b/fireflycroft/tests/support/world/messages.rs
@@ -108,7 +108,7 @@
             peer: Proc::Agent(agent).peer(self.agents[agent].life),
             data_centre: Name::from("dc"),
             state,
-            turn: 0,
+            revision: 0,
             serves: fleet::serves(agent),
         };
         self.entry(entry, EntryEvent::Member(record));
--- a/fireflyd/src/fleet.rs
+++ b/fireflyd/src/fleet.rs
@@ -71,7 +71,7 @@
 
     /// Some other message came from that process.
     pub fn on_heard(&mut self, now: Time, from: &Peer, out: &mut Outbox) -> News {
-        self.drive(now, MemberEvent::Heard(from.clone()), out)
+        self.drive(now, MemberEvent::Received(from.clone()), out)
     }
 
     /// The VM list was read.
