--- a/fireflycroft/examples/config_cost.rs
+++ b/fireflycroft/examples/config_cost.rs
@@ -6,7 +6,7 @@
 //! in a process of its own so that nothing else counts.
 
 use fireflycroft::{
-    Brand, ConfigCarrier, ConfigVersion, Document, Head, Inventory, Name, Part, Priority,
+    Brand, ConfigTransfer, ConfigVersion, Document, Head, Inventory, Name, Part, Priority,
     PriorityRule, Quota, Rules, Snapshot, Workspace, split,
 };
 use std::collections::HashSet;
@@ -62,9 +62,9 @@
     for line in lines {
         parts.push(Part::new(line?.into_bytes()));
     }
-    let mut carrier = ConfigCarrier::default();
+    let mut transfer = ConfigTransfer::default();
     let began = Instant::now();
-    let whole = carrier.hold(head, parts)?.ok_or("not held")?;
+    let whole = transfer.install(head, parts)?.ok_or("not held")?;
     let held_ms = began.elapsed().as_secs_f64() * 1e3;
     let began = Instant::now();
     let config = whole
@@ -76,7 +76,7 @@
         "workspaces={} held_bytes={} hold_ms={held_ms:.1} compile_ms={compile_ms:.1} \
          resident_before={before} resident_after={after} peak={}",
         config.workspaces(),
-        carrier.bytes(),
+        transfer.bytes(),
         resident("VmHWM:"),
     );
     Ok(())
--- a/fireflycroft/src/catch_up.rs
+++ b/fireflycroft/src/catch_up.rs
@@ -52,7 +52,7 @@
         if !self.calls.get(&id).is_some_and(due) {
             return;
         }
-        if self.config.is_behind() {
+        if self.config.is_lagging() {
             self.hold_for_config(now, id, out);
         } else {
             self.offer_next(now, id, out);
@@ -61,7 +61,7 @@
 
     /// A configuration came into force: offers all held calls again.
     pub(crate) fn on_caught_up(&mut self, now: Time, out: &mut Vec<EntryAction>) {
-        if self.config.is_behind() {
+        if self.config.is_lagging() {
             return;
         }
         let held = |call: &&Call| matches!(call.phase, Phase::Behind { .. });
--- a/fireflycroft/src/compile.rs
+++ b/fireflycroft/src/compile.rs
@@ -12,7 +12,7 @@
 use crate::ids::{Digest, Name};
 use crate::inventory::{Brand, Inventory, PriorityRule, Quota, Rules, Workspace};
 use crate::message::ConfigVersion;
-use crate::snapshot::{Head, Item, Part, items, put, read_items};
+use crate::snapshot::{Head, Item, Part, add_item, items, read_items};
 use crate::snapshot_error::SnapshotError;
 use crate::work::Priority;
 use std::collections::{HashMap, HashSet};
@@ -24,9 +24,9 @@
 /// Longest name, in bytes.
 pub const MAX_NAME: usize = 128;
 /// Requests that [`crate::Objective::per_mille`] counts in.
-const MILLE: u32 = 1_000;
+const PER_MILLE_MAX: u32 = 1_000;
 /// Lists in the order in which their faults are told.
-const LISTS: [&str; 8] = [
+const FAULT_ORDER: [&str; 8] = [
     "brands",
     "workspaces",
     "models",
@@ -39,7 +39,7 @@
 
 /// One fault of an inventory or of rules.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ConfigFault {
     /// Where, such as `workspaces[3].brand`.
     pub field: String,
     /// What is wrong, with the value.
@@ -55,7 +55,7 @@
     version: ConfigVersion,
     digest: Digest,
     doc: &Document,
-) -> Result<Config, Vec<Fault>> {
+) -> Result<Config, Vec<ConfigFault>> {
     let mut compiler = Compiler::default();
     for item in items(doc) {
         compiler.add(item);
@@ -69,7 +69,7 @@
 /// # Errors
 ///
 /// Every fault found, list by list; a part that can't be read is one.
-pub fn compile_parts(head: &Head, parts: &[Part]) -> Result<Config, Vec<Fault>> {
+pub fn compile_parts(head: &Head, parts: &[Part]) -> Result<Config, Vec<ConfigFault>> {
     let mut compiler = Compiler::default();
     for (i, part) in parts.iter().enumerate() {
         let items = read_items(part).map_err(|e| vec![unreadable(i, &e)])?;
@@ -80,8 +80,8 @@
     compiler.finish(head.config_version(), head.digest)
 }
 
-fn unreadable(part: usize, e: &SnapshotError) -> Fault {
-    Fault {
+fn unreadable(part: usize, e: &SnapshotError) -> ConfigFault {
+    ConfigFault {
         field: format!("parts[{part}]"),
         text: e.to_string(),
     }
@@ -91,7 +91,7 @@
 #[derive(Default)]
 struct Compiler {
     /// What is checked at the end, as it names things that may come later.
-    rest: Document,
+    deferred: Document,
     brand_ix: HashMap<Name, u32>,
     workspaces: Vec<WorkspaceEntry>,
     workspace_ix: HashMap<Name, u32>,
@@ -101,7 +101,7 @@
     with_quota: HashSet<u32>,
     priorities: usize,
     quotas: usize,
-    faults: Vec<Fault>,
+    faults: Vec<ConfigFault>,
 }
 
 impl Compiler {
@@ -111,28 +111,28 @@
             Item::Priority(rule) => self.add_priority(&rule),
             Item::Quota(quota) => self.add_quota(&quota),
             Item::Brand(brand) => self.add_brand(brand),
-            item => put(&mut self.rest, item),
+            item => add_item(&mut self.deferred, item),
         }
     }
 
     fn add_brand(&mut self, brand: Brand) {
-        let ix = place(self.rest.inventory.brands.len());
+        let ix = to_index(self.deferred.inventory.brands.len());
         self.brand_ix.entry(brand.name.clone()).or_insert(ix);
-        self.rest.inventory.brands.push(brand);
+        self.deferred.inventory.brands.push(brand);
     }
 
     fn add_workspace(&mut self, workspace: Workspace) {
         let i = self.workspaces.len();
-        let ix = place(i);
+        let ix = to_index(i);
         let field = || format!("workspaces[{i}].name");
         self.check_name(&workspace.name, field);
         if self.workspace_ix.contains_key(&workspace.name) {
-            self.fault(field(), "used twice", &workspace.name);
+            self.add_fault(field(), "used twice", &workspace.name);
         }
         let brand = self.brand_ix.get(&workspace.brand).copied();
         if brand.is_none() {
             let field = format!("workspaces[{i}].brand");
-            self.fault(field, "no such brand", &workspace.brand);
+            self.add_fault(field, "no such brand", &workspace.brand);
         }
         self.add_keys(WorkspaceIx(ix), &workspace.key_digests);
         self.workspace_ix
@@ -151,11 +151,11 @@
         for (j, text) in digests.iter().enumerate() {
             let field = || format!("workspaces[{}].key_digests[{j}]", workspace.0);
             let Ok(hash) = blake3::Hash::from_hex(text.as_bytes()) else {
-                self.fault_text(field(), "not 64 hexadecimal digits".to_owned());
+                self.add_fault_text(field(), "not 64 hexadecimal digits".to_owned());
                 continue;
             };
             if self.by_key.insert(*hash.as_bytes(), workspace).is_some() {
-                self.fault_text(field(), "held already, here or elsewhere".to_owned());
+                self.add_fault_text(field(), "held already, here or elsewhere".to_owned());
             }
         }
     }
@@ -164,15 +164,15 @@
         let i = self.priorities;
         self.priorities += 1;
         if rule.default > rule.highest {
-            let what = "higher than the highest".to_owned();
-            self.fault_text(format!("priorities[{i}].default"), what);
+            let detail = "higher than the highest".to_owned();
+            self.add_fault_text(format!("priorities[{i}].default"), detail);
         }
         let field = || format!("priorities[{i}].workspace");
         let Some(ix) = self.find_workspace(&rule.workspace, field) else {
             return;
         };
         if !self.with_priority.insert(ix) {
-            self.fault(field(), "named twice", &rule.workspace);
+            self.add_fault(field(), "named twice", &rule.workspace);
         }
         let entry = &mut self.workspaces[ix as usize];
         entry.default = rule.default;
@@ -187,23 +187,27 @@
             return;
         };
         if !self.with_quota.insert(ix) {
-            self.fault(field(), "named twice", &quota.workspace);
+            self.add_fault(field(), "named twice", &quota.workspace);
         }
         self.workspaces[ix as usize].tokens_per_minute = Some(quota.tokens_per_minute);
     }
 
-    fn finish(mut self, version: ConfigVersion, digest: Digest) -> Result<Config, Vec<Fault>> {
-        let Document { inventory, rules } = std::mem::take(&mut self.rest);
+    fn finish(
+        mut self,
+        version: ConfigVersion,
+        digest: Digest,
+    ) -> Result<Config, Vec<ConfigFault>> {
+        let Document { inventory, rules } = std::mem::take(&mut self.deferred);
         self.check_inventory(&inventory);
         self.check_objectives(&rules);
         let non_repeatable = self.call_rules(&inventory, &rules);
         if self.workspaces.len() > MAX_WORKSPACES {
             let count = self.workspaces.len();
-            let what = format!("{count} of them, at most {MAX_WORKSPACES}");
-            self.fault_text("workspaces".to_owned(), what);
+            let detail = format!("{count} of them, at most {MAX_WORKSPACES}");
+            self.add_fault_text("workspaces".to_owned(), detail);
         }
         if !self.faults.is_empty() {
-            self.faults.sort_by_key(|fault| rank(&fault.field));
+            self.faults.sort_by_key(|fault| list_rank(&fault.field));
             return Err(self.faults);
         }
         let models = inventory.models.into_iter().map(|m| (m.name, m.replicas));
@@ -241,7 +245,7 @@
         }
         for (i, service) in inventory.services.iter().enumerate() {
             if models.contains(service) {
-                self.fault(format!("services[{i}]"), "a model has that name", service);
+                self.add_fault(format!("services[{i}]"), "a model has that name", service);
             }
         }
     }
@@ -253,16 +257,16 @@
             let field = || format!("{list}[{i}]{tail}");
             self.check_name(name, field);
             if !seen.insert(name) {
-                self.fault(field(), "used twice", name);
+                self.add_fault(field(), "used twice", name);
             }
         }
     }
 
     /// Checks that a list names things that there are.
-    fn check_known(&mut self, field: &str, what: &str, names: &[Name], known: &HashSet<&Name>) {
+    fn check_known(&mut self, field: &str, kind: &str, names: &[Name], known: &HashSet<&Name>) {
         for (j, name) in names.iter().enumerate() {
             if !known.contains(name) {
-                self.fault(format!("{field}[{j}]"), &format!("no such {what}"), name);
+                self.add_fault(format!("{field}[{j}]"), &format!("no such {kind}"), name);
             }
         }
     }
@@ -274,10 +278,10 @@
         for (i, rule) in rules.non_repeatable.iter().enumerate() {
             let field = |name: &str| format!("non_repeatable[{i}].{name}");
             if !targets.contains(&rule.target) {
-                self.fault(field("target"), "no such model or service", &rule.target);
+                self.add_fault(field("target"), "no such model or service", &rule.target);
             }
             if let Some(path) = rule.path.as_ref().filter(|p| !p.starts_with('/')) {
-                self.fault(field("path"), "doesn't begin with /", path);
+                self.add_fault(field("path"), "doesn't begin with /", path);
             }
             let own = rule.workspace.as_ref();
             let ix = own.and_then(|w| self.find_workspace(w, || field("workspace")));
@@ -301,14 +305,14 @@
             if let Some(brand) = &objective.brand
                 && !self.brand_ix.contains_key(brand)
             {
-                self.fault(field("brand"), "no such brand", brand);
+                self.add_fault(field("brand"), "no such brand", brand);
             }
             if !seen.insert((&objective.brand, objective.priority)) {
-                let what = "there is one of this brand and priority already".to_owned();
-                self.fault_text(field("priority"), what);
+                let detail = "there is one of this brand and priority already".to_owned();
+                self.add_fault_text(field("priority"), detail);
             }
-            if objective.per_mille > MILLE {
-                self.fault(field("per_mille"), "over 1000", objective.per_mille);
+            if objective.per_mille > PER_MILLE_MAX {
+                self.add_fault(field("per_mille"), "over 1000", objective.per_mille);
             }
         }
     }
@@ -316,7 +320,7 @@
     fn find_workspace(&mut self, name: &Name, field: impl Fn() -> String) -> Option<u32> {
         let ix = self.workspace_ix.get(name).copied();
         if ix.is_none() {
-            self.fault(field(), "no such workspace", name);
+            self.add_fault(field(), "no such workspace", name);
         }
         ix
     }
@@ -324,21 +328,21 @@
     fn check_name(&mut self, name: &Name, field: impl Fn() -> String) {
         let is_bad = |c: char| c.is_whitespace() || c.is_control();
         if name.is_empty() {
-            self.fault_text(field(), "empty".to_owned());
+            self.add_fault_text(field(), "empty".to_owned());
         } else if name.len() > MAX_NAME {
-            let what = format!("{} bytes, at most {MAX_NAME}", name.len());
-            self.fault_text(field(), what);
+            let detail = format!("{} bytes, at most {MAX_NAME}", name.len());
+            self.add_fault_text(field(), detail);
         } else if name.contains(is_bad) {
-            self.fault(field(), "holds a space or control character", name);
+            self.add_fault(field(), "holds a space or control character", name);
         }
     }
 
-    fn fault(&mut self, field: String, what: &str, value: impl Debug) {
-        self.fault_text(field, format!("{what}: {value:?}"));
+    fn add_fault(&mut self, field: String, detail: &str, value: impl Debug) {
+        self.add_fault_text(field, format!("{detail}: {value:?}"));
     }
 
-    fn fault_text(&mut self, field: String, text: String) {
-        self.faults.push(Fault { field, text });
+    fn add_fault_text(&mut self, field: String, text: String) {
+        self.faults.push(ConfigFault { field, text });
     }
 }
 
@@ -350,13 +354,13 @@
 }
 
 /// Place of the list that a field is of.
-fn rank(field: &str) -> usize {
+fn list_rank(field: &str) -> usize {
     let list = field.split('[').next().unwrap_or_default();
-    let at = LISTS.iter().position(|l| *l == list);
-    at.unwrap_or(LISTS.len())
+    let at = FAULT_ORDER.iter().position(|l| *l == list);
+    at.unwrap_or(FAULT_ORDER.len())
 }
 
 /// A place in a list as it is kept; lists over the limit are refused anyhow.
-fn place(i: usize) -> u32 {
+fn to_index(i: usize) -> u32 {
     u32::try_from(i).unwrap_or(u32::MAX)
 }
--- a/fireflycroft/src/config.rs
+++ b/fireflycroft/src/config.rs
@@ -119,9 +119,11 @@
 
     /// Priority of a request that asks for `asked`.
     #[must_use]
-    pub fn priority(&self, ix: WorkspaceIx, asked: Option<Priority>) -> Priority {
+    pub fn priority(&self, ix: WorkspaceIx, requested: Option<Priority>) -> Priority {
         let workspace = &self.workspaces[ix.0 as usize];
-        asked.unwrap_or(workspace.default).min(workspace.highest)
+        requested
+            .unwrap_or(workspace.default)
+            .min(workspace.highest)
     }
 
     /// Tokens a minute that the workspace may use; `None` for no quota.
@@ -132,7 +134,7 @@
 
     /// Whether a rule forbids to repeat such a request.
     #[must_use]
-    pub fn is_non_repeatable(
+    pub fn is_non_retryable(
         &self,
         ix: WorkspaceIx,
         target: &str,
@@ -144,7 +146,7 @@
         };
         let own = rules.own.get(&ix).into_iter().flatten();
         let mut all = rules.general.iter().chain(own);
-        all.any(|rule| rule.covers(method, path))
+        all.any(|rule| rule.matches(method, path))
     }
 
     /// What becomes of a non-repeatable request without a key.
@@ -192,7 +194,7 @@
 }
 
 impl CallRule {
-    fn covers(&self, method: &str, path: &str) -> bool {
+    fn matches(&self, method: &str, path: &str) -> bool {
         let of_method = |m: &Name| m.eq_ignore_ascii_case(method);
         let of_path = |p: &Name| path.starts_with(&**p);
         self.method.as_ref().is_none_or(of_method) && self.path.as_ref().is_none_or(of_path)
@@ -201,25 +203,25 @@
 
 /// What became of a configuration that was offered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Adopted {
+pub enum AdoptOutcome {
     /// It is in force now.
-    InForce,
+    Activated,
     /// It was in force already.
-    Same,
+    Unchanged,
     /// It is lower than what is in force.
-    Older,
+    Outdated,
     /// It has the version in force, but other content.
     Conflict,
 }
 
 /// The configuration in force at one process.
 #[derive(Clone, Debug, Default)]
-pub struct InForce {
+pub struct ActiveConfig {
     config: Option<Arc<Config>>,
-    highest_heard: ConfigVersion,
+    highest_seen: ConfigVersion,
 }
 
-impl InForce {
+impl ActiveConfig {
     /// The configuration; `None` before the first.
     #[must_use]
     pub fn get(&self) -> Option<&Arc<Config>> {
@@ -233,33 +235,33 @@
     }
 
     /// Takes a configuration when it is higher than the one in force.
-    pub fn adopt(&mut self, config: Arc<Config>) -> Adopted {
+    pub fn adopt(&mut self, config: Arc<Config>) -> AdoptOutcome {
         let held = self.version();
         if config.version < held {
-            return Adopted::Older;
+            return AdoptOutcome::Outdated;
         }
         if let Some(own) = self.config.as_ref().filter(|c| c.version == config.version) {
             let same = own.digest == config.digest;
             return if same {
-                Adopted::Same
+                AdoptOutcome::Unchanged
             } else {
-                Adopted::Conflict
+                AdoptOutcome::Conflict
             };
         }
-        self.hear(config.version);
+        self.observe_version(config.version);
         self.config = Some(config);
-        Adopted::InForce
+        AdoptOutcome::Activated
     }
 
     /// Notes that a peer holds `version`; true when this side is behind.
-    pub fn hear(&mut self, version: ConfigVersion) -> bool {
-        self.highest_heard = self.highest_heard.max(version);
-        self.is_behind()
+    pub fn observe_version(&mut self, version: ConfigVersion) -> bool {
+        self.highest_seen = self.highest_seen.max(version);
+        self.is_lagging()
     }
 
     /// Whether a higher version is known to be in force elsewhere.
     #[must_use]
-    pub fn is_behind(&self) -> bool {
-        self.highest_heard > self.version()
+    pub fn is_lagging(&self) -> bool {
+        self.highest_seen > self.version()
     }
 }
--- a/fireflycroft/src/carrier.rs
+++ b/fireflycroft/src/config_transfer.rs
@@ -8,7 +8,7 @@
 //! Bounds: one version held and one being collected, each at most
 //! [`MAX_SNAPSHOT`] bytes; parts that both list are held once.
 
-use crate::compile::{Fault, compile_parts};
+use crate::compile::{ConfigFault, compile_parts};
 use crate::config::{Config, Document};
 use crate::ids::Digest;
 use crate::message::{ConfigVersion, Message};
@@ -20,11 +20,11 @@
 use std::sync::Arc;
 
 /// Parts of lower versions in a row after which a collection is given up.
-const LOWER_UNTIL_GIVEN_UP: u32 = 3;
+const MAX_LOWER_PARTS_IN_A_ROW: u32 = 3;
 
 /// One part as a peer sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CarriedPart {
+pub struct ReceivedPart {
     /// Version that it belongs to.
     pub version: ConfigVersion,
     /// Its number; 0 is the head.
@@ -41,25 +41,25 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Progress {
     /// Pull this part next.
-    Want(u32),
+    Next(u32),
     /// The version is whole; it is held and served from now on.
-    Whole(Box<Carried>),
+    Complete(Box<CompleteConfig>),
     /// Not wanted: of a lower version, or there already.
     Ignored,
     /// Not what it says it is; nothing was taken.
-    Faulty(SnapshotError),
+    Invalid(SnapshotError),
 }
 
 /// A version that came whole.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Carried {
+pub struct CompleteConfig {
     /// The head.
     pub head: Head,
     /// The parts, shared with the carrier.
     pub parts: Vec<Part>,
 }
 
-impl Carried {
+impl CompleteConfig {
     /// Its version.
     #[must_use]
     pub const fn version(&self) -> ConfigVersion {
@@ -71,7 +71,7 @@
     /// # Errors
     ///
     /// Every fault found; a part that can't be read is one.
-    pub fn compile(&self) -> Result<Config, Vec<Fault>> {
+    pub fn compile(&self) -> Result<Config, Vec<ConfigFault>> {
         compile_parts(&self.head, &self.parts)
     }
 
@@ -87,14 +87,14 @@
 
 /// A version with all its parts, as a node shows it to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Bundle {
+pub struct ConfigBundle {
     /// The head.
     pub head: Head,
     /// The parts' bytes as text, in order.
     pub parts: Vec<String>,
 }
 
-impl Bundle {
+impl ConfigBundle {
     /// The document that the parts make.
     ///
     /// # Errors
@@ -108,7 +108,7 @@
 
 /// Holds the parts of one version for peers, and collects a higher one.
 #[derive(Clone, Debug, Default)]
-pub struct ConfigCarrier {
+pub struct ConfigTransfer {
     held: Option<Held>,
     collecting: Option<Collecting>,
 }
@@ -130,7 +130,7 @@
     lower_in_a_row: u32,
 }
 
-impl ConfigCarrier {
+impl ConfigTransfer {
     /// Version held and served; zero before the first.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
@@ -154,10 +154,10 @@
 
     /// The version held with all its parts, for operators.
     #[must_use]
-    pub fn bundle(&self) -> Option<Bundle> {
+    pub fn bundle(&self) -> Option<ConfigBundle> {
         let held = self.held.as_ref()?;
         let text = |part: &Part| String::from_utf8_lossy(&part.data).into_owned();
-        Some(Bundle {
+        Some(ConfigBundle {
             head: held.head.clone(),
             parts: held.parts.iter().map(text).collect(),
         })
@@ -177,13 +177,17 @@
     /// # Errors
     ///
     /// Parts that are not what the head lists.
-    pub fn hold(&mut self, head: Head, parts: Vec<Part>) -> Result<Option<Carried>, SnapshotError> {
+    pub fn install(
+        &mut self,
+        head: Head,
+        parts: Vec<Part>,
+    ) -> Result<Option<CompleteConfig>, SnapshotError> {
         if head.config_version() <= self.version() {
             return Ok(None);
         }
         check_parts(&head, &parts)?;
         let head_data = encode(&head)?;
-        Ok(Some(self.take(head, head_data, parts)))
+        Ok(Some(self.activate(head, head_data, parts)))
     }
 
     /// Answer to a peer that holds `have` and wants `part`; `None` when
@@ -222,12 +226,12 @@
     }
 
     /// Takes a part that a peer sent.
-    pub fn on_part(&mut self, part: &CarriedPart) -> Progress {
-        if part.version <= self.version() || self.is_overtaken(part) {
+    pub fn on_part(&mut self, part: &ReceivedPart) -> Progress {
+        if part.version <= self.version() || self.is_superseded(part) {
             return Progress::Ignored;
         }
         if part.data.len() > MAX_PART {
-            return Progress::Faulty(SnapshotError::TooLarge);
+            return Progress::Invalid(SnapshotError::TooLarge);
         }
         let taken = if part.part == 0 {
             self.begin(part)
@@ -237,13 +241,13 @@
         match taken {
             Ok(true) => self.advance(),
             Ok(false) => Progress::Ignored,
-            Err(e) => Progress::Faulty(e),
+            Err(e) => Progress::Invalid(e),
         }
     }
 
     /// Whether a higher version than the part's is being collected. When only
     /// lower ones come, nobody has that version any more and it is given up.
-    fn is_overtaken(&mut self, part: &CarriedPart) -> bool {
+    fn is_superseded(&mut self, part: &ReceivedPart) -> bool {
         let Some(collecting) = &mut self.collecting else {
             return false;
         };
@@ -252,7 +256,7 @@
             return false;
         }
         collecting.lower_in_a_row += 1;
-        let given_up = collecting.lower_in_a_row >= LOWER_UNTIL_GIVEN_UP;
+        let given_up = collecting.lower_in_a_row >= MAX_LOWER_PARTS_IN_A_ROW;
         if given_up {
             self.collecting = None;
         }
@@ -266,7 +270,7 @@
     }
 
     /// Begins to collect the version of that head.
-    fn begin(&mut self, part: &CarriedPart) -> Result<bool, SnapshotError> {
+    fn begin(&mut self, part: &ReceivedPart) -> Result<bool, SnapshotError> {
         let head: Head = serde_json::from_slice(&part.data)
             .map_err(|e| SnapshotError::Malformed(e.to_string()))?;
         head.check()?;
@@ -277,7 +281,7 @@
         if same {
             return Ok(true);
         }
-        let parts = self.known_parts(&head);
+        let parts = self.available_parts(&head);
         let bytes = parts.iter().flatten().map(|p| p.data.len()).sum();
         self.collecting = Some(Collecting {
             head,
@@ -290,7 +294,7 @@
     }
 
     /// Parts that `head` lists and that are held or were collected already.
-    fn known_parts(&self, head: &Head) -> Vec<Option<Part>> {
+    fn available_parts(&self, head: &Head) -> Vec<Option<Part>> {
         let own = self.held.iter().flat_map(|h| h.parts.iter());
         let collected = self
             .collecting
@@ -303,7 +307,7 @@
 
     /// Takes one part of the version being collected. A part of a higher
     /// version asks for the head of that one.
-    fn collect(&mut self, part: &CarriedPart) -> Result<bool, SnapshotError> {
+    fn collect(&mut self, part: &ReceivedPart) -> Result<bool, SnapshotError> {
         let Some(collecting) = &mut self.collecting else {
             return Ok(true);
         };
@@ -317,7 +321,7 @@
     /// Says what to pull next, or takes the version when it is whole.
     fn advance(&mut self) -> Progress {
         let Some(collecting) = self.collecting.take_if(|c| c.missing().is_none()) else {
-            return Progress::Want(self.next_part());
+            return Progress::Next(self.next_part());
         };
         let Collecting {
             head,
@@ -326,10 +330,10 @@
             ..
         } = collecting;
         let parts = parts.into_iter().flatten().collect();
-        Progress::Whole(Box::new(self.take(head, head_data, parts)))
+        Progress::Complete(Box::new(self.activate(head, head_data, parts)))
     }
 
-    fn take(&mut self, head: Head, head_data: Arc<[u8]>, parts: Vec<Part>) -> Carried {
+    fn activate(&mut self, head: Head, head_data: Arc<[u8]>, parts: Vec<Part>) -> CompleteConfig {
         if self.collecting_version() <= head.config_version() {
             self.collecting = None;
         }
@@ -338,7 +342,7 @@
             head_data,
             parts: parts.clone(),
         });
-        Carried { head, parts }
+        CompleteConfig { head, parts }
     }
 }
 
@@ -356,12 +360,12 @@
     }
 
     /// Fills the place of `part`; false when it was filled.
-    fn fill(&mut self, part: &CarriedPart) -> Result<bool, SnapshotError> {
+    fn fill(&mut self, part: &ReceivedPart) -> Result<bool, SnapshotError> {
         let at = part.part.saturating_sub(1) as usize;
-        let (Some(place), Some(name)) = (self.parts.get_mut(at), self.head.parts.get(at)) else {
+        let (Some(slot), Some(name)) = (self.parts.get_mut(at), self.head.parts.get(at)) else {
             return Err(SnapshotError::WrongPart(at));
         };
-        if place.is_some() {
+        if slot.is_some() {
             return Ok(false);
         }
         let part = Part::new(part.data.clone());
@@ -372,7 +376,7 @@
         if self.bytes > MAX_SNAPSHOT {
             return Err(SnapshotError::TooLarge);
         }
-        *place = Some(part);
+        *slot = Some(part);
         Ok(true)
     }
 }
--- a/fireflycroft/src/diff.rs
+++ b/fireflycroft/src/diff.rs
@@ -5,7 +5,7 @@
 
 use crate::config::Document;
 use crate::ids::Name;
-use crate::inventory::{NonRepeatable, Objective, Rules, WithoutKey};
+use crate::inventory::{NonRetryable, Objective, Rules, WithoutKey};
 use crate::work::Priority;
 use serde::{Serialize, Serializer};
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 use std::fmt::Write;
 
 /// Digits of a key's digest that are shown.
-const KEY_DIGITS: usize = 12;
+const SHOWN_KEY_DIGITS: usize = 12;
 
 /// What kind of item a change is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
@@ -34,7 +34,8 @@
     /// A workspace's quota.
     Quota,
     /// A call that may not be repeated.
-    NonRepeatable,
+    #[serde(rename = "non_repeatable")]
+    NonRetryable,
     /// An objective.
     Objective,
     /// A setting of the rules.
@@ -135,8 +136,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { subject, name, .. } = self;
         match &self.change {
-            Change::Added(what) => write!(f, "+ {subject} {name}{}", Tail(what)),
-            Change::Removed(what) => write!(f, "- {subject} {name}{}", Tail(what)),
+            Change::Added(details) => write!(f, "+ {subject} {name}{}", Details(details)),
+            Change::Removed(details) => write!(f, "- {subject} {name}{}", Details(details)),
             Change::Changed { from, to } => write!(f, "~ {subject} {name}: {from} -> {to}"),
         }
     }
@@ -152,7 +153,7 @@
             Self::Key => "key",
             Self::Priority => "priority",
             Self::Quota => "quota",
-            Self::NonRepeatable => "non_repeatable",
+            Self::NonRetryable => "non_repeatable",
             Self::Objective => "objective",
             Self::Setting => "setting",
         })
@@ -169,16 +170,16 @@
         Self::Key,
         Self::Priority,
         Self::Quota,
-        Self::NonRepeatable,
+        Self::NonRetryable,
         Self::Objective,
         Self::Setting,
     ];
 }
 
 /// What follows a name, after a colon unless there is nothing.
-struct Tail<'a>(&'a str);
+struct Details<'a>(&'a str);
 
-impl fmt::Display for Tail<'_> {
+impl fmt::Display for Details<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.0.is_empty() {
             return Ok(());
@@ -194,15 +195,15 @@
     let mut add = |name: &String, change| {
         items.push(Difference {
             subject,
-            name: shown(subject, name),
+            name: display_name(subject, name),
             change,
         });
     };
     let names: std::collections::BTreeSet<&String> = from.keys().chain(to.keys()).collect();
     for name in names {
         match (from.get(name), to.get(name)) {
-            (None, Some(what)) => add(name, Change::Added(what.clone())),
-            (Some(what), None) => add(name, Change::Removed(what.clone())),
+            (None, Some(details)) => add(name, Change::Added(details.clone())),
+            (Some(details), None) => add(name, Change::Removed(details.clone())),
             (Some(old), Some(new)) if old != new => add(
                 name,
                 Change::Changed {
@@ -220,8 +221,8 @@
     match subject {
         Subject::Brand => brands(doc),
         Subject::Model => collect(inventory.models.iter().map(|m| {
-            let what = format!("replicas {}", m.replicas);
-            (m.name.to_string(), what)
+            let details = format!("replicas {}", m.replicas);
+            (m.name.to_string(), details)
         })),
         Subject::Service => collect(
             inventory
@@ -230,20 +231,20 @@
                 .map(|s| (s.to_string(), String::new())),
         ),
         Subject::Workspace => collect(inventory.workspaces.iter().map(|w| {
-            let what = format!("brand {}", w.brand);
-            (w.name.to_string(), what)
+            let details = format!("brand {}", w.brand);
+            (w.name.to_string(), details)
         })),
         Subject::Key => keys(doc),
         Subject::Priority => collect(rules.priorities.iter().map(|p| {
             let (default, highest) = (priority(p.default), priority(p.highest));
-            let what = format!("default {default}, highest {highest}");
-            (p.workspace.to_string(), what)
+            let details = format!("default {default}, highest {highest}");
+            (p.workspace.to_string(), details)
         })),
         Subject::Quota => collect(rules.quotas.iter().map(|q| {
-            let what = format!("{} tokens a minute", q.tokens_per_minute);
-            (q.workspace.to_string(), what)
+            let details = format!("{} tokens a minute", q.tokens_per_minute);
+            (q.workspace.to_string(), details)
         })),
-        Subject::NonRepeatable => collect(
+        Subject::NonRetryable => collect(
             rules
                 .non_repeatable
                 .iter()
@@ -257,22 +258,22 @@
 /// Collects items; those of the same name are numbered.
 fn collect(items: impl Iterator<Item = (String, String)>) -> Entries {
     let mut entries = Entries::new();
-    for (name, what) in items {
+    for (name, details) in items {
         let mut key = name.clone();
         let mut copy = 1;
         while entries.contains_key(&key) {
             copy += 1;
             key = format!("{name} ({copy})");
         }
-        entries.insert(key, what);
+        entries.insert(key, details);
     }
     entries
 }
 
 fn brands(doc: &Document) -> Entries {
     let describe = |b: &crate::inventory::Brand| {
-        let what = format!("models {}, services {}", list(&b.models), list(&b.services));
-        (b.name.to_string(), what)
+        let details = format!("models {}, services {}", list(&b.models), list(&b.services));
+        (b.name.to_string(), details)
     };
     collect(doc.inventory.brands.iter().map(describe))
 }
@@ -286,16 +287,16 @@
 }
 
 /// Cuts a key's digest, by which keys are matched, to the head that is shown.
-fn shown(subject: Subject, name: &str) -> String {
+fn display_name(subject: Subject, name: &str) -> String {
     let Some((workspace, digest)) = name.rsplit_once(' ').filter(|_| subject == Subject::Key)
     else {
         return name.to_owned();
     };
-    let head = digest.get(..KEY_DIGITS).unwrap_or(digest);
+    let head = digest.get(..SHOWN_KEY_DIGITS).unwrap_or(digest);
     format!("{workspace} {head}")
 }
 
-fn call(rule: &NonRepeatable) -> String {
+fn call(rule: &NonRetryable) -> String {
     let mut text = rule.target.to_string();
     if let Some(method) = &rule.method {
         let _ = write!(text, " {method}");
@@ -312,11 +313,11 @@
 fn objective(o: &Objective) -> (String, String) {
     let brand = o.brand.as_deref().unwrap_or("*");
     let name = format!("{brand} {}", priority(o.priority));
-    let what = format!(
+    let details = format!(
         "first token {} ms, between tokens {} ms, {} of 1000",
         o.first_token_ms, o.between_tokens_ms, o.per_mille
     );
-    (name, what)
+    (name, details)
 }
 
 const fn priority(priority: Priority) -> &'static str {
@@ -338,7 +339,7 @@
             ("batch_wait_ms", rules.batch_wait_ms.to_string()),
         ]
         .into_iter()
-        .map(|(name, what)| (name.to_owned(), what)),
+        .map(|(name, details)| (name.to_owned(), details)),
     )
 }
 
--- a/fireflycroft/src/entry.rs
+++ b/fireflycroft/src/entry.rs
@@ -9,7 +9,7 @@
 use crate::burn::{Goal, Measured, Pace, meets};
 use crate::claim::ClaimRun;
 use crate::code::{Class, Code};
-use crate::config::{Adopted, Config, InForce};
+use crate::config::{ActiveConfig, AdoptOutcome, Config};
 use crate::entry_io::{Delivery, EntryAction, EntryEvent, EntryLimits, EntrySetup, Reply};
 use crate::ids::{CallId, Digest, GenerationId, IdSource, Name, RequestId};
 use crate::member_record::{MemberRecord, MemberState};
@@ -129,7 +129,7 @@
 pub struct Entry {
     pub(crate) limits: EntryLimits,
     pub(crate) ids: IdSource,
-    pub(crate) config: InForce,
+    pub(crate) config: ActiveConfig,
     pub(crate) router: Router,
     pub(crate) calls: BTreeMap<CallId, Call>,
     pub(crate) by_request: HashMap<RequestId, CallId>,
@@ -151,7 +151,7 @@
         Self {
             limits: setup.limits,
             ids: IdSource::new(setup.seed),
-            config: InForce::default(),
+            config: ActiveConfig::default(),
             router: Router::new(setup.policy, setup.data_centre),
             calls: BTreeMap::new(),
             by_request: HashMap::new(),
@@ -195,8 +195,8 @@
 
     /// Whether a higher version is known to be in force elsewhere.
     #[must_use]
-    pub fn is_behind(&self) -> bool {
-        self.config.is_behind()
+    pub fn is_lagging(&self) -> bool {
+        self.config.is_lagging()
     }
 
     /// The table of agents.
@@ -242,7 +242,7 @@
             load,
             body,
         } = envelope;
-        if self.config.hear(config) && config > self.config.version() {
+        if self.config.observe_version(config) && config > self.config.version() {
             out.push(EntryAction::PullConfig(from.addr));
         }
         if let Some(load) = load {
@@ -287,9 +287,9 @@
     fn on_config(&mut self, now: Time, config: &Arc<Config>, out: &mut Vec<EntryAction>) {
         let version = config.version.0;
         let event = match self.config.adopt(config.clone()) {
-            Adopted::InForce => "config_in_force",
-            Adopted::Conflict => "config_conflict",
-            Adopted::Same | Adopted::Older => return,
+            AdoptOutcome::Activated => "config_in_force",
+            AdoptOutcome::Conflict => "config_conflict",
+            AdoptOutcome::Unchanged | AdoptOutcome::Outdated => return,
         };
         out.push(EntryAction::Note(Note::new(event).count(version)));
         self.on_caught_up(now, out);
--- a/fireflycroft/src/inventory.rs
+++ b/fireflycroft/src/inventory.rs
@@ -69,7 +69,7 @@
     /// Quotas of workspaces.
     pub quotas: Vec<Quota>,
     /// Calls that may never be repeated.
-    pub non_repeatable: Vec<NonRepeatable>,
+    pub non_repeatable: Vec<NonRetryable>,
     /// What becomes of a non-repeatable request without a key.
     pub without_key: WithoutKey,
     /// Longest wait before an interactive request begins, in milliseconds.
@@ -142,7 +142,7 @@
 /// A call, or a workspace's generations, that may never be repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct NonRepeatable {
+pub struct NonRetryable {
     /// Model or plain service.
     pub target: Name,
     /// HTTP method; every method when absent.
--- a/fireflycroft/src/snapshot.rs
+++ b/fireflycroft/src/snapshot.rs
@@ -13,7 +13,7 @@
 use crate::config::Document;
 use crate::ids::{Digest, Name};
 use crate::inventory::{
-    Brand, Model, NonRepeatable, Objective, PriorityRule, Quota, Rules, WithoutKey, Workspace,
+    Brand, Model, NonRetryable, Objective, PriorityRule, Quota, Rules, WithoutKey, Workspace,
 };
 use crate::message::ConfigVersion;
 use crate::part_name::PartName;
@@ -34,7 +34,7 @@
 pub const MAX_PAST: usize = 16;
 
 /// Bytes below which a part is not cut, so that a small fleet has one part.
-const MIN_PART: usize = 16 * 1024;
+const MIN_PART_BYTES: usize = 16 * 1024;
 /// Of so many items beyond the least size, one ends a part.
 const ITEMS_PER_CUT: u16 = 128;
 
@@ -77,12 +77,12 @@
     pub token: Name,
     /// Writes before this one, the latest first; at most [`MAX_PAST`].
     #[serde(default)]
-    pub past: Vec<PastWrite>,
+    pub past: Vec<EarlierWrite>,
 }
 
 /// An earlier write of the head.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PastWrite {
+pub struct EarlierWrite {
     /// Version that it put in force.
     pub version: u64,
     /// Its token.
@@ -91,15 +91,15 @@
 
 /// What a head that is read after a write tells of that write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteFate {
+pub enum WriteOutcome {
     /// It is in force.
-    InForce,
+    Active,
     /// It was in force and has been replaced.
     Replaced,
     /// Another write took its place; it never was in force.
     Lost,
     /// Nothing was written since; it may yet take effect.
-    Open,
+    Pending,
     /// The head can't tell: it went too far on, or back to an older state.
     Unknown,
 }
@@ -117,7 +117,8 @@
     /// A plain service.
     Service(Name),
     /// A call that may not be repeated.
-    NonRepeatable(NonRepeatable),
+    #[serde(rename = "non_repeatable")]
+    NonRetryable(NonRetryable),
     /// An objective.
     Objective(Objective),
     /// A workspace.
@@ -142,11 +143,11 @@
 ///
 /// An item over [`MAX_PART`], or a whole over [`MAX_PARTS`] or [`MAX_SNAPSHOT`].
 pub fn split(doc: &Document) -> Result<Snapshot, SnapshotError> {
-    let mut cutter = Cutter::default();
+    let mut builder = PartBuilder::default();
     for item in items(doc) {
-        cutter.add(&item)?;
+        builder.add(&item)?;
     }
-    let parts = cutter.finish();
+    let parts = builder.finish();
     let bytes: usize = parts.iter().map(|p| p.data.len()).sum();
     if parts.len() > MAX_PARTS || bytes > MAX_SNAPSHOT {
         return Err(SnapshotError::TooLarge);
@@ -166,7 +167,7 @@
     let mut doc = Document::default();
     for part in parts {
         for item in read_items(part)? {
-            put(&mut doc, item);
+            add_item(&mut doc, item);
         }
     }
     Ok(doc)
@@ -275,7 +276,7 @@
     #[must_use]
     pub fn after(mut self, base: Option<&Self>) -> Self {
         let Some(base) = base else { return self };
-        let last = PastWrite {
+        let last = EarlierWrite {
             version: base.version,
             token: base.token.clone(),
         };
@@ -287,26 +288,26 @@
     /// What `now`, read after this head was written over `base`, tells of
     /// that write.
     #[must_use]
-    pub fn fate(&self, base: Option<&Self>, now: Option<&Self>) -> WriteFate {
+    pub fn write_outcome(&self, base: Option<&Self>, now: Option<&Self>) -> WriteOutcome {
         let Some(now) = now else {
             let untouched = base.is_none();
             return if untouched {
-                WriteFate::Open
+                WriteOutcome::Pending
             } else {
-                WriteFate::Unknown
+                WriteOutcome::Unknown
             };
         };
         if now.token == self.token {
-            return WriteFate::InForce;
+            return WriteOutcome::Active;
         }
         if now.follows(&self.token) {
-            return WriteFate::Replaced;
+            return WriteOutcome::Replaced;
         }
         match base {
-            Some(base) if now.token == base.token => WriteFate::Open,
-            Some(base) if now.follows(&base.token) => WriteFate::Lost,
-            None if now.past.len() < MAX_PAST => WriteFate::Lost,
-            _ => WriteFate::Unknown,
+            Some(base) if now.token == base.token => WriteOutcome::Pending,
+            Some(base) if now.follows(&base.token) => WriteOutcome::Lost,
+            None if now.past.len() < MAX_PAST => WriteOutcome::Lost,
+            _ => WriteOutcome::Unknown,
         }
     }
 
@@ -333,12 +334,12 @@
 
 /// Fills parts with items and cuts where an item's name says so.
 #[derive(Default)]
-struct Cutter {
+struct PartBuilder {
     parts: Vec<Part>,
     buf: Vec<u8>,
 }
 
-impl Cutter {
+impl PartBuilder {
     fn add(&mut self, item: &Item) -> Result<(), SnapshotError> {
         let json = serde_json::to_vec(item).map_err(malformed)?;
         if json.len() + 2 > MAX_PART {
@@ -352,7 +353,7 @@
         }
         self.buf.push(if self.buf.is_empty() { b'[' } else { b',' });
         self.buf.extend_from_slice(&json);
-        if self.buf.len() >= MIN_PART && ends_part(item) {
+        if self.buf.len() >= MIN_PART_BYTES && is_boundary(item) {
             self.cut();
         }
         Ok(())
@@ -379,7 +380,7 @@
             Self::Brand(brand) => brand.name.clone(),
             Self::Model(model) => model.name.clone(),
             Self::Service(name) => name.clone(),
-            Self::NonRepeatable(rule) => rule.target.clone(),
+            Self::NonRetryable(rule) => rule.target.clone(),
             Self::Objective(objective) => objective.brand.clone().unwrap_or_default(),
             Self::Workspace(workspace) => workspace.name.clone(),
             Self::Priority(rule) => rule.workspace.clone(),
@@ -388,7 +389,7 @@
     }
 }
 
-fn ends_part(item: &Item) -> bool {
+fn is_boundary(item: &Item) -> bool {
     let hash = blake3::hash(item.name().as_bytes());
     let [low, high, ..] = *hash.as_bytes();
     u16::from_le_bytes([low, high]) % ITEMS_PER_CUT == 0
@@ -406,13 +407,7 @@
         .chain(inventory.brands.iter().cloned().map(Item::Brand))
         .chain(inventory.models.iter().cloned().map(Item::Model))
         .chain(inventory.services.iter().cloned().map(Item::Service))
-        .chain(
-            rules
-                .non_repeatable
-                .iter()
-                .cloned()
-                .map(Item::NonRepeatable),
-        )
+        .chain(rules.non_repeatable.iter().cloned().map(Item::NonRetryable))
         .chain(rules.objectives.iter().cloned().map(Item::Objective))
         .chain(inventory.workspaces.iter().cloned().map(Item::Workspace))
         .chain(rules.priorities.iter().cloned().map(Item::Priority))
@@ -420,14 +415,14 @@
 }
 
 /// Puts an item in its place.
-pub(crate) fn put(doc: &mut Document, item: Item) {
+pub(crate) fn add_item(doc: &mut Document, item: Item) {
     let Document { inventory, rules } = doc;
     match item {
-        Item::Settings(settings) => put_settings(rules, &settings),
+        Item::Settings(settings) => apply_settings(rules, &settings),
         Item::Brand(brand) => inventory.brands.push(brand),
         Item::Model(model) => inventory.models.push(model),
         Item::Service(name) => inventory.services.push(name),
-        Item::NonRepeatable(rule) => rules.non_repeatable.push(rule),
+        Item::NonRetryable(rule) => rules.non_repeatable.push(rule),
         Item::Objective(objective) => rules.objectives.push(objective),
         Item::Workspace(workspace) => inventory.workspaces.push(workspace),
         Item::Priority(rule) => rules.priorities.push(rule),
@@ -435,7 +430,7 @@
     }
 }
 
-fn put_settings(rules: &mut Rules, settings: &Settings) {
+fn apply_settings(rules: &mut Rules, settings: &Settings) {
     rules.without_key = settings.without_key;
     rules.interactive_wait_ms = settings.interactive_wait_ms;
     rules.batch_wait_ms = settings.batch_wait_ms;
--- a/fireflycroft/src/submit.rs
+++ b/fireflycroft/src/submit.rs
@@ -62,7 +62,7 @@
                 let call = self.new_call(now, id, submission, checked);
                 match resume {
                     Some(point) => self.begin_resume(now, call, point, out),
-                    None if self.config.is_behind() => self.begin_behind(now, call, out),
+                    None if self.config.is_lagging() => self.begin_behind(now, call, out),
                     None => self.begin_offers(now, call, out),
                 }
             }
@@ -114,7 +114,7 @@
             .get()
             .cloned()
             .ok_or_else(|| later(Code::NotReady))?;
-        if self.config.is_behind() && submission.resume.is_some() {
+        if self.config.is_lagging() && submission.resume.is_some() {
             return Err(later(Code::ConfigBehind));
         }
         if self.calls.len() >= self.limits.max_calls {
@@ -243,7 +243,7 @@
             return Err(unknown_target(&self.work));
         }
         let (method, path) = self.work.method_and_path();
-        if config.is_non_repeatable(ix, &self.demand.target, method, path) {
+        if config.is_non_retryable(ix, &self.demand.target, method, path) {
             self.demand.repeatable = false;
         }
         Ok(())
@@ -263,7 +263,7 @@
     submission: &Submission,
 ) -> Result<Repeating, Refusal> {
     let method = &submission.method;
-    let by_rule = config.is_non_repeatable(ix, &submission.target, method, &submission.path);
+    let by_rule = config.is_non_retryable(ix, &submission.target, method, &submission.path);
     let repeatable = !by_rule && !submission.never_repeat;
     let needs_key = by_rule && config.without_key() == WithoutKey::Refuse;
     if let Some(key) = &submission.idempotency_key {
--- a/fireflycroft/tests/config.rs
+++ b/fireflycroft/tests/config.rs
@@ -5,10 +5,10 @@
 mod cases;
 
 use fireflycroft::{
-    Adopted, Brand, Carried, CarriedPart, Config, ConfigCarrier, ConfigVersion, Digest, Document,
-    InForce, Inventory, MAX_NAME, Message, Model, Name, NonRepeatable, Objective, Part, Priority,
-    PriorityRule, Progress, Quota, Rules, Snapshot, WithoutKey, Workspace, WorkspaceIx, compile,
-    compile_parts, digest_key, split,
+    ActiveConfig, AdoptOutcome, Brand, CompleteConfig, Config, ConfigTransfer, ConfigVersion,
+    Digest, Document, Inventory, MAX_NAME, Message, Model, Name, NonRetryable, Objective, Part,
+    Priority, PriorityRule, Progress, Quota, ReceivedPart, Rules, Snapshot, WithoutKey, Workspace,
+    WorkspaceIx, compile, compile_parts, digest_key, split,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config as RunConfig, RngAlgorithm, RngSeed};
@@ -85,13 +85,13 @@
             tokens_per_minute: 500,
         }],
         non_repeatable: vec![
-            NonRepeatable {
+            NonRetryable {
                 target: name("records"),
                 method: Some(name("POST")),
                 path: Some(name("/dossiers")),
                 workspace: None,
             },
-            NonRepeatable {
+            NonRetryable {
                 target: name("model-b"),
                 method: None,
                 path: None,
@@ -189,7 +189,7 @@
         "quotas[2].workspace": "no such workspace: \"shed\"",
     ];
     call_of_nothing_known: |doc| {
-        doc.rules.non_repeatable[0] = NonRepeatable {
+        doc.rules.non_repeatable[0] = NonRetryable {
             target: name("mail"),
             method: None,
             path: Some(name("dossiers")),
@@ -247,15 +247,15 @@
         let config = compiled(&document());
         for key in ["desk", "lab"] {
             let ix = workspace_ix(&config, key);
-            assert!(config.is_non_repeatable(ix, "records", "post", "/dossiers/7"));
-            assert!(!config.is_non_repeatable(ix, "records", "GET", "/dossiers/7"));
-            assert!(!config.is_non_repeatable(ix, "records", "POST", "/reels"));
+            assert!(config.is_non_retryable(ix, "records", "post", "/dossiers/7"));
+            assert!(!config.is_non_retryable(ix, "records", "GET", "/dossiers/7"));
+            assert!(!config.is_non_retryable(ix, "records", "POST", "/reels"));
         }
     };
     own_call_rule_covers_its_workspace_alone => {
         let config = compiled(&document());
-        assert!(config.is_non_repeatable(workspace_ix(&config, "lab"), "model-b", "POST", "/x"));
-        assert!(!config.is_non_repeatable(workspace_ix(&config, "desk"), "model-b", "POST", "/x"));
+        assert!(config.is_non_retryable(workspace_ix(&config, "lab"), "model-b", "POST", "/x"));
+        assert!(!config.is_non_retryable(workspace_ix(&config, "desk"), "model-b", "POST", "/x"));
     };
     own_objective_goes_before_the_general => {
         let config = compiled(&document());
@@ -303,33 +303,33 @@
 
 cases! {
     higher_version_comes_in_force => {
-        let mut held = InForce::default();
-        assert_eq!(held.adopt(config_of(3, 1)), Adopted::InForce);
-        assert_eq!(held.adopt(config_of(7, 2)), Adopted::InForce);
+        let mut held = ActiveConfig::default();
+        assert_eq!(held.adopt(config_of(3, 1)), AdoptOutcome::Activated);
+        assert_eq!(held.adopt(config_of(7, 2)), AdoptOutcome::Activated);
         assert_eq!(held.version(), ConfigVersion(7));
     };
     lower_version_is_not_taken => {
-        let mut held = InForce::default();
+        let mut held = ActiveConfig::default();
         held.adopt(config_of(7, 1));
-        assert_eq!(held.adopt(config_of(6, 2)), Adopted::Older);
+        assert_eq!(held.adopt(config_of(6, 2)), AdoptOutcome::Outdated);
         assert_eq!(held.get().unwrap().digest, Digest(1));
     };
     same_version_with_other_content_is_a_conflict => {
-        let mut held = InForce::default();
+        let mut held = ActiveConfig::default();
         held.adopt(config_of(7, 1));
-        assert_eq!(held.adopt(config_of(7, 1)), Adopted::Same);
-        assert_eq!(held.adopt(config_of(7, 2)), Adopted::Conflict);
+        assert_eq!(held.adopt(config_of(7, 1)), AdoptOutcome::Unchanged);
+        assert_eq!(held.adopt(config_of(7, 2)), AdoptOutcome::Conflict);
         assert_eq!(held.get().unwrap().digest, Digest(1));
     };
     hearing_of_a_higher_version_is_being_behind => {
-        let mut held = InForce::default();
+        let mut held = ActiveConfig::default();
         held.adopt(config_of(3, 1));
-        assert!(!held.hear(ConfigVersion(3)) && !held.hear(ConfigVersion(2)));
-        assert!(held.hear(ConfigVersion(5)) && held.is_behind());
+        assert!(!held.observe_version(ConfigVersion(3)) && !held.observe_version(ConfigVersion(2)));
+        assert!(held.observe_version(ConfigVersion(5)) && held.is_lagging());
         held.adopt(config_of(4, 1));
-        assert!(held.is_behind());
+        assert!(held.is_lagging());
         held.adopt(config_of(5, 1));
-        assert!(!held.is_behind());
+        assert!(!held.is_lagging());
     };
 }
 
@@ -441,26 +441,26 @@
 /// A node as the daemon drives it.
 #[derive(Default)]
 struct Node {
-    carrier: ConfigCarrier,
-    in_force: InForce,
+    transfer: ConfigTransfer,
+    active: ActiveConfig,
 }
 
 impl Node {
     fn read(&mut self, write: Write) {
         let snapshot = snapshot_of(write.1);
         let head = snapshot.head(ConfigVersion(write.0), 0, name("op"), name("token"));
-        if let Some(carried) = self.carrier.hold(head, snapshot.parts.clone()).unwrap() {
-            self.adopt(&carried);
+        if let Some(complete) = self.transfer.install(head, snapshot.parts.clone()).unwrap() {
+            self.adopt(&complete);
         }
     }
 
     /// Pulls at most `most` parts from `peer`.
     fn pull(&mut self, peer: &Self, most: usize) {
         for _ in 0..most {
-            let (have, part) = (self.carrier.version(), self.carrier.next_part());
-            let Some(answer) = peer.carrier.serve(have, part).or_else(|| {
-                self.carrier.abandon();
-                peer.carrier.serve(have, 0)
+            let (have, part) = (self.transfer.version(), self.transfer.next_part());
+            let Some(answer) = peer.transfer.serve(have, part).or_else(|| {
+                self.transfer.abandon();
+                peer.transfer.serve(have, 0)
             }) else {
                 return;
             };
@@ -482,31 +482,31 @@
         else {
             return false;
         };
-        let part = CarriedPart {
+        let part = ReceivedPart {
             version,
             part,
             parts,
             digest,
             data,
         };
-        match self.carrier.on_part(&part) {
-            Progress::Whole(carried) => {
-                self.adopt(&carried);
+        match self.transfer.on_part(&part) {
+            Progress::Complete(complete) => {
+                self.adopt(&complete);
                 true
             }
             Progress::Ignored => {
-                self.carrier.abandon();
+                self.transfer.abandon();
                 false
             }
             _ => false,
         }
     }
 
-    fn adopt(&mut self, carried: &Carried) {
-        let before = self.in_force.version();
-        let config = carried.compile().unwrap();
-        assert_eq!(self.in_force.adopt(Arc::new(config)), Adopted::InForce);
-        assert!(self.in_force.version() > before);
+    fn adopt(&mut self, complete: &CompleteConfig) {
+        let before = self.active.version();
+        let config = complete.compile().unwrap();
+        assert_eq!(self.active.adopt(Arc::new(config)), AdoptOutcome::Activated);
+        assert!(self.active.version() > before);
     }
 }
 
@@ -543,8 +543,8 @@
             return None;
         }
         let peer = Node {
-            carrier: self.0[from].carrier.clone(),
-            in_force: self.0[from].in_force.clone(),
+            transfer: self.0[from].transfer.clone(),
+            active: self.0[from].active.clone(),
         };
         Some((peer, &mut self.0[to]))
     }
@@ -581,14 +581,14 @@
             Step::LatePart(from, to, part) => {
                 if let Some((peer, node)) = sut.pair(from, to)
                     && missing(node, &peer) > 1
-                    && let Some(answer) = peer.carrier.serve(ConfigVersion(0), part)
+                    && let Some(answer) = peer.transfer.serve(ConfigVersion(0), part)
                 {
                     node.take(answer);
                 }
             }
             Step::Hear(from, to) => {
                 if let Some((peer, node)) = sut.pair(from, to) {
-                    node.in_force.hear(peer.in_force.version());
+                    node.active.observe_version(peer.active.version());
                 }
             }
             Step::Replace(node) => sut.0[node] = Node::default(),
@@ -598,17 +598,17 @@
 
     fn check_invariants(sut: &Self, state: &Fleet) {
         for (node, wanted) in sut.0.iter().zip(&state.nodes) {
-            let found = node.in_force.get().map(|c| (c.version.0, c.digest));
+            let found = node.active.get().map(|c| (c.version.0, c.digest));
             let wanted = wanted.map(|w| (w.0, snapshot_of(w.1).digest));
             assert_eq!(found, wanted);
-            assert_eq!(node.carrier.version(), node.in_force.version());
+            assert_eq!(node.transfer.version(), node.active.version());
         }
     }
 
     fn teardown(mut sut: Self, state: Fleet) {
         let highest = state.nodes.iter().flatten().map(|w| w.0).max();
         let by_version: BTreeMap<u64, usize> = (0..NODES)
-            .map(|n| (sut.0[n].in_force.version().0, n))
+            .map(|n| (sut.0[n].active.version().0, n))
             .collect();
         let Some((_, &from)) = by_version.last_key_value() else {
             return;
@@ -617,7 +617,7 @@
             if let Some((peer, node)) = sut.pair(from, to) {
                 node.pull(&peer, usize::MAX);
             }
-            assert_eq!(sut.0[to].in_force.version().0, highest.unwrap_or(0));
+            assert_eq!(sut.0[to].active.version().0, highest.unwrap_or(0));
         }
     }
 }
@@ -625,16 +625,16 @@
 /// Parts, the head included, that `node` must still take to be at `peer`'s
 /// version.
 fn missing(node: &Node, peer: &Node) -> usize {
-    let mut trial = node.carrier.clone();
+    let mut trial = node.transfer.clone();
     let mut pulls = 0;
-    while let Some(answer) = peer.carrier.serve(trial.version(), trial.next_part()) {
+    while let Some(answer) = peer.transfer.serve(trial.version(), trial.next_part()) {
         let mut taker = Node {
-            carrier: trial,
-            in_force: node.in_force.clone(),
+            transfer: trial,
+            active: node.active.clone(),
         };
         pulls += 1;
         let whole = taker.take(answer);
-        trial = taker.carrier;
+        trial = taker.transfer;
         if whole {
             break;
         }
--- a/fireflycroft/tests/diff.rs
+++ b/fireflycroft/tests/diff.rs
@@ -1,8 +1,8 @@
 //! What operators are shown of a change.
 
 use fireflycroft::{
-    Brand, Diff, Document, Inventory, Model, Name, NonRepeatable, Objective, Priority,
-    PriorityRule, Quota, Rules, WithoutKey, Workspace,
+    Brand, Diff, Document, Inventory, Model, Name, NonRetryable, Objective, Priority, PriorityRule,
+    Quota, Rules, WithoutKey, Workspace,
 };
 
 /// A change of the document, and the lines that show it.
@@ -100,7 +100,7 @@
         highest: Priority::Interactive,
     }) => ["+ priority desk: default batch, highest interactive"];
     calls_that_differ_in_part: |doc| {
-        let rule = |method: &str| NonRepeatable {
+        let rule = |method: &str| NonRetryable {
             target: name("records"),
             method: Some(name(method)),
             path: Some(name("/dossiers")),
--- a/fireflycroft/tests/snapshot.rs
+++ b/fireflycroft/tests/snapshot.rs
@@ -5,9 +5,9 @@
 mod cases;
 
 use fireflycroft::{
-    Bundle, CarriedPart, ConfigCarrier, ConfigVersion, Digest, Document, Head, Inventory, MAX_PART,
-    Message, Name, Part, Priority, PriorityRule, Progress, Quota, Rules, Snapshot, SnapshotError,
-    Workspace, WriteFate, assemble, split,
+    ConfigBundle, ConfigTransfer, ConfigVersion, Digest, Document, Head, Inventory, MAX_PART,
+    Message, Name, Part, Priority, PriorityRule, Progress, Quota, ReceivedPart, Rules, Snapshot,
+    SnapshotError, Workspace, WriteOutcome, assemble, split,
 };
 use std::collections::HashSet;
 
@@ -181,27 +181,27 @@
         let past: Vec<u64> = head.unwrap().past.iter().map(|w| w.version).collect();
         assert_eq!(past, (23..39).rev().collect::<Vec<_>>());
     };
-    own_write_is_in_force => assert_eq!(fate_after(&["a"], "b", &["b"]), WriteFate::InForce);
+    own_write_is_in_force => assert_eq!(outcome_after(&["a"], "b", &["b"]), WriteOutcome::Active);
     untouched_head_leaves_a_write_open => {
-        assert_eq!(fate_after(&["a"], "b", &[]), WriteFate::Open);
-        assert_eq!(fate_after(&[], "b", &[]), WriteFate::Open);
+        assert_eq!(outcome_after(&["a"], "b", &[]), WriteOutcome::Pending);
+        assert_eq!(outcome_after(&[], "b", &[]), WriteOutcome::Pending);
     };
     write_behind_another_was_replaced => {
-        assert_eq!(fate_after(&["a"], "b", &["b", "c", "d"]), WriteFate::Replaced);
+        assert_eq!(outcome_after(&["a"], "b", &["b", "c", "d"]), WriteOutcome::Replaced);
     };
     write_that_no_head_names_was_lost => {
-        assert_eq!(fate_after(&["a"], "b", &["c"]), WriteFate::Lost);
-        assert_eq!(fate_after(&[], "b", &["c", "d"]), WriteFate::Lost);
+        assert_eq!(outcome_after(&["a"], "b", &["c"]), WriteOutcome::Lost);
+        assert_eq!(outcome_after(&[], "b", &["c", "d"]), WriteOutcome::Lost);
     };
     head_of_another_line_leaves_a_write_unknown => {
-        assert_eq!(fate_read(&["a", "b"], "c", &["a"]), WriteFate::Unknown);
-        assert_eq!(fate_read(&["a", "b"], "c", &["a", "x"]), WriteFate::Unknown);
-        assert_eq!(fate_read(&["a"], "c", &[]), WriteFate::Unknown);
+        assert_eq!(outcome_read(&["a", "b"], "c", &["a"]), WriteOutcome::Unknown);
+        assert_eq!(outcome_read(&["a", "b"], "c", &["a", "x"]), WriteOutcome::Unknown);
+        assert_eq!(outcome_read(&["a"], "c", &[]), WriteOutcome::Unknown);
     };
     write_far_behind_is_unknown => {
         let later: Vec<String> = (0..40).map(|i| format!("later-{i}")).collect();
         let later: Vec<&str> = later.iter().map(String::as_str).collect();
-        assert_eq!(fate_after(&["a"], "b", &later), WriteFate::Unknown);
+        assert_eq!(outcome_after(&["a"], "b", &later), WriteOutcome::Unknown);
     };
     head_survives_json => {
         let head = head_of(&split(&document(2_000)).unwrap(), 7);
@@ -212,13 +212,13 @@
 
 /// Fate of a write by `own` over the heads `before`, when those by `after`
 /// follow.
-fn fate_after(before: &[&str], own: &str, after: &[&str]) -> WriteFate {
-    fate_read(before, own, &[before, after].concat())
+fn outcome_after(before: &[&str], own: &str, after: &[&str]) -> WriteOutcome {
+    outcome_read(before, own, &[before, after].concat())
 }
 
 /// Fate of a write by `own` over the heads `before`, when the head that is
 /// read came of the writes `line`.
-fn fate_read(before: &[&str], own: &str, line: &[&str]) -> WriteFate {
+fn outcome_read(before: &[&str], own: &str, line: &[&str]) -> WriteOutcome {
     let snapshot = split(&document(10)).unwrap();
     let write = |base: Option<Head>, token: &str| {
         let version = base.as_ref().map_or(0, |h| h.version) + 1;
@@ -228,7 +228,7 @@
     let base = before.iter().copied().fold(None, write);
     let now = line.iter().copied().fold(None, write);
     let head = write(base.clone(), own).unwrap();
-    head.fate(base.as_ref(), now.as_ref())
+    head.write_outcome(base.as_ref(), now.as_ref())
 }
 
 fn round_trips(doc: &Document) {
@@ -240,15 +240,15 @@
 }
 
 /// A carrier that holds `doc` as `version`.
-fn holder(doc: &Document, version: u64) -> ConfigCarrier {
+fn holder(doc: &Document, version: u64) -> ConfigTransfer {
     let snapshot = split(doc).unwrap();
-    let mut carrier = ConfigCarrier::default();
+    let mut transfer = ConfigTransfer::default();
     let head = head_of(&snapshot, version);
-    assert!(carrier.hold(head, snapshot.parts).unwrap().is_some());
-    carrier
+    assert!(transfer.install(head, snapshot.parts).unwrap().is_some());
+    transfer
 }
 
-fn pull(from: &ConfigCarrier, have: ConfigVersion, part: u32) -> Option<CarriedPart> {
+fn pull(from: &ConfigTransfer, have: ConfigVersion, part: u32) -> Option<ReceivedPart> {
     match from.serve(have, part)? {
         Message::ConfigPart {
             version,
@@ -256,7 +256,7 @@
             parts,
             digest,
             data,
-        } => Some(CarriedPart {
+        } => Some(ReceivedPart {
             version,
             part,
             parts,
@@ -268,7 +268,7 @@
 }
 
 /// Pulls until the carrier is done; gives the document and the pulls made.
-fn pull_all(from: &ConfigCarrier, to: &mut ConfigCarrier) -> (Document, usize) {
+fn pull_all(from: &ConfigTransfer, to: &mut ConfigTransfer) -> (Document, usize) {
     let have = to.version();
     let mut pulls = 0;
     let mut want = to.next_part();
@@ -277,8 +277,8 @@
         let part = pull(from, have, want).unwrap();
         assert!(part.data.len() <= MAX_PART);
         match to.on_part(&part) {
-            Progress::Want(next) => want = next,
-            Progress::Whole(carried) => return (carried.document().unwrap(), pulls),
+            Progress::Next(next) => want = next,
+            Progress::Complete(complete) => return (complete.document().unwrap(), pulls),
             other => panic!("{other:?}"),
         }
     }
@@ -288,7 +288,7 @@
     peer_carries_a_large_document => {
         let doc = document(LARGE);
         let from = holder(&doc, 3);
-        let mut to = ConfigCarrier::default();
+        let mut to = ConfigTransfer::default();
         let (got, pulls) = pull_all(&from, &mut to);
         assert_eq!(got, doc);
         assert_eq!(to.version(), ConfigVersion(3));
@@ -316,7 +316,7 @@
         assert!(from.serve(ConfigVersion(4), 0).is_none());
         assert!(from.serve(ConfigVersion(2), 0).is_some());
         assert!(from.serve(ConfigVersion(2), 9).is_none());
-        assert!(ConfigCarrier::default().serve(ConfigVersion(0), 0).is_none());
+        assert!(ConfigTransfer::default().serve(ConfigVersion(0), 0).is_none());
     };
     part_of_a_lower_version_is_ignored => {
         let mut to = holder(&document(10), 5);
@@ -327,40 +327,40 @@
     lower_version_read_from_the_platform_is_not_held => {
         let mut to = holder(&document(10), 5);
         let snapshot = split(&document(20)).unwrap();
-        assert_eq!(to.hold(head_of(&snapshot, 4), snapshot.parts), Ok(None));
+        assert_eq!(to.install(head_of(&snapshot, 4), snapshot.parts), Ok(None));
         assert_eq!(to.version(), ConfigVersion(5));
     };
     higher_version_overtakes_a_collection => {
         let (three, four) = (holder(&document(2_000), 3), holder(&document(3_000), 4));
-        let mut to = ConfigCarrier::default();
+        let mut to = ConfigTransfer::default();
         let none = ConfigVersion(0);
-        assert_eq!(to.on_part(&pull(&three, none, 0).unwrap()), Progress::Want(1));
-        assert_eq!(to.on_part(&pull(&four, none, 1).unwrap()), Progress::Want(0));
+        assert_eq!(to.on_part(&pull(&three, none, 0).unwrap()), Progress::Next(1));
+        assert_eq!(to.on_part(&pull(&four, none, 1).unwrap()), Progress::Next(0));
         assert_eq!(pull_all(&four, &mut to).0, document(3_000));
         assert_eq!(to.on_part(&pull(&three, none, 1).unwrap()), Progress::Ignored);
     };
     version_that_nobody_has_any_more_is_given_up => {
         let (three, four) = (holder(&document(3_000), 3), holder(&document(2_000), 4));
-        let mut to = ConfigCarrier::default();
+        let mut to = ConfigTransfer::default();
         let none = ConfigVersion(0);
         to.on_part(&pull(&four, none, 0).unwrap());
         let lower = pull(&three, none, 1).unwrap();
         assert_eq!(to.on_part(&lower), Progress::Ignored);
         assert_eq!(to.on_part(&lower), Progress::Ignored);
-        assert_eq!(to.on_part(&lower), Progress::Want(0));
+        assert_eq!(to.on_part(&lower), Progress::Next(0));
         assert_eq!(pull_all(&three, &mut to).0, document(3_000));
     };
     bundle_shows_what_is_held => {
-        let carrier = holder(&document(2_000), 3);
-        let text = serde_json::to_string(&carrier.bundle().unwrap()).unwrap();
-        let bundle: Bundle = serde_json::from_str(&text).unwrap();
+        let transfer = holder(&document(2_000), 3);
+        let text = serde_json::to_string(&transfer.bundle().unwrap()).unwrap();
+        let bundle: ConfigBundle = serde_json::from_str(&text).unwrap();
         assert_eq!(bundle.head.version, 3);
         assert_eq!(bundle.document().unwrap(), document(2_000));
-        assert!(ConfigCarrier::default().bundle().is_none());
+        assert!(ConfigTransfer::default().bundle().is_none());
     };
     repeated_part_is_ignored => {
         let from = holder(&document(2_000), 3);
-        let mut to = ConfigCarrier::default();
+        let mut to = ConfigTransfer::default();
         let none = ConfigVersion(0);
         to.on_part(&pull(&from, none, 0).unwrap());
         to.on_part(&pull(&from, none, 1).unwrap());
@@ -369,7 +369,7 @@
     };
     abandoned_collection_begins_at_the_head => {
         let from = holder(&document(2_000), 3);
-        let mut to = ConfigCarrier::default();
+        let mut to = ConfigTransfer::default();
         to.on_part(&pull(&from, ConfigVersion(0), 0).unwrap());
         assert_eq!(to.next_part(), 1);
         to.abandon();
@@ -378,35 +378,35 @@
     };
     forged_part_is_faulty_and_not_taken => {
         let from = holder(&document(2_000), 3);
-        let mut to = ConfigCarrier::default();
+        let mut to = ConfigTransfer::default();
         to.on_part(&pull(&from, ConfigVersion(0), 0).unwrap());
         let mut forged = pull(&from, ConfigVersion(0), 1).unwrap();
         forged.data = b"[]".as_slice().into();
-        assert_eq!(to.on_part(&forged), Progress::Faulty(SnapshotError::WrongPart(0)));
+        assert_eq!(to.on_part(&forged), Progress::Invalid(SnapshotError::WrongPart(0)));
         assert_eq!(pull_all(&from, &mut to).0, document(2_000));
     };
     head_that_contradicts_its_message_is_faulty => {
         let mut part = pull(&holder(&document(10), 3), ConfigVersion(0), 0).unwrap();
         part.version = ConfigVersion(9);
-        let mut to = ConfigCarrier::default();
-        assert_eq!(to.on_part(&part), Progress::Faulty(SnapshotError::HeadDigest));
+        let mut to = ConfigTransfer::default();
+        assert_eq!(to.on_part(&part), Progress::Invalid(SnapshotError::HeadDigest));
         assert_eq!(to.next_part(), 0);
     };
     oversized_part_is_faulty => {
         let mut part = pull(&holder(&document(10), 3), ConfigVersion(0), 0).unwrap();
         part.data = vec![b' '; MAX_PART + 1].into();
-        let got = ConfigCarrier::default().on_part(&part);
-        assert_eq!(got, Progress::Faulty(SnapshotError::TooLarge));
+        let got = ConfigTransfer::default().on_part(&part);
+        assert_eq!(got, Progress::Invalid(SnapshotError::TooLarge));
     };
     part_beyond_the_list_is_faulty => {
         let from = holder(&document(10), 3);
-        let mut to = ConfigCarrier::default();
+        let mut to = ConfigTransfer::default();
         let snapshot = split(&document(2_000)).unwrap();
         let two_parts = holder(&document(2_000), 3);
         to.on_part(&pull(&two_parts, ConfigVersion(0), 0).unwrap());
         let mut part = pull(&from, ConfigVersion(0), 1).unwrap();
         part.part = 999;
-        assert_eq!(to.on_part(&part), Progress::Faulty(SnapshotError::WrongPart(998)));
+        assert_eq!(to.on_part(&part), Progress::Invalid(SnapshotError::WrongPart(998)));
         assert!(snapshot.parts.len() > 1);
     };
 }
--- a/fireflycroft/tests/support/fleet.rs
+++ b/fireflycroft/tests/support/fleet.rs
@@ -3,7 +3,7 @@
 use fireflycroft::{
     AdmitPolicy, Agent, AgentLimits, AgentSetup, Brand, Capacity, Config, ConfigVersion, Delivery,
     Digest, Document, Entry, EntryLimits, EntrySetup, Incarnation, Inventory, Model, Name,
-    NonRepeatable, Peer, Priority, Role, RoutePolicy, Rules, Submission, WithoutKey, Work,
+    NonRetryable, Peer, Priority, Role, RoutePolicy, Rules, Submission, WithoutKey, Work,
     Workspace, compile, digest_key,
 };
 use std::net::SocketAddr;
@@ -173,7 +173,7 @@
             services: vec![Name::from(SERVICE)],
         },
         rules: Rules {
-            non_repeatable: vec![NonRepeatable {
+            non_repeatable: vec![NonRetryable {
                 target: Name::from(SERVICE),
                 method: Some(Name::from("POST")),
                 path: None,
--- a/fireflycroft/tests/support/world.rs
+++ b/fireflycroft/tests/support/world.rs
@@ -14,8 +14,8 @@
 use super::rng::Rng;
 use super::upstream::{Mood, Upstream};
 use fireflycroft::{
-    Agent, AgentEvent, CallId, ClaimOp, ConfigVersion, Demand, Digest, Entry, EntryEvent, Envelope,
-    GenerationId, InForce, MemberState, RequestId, Time, Work,
+    ActiveConfig, Agent, AgentEvent, CallId, ClaimOp, ConfigVersion, Demand, Digest, Entry,
+    EntryEvent, Envelope, GenerationId, MemberState, RequestId, Time, Work,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
     inbox: Vec<E>,
     /// Told to stop at that time.
     leaving: Option<u64>,
-    config: InForce,
+    config: ActiveConfig,
 }
 
 impl<C, E> Node<C, E> {
@@ -56,7 +56,7 @@
             frozen: None,
             inbox: Vec::new(),
             leaving: None,
-            config: InForce::default(),
+            config: ActiveConfig::default(),
         }
     }
 
--- a/fireflyctl/src/check.rs
+++ b/fireflyctl/src/check.rs
@@ -8,7 +8,7 @@
 use crate::failure::FileFault;
 use crate::shape::{self, INVENTORY, RULES, Shape, ShapeFault};
 use crate::span::{self, Node};
-use fireflycroft::{ConfigVersion, Digest, Document, Fault, compile};
+use fireflycroft::{ConfigFault, ConfigVersion, Digest, Document, compile};
 
 /// What stands for the field of a fault of the whole file.
 const WHOLE: &str = "(file)";
@@ -91,9 +91,14 @@
 type Placed = (Option<usize>, String, String);
 
 /// Faults of the sense, without those that follow from a fault of the shape.
-fn sense_faults(half: Half, tree: &Node, sense: &[Fault], shape: &[ShapeFault]) -> Vec<Placed> {
-    let follows = |fault: &&Fault| shape.iter().any(|s| is_within(&fault.field, &s.field));
-    let own = |fault: &Fault| half.owns(&fault.field);
+fn sense_faults(
+    half: Half,
+    tree: &Node,
+    sense: &[ConfigFault],
+    shape: &[ShapeFault],
+) -> Vec<Placed> {
+    let follows = |fault: &&ConfigFault| shape.iter().any(|s| is_within(&fault.field, &s.field));
+    let own = |fault: &ConfigFault| half.owns(&fault.field);
     sense
         .iter()
         .filter(|fault| !own(fault) || !follows(fault))
--- a/fireflyctl/src/fleet.rs
+++ b/fireflyctl/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::failure::{Failure, Result};
 use anyhow::Context;
-use fireflycroft::{Bundle, Digest};
+use fireflycroft::{ConfigBundle, Digest};
 use futures_util::{StreamExt, stream};
 use reqwest::StatusCode;
 use serde::de::DeserializeOwned;
@@ -125,7 +125,7 @@
     }
 
     /// Configuration that a node holds; `None` when it doesn't show it.
-    pub(crate) async fn bundle(&self, node: &str) -> Result<Option<Bundle>> {
+    pub(crate) async fn bundle(&self, node: &str) -> Result<Option<ConfigBundle>> {
         let res = self.get(node, "/config").await.map_err(unreachable(node))?;
         if res.status() == StatusCode::NOT_FOUND {
             return Ok(None);
--- a/fireflyctl/src/publish.rs
+++ b/fireflyctl/src/publish.rs
@@ -11,7 +11,7 @@
 use anyhow::Context;
 use fireflycroft::{
     Document, HEAD_KIND, HEAD_NAME, Head, PART_KIND, PAST_KIND, Part, PartName, Snapshot,
-    SnapshotError, WriteFate, assemble,
+    SnapshotError, WriteOutcome, assemble,
 };
 use fireflyd::platform::{Condition, PlatformError};
 use futures_util::{StreamExt, TryStreamExt, stream};
@@ -177,9 +177,9 @@
 /// # Errors
 ///
 /// A platform that doesn't answer.
-pub async fn read_back(store: &impl Store, base: &Base, head: &Head) -> Result<WriteFate> {
+pub async fn read_back(store: &impl Store, base: &Base, head: &Head) -> Result<WriteOutcome> {
     let now = read_head(store).await?.map(|(_, now)| now);
-    Ok(head.fate(base.head.as_ref(), now.as_ref()))
+    Ok(head.write_outcome(base.head.as_ref(), now.as_ref()))
 }
 
 /// Writes the head over `from` until its outcome is known or the tries are
@@ -219,11 +219,11 @@
 async fn settle(store: &impl Store, from: &Base, head: &Head) -> Result<Outcome> {
     for pause in pauses() {
         match read_back(store, from, head).await {
-            Ok(WriteFate::InForce) => return Ok(Outcome::Accepted),
-            Ok(WriteFate::Replaced) => return replaced(store).await,
-            Ok(WriteFate::Lost) => return Ok(Outcome::Lost(Box::new(base(store).await?))),
+            Ok(WriteOutcome::Active) => return Ok(Outcome::Accepted),
+            Ok(WriteOutcome::Replaced) => return replaced(store).await,
+            Ok(WriteOutcome::Lost) => return Ok(Outcome::Lost(Box::new(base(store).await?))),
             // A read may lag behind the write.
-            Ok(WriteFate::Open | WriteFate::Unknown) => tokio::time::sleep(pause).await,
+            Ok(WriteOutcome::Pending | WriteOutcome::Unknown) => tokio::time::sleep(pause).await,
             Err(_) => break,
         }
     }
--- a/fireflyctl/tests/apply.rs
+++ b/fireflyctl/tests/apply.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use fireflycroft::{ConfigCarrier, ConfigVersion, Document, split};
+use fireflycroft::{ConfigTransfer, ConfigVersion, Document, split};
 use serde_json::{Value, json};
 use standins::Running;
 use standins::platform::Config;
@@ -340,9 +340,9 @@
     };
     let snapshot = split(&doc).unwrap();
     let head = snapshot.head(ConfigVersion(version), 0, "anna".into(), "t".into());
-    let mut carrier = ConfigCarrier::default();
-    carrier.hold(head, snapshot.parts).unwrap();
-    serde_json::to_value(carrier.bundle()).unwrap()
+    let mut transfer = ConfigTransfer::default();
+    transfer.install(head, snapshot.parts).unwrap();
+    serde_json::to_value(transfer.bundle()).unwrap()
 }
 
 #[tokio::test]
--- a/fireflyctl/tests/publish.rs
+++ b/fireflyctl/tests/publish.rs
@@ -2,7 +2,7 @@
 //! against an oracle that knows every write that took effect.
 
 use fireflycroft::{
-    ConfigVersion, Document, HEAD_KIND, HEAD_NAME, Head, Inventory, Name, Workspace, WriteFate,
+    ConfigVersion, Document, HEAD_KIND, HEAD_NAME, Head, Inventory, Name, Workspace, WriteOutcome,
     split,
 };
 use fireflyctl::{
@@ -285,16 +285,16 @@
 
     /// What a head read so many writes behind must tell of an attempt, if it
     /// tells anything.
-    fn is_true(&self, attempt: &Attempt, fate: WriteFate, back: usize) -> bool {
+    fn is_true(&self, attempt: &Attempt, fate: WriteOutcome, back: usize) -> bool {
         let read = self.head(back).map(|(_, id, _)| id);
         let seen = &self.line[..self.line.len().saturating_sub(back)];
         let in_line = seen.iter().any(|(_, id, _)| *id == attempt.id);
         match fate {
-            WriteFate::InForce => read == Some(attempt.id),
-            WriteFate::Replaced => in_line && read != Some(attempt.id),
-            WriteFate::Lost => !self.effective.contains(&attempt.id) || attempt.restored,
-            WriteFate::Open => read == attempt.over.map(|(_, id)| id),
-            WriteFate::Unknown => !in_line,
+            WriteOutcome::Active => read == Some(attempt.id),
+            WriteOutcome::Replaced => in_line && read != Some(attempt.id),
+            WriteOutcome::Lost => !self.effective.contains(&attempt.id) || attempt.restored,
+            WriteOutcome::Pending => read == attempt.over.map(|(_, id)| id),
+            WriteOutcome::Unknown => !in_line,
         }
     }
 }
@@ -438,7 +438,7 @@
         }
     }
 
-    fn read_back(&self, o: usize, back: usize) -> Option<WriteFate> {
+    fn read_back(&self, o: usize, back: usize) -> Option<WriteOutcome> {
         let operator = self.operators[o].as_ref()?;
         self.store.0.borrow_mut().stale = back;
         let fate = now(read_back(&self.store, &operator.base, &operator.head)).unwrap();
--- a/fireflyd/src/admin.rs
+++ b/fireflyd/src/admin.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::Duration;
 
-use fireflycroft::{Bundle, RequestId, scan_request_id};
+use fireflycroft::{ConfigBundle, RequestId, scan_request_id};
 use poem::http::StatusCode;
 use poem::listener::TcpAcceptor;
 use poem::web::{Data, Json, Path};
@@ -71,7 +71,7 @@
     pub explain: Arc<dyn Fn(RequestId) -> Value + Send + Sync>,
     /// Gives the configuration held, with all its parts; `None` before the
     /// first; must not block.
-    pub config: Arc<dyn Fn() -> Option<Bundle> + Send + Sync>,
+    pub config: Arc<dyn Fn() -> Option<ConfigBundle> + Send + Sync>,
     /// Begins a planned stop; must not block, and may be called again.
     pub drain: Arc<dyn Fn() + Send + Sync>,
 }
--- a/fireflyd/src/agent.rs
+++ b/fireflyd/src/agent.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use fireflycroft::{
-    Agent, AgentAction, AgentEvent, AgentSetup, Config, ConfigVersion, Envelope, GenerationId,
-    InForce, Message, Vm,
+    ActiveConfig, Agent, AgentAction, AgentEvent, AgentSetup, Config, ConfigVersion, Envelope,
+    GenerationId, Message, Vm,
 };
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
@@ -40,7 +40,7 @@
     node: Node,
     runner: Runner,
     feed: ConfigFeed,
-    config: InForce,
+    config: ActiveConfig,
     ready: Readiness,
     status: Status,
     running: HashMap<GenerationId, AbortHandle>,
@@ -65,7 +65,7 @@
             node,
             runner,
             feed,
-            config: InForce::default(),
+            config: ActiveConfig::default(),
             ready,
             status,
             running: HashMap::new(),
@@ -127,7 +127,7 @@
 
     fn on_message(&mut self, envelope: Envelope) {
         let now = self.node.now();
-        self.config.hear(envelope.config);
+        self.config.observe_version(envelope.config);
         match &envelope.body {
             message if Fleet::is_own(message) => {
                 let message = message.clone();
@@ -290,7 +290,7 @@
             Some("the upstream does not answer")
         } else if self.config.version() == ConfigVersion(0) {
             Some("no configuration")
-        } else if self.config.is_behind() {
+        } else if self.config.is_lagging() {
             Some("the configuration is behind")
         } else {
             None
--- a/fireflyd/src/config_feed.rs
+++ b/fireflyd/src/config_feed.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 
 use fireflycroft::{
-    Bundle, Carried, CarriedPart, Config, ConfigCarrier, ConfigVersion, Digest, Fault, HEAD_KIND,
-    HEAD_NAME, Head, Message, PART_KIND, Part, Progress,
+    CompleteConfig, Config, ConfigBundle, ConfigFault, ConfigTransfer, ConfigVersion, Digest,
+    HEAD_KIND, HEAD_NAME, Head, Message, PART_KIND, Part, Progress, ReceivedPart,
 };
 use tokio::sync::watch;
 
@@ -37,9 +37,9 @@
 /// Source of configurations; cloning shares it.
 #[derive(Clone)]
 pub struct ConfigFeed {
-    carrier: Arc<Mutex<ConfigCarrier>>,
+    transfer: Arc<Mutex<ConfigTransfer>>,
     compiled: watch::Receiver<Option<Arc<Config>>>,
-    to_compile: Sender<Carried>,
+    to_compile: Sender<CompleteConfig>,
     watching: Arc<AtomicBool>,
 }
 
@@ -51,7 +51,7 @@
         let (to_compile, carried) = channel();
         std::thread::spawn(move || compile_all(&carried, &tx));
         let feed = Self {
-            carrier: Arc::default(),
+            transfer: Arc::default(),
             compiled: rx.clone(),
             to_compile,
             watching: Arc::new(AtomicBool::new(true)),
@@ -72,12 +72,12 @@
 
     /// Asks a peer for a later version than is held.
     pub fn pull(&self, from: SocketAddr, out: &mut Outbox) {
-        let carrier = self.carrier();
+        let transfer = self.transfer();
         out.push(
             from,
             Message::ConfigPull {
-                have: carrier.version(),
-                part: carrier.next_part(),
+                have: transfer.version(),
+                part: transfer.next_part(),
             },
         );
     }
@@ -86,7 +86,7 @@
     pub fn on_message(&self, from: SocketAddr, message: &Message, out: &mut Outbox) {
         match message {
             Message::ConfigPull { have, part } => {
-                if let Some(answer) = self.carrier().serve(*have, *part) {
+                if let Some(answer) = self.transfer().serve(*have, *part) {
                     out.push(from, answer);
                 }
             }
@@ -97,7 +97,7 @@
                 digest,
                 data,
             } => {
-                let piece = CarriedPart {
+                let piece = ReceivedPart {
                     version: *version,
                     part: *part,
                     parts: *parts,
@@ -110,19 +110,19 @@
         }
     }
 
-    fn on_part(&self, from: SocketAddr, piece: &CarriedPart, out: &mut Outbox) {
-        let mut carrier = self.carrier();
-        let have = carrier.version();
-        match carrier.on_part(piece) {
-            Progress::Want(part) => out.push(from, Message::ConfigPull { have, part }),
-            Progress::Whole(whole) => {
-                drop(carrier);
+    fn on_part(&self, from: SocketAddr, piece: &ReceivedPart, out: &mut Outbox) {
+        let mut transfer = self.transfer();
+        let have = transfer.version();
+        match transfer.on_part(piece) {
+            Progress::Next(part) => out.push(from, Message::ConfigPull { have, part }),
+            Progress::Complete(whole) => {
+                drop(transfer);
                 log::info!(event = "config_pulled", version = whole.version().0, peer:% = from; "");
                 self.hand_out(*whole);
             }
             Progress::Ignored => {}
-            Progress::Faulty(e) => {
-                carrier.abandon();
+            Progress::Invalid(e) => {
+                transfer.abandon();
                 log::warn!(event = "config_part_faulty", peer:% = from, cause:% = e; "");
             }
         }
@@ -177,7 +177,7 @@
         };
         let head: Head = serde_json::from_value(object.value)
             .map_err(|e| PlatformError::Invalid(format!("configuration head: {e}")))?;
-        if head.config_version() > self.carrier().version() {
+        if head.config_version() > self.transfer().version() {
             self.fetch(platform, head).await?;
         }
         Ok(object.version)
@@ -186,7 +186,7 @@
     async fn fetch(&self, platform: &PlatformClient, head: Head) -> Result<(), PlatformError> {
         let mut parts = Vec::with_capacity(head.parts.len());
         for name in &head.parts {
-            let known = self.carrier().part(name).cloned();
+            let known = self.transfer().part(name).cloned();
             if let Some(part) = known {
                 parts.push(part);
                 continue;
@@ -196,7 +196,7 @@
                 .map_err(|e| PlatformError::Invalid(format!("configuration part: {e}")))?;
             parts.push(part);
         }
-        let taken = self.carrier().hold(head, parts);
+        let taken = self.transfer().install(head, parts);
         match taken {
             Ok(Some(whole)) => self.hand_out(whole),
             Ok(None) => {}
@@ -205,20 +205,20 @@
         Ok(())
     }
 
-    fn hand_out(&self, carried: Carried) {
+    fn hand_out(&self, carried: CompleteConfig) {
         if self.to_compile.send(carried).is_err() {
             log::error!(event = "config_compiler_gone"; "");
         }
     }
 
-    fn carrier(&self) -> MutexGuard<'_, ConfigCarrier> {
-        self.carrier.lock().unwrap_or_else(PoisonError::into_inner)
+    fn transfer(&self) -> MutexGuard<'_, ConfigTransfer> {
+        self.transfer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The version held with all its parts, for operators.
     #[must_use]
-    pub fn bundle(&self) -> Option<Bundle> {
-        self.carrier().bundle()
+    pub fn bundle(&self) -> Option<ConfigBundle> {
+        self.transfer().bundle()
     }
 
     /// Digest of the configuration handed out last.
@@ -230,12 +230,12 @@
     /// Version held for peers.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
-        self.carrier().version()
+        self.transfer().version()
     }
 }
 
 /// Compiles what arrives and gives it to `tx`, until the feed is gone.
-fn compile_all(carried: &Receiver<Carried>, tx: &watch::Sender<Option<Arc<Config>>>) {
+fn compile_all(carried: &Receiver<CompleteConfig>, tx: &watch::Sender<Option<Arc<Config>>>) {
     while let Ok(next) = carried.recv() {
         match next.compile() {
             Ok(config) => offer(tx, config),
@@ -254,7 +254,7 @@
     });
 }
 
-fn tell_faults(carried: &Carried, faults: &[Fault]) {
+fn tell_faults(carried: &CompleteConfig, faults: &[ConfigFault]) {
     let first = faults.first().map(|f| format!("{}: {}", f.field, f.text));
     let first = first.unwrap_or_default();
     log::error!(event = "config_faulty", version = carried.version().0, cause = first; "");
--- a/fireflyd/src/entry.rs
+++ b/fireflyd/src/entry.rs
@@ -357,7 +357,7 @@
             Some("leaving")
         } else if self.core.config().is_none() {
             Some("no configuration")
-        } else if self.core.is_behind() {
+        } else if self.core.is_lagging() {
             Some("the configuration is behind")
         } else if agents == 0 {
             Some("no agent")
--- a/fireflyd/tests/admin.rs
+++ b/fireflyd/tests/admin.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use fireflycroft::{Bundle, ConfigCarrier, ConfigVersion, Document, split};
+use fireflycroft::{ConfigBundle, ConfigTransfer, ConfigVersion, Document, split};
 use fireflyd::admin::{Admin, Readiness};
 use fireflyd::metrics::Metrics;
 use fireflyd::port_file::write_port_file;
@@ -91,15 +91,15 @@
 async fn the_configuration_is_shown_with_its_parts() {
     let snapshot = split(&Document::default()).unwrap();
     let head = snapshot.head(ConfigVersion(7), 0, "operator".into(), "token".into());
-    let mut carrier = ConfigCarrier::default();
-    carrier.hold(head, snapshot.parts).unwrap();
+    let mut transfer = ConfigTransfer::default();
+    transfer.install(head, snapshot.parts).unwrap();
     let mut admin = serve().await.admin;
-    admin.config = Arc::new(move || carrier.bundle());
+    admin.config = Arc::new(move || transfer.bundle());
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let url = format!("http://{}/config", listener.local_addr().unwrap());
     let task = tokio::spawn(admin.serve(listener, std::future::pending()));
     let (status, body) = call(reqwest::Method::GET, url).await;
-    let bundle: Bundle = serde_json::from_str(&body).unwrap();
+    let bundle: ConfigBundle = serde_json::from_str(&body).unwrap();
     assert_eq!((status, bundle.head.version), (200, 7));
     assert_eq!(bundle.document().unwrap(), Document::default());
     task.abort();
