--- a/fireflycroft/src/gossip.rs
+++ b/fireflycroft/src/gossip.rs
@@ -1,9 +1,9 @@
-//! What changed of late, and how often it was told.
+//! Recent changes and how often each was sent.
 //!
-//! A change rides on the messages that are sent anyhow, least told first, until
-//! it was told about three times the logarithm of the fleet's size, or once the
-//! logarithm when many changes wait. The bytes of a second are bounded. What
-//! finds no room in the queue is left to the comparison of whole tables.
+//! Changes are added to messages that are sent anyway, least sent first. Each is
+//! sent about three times the binary logarithm of the fleet's size, or once the
+//! logarithm when many are pending. Bytes per second are limited. Changes dropped
+//! from the queue are left to the comparison of whole tables.
 
 use crate::ids::Name;
 use crate::member_record::{MemberRecord, MemberState};
@@ -11,20 +11,20 @@
 use crate::roster::{MemberIx, Roster};
 use crate::time::Time;
 
-/// Bytes of records in one message, estimated.
+/// Estimated bytes of records in one message.
 pub(crate) const MAX_RECORD_BYTES: usize = 1_200;
 
-/// Changes that wait to be told; the most told go first.
+/// Most pending changes; the most often sent are dropped first.
 const MAX_PENDING: usize = 256;
 
-/// Changes from which on each is told less often.
+/// Number of pending changes from which each is sent less often.
 const BUSY_PENDING: usize = 32;
 
-/// Times that a change is told, for each doubling of the fleet.
+/// Times that a change is sent per doubling of the fleet.
 const SENDS_PER_DOUBLING: u32 = 3;
 const SENDS_PER_DOUBLING_BUSY: u32 = 1;
 
-/// Bytes of changes told a second on average, and at once after a quiet time.
+/// Bytes of changes sent per second on average, and at once after an idle time.
 const BYTES_PER_SECOND: u64 = 2 * 1_024;
 const BURST_BYTES: u64 = 4 * 1_024;
 
@@ -33,7 +33,7 @@
 const V4_BYTES: usize = 6;
 const V6_BYTES: usize = 18;
 
-/// Bytes round each name served.
+/// Overhead bytes of each name in `serves`.
 const NAME_OVERHEAD_BYTES: usize = 3;
 
 #[derive(Clone, Copy, Debug)]
@@ -42,7 +42,7 @@
     sends: u32,
 }
 
-/// Changes that wait to be told.
+/// Pending changes.
 #[derive(Clone, Debug)]
 pub(crate) struct Gossip {
     pending: Vec<Pending>,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Records for one message, within its bound.
+/// Records of one message, limited in size.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Payload {
     records: Vec<MemberRecord>,
@@ -66,7 +66,7 @@
 }
 
 impl Payload {
-    /// Adds a record unless it is there already or has no room.
+    /// Adds a record unless its member is present or it does not fit.
     pub(crate) fn add(&mut self, record: &MemberRecord) -> bool {
         let bytes = record_bytes(record);
         let fits = self.records.is_empty() || self.bytes + bytes <= MAX_RECORD_BYTES;
@@ -78,7 +78,7 @@
         true
     }
 
-    /// Bytes of the records, estimated.
+    /// Returns the estimated bytes of the records.
     pub(crate) const fn bytes(&self) -> usize {
         self.bytes
     }
@@ -93,12 +93,12 @@
 }
 
 impl Gossip {
-    /// Whether nothing waits to be told.
+    /// Returns whether no change is pending.
     pub(crate) const fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Takes a change, to be told anew.
+    /// Adds a change and restarts its count of sends.
     pub(crate) fn push(&mut self, ix: MemberIx) {
         self.forget(ix);
         if self.pending.len() >= MAX_PENDING {
@@ -107,12 +107,12 @@
         self.pending.push(Pending { ix, sends: 0 });
     }
 
-    /// Drops the changes of a member.
+    /// Drops the pending change of a member.
     pub(crate) fn forget(&mut self, ix: MemberIx) {
         self.pending.retain(|p| p.ix != ix);
     }
 
-    /// Fills `payload` with changes, least told first, those who leave before.
+    /// Fills `payload` with changes, leaving members first, then least sent first.
     pub(crate) fn fill(&mut self, now: Time, roster: &Roster, payload: &mut Payload) {
         if !self.bytes.has_budget(now) {
             return;
@@ -132,7 +132,7 @@
         self.pending.retain(|p| p.sends < limit);
     }
 
-    /// Times that each change is told.
+    /// Returns how often each change is sent.
     fn send_limit(&self, roster: &Roster) -> u32 {
         let factor = if self.pending.len() < BUSY_PENDING {
             SENDS_PER_DOUBLING
@@ -150,7 +150,7 @@
     }
 }
 
-/// Bytes of a record in a message, estimated from above.
+/// Returns an upper estimate of a record's bytes in a message.
 pub(crate) fn record_bytes(record: &MemberRecord) -> usize {
     let names = record.peer.name.len() + record.data_centre.len();
     let addr = if record.peer.addr.is_ipv4() {
--- a/fireflycroft/src/leave_broadcast.rs
+++ b/fireflycroft/src/leave_broadcast.rs
@@ -1,8 +1,8 @@
-//! A planned stop: every member is told directly, entries first.
+//! Leave broadcast of a planned stop: every member is pinged directly, entries first.
 //!
-//! Gossip would take several seconds to reach the last entry. The process that
-//! leaves therefore pings each member itself, a bounded number a tick, and
-//! again those that did not answer.
+//! Gossip would take several seconds to reach the last entry. The leaving process
+//! therefore pings each member itself, a limited number per round, and retries those
+//! that did not answer.
 
 use crate::ids::Role;
 use crate::member::Members;
@@ -14,16 +14,16 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Pings of one round of telling.
+/// Pings per round.
 const PINGS_PER_ROUND: usize = 64;
 
 /// Time between two rounds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time that an answer may take.
+/// Time allowed for an answer.
 const PONG_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pings to one member.
+/// Most pings to one member.
 const MAX_ATTEMPTS: u32 = 8;
 
 #[derive(Clone, Copy, Debug)]
@@ -33,7 +33,7 @@
     due: Time,
 }
 
-/// Members that were not yet told.
+/// State of the leave broadcast.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaveBroadcast {
     nonce: u64,
@@ -46,7 +46,7 @@
         self.pending.retain(|u| u.ix != ix);
     }
 
-    /// Next member to ping at `now`.
+    /// Returns the next member to ping at `now`.
     fn next(&mut self, now: Time) -> Option<MemberIx> {
         let at = self.pending.iter().position(|u| u.due <= now)?;
         let mut pending = self.pending.remove(at)?;
@@ -60,7 +60,7 @@
 }
 
 impl Members {
-    /// States that this process leaves and begins to tell everybody.
+    /// Marks this process as leaving and starts the leave broadcast.
     pub(crate) fn leave(&mut self, now: Time, out: &mut Vec<MemberAction>) {
         if self.own().state == MemberState::Leaving {
             return;
@@ -75,7 +75,7 @@
         self.tick_leave_broadcast(now, out);
     }
 
-    /// Pings members that were not yet told.
+    /// Pings members that have not yet acknowledged.
     pub(crate) fn tick_leave_broadcast(&mut self, now: Time, out: &mut Vec<MemberAction>) {
         if self.leave_broadcast.pending.is_empty() || now < self.leave_broadcast.round_at {
             return;
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Notes that the answerer of a farewell's ping knows.
+    /// Records that a member has acknowledged the leave notice.
     pub(crate) fn on_leave_acknowledged(&mut self, ix: MemberIx, nonce: u64) {
         if nonce == self.leave_broadcast.nonce {
             self.leave_broadcast.forget(ix);
--- a/fireflycroft/src/member.rs
+++ b/fireflycroft/src/member.rs
@@ -1,16 +1,16 @@
-//! Who is in the fleet: records, their order and how they are merged.
+//! Fleet membership: member records, their order and how they are merged.
 //!
-//! Each process pings one other a second and tells what changed of late along
-//! with it. A record is ordered by incarnation, then by turn, which only the
-//! member itself raises, then by state. Good news and leaving are taken from
-//! anybody. Bad news is checked: a member is dead here when it did not answer
-//! this process, or when it stayed suspect for the whole of [`SUSPECT_SPAN`]
-//! and another process found it dead. A member that hears itself called suspect
-//! or dead raises its turn and says that it is alive.
+//! Each process pings one other each second and adds recent changes to its
+//! pings and pongs. Records are ordered by incarnation, then by revision, which
+//! only the member itself increments, then by state. Alive and leaving are
+//! accepted from anyone. Reports of failure are verified: a member is dead here
+//! when it did not answer this process, or when it stayed suspect for all of
+//! [`SUSPECT_TIMEOUT`] and another process found it dead. A member that receives
+//! a record that calls it suspect or dead refutes it with a higher revision.
 //!
-//! When to ping is in `probe`, the pings in `ping`, telling in `gossip`,
-//! comparing whole tables in `reconcile`, the table itself in `roster`, a
-//! planned stop in `farewell`.
+//! Probe scheduling is in `probe`, pings in `ping`, dissemination in `gossip`,
+//! comparison of whole tables in `reconcile`, the table in `roster`, and the
+//! planned stop in `leave_broadcast`.
 
 use crate::gossip::{Gossip, Payload};
 use crate::ids::{IdSource, Name, Peer, Role};
@@ -26,33 +26,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Members held at once; when full, the dead go first, then newcomers are
-/// turned away with the note `members_full`.
+/// Most members held at once. When the table is full, a newcomer replaces the
+/// longest dead member, or is rejected with the note `members_full`.
 pub const MAX_MEMBERS: usize = 4_096;
 
-/// How long a member stays suspect before it is dead.
+/// Time for which a member stays suspect before it is dead.
 pub const SUSPECT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long the dead are kept, so that old news does not revive them.
+/// Time for which dead members are kept, so that old gossip does not revive them.
 pub const DEAD_RETENTION: Duration = Duration::from_mins(10);
 
-/// Longest lag of the VM list that does no harm.
+/// Longest tolerated lag of the VM list.
 ///
-/// Its word that a VM leaves is not taken for a life known for a shorter time:
-/// it may concern the VM that was at the address before.
+/// A leaving mark in the list is ignored for an incarnation known for a shorter
+/// time: it may concern the previous VM at the address.
 pub const MAX_VM_LIST_LAG: Duration = Duration::from_secs(90);
 
-/// Time between two ticks from which on the process was paused.
+/// Shortest time between two ticks that counts as a pause of the process.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// How long after a pause nobody is called suspect or dead.
+/// Time after a pause in which no member is marked suspect or dead.
 pub const GRACE_PERIOD: Duration = Duration::from_secs(5);
 
 const FIRST_REVISION: u64 = 1;
 
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Membership as one process sees it.
+/// Membership as seen by one process.
 #[derive(Clone, Debug)]
 pub struct Members {
     pub(crate) roster: Roster,
@@ -64,7 +64,7 @@
     pub(crate) ids: IdSource,
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) vms: Vec<SocketAddr>,
-    /// Until when nobody is called suspect or dead.
+    /// End of the time in which no member is marked suspect or dead.
     pub(crate) grace_until: Time,
     last_tick: Option<Time>,
     last_sweep: Time,
@@ -73,7 +73,7 @@
 }
 
 impl Members {
-    /// Membership that knows this process and its seeds.
+    /// Creates a membership that holds this process and its seeds.
     #[must_use]
     pub fn new(setup: MemberSetup) -> Self {
         let own = MemberRecord {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Takes one event at `now` and adds what is to be done to `out`.
+    /// Handles one event at `now` and appends the resulting actions to `out`.
     pub fn on_event(&mut self, now: Time, event: MemberEvent, out: &mut Vec<MemberAction>) {
         match event {
             MemberEvent::Message(from, message) => self.on_message(now, &from, message, out),
@@ -117,31 +117,31 @@
         }
     }
 
-    /// What this process says of itself.
+    /// Returns this process's own record.
     #[must_use]
     pub fn own(&self) -> &MemberRecord {
         self.roster.own()
     }
 
-    /// What is known of the member of that name.
+    /// Returns the record of the member with this name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&MemberRecord> {
         let ix = self.roster.find(name)?;
         Some(&self.roster.get(ix).record)
     }
 
-    /// All records, this process's own and those of the dead among them.
+    /// Returns all records, including this process's own and those of dead members.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.roster.slots().map(|slot| &slot.record)
     }
 
-    /// Digest of all records but those of the dead.
+    /// Returns the digest of all records except those of dead members.
     #[must_use]
     pub fn view(&self) -> u64 {
         self.roster.view()
     }
 
-    /// Whether a later life of the same name was heard of.
+    /// Returns whether a later incarnation of this process's name is known.
     #[must_use]
     pub const fn is_replaced(&self) -> bool {
         self.replaced
@@ -193,14 +193,14 @@
         }
     }
 
-    /// Any message is evidence that its sender is alive.
+    /// Handles any message as evidence that its sender is alive.
     pub(crate) fn on_received(&mut self, now: Time, from: &Peer, out: &mut Vec<MemberAction>) {
         if let Some(ix) = self.record_received(now, from, out) {
             self.prompt_refutation(now, ix, out);
         }
     }
 
-    /// Notes that a member was heard; greets the unknown.
+    /// Records a message from a member; introduces this process to unknown senders.
     pub(crate) fn record_received(
         &mut self,
         now: Time,
@@ -228,7 +228,7 @@
         Some(ix)
     }
 
-    /// Makes a new statement of this process about itself.
+    /// Updates this process's own record and increments its revision.
     pub(crate) fn update_own(
         &mut self,
         now: Time,
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Takes the VM list: mailboxes to try, and VMs that leave.
+    /// Applies the VM list: addresses to try, and VMs that leave.
     fn on_vms(&mut self, now: Time, vms: Vec<Vm>, out: &mut Vec<MemberAction>) {
         for vm in vms.iter().filter(|vm| vm.leaving) {
             self.on_vm_leaving(now, vm.addr, out);
@@ -299,7 +299,8 @@
         Some(ix)
     }
 
-    /// Puts a record in place and tells of it what others may see.
+    /// Replaces a record, queues it for gossip if `disseminate`, and reports visible
+    /// changes.
     pub(crate) fn change(
         &mut self,
         now: Time,
@@ -356,7 +357,7 @@
         }
     }
 
-    /// Puts a member into a state that this process found itself.
+    /// Sets a state that this process determined itself.
     pub(crate) fn set_state(
         &mut self,
         now: Time,
@@ -379,7 +380,7 @@
         out.push(MemberAction::Note(note));
     }
 
-    /// Forgets those who have been dead for long.
+    /// Removes members that have been dead for [`DEAD_RETENTION`].
     fn sweep(&mut self, now: Time) {
         let expired: Vec<MemberIx> = self
             .roster
@@ -412,7 +413,7 @@
         self.leave_broadcast.forget(ix);
     }
 
-    /// Payload of the changes of late, after what `first` put into it.
+    /// Builds a payload from what `first` adds, then recent changes.
     pub(crate) fn payload(
         &mut self,
         now: Time,
--- a/fireflycroft/src/member_record.rs
+++ b/fireflycroft/src/member_record.rs
@@ -1,48 +1,48 @@
-//! Records of members, and what goes into membership and comes out.
+//! Member records, and the events and actions of membership.
 
 use crate::ids::{Name, Peer};
 use crate::message::Message;
 use crate::note::Note;
 use std::net::SocketAddr;
 
-/// State of one member, worse ones later.
+/// State of a member, ordered from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// Answers.
+    /// The member answers.
     Alive,
-    /// Did not answer lately.
+    /// The member did not answer recently.
     Suspect,
-    /// Takes no new work; finishes what runs.
+    /// The member takes no new work and finishes its running work.
     Leaving,
-    /// Gone.
+    /// The member is gone.
     Dead,
 }
 
-/// What is known of one member.
+/// What is known of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// Who it is.
+    /// Name, address, incarnation and role.
     pub peer: Peer,
     /// Data centre it runs in.
     pub data_centre: Name,
-    /// Its state.
+    /// Current state.
     pub state: MemberState,
-    /// Counts the member's own statements about itself in this life.
+    /// Number of the member's latest own update in this incarnation.
     pub revision: u64,
-    /// Models or plain services that its upstream serves; empty for entries.
+    /// Models or plain services of its upstream; empty for entries.
     pub serves: Vec<Name>,
 }
 
-/// One VM as the platform lists it.
+/// A VM as the platform lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Vm {
-    /// Mailbox that a process of the fleet has there.
+    /// Address of the fleet's process on the VM.
     pub addr: SocketAddr,
-    /// Whether the platform takes the VM away.
+    /// Whether the platform is about to remove the VM.
     pub leaving: bool,
 }
 
-/// What membership is told at the start.
+/// Initial settings of membership.
 #[derive(Clone, Debug)]
 pub struct MemberSetup {
     /// This process.
@@ -51,40 +51,40 @@
     pub data_centre: Name,
     /// Models or plain services of its upstream; empty for entries.
     pub serves: Vec<Name>,
-    /// Mailboxes to begin with.
+    /// Addresses contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// Seed of everything that is drawn.
+    /// Seed of the random number generator.
     pub seed: [u8; 32],
 }
 
-/// What membership hears.
+/// Input of membership.
 #[derive(Clone, Debug)]
 pub enum MemberEvent {
-    /// A message of membership came; any other counts as heard.
+    /// A message of membership arrived; any other counts as [`Self::Received`].
     Message(Peer, Message),
-    /// Some other message came from that process.
+    /// Another message arrived from that process.
     Received(Peer),
     /// The VM list was read.
     Vms(Vec<Vm>),
-    /// The upstream serves other models than before.
+    /// The models or services of the upstream changed.
     Serves(Vec<Name>),
-    /// This process takes no new work any more.
+    /// This process takes no more new work.
     Leave,
-    /// Time went on; expected several times a second.
+    /// Time has passed; expected several times a second.
     Tick,
 }
 
-/// What membership wants done.
+/// Output of membership.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
     /// Send a message.
     Send(SocketAddr, Message),
-    /// A member is new, or its state, life or service changed.
+    /// A member is new, or its state, incarnation or services changed.
     ///
-    /// With this process's own record: the fleet says that it is to leave.
+    /// With this process's own record: the fleet asks this process to leave.
     Changed(MemberRecord),
-    /// Number of entries that take requests, this process counted.
+    /// Number of entries that accept requests, including this process.
     Entries(u32),
-    /// Something to log and count.
+    /// An event to log and count.
     Note(Note),
 }
--- a/fireflycroft/src/merge.rs
+++ b/fireflycroft/src/merge.rs
@@ -1,8 +1,9 @@
-//! How records are merged into the table.
+//! Merging of received records into the table.
 //!
-//! A record is ordered by incarnation, then by turn, then by state. What is
-//! behind the table is reported back, so that its teller can be put right.
-//! Leaving is kept for the rest of a life; bad news by hearsay is checked.
+//! Records are ordered by incarnation, then by revision, then by state. Records
+//! older than the table are reported back, so that their sender can be corrected.
+//! Leaving is kept for the rest of an incarnation; second-hand reports of failure
+//! are verified.
 
 use crate::ids::Peer;
 use crate::member::{Members, SUSPECT_TIMEOUT};
@@ -13,37 +14,37 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Direct evidence of that age outweighs bad news.
+/// Direct evidence younger than this outweighs reports of failure.
 const FRESH_EVIDENCE_AGE: Duration = Duration::from_secs(1);
 
-/// Turn of a record made up from a message's header; any statement of the
-/// member itself is later.
+/// Revision of a record built from a message's header; any update of the member
+/// itself is higher.
 const HEADER_REVISION: u64 = 0;
 
-/// Where a record came from.
+/// Origin of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RecordSource {
     /// The member itself.
     Direct,
-    /// Another process, as a change of late.
+    /// Another process, as a recent change.
     Gossip,
     /// Another process, as a part of its table.
     Page,
 }
 
-/// What became of a record that arrived.
+/// Result of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MergeOutcome {
-    /// It changed the table, or is being checked.
+    /// It changed the table, or is being verified.
     Applied,
-    /// It was known.
+    /// The table held it already.
     Unchanged,
-    /// The table holds a later one.
+    /// The table holds a later record.
     Outdated,
 }
 
 impl Members {
-    /// Takes records that came with a message; gives those that are out of date.
+    /// Merges the records of a message; returns the members whose records were outdated.
     pub(crate) fn merge_records(
         &mut self,
         now: Time,
@@ -97,7 +98,7 @@
         self.merge_same_incarnation(now, ix, record, source, out)
     }
 
-    /// A record of a member not held; of the dead none is made.
+    /// Adds a member that is not held, unless it is dead.
     fn merge_unknown(
         &mut self,
         now: Time,
@@ -119,7 +120,7 @@
         MergeOutcome::Applied
     }
 
-    /// A record of the life that is held.
+    /// Merges a record of the incarnation that is held.
     fn merge_same_incarnation(
         &mut self,
         now: Time,
@@ -133,7 +134,7 @@
         if order.is_eq() {
             return MergeOutcome::Unchanged;
         }
-        // Leaving is kept even by a record that is behind in its turn.
+        // Leaving is applied even when the record's revision is lower.
         let starts_leaving =
             record.state == MemberState::Leaving && held.state < MemberState::Leaving;
         if order.is_lt() && !starts_leaving {
@@ -209,7 +210,7 @@
         self.request_probe(now, ix, ProbeKind::Reported);
     }
 
-    /// What others say of this process.
+    /// Handles a record of this process that others sent, and refutes it if needed.
     fn merge_own(
         &mut self,
         now: Time,
@@ -242,7 +243,8 @@
         MergeOutcome::Outdated
     }
 
-    /// Calls dead whoever else was known at the address of `ix`.
+    /// Marks dead every other member known at the address of `ix`, or `ix` itself when
+    /// this process holds the address.
     fn mark_former_holders_dead(&mut self, now: Time, ix: MemberIx, out: &mut Vec<MemberAction>) {
         let slot = self.roster.get(ix);
         if !slot.is_present() {
@@ -258,7 +260,8 @@
         }
     }
 
-    /// Whether a later life of another name is known at the record's address.
+    /// Returns whether the record's address is held by this process or by a later
+    /// incarnation of another name.
     fn is_address_reassigned(&self, record: &MemberRecord) -> bool {
         let except = self.roster.find(&record.peer.name);
         let Some(holder) = self.roster.holder_of(record.peer.addr, except) else {
@@ -274,7 +277,8 @@
         }
     }
 
-    /// Takes the header of a later life until its own record comes.
+    /// Replaces a record by one built from the header of a later incarnation, until the
+    /// member's own record arrives.
     pub(crate) fn on_new_incarnation(
         &mut self,
         now: Time,
--- a/fireflycroft/src/ping.rs
+++ b/fireflycroft/src/ping.rs
@@ -1,8 +1,8 @@
-//! Pings, their answers and pings for others.
+//! Pings, pongs and pings relayed for other members.
 //!
-//! A ping that holds the sender's own record introduces it and is answered by
-//! the receiver's. A member that is doubted is told so in pings and pongs, so
-//! that it can refute the doubt at once.
+//! A ping with the sender's own record introduces it, and the receiver answers with
+//! its own record. Pings and pongs to a suspect member contain its record, so that
+//! it can refute the suspicion at once.
 
 use crate::ids::{Name, Peer};
 use crate::member::Members;
@@ -15,14 +15,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Members named to a newcomer, so that it does not lean on the seeds alone.
+/// Members sent to a newcomer, so that it does not depend on the seeds alone.
 const NEWCOMER_SAMPLE: usize = 16;
 
-/// Pings under way for others.
+/// Most relayed pings awaiting an answer.
 const MAX_RELAYS: usize = 64;
 const RELAY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A ping sent for another member.
+/// A ping relayed for another member.
 #[derive(Clone, Debug)]
 struct Relay {
     nonce: u64,
@@ -32,12 +32,12 @@
     at: Time,
 }
 
-/// Pings sent for other members.
+/// Relayed pings awaiting an answer.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Relays(Vec<Relay>);
 
 impl Relays {
-    /// Drops those that were not answered in time.
+    /// Drops relayed pings that were not answered in time.
     pub(crate) fn expire(&mut self, now: Time) {
         self.0.retain(|r| now.since(r.at) < RELAY_TIMEOUT);
     }
@@ -117,7 +117,7 @@
         self.compare_views(now, from, view, out);
     }
 
-    /// Pings a member for another.
+    /// Relays a ping to a member.
     pub(crate) fn on_ping_via(
         &mut self,
         now: Time,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Tells a member that was heard how it is held, so that it may refute it.
+    /// Sends a suspect or dead member its record, so that it can refute it.
     pub(crate) fn prompt_refutation(
         &mut self,
         now: Time,
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Introduces this process to a mailbox whose owner is not known.
+    /// Introduces this process to an unknown sender, within the limit on extra pings.
     pub(crate) fn introduce_limited(
         &mut self,
         now: Time,
@@ -169,7 +169,8 @@
         }
     }
 
-    /// Pings a mailbox with this process's own record, which asks for its owner's.
+    /// Pings an address with this process's own record; the answer contains the
+    /// receiver's.
     pub(crate) fn introduce(&mut self, now: Time, addr: SocketAddr, out: &mut Vec<MemberAction>) {
         let nonce = self.draw_nonce();
         let records = self.payload(now, |roster, payload| {
@@ -178,7 +179,7 @@
         self.send_ping(addr, nonce, records, out);
     }
 
-    /// Pings a member once, with what it is to refute.
+    /// Pings a member once, with its record if it should refute it.
     pub(crate) fn ping(&mut self, ix: MemberIx, out: &mut Vec<MemberAction>) {
         let nonce = self.draw_nonce();
         let record = self.roster.get(ix).record.clone();
@@ -200,7 +201,7 @@
         out.push(MemberAction::Send(addr, ping));
     }
 
-    /// The record of a member, as a probe of that kind puts it.
+    /// Returns a member's record as a probe of that kind sends it.
     pub(crate) fn probed_record(&self, ix: MemberIx, kind: ProbeKind) -> MemberRecord {
         let mut record = self.roster.get(ix).record.clone();
         if kind == ProbeKind::Reported {
@@ -213,7 +214,7 @@
         u64::try_from(self.ids.draw().0 >> u64::BITS).unwrap_or(0)
     }
 
-    /// Gives the asker of a relay its pong.
+    /// Sends the pong of a relayed ping to its requester.
     fn answer_requester(&self, relay: &Relay, out: &mut Vec<MemberAction>) {
         let pong = Message::Pong {
             nonce: relay.requester_nonce,
@@ -223,13 +224,14 @@
         out.push(MemberAction::Send(relay.requester, pong));
     }
 
-    /// Whether this life of the sender is not yet known.
+    /// Returns whether this incarnation of the sender is not yet known.
     fn is_newcomer(&self, from: &Peer) -> bool {
         let held = self.get(&from.name).map(|r| r.peer.incarnation);
         held.is_none_or(|held| held < from.incarnation)
     }
 
-    /// What the sender of a ping should know of how it is held.
+    /// Returns the record of the sender of a ping, if it should refute it or has been
+    /// replaced by a later incarnation.
     fn record_for_sender(&self, ix: MemberIx, from: &Peer) -> Option<MemberRecord> {
         let record = self.roster.get(ix).record.clone();
         if record.peer.incarnation > from.incarnation {
@@ -239,7 +241,7 @@
     }
 }
 
-/// The record, if its member is to refute it.
+/// Returns the record if its member should refute it.
 pub(crate) fn refutable(record: MemberRecord) -> Vec<MemberRecord> {
     match record.state {
         MemberState::Suspect | MemberState::Dead => vec![record],
--- a/fireflycroft/src/probe.rs
+++ b/fireflycroft/src/probe.rs
@@ -1,10 +1,10 @@
-//! Who answers: one member is pinged each second, and the doubtful more often.
+//! Failure detection: one member is pinged each second, suspects more often.
 //!
-//! A routine probe asks once and after a second once more, directly and through
-//! two other members. Who has not answered is suspect and is asked on until
-//! [`SUSPECT_SPAN`] is over; then it is dead. Bad news from others leads to a
-//! probe of one's own. The dead, the seeds and the VMs listed are tried now and
-//! then, so that the halves of a divided fleet find each other again.
+//! A routine probe pings once and, after a second, once more, directly and through
+//! two other members. A member that has not answered is suspect and is pinged on
+//! until [`SUSPECT_TIMEOUT`] has passed; then it is dead. Reports of failure from
+//! other members start a probe. Dead members, seeds and listed VMs are contacted
+//! now and then, so that the halves of a partitioned fleet find each other again.
 
 use crate::member::{GRACE_PERIOD, Members, SUSPECT_TIMEOUT};
 use crate::member_record::{MemberAction, MemberState};
@@ -20,40 +20,41 @@
 const ROUTINE_INTERVAL: Duration = Duration::from_secs(1);
 const RECONNECT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Parts of an interval that chance adds or takes away at most.
+/// Largest jitter, as a fraction: one part in this many of an interval.
 const JITTER_PARTS: u32 = 10;
 
-/// Steps from the shortest interval to the longest.
+/// Steps between the shortest and the longest interval.
 const JITTER_STEPS: u32 = 128;
 
-/// Time that an answer to a routine ping may take.
+/// Time allowed for the answer to a routine ping.
 const PONG_TIMEOUT: Duration = Duration::from_secs(1);
 const ROUTINE_ATTEMPTS: u32 = 2;
 
-/// Pings to a doubtful member within [`SUSPECT_SPAN`].
+/// Pings to a suspect member within [`SUSPECT_TIMEOUT`].
 const SUSPECT_ATTEMPTS: u32 = 4;
 
-/// Members asked to ping another.
+/// Members asked to relay a ping.
 const ROUTINE_RELAYS: usize = 2;
 const SUSPECT_RELAYS: usize = 1;
 
-/// Probes and pings that others' messages cause, a second and at once.
+/// Limit per second, and at once, on probes and pings caused by others' messages.
 const EXTRA_PINGS_PER_SECOND: u64 = 4;
 
-/// Seeds asked at the start, and members asked after a pause.
+/// Seeds contacted at the start, and members pinged after a pause.
 const JOIN_PINGS: usize = 3;
 
-/// Draws for a mailbox to try that is not held by a member.
+/// Attempts to draw an address that no member holds.
 const RECONNECT_DRAWS: usize = 8;
 
-/// Why a member is probed.
+/// Reason for a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeKind {
-    /// Its turn has come.
+    /// The member is next in the round.
     Routine,
-    /// It is suspect and dead unless it answers.
+    /// The member is suspect; it is dead unless it answers.
     Suspected,
-    /// Others call it worse than it is held here; it is dead unless it answers.
+    /// Others report a worse state than is held here; the member is dead unless it
+    /// answers.
     Reported,
 }
 
@@ -66,17 +67,17 @@
     due: Time,
 }
 
-/// Probes under way and to come.
+/// Current and queued probes.
 #[derive(Clone, Debug)]
 pub(crate) struct Prober {
-    /// All members but this process, in the order of this round.
+    /// All members except this process, in the order of this round.
     order: Vec<MemberIx>,
     next: usize,
     routine_at: Time,
     reconnect_at: Time,
     probes: Vec<Probe>,
     queued: Vec<(MemberIx, ProbeKind)>,
-    /// Pings that may be sent beyond the routine.
+    /// Limit on pings beyond the routine.
     pub(crate) extra_pings: RateLimiter,
 }
 
@@ -95,32 +96,33 @@
 }
 
 impl Probe {
-    /// Waits `span` from when it was due; nearly as long when that is past.
+    /// Schedules the next step `span` after the previous due time, but at least half of
+    /// `span` from now.
     fn schedule_next(&mut self, now: Time, span: Duration) {
         self.due = (self.due + span).max(now + span / 2);
     }
 }
 
 impl Prober {
-    /// Puts a new member into the round, at a place drawn from `draw`.
+    /// Adds a new member to the round, at a position drawn from `draw`.
     pub(crate) fn add(&mut self, ix: MemberIx, draw: impl FnOnce(usize) -> usize) {
         let at = draw(self.order.len() + 1);
         self.order.insert(at, ix);
     }
 
-    /// Member that the probe of that nonce asks.
+    /// Returns the member probed with this nonce.
     pub(crate) fn probed_by(&self, nonce: u64) -> Option<MemberIx> {
         let probe = self.probes.iter().find(|p| p.nonce == nonce);
         probe.map(|p| p.ix)
     }
 
-    /// Ends the probes of a member.
+    /// Cancels the probes of a member.
     pub(crate) fn cancel(&mut self, ix: MemberIx) {
         self.probes.retain(|p| p.ix != ix);
         self.queued.retain(|(held, _)| *held != ix);
     }
 
-    /// Drops all trace of a member.
+    /// Removes a member from the round and cancels its probes.
     pub(crate) fn forget(&mut self, ix: MemberIx) {
         self.cancel(ix);
         self.order.retain(|held| *held != ix);
@@ -133,7 +135,7 @@
 }
 
 impl Members {
-    /// First pings of this life.
+    /// Sends the first pings of this incarnation.
     pub(crate) fn join(&mut self, now: Time, out: &mut Vec<MemberAction>) {
         self.count_entries(out);
         self.prober.routine_at = now + self.jittered(ROUTINE_INTERVAL);
@@ -146,7 +148,8 @@
         }
     }
 
-    /// After a pause others are heard before any of them is doubted.
+    /// Restarts failure detection after a pause of this process, as silence during the
+    /// pause proves nothing.
     pub(crate) fn on_pause(&mut self, now: Time, out: &mut Vec<MemberAction>) {
         out.push(MemberAction::Note(Note::new("member_paused")));
         self.grace_until = now + GRACE_PERIOD;
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Sends what is due and starts what waits.
+    /// Starts queued probes and advances those that are due.
     pub(crate) fn tick_probes(&mut self, now: Time, out: &mut Vec<MemberAction>) {
         self.start_queued(now);
         self.tick_routine(now, out);
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Has a member probed because of what others say.
+    /// Requests a probe of a member because of a received record.
     pub(crate) fn request_probe(&mut self, now: Time, ix: MemberIx, kind: ProbeKind) {
         let prober = &mut self.prober;
         if let Some(probe) = prober.probes.iter_mut().find(|p| p.ix == ix) {
@@ -193,13 +196,13 @@
         self.start_queued(now);
     }
 
-    /// Ends the doubts in a member that answered, directly or through another.
+    /// Handles an answer of a member, direct or relayed.
     pub(crate) fn on_probe_answered(&mut self, ix: MemberIx) {
         if self.roster.get(ix).record.state != MemberState::Suspect {
             self.prober.cancel(ix);
             return;
         }
-        // It lives, but must still say so to the others with a later turn.
+        // It is alive, but must still refute the suspicion with a higher revision.
         for probe in self.prober.probes.iter_mut().filter(|p| p.ix == ix) {
             probe.sent = 0;
         }
@@ -224,7 +227,7 @@
         });
     }
 
-    /// Next step of a probe that is due; `None` when it is over.
+    /// Advances a due probe; returns `None` when it has ended.
     fn step(&mut self, now: Time, mut probe: Probe, out: &mut Vec<MemberAction>) -> Option<Probe> {
         if !self.roster.get(probe.ix).is_present() {
             return None;
@@ -290,7 +293,7 @@
         probe
     }
 
-    /// Pings without changes of late: they would likely reach nobody.
+    /// Pings without recent changes, as they would probably be lost.
     fn send_probe(&self, probe: &Probe, out: &mut Vec<MemberAction>) {
         let probed_record = self.probed_record(probe.ix, probe.kind);
         let addr = probed_record.peer.addr;
@@ -309,8 +312,8 @@
         }
     }
 
-    /// Members alive, drawn at random, first from data centres that are neither
-    /// this process's nor that of `target`.
+    /// Draws alive members at random, first from data centres that are neither this
+    /// process's nor that of `target`.
     pub(crate) fn sample_members(
         &mut self,
         target: Option<MemberIx>,
@@ -350,7 +353,7 @@
         }
     }
 
-    /// Tries a dead member, a seed or a VM listed.
+    /// Contacts a dead member, a seed or a listed VM.
     fn tick_reconnect(&mut self, now: Time, out: &mut Vec<MemberAction>) {
         if now < self.prober.reconnect_at {
             return;
@@ -405,7 +408,7 @@
         order.filter(move |ix| self.roster.get(*ix).record.state == state)
     }
 
-    /// The interval, a little longer or shorter.
+    /// Returns the interval with jitter.
     pub(crate) fn jittered(&mut self, span: Duration) -> Duration {
         let step = self.ids.draw_below(JITTER_STEPS as usize);
         let step = u32::try_from(step).unwrap_or(0);
--- a/fireflycroft/src/rate_limiter.rs
+++ b/fireflycroft/src/rate_limiter.rs
@@ -1,21 +1,21 @@
-//! What may be spent a second: bytes or messages, with a burst after quiet.
+//! A limit on bytes or messages per second, with a burst after an idle time.
 
 use crate::time::{Time, whole_micros};
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A rate with a burst; the last spending may overdraw it.
+/// A rate with a burst; one request may exceed the remaining budget.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RateLimiter {
     per_second: u64,
     burst: u64,
-    /// Spent and not yet earned back, in millionths.
+    /// Amount used and not yet refilled, in millionths of a unit.
     used_millionths: u64,
     refilled_at: Time,
 }
 
 impl RateLimiter {
-    /// An allowance of which nothing is spent.
+    /// Creates a limiter with its whole budget.
     pub(crate) const fn new(per_second: u64, burst: u64) -> Self {
         Self {
             per_second,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Whether anything is left.
+    /// Refills the budget up to `now` and returns whether any is left.
     pub(crate) fn has_budget(&mut self, now: Time) -> bool {
         let micros = whole_micros(now.since(self.refilled_at));
         self.refilled_at = now;
@@ -39,7 +39,7 @@
         self.used_millionths = self.used_millionths.saturating_add(millionths);
     }
 
-    /// Spends one if anything is left.
+    /// Consumes one unit if any budget is left.
     pub(crate) fn try_consume(&mut self, now: Time) -> bool {
         let available = self.has_budget(now);
         if available {
--- a/fireflycroft/src/reconcile.rs
+++ b/fireflycroft/src/reconcile.rs
@@ -1,10 +1,10 @@
-//! Whole tables compared, part by part, where gossip has left a difference.
+//! Comparison of whole tables, part by part, where gossip has left a difference.
 //!
-//! Each ping and pong carries the digest of the sender's table. When it differs
-//! from one's own, digests of the parts are sent; the other side answers with
-//! the hashes of its records in the parts that differ and is sent what it lacks,
-//! and the same the other way round. The bytes of a second are bounded; what
-//! finds no room is left to the next comparison.
+//! Pings and pongs carry the digest of the sender's table. When it differs from the
+//! receiver's, the receiver sends the digests of its parts. The other side answers
+//! with the hashes of its records in the parts that differ, and each side sends the
+//! records that the other lacks. Bytes per second are limited; what exceeds them is
+//! left to the next comparison.
 
 use crate::gossip::Payload;
 use crate::ids::Peer;
@@ -19,42 +19,42 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Least time between two comparisons that this process begins.
+/// Shortest time between two comparisons that this process begins.
 const MIN_COMPARE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time after which a comparison is begun though changes wait to be told.
+/// Time after which a comparison begins even while changes are pending.
 const MAX_COMPARE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long views must have differed; changes of late need that time to spread.
+/// Time for which digests must differ, as recent changes need time to spread.
 const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// Bytes sent a second on average, and at once after a quiet time.
+/// Bytes sent per second on average, and at once after an idle time.
 const BYTES_PER_SECOND: u64 = 2 * 1_024;
 const BURST_BYTES: u64 = 64 * 1_024;
 
-/// Bytes of one hash, and round the hashes of one message.
+/// Bytes of one hash, and overhead of one message of hashes.
 const HASH_BYTES: usize = 8;
 const HEADER_BYTES: usize = 64;
 
-/// Hashes in one message, but for those of its last part.
+/// Hashes in one message, after which no further part is added.
 const MAX_HASHES: usize = 128;
 
-/// Processes that are compared with at the same time.
+/// Processes that hashes are sent to at the same time.
 const MAX_TRANSFERS: usize = 8;
 
-/// Parts whose hashes one process is still to be sent.
+/// Parts whose hashes are still to be sent to one process.
 #[derive(Clone, Copy, Debug)]
 struct HashTransfer {
     to: SocketAddr,
-    /// One bit for each part.
+    /// One bit per part.
     parts: u64,
 }
 
-/// Comparisons under way.
+/// State of the comparisons with other processes.
 #[derive(Clone, Debug)]
 pub(crate) struct Reconciler {
     last_begun: Option<Time>,
-    /// Since when the views of others have differed.
+    /// Time since which the digests of others have differed.
     differs_since: Option<Time>,
     transfers: VecDeque<HashTransfer>,
     bytes: RateLimiter,
@@ -72,7 +72,7 @@
 }
 
 impl Reconciler {
-    /// Whether to compare with a process whose view differs.
+    /// Returns whether to begin a comparison with a process whose digest differs.
     fn may_begin(&mut self, now: Time, nothing_pending: bool) -> bool {
         let differs_since = *self.differs_since.get_or_insert(now);
         let Some(last_begun) = self.last_begun else {
@@ -98,7 +98,7 @@
 }
 
 impl Members {
-    /// Begins a comparison when the sender holds other records.
+    /// Begins a comparison if the sender holds other records.
     pub(crate) fn compare_views(
         &mut self,
         now: Time,
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Sends hashes of parts that differ as far as the bytes allow.
+    /// Sends hashes of differing parts, within the byte limit.
     pub(crate) fn tick_reconciler(&mut self, now: Time, out: &mut Vec<MemberAction>) {
         while self.reconciler.bytes.has_budget(now) {
             let Some(transfer) = self.reconciler.transfers.pop_front() else {
@@ -217,8 +217,8 @@
         out.push(MemberAction::Send(to, message));
     }
 
-    /// Sends records of `parts` that are not among `theirs`, which are sorted;
-    /// of the dead only those that the other side holds as not dead.
+    /// Sends the records of `parts` whose hashes are not in `theirs`, which is sorted.
+    /// Dead records are sent only if the other side holds the member as not dead.
     fn send_missing(
         &mut self,
         now: Time,
--- a/fireflycroft/src/roster.rs
+++ b/fireflycroft/src/roster.rs
@@ -1,9 +1,9 @@
 //! The table of members: records by index and by name, with their digests.
 //!
-//! Records fall into parts by a hash of the name. The digest of a part is the
-//! sum of its records' hashes, so that it does not depend on their order and
-//! is kept up to date record by record. Dead members count for nothing in it:
-//! each process forgets them in its own time.
+//! Records are divided into parts by a hash of the name. The digest of a part is the
+//! sum of its records' hashes, so that it does not depend on their order and can be
+//! updated record by record. Dead members are excluded, as each process forgets them
+//! at its own time.
 
 use crate::ids::{Digest, Name};
 use crate::member::MAX_MEMBERS;
@@ -13,40 +13,40 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Parts of the table that are compared one by one.
+/// Parts of the table that are compared separately.
 pub(crate) const PARTS: usize = 64;
 
-/// Names shared among records; the unused go when there are more.
+/// Interned names above which unused ones are removed.
 const MAX_INTERNED_NAMES: usize = 1_024;
 
-/// Bits below the name in a hash.
+/// Position of the name's bits in a record's hash.
 const NAME_SHIFT: u32 = 32;
 
-/// Index of a member in the roster.
+/// Index of a member in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct MemberIx(u32);
 
-/// Index of this process in its own roster.
+/// Index of this process in its own table.
 pub(crate) const OWN: MemberIx = MemberIx(0);
 
-/// A member as this process sees it.
+/// A member with its times and hashes.
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
     pub(crate) record: MemberRecord,
-    /// When this life of the member was learned of.
+    /// Time when this incarnation became known.
     pub(crate) first_seen: Time,
-    /// When it came into its present state and turn.
+    /// Time of the last change of state or revision.
     pub(crate) state_since: Time,
-    /// When a message of its own came last.
+    /// Time of the last message from the member.
     pub(crate) last_received: Option<Time>,
     name_hash: u32,
     state_hash: u32,
 }
 
-/// All members that are known.
+/// Table of all known members.
 #[derive(Clone, Debug)]
 pub(crate) struct Roster {
-    /// Slots in use and, where an index is vacant, what was there last.
+    /// Slots in use, and the former contents of vacant ones.
     slots: Vec<Slot>,
     vacant: Vec<MemberIx>,
     /// Indices in use, in order of name.
@@ -73,29 +73,29 @@
         }
     }
 
-    /// Part of the table that it falls into.
+    /// Returns the part of the table that the member belongs to.
     pub(crate) const fn part(&self) -> usize {
         self.name_hash as usize % PARTS
     }
 
-    /// Hash of its name, then of its life, turn and state.
+    /// Returns the hash of the name, then of incarnation, revision and state.
     pub(crate) const fn hash(&self) -> u64 {
         ((self.name_hash as u64) << NAME_SHIFT) | self.state_hash as u64
     }
 
-    /// Whether it is not dead.
+    /// Returns whether the member is not dead.
     pub(crate) fn is_present(&self) -> bool {
         self.record.state != MemberState::Dead
     }
 
-    /// Whether a message of its own came less than `span` ago.
+    /// Returns whether a message of the member arrived less than `span` ago.
     pub(crate) fn received_within(&self, now: Time, span: Duration) -> bool {
         self.last_received.is_some_and(|at| now.since(at) < span)
     }
 }
 
 impl Roster {
-    /// A roster that holds this process alone.
+    /// Creates a table that holds this process alone.
     pub(crate) fn new(own: MemberRecord) -> Self {
         let mut roster = Self {
             slots: Vec::new(),
@@ -108,7 +108,7 @@
         roster
     }
 
-    /// Members held, this process and the dead among them.
+    /// Returns the number of members, including this process and the dead.
     pub(crate) const fn len(&self) -> usize {
         self.by_name.len()
     }
@@ -125,7 +125,7 @@
         &self.get(OWN).record
     }
 
-    /// All members, in order of name.
+    /// Returns all members in order of name.
     pub(crate) fn indices(&self) -> impl Iterator<Item = MemberIx> {
         self.by_name.iter().copied()
     }
@@ -134,20 +134,20 @@
         self.by_name.iter().map(|ix| self.get(*ix))
     }
 
-    /// Member of that name.
+    /// Returns the member of that name.
     pub(crate) fn find(&self, name: &str) -> Option<MemberIx> {
         let at = self.position_of(name).ok()?;
         Some(self.by_name[at])
     }
 
-    /// Member at `addr` that is not dead, other than `except`.
+    /// Returns a member at `addr` that is not dead, other than `except`.
     pub(crate) fn holder_of(&self, addr: SocketAddr, except: Option<MemberIx>) -> Option<MemberIx> {
         self.indices()
             .filter(|ix| Some(*ix) != except)
             .find(|ix| self.get(*ix).is_present() && self.get(*ix).record.peer.addr == addr)
     }
 
-    /// Adds a member of a name that is not held; `None` when the table is full.
+    /// Adds a member; returns `None` when its name is held or the table is full.
     pub(crate) fn insert(&mut self, now: Time, record: MemberRecord) -> Option<MemberIx> {
         let at = self.position_of(&record.peer.name).err()?;
         if self.len() >= MAX_MEMBERS {
@@ -160,7 +160,7 @@
         Some(ix)
     }
 
-    /// Puts a later record of the same member in place.
+    /// Replaces a member's record by a later one.
     pub(crate) fn replace(&mut self, now: Time, ix: MemberIx, record: MemberRecord) {
         let record = self.intern_names(record);
         self.subtract_hash(ix);
@@ -178,19 +178,19 @@
         self.add_hash(ix);
     }
 
-    /// Forgets a member.
+    /// Removes a member.
     pub(crate) fn remove(&mut self, ix: MemberIx) {
         self.subtract_hash(ix);
         self.by_name.retain(|held| *held != ix);
         self.vacant.push(ix);
     }
 
-    /// Digest of all records.
+    /// Returns the digest of all records.
     pub(crate) fn view(&self) -> u64 {
         self.parts.iter().copied().fold(0, u64::wrapping_add)
     }
 
-    /// Digests of the parts.
+    /// Returns the digests of the parts.
     pub(crate) const fn parts(&self) -> &[u64; PARTS] {
         &self.parts
     }
@@ -229,7 +229,7 @@
         (slot.part(), hash)
     }
 
-    /// The record with names that other records hold as well.
+    /// Replaces a record's names by interned copies.
     fn intern_names(&mut self, mut record: MemberRecord) -> MemberRecord {
         if self.interned.len() >= MAX_INTERNED_NAMES {
             self.interned
@@ -249,7 +249,7 @@
     }
 }
 
-/// Whether a hash is one of the slot's member, in whatever state.
+/// Returns whether a hash belongs to the slot's member, in any state.
 pub(crate) const fn is_of_name(hash: u64, slot: &Slot) -> bool {
     hash >> NAME_SHIFT == slot.name_hash as u64
 }
