--- a/fireflycroft/src/compile.rs
+++ b/fireflycroft/src/compile.rs
@@ -1,10 +1,10 @@
-//! Checks a configuration whole and makes it ready for look-ups.
+//! Validation of a configuration and its compilation for look-ups.
 //!
-//! Items come one by one, as they lie in the parts, and only what look-ups
-//! need is kept, so that a process never holds a large document. The check
-//! goes on after a fault, so that an operator sees all of them at once; what
-//! is at fault is kept as far as it goes, so that one fault makes no others.
-//! Keys are never shown in a fault, as one may stand where its digest should.
+//! Items are read one by one as they are stored in the parts, and only what look-ups
+//! need is kept, so that a process never holds a large document. Validation continues
+//! after a fault, so that an operator sees all faults at once. Faulty items are kept as
+//! far as possible, so that one fault does not cause others. Keys are never shown in a
+//! fault, as a key may have been entered in place of its digest.
 
 use crate::config::{
     BrandEntry, BrandIx, CallRule, CallRules, Config, Document, WorkspaceEntry, WorkspaceIx,
@@ -23,9 +23,9 @@
 pub const MAX_WORKSPACES: usize = 200_000;
 /// Longest name, in bytes.
 pub const MAX_NAME: usize = 128;
-/// Requests that [`crate::Objective::per_mille`] counts in.
+/// Highest value of [`crate::Objective::per_mille`].
 const PER_MILLE_MAX: u32 = 1_000;
-/// Lists in the order in which their faults are told.
+/// Lists in the order in which their faults are reported.
 const FAULT_ORDER: [&str; 8] = [
     "brands",
     "workspaces",
@@ -37,16 +37,16 @@
     "objectives",
 ];
 
-/// One fault of an inventory or of rules.
+/// A fault in an inventory or in rules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigFault {
-    /// Where, such as `workspaces[3].brand`.
+    /// Path of the field, such as `workspaces[3].brand`.
     pub field: String,
-    /// What is wrong, with the value.
+    /// Description of the fault, with the value.
     pub text: String,
 }
 
-/// Checks `doc` whole and makes it ready for look-ups.
+/// Validates `doc` and compiles it for look-ups.
 ///
 /// # Errors
 ///
@@ -63,8 +63,7 @@
     compiler.finish(version, digest)
 }
 
-/// Checks the parts of a version and makes them ready for look-ups, part by
-/// part.
+/// Validates the parts of a version and compiles them for look-ups, part by part.
 ///
 /// # Errors
 ///
@@ -87,10 +86,10 @@
     }
 }
 
-/// A configuration under check.
+/// State of a compilation.
 #[derive(Default)]
 struct Compiler {
-    /// What is checked at the end, as it names things that may come later.
+    /// Items checked at the end, as they may refer to later items.
     deferred: Document,
     brand_ix: HashMap<Name, u32>,
     workspaces: Vec<WorkspaceEntry>,
@@ -203,7 +202,7 @@
         let non_repeatable = self.call_rules(&inventory, &rules);
         if self.workspaces.len() > MAX_WORKSPACES {
             let count = self.workspaces.len();
-            let detail = format!("{count} of them, at most {MAX_WORKSPACES}");
+            let detail = format!("{count} workspaces, at most {MAX_WORKSPACES}");
             self.add_fault_text("workspaces".to_owned(), detail);
         }
         if !self.faults.is_empty() {
@@ -250,7 +249,7 @@
         }
     }
 
-    /// Checks names that a list gives, each once.
+    /// Checks the names of a list and that each is used once.
     fn check_names<'a>(&mut self, list: &str, tail: &str, names: impl Iterator<Item = &'a Name>) {
         let mut seen = HashSet::new();
         for (i, name) in names.enumerate() {
@@ -262,7 +261,7 @@
         }
     }
 
-    /// Checks that a list names things that there are.
+    /// Checks that all names of a list are known.
     fn check_known(&mut self, field: &str, kind: &str, names: &[Name], known: &HashSet<&Name>) {
         for (j, name) in names.iter().enumerate() {
             if !known.contains(name) {
@@ -353,14 +352,14 @@
     }
 }
 
-/// Place of the list that a field is of.
+/// Returns the rank of a field's list in the order of faults.
 fn list_rank(field: &str) -> usize {
     let list = field.split('[').next().unwrap_or_default();
     let at = FAULT_ORDER.iter().position(|l| *l == list);
     at.unwrap_or(FAULT_ORDER.len())
 }
 
-/// A place in a list as it is kept; lists over the limit are refused anyhow.
+/// Converts an index to the stored type; longer lists are rejected in any case.
 fn to_index(i: usize) -> u32 {
     u32::try_from(i).unwrap_or(u32::MAX)
 }
--- a/fireflycroft/src/config.rs
+++ b/fireflycroft/src/config.rs
@@ -1,8 +1,8 @@
-//! The configuration in force: ready for look-ups, never going back.
+//! The active configuration: compiled for look-ups, with versions that only increase.
 //!
-//! `compile` makes a [`Config`] of a document. [`InForce`] keeps the highest version a process has seen. A lower one is
-//! not taken, whoever sends it; the same version with other content is a
-//! conflict, which keeps what is in force.
+//! `compile` turns a document into a [`Config`]. [`ActiveConfig`] keeps the highest
+//! version that a process has received. A lower version is rejected; the same version
+//! with other content is a conflict, and the active configuration is kept.
 
 use crate::ids::{Digest, Name};
 use crate::inventory::{Inventory, Objective, Rules, WithoutKey, find_objective};
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct BrandIx(pub(crate) u32);
 
-/// Inventory and rules as they are stored and carried.
+/// Inventory and rules, as stored and transferred.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
     /// The inventory.
@@ -31,10 +31,10 @@
     pub rules: Rules,
 }
 
-/// A checked configuration, ready for look-ups.
+/// A validated configuration, compiled for look-ups.
 #[derive(Debug)]
 pub struct Config {
-    /// Its version.
+    /// Version of the configuration.
     pub version: ConfigVersion,
     /// Digest of the document it was compiled from.
     pub digest: Digest,
@@ -50,15 +50,15 @@
     pub(crate) batch_wait: Duration,
 }
 
-/// A brand, ready for look-ups.
+/// A brand, compiled for look-ups.
 #[derive(Debug)]
 pub(crate) struct BrandEntry {
     pub(crate) name: Name,
-    /// Models and plain services that it may use.
+    /// Models and plain services that the brand may use.
     pub(crate) targets: HashSet<Name>,
 }
 
-/// A workspace, ready for look-ups.
+/// A workspace, compiled for look-ups.
 #[derive(Debug)]
 pub(crate) struct WorkspaceEntry {
     pub(crate) name: Name,
@@ -68,56 +68,57 @@
     pub(crate) tokens_per_minute: Option<u64>,
 }
 
-/// Calls of one target that may not be repeated.
+/// Calls to one target that must not be retried.
 #[derive(Debug, Default)]
 pub(crate) struct CallRules {
-    /// Those of every workspace.
+    /// Rules for every workspace.
     pub(crate) general: Vec<CallRule>,
-    /// Those of one workspace.
+    /// Rules for one workspace.
     pub(crate) own: HashMap<WorkspaceIx, Vec<CallRule>>,
 }
 
-/// Which calls of a target a rule is for.
+/// A pattern of calls to a target.
 #[derive(Debug)]
 pub(crate) struct CallRule {
     /// HTTP method; every method when absent.
     pub(crate) method: Option<Name>,
-    /// Head of the path; every path when absent.
+    /// Prefix of the path; every path when absent.
     pub(crate) path: Option<Name>,
 }
 
-/// Digest of a caller's key, as the inventory holds it.
+/// Returns the digest of a caller's key, as the inventory stores it.
 #[must_use]
 pub fn digest_key(key: &str) -> [u8; 32] {
     *blake3::hash(key.as_bytes()).as_bytes()
 }
 
 impl Config {
-    /// Workspace that holds the key of this digest.
+    /// Returns the workspace that has the key with this digest.
     #[must_use]
     pub fn workspace_of_key(&self, key_digest: &[u8; 32]) -> Option<WorkspaceIx> {
         self.by_key.get(key_digest).copied()
     }
 
-    /// Name of a workspace.
+    /// Returns the name of a workspace.
     #[must_use]
     pub fn workspace_name(&self, ix: WorkspaceIx) -> &Name {
         &self.workspaces[ix.0 as usize].name
     }
 
-    /// Name of a workspace's brand.
+    /// Returns the name of a workspace's brand.
     #[must_use]
     pub fn brand_name(&self, ix: WorkspaceIx) -> &Name {
         &self.brand_of(ix).name
     }
 
-    /// Whether the workspace's brand may use that model or plain service.
+    /// Returns whether the workspace's brand may use that model or plain service.
     #[must_use]
     pub fn may_use(&self, ix: WorkspaceIx, target: &str) -> bool {
         self.brand_of(ix).targets.contains(target)
     }
 
-    /// Priority of a request that asks for `asked`.
+    /// Returns the priority of a request: the requested or default one, limited to the
+    /// workspace's highest.
     #[must_use]
     pub fn priority(&self, ix: WorkspaceIx, requested: Option<Priority>) -> Priority {
         let workspace = &self.workspaces[ix.0 as usize];
@@ -126,13 +127,13 @@
             .min(workspace.highest)
     }
 
-    /// Tokens a minute that the workspace may use; `None` for no quota.
+    /// Returns the workspace's quota in tokens per minute; `None` if it has no quota.
     #[must_use]
     pub fn tokens_per_minute(&self, ix: WorkspaceIx) -> Option<u64> {
         self.workspaces[ix.0 as usize].tokens_per_minute
     }
 
-    /// Whether a rule forbids to repeat such a request.
+    /// Returns whether a rule forbids retrying such a request.
     #[must_use]
     pub fn is_non_retryable(
         &self,
@@ -149,13 +150,13 @@
         all.any(|rule| rule.matches(method, path))
     }
 
-    /// What becomes of a non-repeatable request without a key.
+    /// Returns the handling of non-retryable requests without an idempotency key.
     #[must_use]
     pub const fn without_key(&self) -> WithoutKey {
         self.without_key
     }
 
-    /// Longest wait before a request of that priority begins.
+    /// Returns the longest wait before a request of that priority starts.
     #[must_use]
     pub const fn max_wait(&self, priority: Priority) -> Duration {
         match priority {
@@ -164,24 +165,24 @@
         }
     }
 
-    /// Objective of a brand's requests of one priority.
+    /// Returns the objective for a brand's requests of one priority.
     #[must_use]
     pub fn objective(&self, brand: &str, priority: Priority) -> Option<&Objective> {
         find_objective(&self.objectives, brand, priority)
     }
 
-    /// Models with the number of engines that should hold each.
+    /// Returns the models, each with the number of engines that should hold it.
     pub fn models(&self) -> impl Iterator<Item = (&Name, u32)> {
         self.models.iter().map(|(name, replicas)| (name, *replicas))
     }
 
-    /// Whether that is a plain service.
+    /// Returns whether `target` is a plain service.
     #[must_use]
     pub fn is_service(&self, target: &str) -> bool {
         self.services.contains(target)
     }
 
-    /// Number of workspaces.
+    /// Returns the number of workspaces.
     #[must_use]
     pub fn workspaces(&self) -> usize {
         self.workspaces.len()
@@ -201,20 +202,20 @@
     }
 }
 
-/// What became of a configuration that was offered.
+/// Result of offering a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdoptOutcome {
-    /// It is in force now.
+    /// It is active now.
     Activated,
-    /// It was in force already.
+    /// It was active already.
     Unchanged,
-    /// It is lower than what is in force.
+    /// Its version is lower than the active one.
     Outdated,
-    /// It has the version in force, but other content.
+    /// It has the active version, but other content.
     Conflict,
 }
 
-/// The configuration in force at one process.
+/// The active configuration of one process.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveConfig {
     config: Option<Arc<Config>>,
@@ -222,19 +223,19 @@
 }
 
 impl ActiveConfig {
-    /// The configuration; `None` before the first.
+    /// Returns the configuration; `None` before the first.
     #[must_use]
     pub fn get(&self) -> Option<&Arc<Config>> {
         self.config.as_ref()
     }
 
-    /// Version in force; zero before the first.
+    /// Returns the active version; zero before the first.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
         self.config.as_ref().map_or(ConfigVersion(0), |c| c.version)
     }
 
-    /// Takes a configuration when it is higher than the one in force.
+    /// Activates a configuration if its version is higher than the active one.
     pub fn adopt(&mut self, config: Arc<Config>) -> AdoptOutcome {
         let held = self.version();
         if config.version < held {
@@ -253,13 +254,13 @@
         AdoptOutcome::Activated
     }
 
-    /// Notes that a peer holds `version`; true when this side is behind.
+    /// Records that a peer has `version`; returns whether this process is lagging.
     pub fn observe_version(&mut self, version: ConfigVersion) -> bool {
         self.highest_seen = self.highest_seen.max(version);
         self.is_lagging()
     }
 
-    /// Whether a higher version is known to be in force elsewhere.
+    /// Returns whether a higher version is known to be active elsewhere.
     #[must_use]
     pub fn is_lagging(&self) -> bool {
         self.highest_seen > self.version()
--- a/fireflycroft/src/config_transfer.rs
+++ b/fireflycroft/src/config_transfer.rs
@@ -1,12 +1,12 @@
-//! Carries configurations between peers, part by part.
+//! Transfer of configurations between peers, part by part.
 //!
-//! Part 0 is the head, part `n` the head's part `n - 1`. Whoever is behind
-//! pulls part 0, then the parts that it doesn't hold from its own version.
-//! Every part is checked against the head before it counts, and a version is
-//! handed out only when it is whole and higher than what is held.
+//! Part 0 is the head; part `n` is the head's part `n - 1`. A process whose version is
+//! out of date pulls part 0, then the parts that its own version lacks. Every part is
+//! checked against the head before it is accepted, and a version is returned only
+//! when it is complete and higher than the version held.
 //!
-//! Bounds: one version held and one being collected, each at most
-//! [`MAX_SNAPSHOT`] bytes; parts that both list are held once.
+//! One version is held and one collected at a time, each of at most [`MAX_SNAPSHOT`]
+//! bytes; parts listed by both are stored once.
 
 use crate::compile::{ConfigFault, compile_parts};
 use crate::config::{Config, Document};
@@ -19,54 +19,54 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Parts of lower versions in a row after which a collection is given up.
+/// Consecutive parts of lower versions after which a collection is given up.
 const MAX_LOWER_PARTS_IN_A_ROW: u32 = 3;
 
-/// One part as a peer sent it.
+/// A part as a peer sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedPart {
-    /// Version that it belongs to.
+    /// Version that the part belongs to.
     pub version: ConfigVersion,
-    /// Its number; 0 is the head.
+    /// Number of the part; 0 is the head.
     pub part: u32,
-    /// Parts in all, the head included.
+    /// Number of all parts, including the head.
     pub parts: u32,
     /// Digest of the whole.
     pub digest: Digest,
-    /// Its bytes.
+    /// Content of the part.
     pub data: Arc<[u8]>,
 }
 
-/// What became of a part.
+/// Result of receiving a part.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Progress {
     /// Pull this part next.
     Next(u32),
-    /// The version is whole; it is held and served from now on.
+    /// The version is complete; it is held and served from now on.
     Complete(Box<CompleteConfig>),
-    /// Not wanted: of a lower version, or there already.
+    /// The part is of a lower version, or present already.
     Ignored,
-    /// Not what it says it is; nothing was taken.
+    /// The part does not match its head or limits; nothing was accepted.
     Invalid(SnapshotError),
 }
 
-/// A version that came whole.
+/// A version with all its parts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompleteConfig {
     /// The head.
     pub head: Head,
-    /// The parts, shared with the carrier.
+    /// The parts, shared with the transfer.
     pub parts: Vec<Part>,
 }
 
 impl CompleteConfig {
-    /// Its version.
+    /// Returns the version.
     #[must_use]
     pub const fn version(&self) -> ConfigVersion {
         self.head.config_version()
     }
 
-    /// Makes it ready for look-ups, part by part.
+    /// Compiles the version for look-ups, part by part.
     ///
     /// # Errors
     ///
@@ -75,7 +75,7 @@
         compile_parts(&self.head, &self.parts)
     }
 
-    /// The document that the parts make, all at once.
+    /// Assembles the whole document.
     ///
     /// # Errors
     ///
@@ -85,28 +85,28 @@
     }
 }
 
-/// A version with all its parts, as a node shows it to operators.
+/// A version with all its parts, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigBundle {
     /// The head.
     pub head: Head,
-    /// The parts' bytes as text, in order.
+    /// Contents of the parts as text, in order.
     pub parts: Vec<String>,
 }
 
 impl ConfigBundle {
-    /// The document that the parts make.
+    /// Assembles the document.
     ///
     /// # Errors
     ///
-    /// Parts that are not what the head lists.
+    /// Parts that are not those that the head lists.
     pub fn document(&self) -> Result<Document, SnapshotError> {
         let parts: Vec<Part> = self.parts.iter().map(|p| Part::new(p.as_bytes())).collect();
         assemble(&self.head, &parts)
     }
 }
 
-/// Holds the parts of one version for peers, and collects a higher one.
+/// Holds one version to serve to peers, and collects a higher one.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigTransfer {
     held: Option<Held>,
@@ -126,12 +126,12 @@
     head_data: Arc<[u8]>,
     parts: Vec<Option<Part>>,
     bytes: usize,
-    /// Parts of lower versions that came since one of this version.
+    /// Parts of lower versions since the last part of this or a higher one.
     lower_in_a_row: u32,
 }
 
 impl ConfigTransfer {
-    /// Version held and served; zero before the first.
+    /// Returns the version held and served; zero before the first.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
         self.held
@@ -139,20 +139,20 @@
             .map_or(ConfigVersion(0), |h| h.head.config_version())
     }
 
-    /// The head held.
+    /// Returns the head held.
     #[must_use]
     pub fn head(&self) -> Option<&Head> {
         self.held.as_ref().map(|h| &h.head)
     }
 
-    /// Part of that name, if it is held; saves to fetch it again.
+    /// Returns the part of that name if it is held, so that it need not be fetched again.
     #[must_use]
     pub fn part(&self, name: &PartName) -> Option<&Part> {
         let held = self.held.as_ref()?;
         held.parts.iter().find(|p| p.name == *name)
     }
 
-    /// The version held with all its parts, for operators.
+    /// Returns the version held with all its parts, for operators.
     #[must_use]
     pub fn bundle(&self) -> Option<ConfigBundle> {
         let held = self.held.as_ref()?;
@@ -163,7 +163,7 @@
         })
     }
 
-    /// Bytes held and being collected.
+    /// Returns the number of bytes held and being collected.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let held = self.held.as_ref().map_or(0, Held::bytes);
@@ -171,12 +171,12 @@
         held + collecting
     }
 
-    /// Holds and serves a version that was read from the platform; gives it
-    /// back when it is higher than what is held.
+    /// Holds and serves a version read from the platform; returns it if it is higher than
+    /// the version held.
     ///
     /// # Errors
     ///
-    /// Parts that are not what the head lists.
+    /// Parts that are not those that the head lists.
     pub fn install(
         &mut self,
         head: Head,
@@ -190,8 +190,8 @@
         Ok(Some(self.activate(head, head_data, parts)))
     }
 
-    /// Answer to a peer that holds `have` and wants `part`; `None` when
-    /// nothing higher is held or there is no such part.
+    /// Returns the answer to a peer that has version `have` and requests `part`; `None` if
+    /// no higher version is held or the part does not exist.
     #[must_use]
     pub fn serve(&self, have: ConfigVersion, part: u32) -> Option<Message> {
         let held = self.held.as_ref()?;
@@ -211,7 +211,7 @@
         })
     }
 
-    /// Part to pull next; the head when nothing is being collected.
+    /// Returns the part to pull next; the head if no version is being collected.
     #[must_use]
     pub fn next_part(&self) -> u32 {
         self.collecting
@@ -220,12 +220,12 @@
             .unwrap_or(0)
     }
 
-    /// Gives up what is being collected, when its peer fell silent.
+    /// Gives up the current collection, as its peer stopped answering.
     pub fn abandon(&mut self) {
         self.collecting = None;
     }
 
-    /// Takes a part that a peer sent.
+    /// Handles a part that a peer sent.
     pub fn on_part(&mut self, part: &ReceivedPart) -> Progress {
         if part.version <= self.version() || self.is_superseded(part) {
             return Progress::Ignored;
@@ -245,8 +245,8 @@
         }
     }
 
-    /// Whether a higher version than the part's is being collected. When only
-    /// lower ones come, nobody has that version any more and it is given up.
+    /// Returns whether a higher version than the part's is being collected. After several
+    /// lower ones in a row no peer has that version any more, and it is given up.
     fn is_superseded(&mut self, part: &ReceivedPart) -> bool {
         let Some(collecting) = &mut self.collecting else {
             return false;
@@ -269,7 +269,7 @@
             .map_or(ConfigVersion(0), |c| c.head.config_version())
     }
 
-    /// Begins to collect the version of that head.
+    /// Begins to collect the version of this head.
     fn begin(&mut self, part: &ReceivedPart) -> Result<bool, SnapshotError> {
         let head: Head = serde_json::from_slice(&part.data)
             .map_err(|e| SnapshotError::Malformed(e.to_string()))?;
@@ -293,7 +293,7 @@
         Ok(true)
     }
 
-    /// Parts that `head` lists and that are held or were collected already.
+    /// Returns the parts that `head` lists and that are held or already collected.
     fn available_parts(&self, head: &Head) -> Vec<Option<Part>> {
         let own = self.held.iter().flat_map(|h| h.parts.iter());
         let collected = self
@@ -305,8 +305,8 @@
         head.parts.iter().map(find).collect()
     }
 
-    /// Takes one part of the version being collected. A part of a higher
-    /// version asks for the head of that one.
+    /// Accepts a part of the version being collected. A part of a higher version ends the
+    /// collection, so that the head of that version is pulled next.
     fn collect(&mut self, part: &ReceivedPart) -> Result<bool, SnapshotError> {
         let Some(collecting) = &mut self.collecting else {
             return Ok(true);
@@ -318,7 +318,7 @@
         collecting.fill(part)
     }
 
-    /// Says what to pull next, or takes the version when it is whole.
+    /// Returns the part to pull next, or activates the version if it is complete.
     fn advance(&mut self) -> Progress {
         let Some(collecting) = self.collecting.take_if(|c| c.missing().is_none()) else {
             return Progress::Next(self.next_part());
@@ -353,13 +353,13 @@
 }
 
 impl Collecting {
-    /// Number of the first part that is missing.
+    /// Returns the number of the first missing part.
     fn missing(&self) -> Option<u32> {
         let at = self.parts.iter().position(Option::is_none)?;
         u32::try_from(at).ok()?.checked_add(1)
     }
 
-    /// Fills the place of `part`; false when it was filled.
+    /// Stores `part`; returns false if it is present already.
     fn fill(&mut self, part: &ReceivedPart) -> Result<bool, SnapshotError> {
         let at = part.part.saturating_sub(1) as usize;
         let (Some(slot), Some(name)) = (self.parts.get_mut(at), self.head.parts.get(at)) else {
@@ -386,5 +386,5 @@
     Ok(Arc::from(json))
 }
 
-// The head must itself fit a part.
+// The head must itself fit in a part.
 const _: () = assert!(MAX_PARTS * 67 + MAX_PAST * 256 + 4_096 < MAX_PART);
--- a/fireflycroft/src/diff.rs
+++ b/fireflycroft/src/diff.rs
@@ -1,7 +1,7 @@
-//! What differs between two configurations, for operators to read.
+//! Differences between two configurations, for operators to read.
 //!
-//! Items are matched by name; their order doesn't count. Keys are shown by
-//! the head of their digest only.
+//! Items are matched by name; their order is ignored. Keys are shown by a prefix of
+//! their digest.
 
 use crate::config::Document;
 use crate::ids::Name;
@@ -15,7 +15,7 @@
 /// Digits of a key's digest that are shown.
 const SHOWN_KEY_DIGITS: usize = 12;
 
-/// What kind of item a change is about.
+/// Kind of item that a change concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Subject {
@@ -33,7 +33,7 @@
     Priority,
     /// A workspace's quota.
     Quota,
-    /// A call that may not be repeated.
+    /// A call that must not be retried.
     #[serde(rename = "non_repeatable")]
     NonRetryable,
     /// An objective.
@@ -42,44 +42,44 @@
     Setting,
 }
 
-/// How an item differs.
+/// Difference of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// It is new; what it holds.
+    /// The item is new; its content.
     Added(String),
-    /// It is gone; what it held.
+    /// The item is gone; its former content.
     Removed(String),
-    /// It holds something else.
+    /// The content changed.
     Changed {
-        /// What it held.
+        /// Former content.
         from: String,
-        /// What it holds.
+        /// New content.
         to: String,
     },
 }
 
-/// One item that differs.
+/// An item that differs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Difference {
-    /// What kind of item.
+    /// Kind of the item.
     pub subject: Subject,
-    /// Its name; for a key the workspace and the head of the digest.
+    /// Name of the item; for a key the workspace and the prefix of the digest.
     pub name: String,
-    /// How it differs.
+    /// Difference of the item.
     #[serde(flatten)]
     pub change: Change,
 }
 
-/// All that differs between two configurations.
+/// All differences between two configurations.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Diff {
-    /// The items, in order of subject and name.
+    /// Items in order of subject and name.
     pub items: Vec<Difference>,
 }
 
 impl Diff {
-    /// What has to be done to `from` to get `to`.
+    /// Returns the changes that turn `from` into `to`.
     #[must_use]
     pub fn between(from: &Document, to: &Document) -> Self {
         let mut items = Vec::new();
@@ -94,13 +94,13 @@
         Self { items }
     }
 
-    /// Whether nothing differs.
+    /// Returns whether nothing differs.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Number of items added, changed and removed.
+    /// Returns the numbers of items added, changed and removed.
     #[must_use]
     pub fn counts(&self) -> [usize; 3] {
         let mut counts = [0; 3];
@@ -161,7 +161,7 @@
 }
 
 impl Subject {
-    /// Every subject, in the order of a diff.
+    /// All subjects, in the order of a diff.
     pub const ALL: [Self; 10] = [
         Self::Brand,
         Self::Model,
@@ -176,7 +176,7 @@
     ];
 }
 
-/// What follows a name, after a colon unless there is nothing.
+/// Details after a name, preceded by a colon unless empty.
 struct Details<'a>(&'a str);
 
 impl fmt::Display for Details<'_> {
@@ -188,7 +188,7 @@
     }
 }
 
-/// Items of one subject by name, with what they hold as text.
+/// Items of one subject by name, with their contents as text.
 type Entries = BTreeMap<String, String>;
 
 fn compare(subject: Subject, from: &Entries, to: &Entries, items: &mut Vec<Difference>) {
@@ -255,7 +255,7 @@
     }
 }
 
-/// Collects items; those of the same name are numbered.
+/// Collects items; numbers those with the same name.
 fn collect(items: impl Iterator<Item = (String, String)>) -> Entries {
     let mut entries = Entries::new();
     for (name, details) in items {
@@ -286,7 +286,7 @@
     collect(all.map(|(workspace, digest)| (format!("{workspace} {digest}"), String::new())))
 }
 
-/// Cuts a key's digest, by which keys are matched, to the head that is shown.
+/// Shortens a key's digest, by which keys are matched, to the prefix that is shown.
 fn display_name(subject: Subject, name: &str) -> String {
     let Some((workspace, digest)) = name.rsplit_once(' ').filter(|_| subject == Subject::Key)
     else {
--- a/fireflycroft/src/inventory.rs
+++ b/fireflycroft/src/inventory.rs
@@ -1,4 +1,4 @@
-//! What operators write: the inventory and the rules, as serialised.
+//! The inventory and the rules as operators write them.
 
 use crate::ids::Name;
 use crate::work::Priority;
@@ -22,40 +22,40 @@
     pub services: Vec<Name>,
 }
 
-/// One brand.
+/// A brand.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Brand {
     /// Name of the brand.
     pub name: Name,
-    /// Models that it may use.
+    /// Models that the brand may use.
     #[serde(default)]
     pub models: Vec<Name>,
-    /// Plain services that it may use.
+    /// Plain services that the brand may use.
     #[serde(default)]
     pub services: Vec<Name>,
 }
 
-/// One workspace.
+/// A workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
     /// Name of the workspace.
     pub name: Name,
-    /// Brand that it belongs to.
+    /// Brand that the workspace belongs to.
     pub brand: Name,
-    /// BLAKE3 digests of its keys, 64 hexadecimal digits each.
+    /// BLAKE3 digests of the workspace's keys, 64 hexadecimal digits each.
     #[serde(default)]
     pub key_digests: Vec<Name>,
 }
 
-/// One model version.
+/// A model version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
     /// Name with version, as callers and engines use it.
     pub name: Name,
-    /// Engines that should hold it.
+    /// Number of engines that should hold the model.
     #[serde(default)]
     pub replicas: u32,
 }
@@ -64,19 +64,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Priority of workspaces whose requests name none.
+    /// Default and highest priorities of workspaces.
     pub priorities: Vec<PriorityRule>,
     /// Quotas of workspaces.
     pub quotas: Vec<Quota>,
-    /// Calls that may never be repeated.
+    /// Calls that must never be retried.
     pub non_repeatable: Vec<NonRetryable>,
-    /// What becomes of a non-repeatable request without a key.
+    /// Handling of non-retryable requests without an idempotency key.
     pub without_key: WithoutKey,
-    /// Longest wait before an interactive request begins, in milliseconds.
+    /// Longest wait before an interactive request starts, in milliseconds.
     pub interactive_wait_ms: u64,
-    /// Longest wait before a batch request begins, in milliseconds.
+    /// Longest wait before a batch request starts, in milliseconds.
     pub batch_wait_ms: u64,
-    /// Objectives by brand, for the burn report.
+    /// Objectives of brands, for the error budget report.
     pub objectives: Vec<Objective>,
 }
 
@@ -95,8 +95,8 @@
 }
 
 impl Rules {
-    /// Objective of a brand's requests of one priority: its own, or else the
-    /// general one.
+    /// Returns the objective for a brand's requests of one priority: the brand's own, or
+    /// else the general one.
     #[must_use]
     pub fn objective(&self, brand: &str, priority: Priority) -> Option<&Objective> {
         find_objective(&self.objectives, brand, priority)
@@ -123,9 +123,9 @@
 pub struct PriorityRule {
     /// Workspace that the rule is for.
     pub workspace: Name,
-    /// Priority of its requests unless they name one.
+    /// Priority of requests that name none.
     pub default: Priority,
-    /// Highest priority that its requests may name.
+    /// Highest priority that requests may name.
     pub highest: Priority,
 }
 
@@ -135,11 +135,11 @@
 pub struct Quota {
     /// Workspace that the quota is for.
     pub workspace: Name,
-    /// Tokens, of prompt and answer, in a minute.
+    /// Tokens of prompts and answers per minute.
     pub tokens_per_minute: u64,
 }
 
-/// A call, or a workspace's generations, that may never be repeated.
+/// A call, or a workspace's generations, that must never be retried.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NonRetryable {
@@ -148,7 +148,7 @@
     /// HTTP method; every method when absent.
     #[serde(default)]
     pub method: Option<Name>,
-    /// Head of the path; every path when absent.
+    /// Prefix of the path; every path when absent.
     #[serde(default)]
     pub path: Option<Name>,
     /// Workspace; every workspace when absent.
@@ -156,14 +156,14 @@
     pub workspace: Option<Name>,
 }
 
-/// What becomes of a non-repeatable request without a key.
+/// Handling of non-retryable requests without an idempotency key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WithoutKey {
-    /// Refuse it as not run.
+    /// Reject the request; it was not run.
     #[default]
     Refuse,
-    /// Run it once and never retry; a caller's re-send runs again.
+    /// Run the request once and never retry it; a caller's own retry runs it again.
     RunOnce,
 }
 
@@ -176,11 +176,11 @@
     pub brand: Option<Name>,
     /// Priority that the objective is for.
     pub priority: Priority,
-    /// First token within this many milliseconds.
+    /// Longest time to the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Time between tokens within this many milliseconds.
+    /// Longest time between tokens, in milliseconds.
     pub between_tokens_ms: u64,
-    /// Requests in a thousand that must meet both.
+    /// Requests per thousand that must meet both limits.
     pub per_mille: u32,
 }
 
--- a/fireflycroft/src/snapshot.rs
+++ b/fireflycroft/src/snapshot.rs
@@ -1,14 +1,13 @@
-//! A configuration as it is stored and carried: a head and its parts.
+//! Storage format of a configuration: a head and its parts.
 //!
-//! A document is written as one list of items, which is cut into parts. A cut
-//! falls where the digest of an item's name says so, not at a fixed number of
-//! items, so that an item added, changed or removed rewrites the part around
-//! it and leaves the others as they are. Each part is immutable and named by
-//! the digest of its bytes; the head lists the names in order. Whoever holds
-//! parts of an earlier version therefore fetches only what changed.
+//! A document is written as one list of items, which is cut into parts. The digest of
+//! an item's name determines whether a part ends there, so that adding, changing or
+//! removing an item rewrites the part around it and leaves the others unchanged. Each
+//! part is immutable and named by the digest of its bytes; the head lists the names in
+//! order. A process that holds an earlier version therefore fetches only what changed.
 //!
-//! Parts travel as the very bytes that were cut, on the platform within a
-//! JSON string, so that their digest doesn't hang on how a store writes JSON.
+//! Parts are transferred byte for byte, on the platform within a JSON string, so that
+//! their digest does not depend on how a store formats JSON.
 
 use crate::config::Document;
 use crate::ids::{Digest, Name};
@@ -24,26 +23,26 @@
 
 /// Kind of the platform's objects that hold parts.
 pub const PART_KIND: &str = "config-part";
-/// Kind of the platform's objects that hold heads of the past, by token.
+/// Kind of the platform's objects that hold earlier heads, by token.
 pub const PAST_KIND: &str = "config-past";
 /// Kind of the platform's object that holds the head.
 pub const HEAD_KIND: &str = "config";
 /// Name of the platform's object that holds the head.
 pub const HEAD_NAME: &str = "head";
-/// Most earlier writes that a head names.
+/// Most earlier writes listed in a head.
 pub const MAX_PAST: usize = 16;
 
-/// Bytes below which a part is not cut, so that a small fleet has one part.
+/// Shortest part before a cut, in bytes, so that a small fleet has one part.
 const MIN_PART_BYTES: usize = 16 * 1024;
-/// Of so many items beyond the least size, one ends a part.
+/// Above the minimum size, one in this many items ends a part.
 const ITEMS_PER_CUT: u16 = 128;
 
 /// One immutable part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Its name.
+    /// Name of the part.
     pub name: PartName,
-    /// Its bytes: a JSON list of items.
+    /// Content: a JSON list of items.
     pub data: Arc<[u8]>,
 }
 
@@ -56,26 +55,26 @@
     pub parts: Vec<Part>,
 }
 
-/// The one object that says which parts are in force.
+/// The object that lists the parts of the active version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Version of the configuration, which only grows.
+    /// Version of the configuration; it only increases.
     pub version: u64,
     /// Digest of the whole.
     #[serde(with = "digest_hex")]
     pub digest: Digest,
     /// Names of the parts, in order.
     pub parts: Vec<PartName>,
-    /// When it was written, in milliseconds since 1970.
+    /// Time of the write, in milliseconds since 1970.
     #[serde(default)]
     pub at: u64,
-    /// Who wrote it.
+    /// Author of the write.
     #[serde(default)]
     pub by: Name,
-    /// Token of the write, by which its writer knows it again.
+    /// Token by which the author recognises the write.
     #[serde(default)]
     pub token: Name,
-    /// Writes before this one, the latest first; at most [`MAX_PAST`].
+    /// Earlier writes, the latest first; at most [`MAX_PAST`].
     #[serde(default)]
     pub past: Vec<EarlierWrite>,
 }
@@ -83,28 +82,28 @@
 /// An earlier write of the head.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EarlierWrite {
-    /// Version that it put in force.
+    /// Version that the write activated.
     pub version: u64,
-    /// Its token.
+    /// Token of the write.
     pub token: Name,
 }
 
-/// What a head that is read after a write tells of that write.
+/// Outcome of a write, as far as a head read after it shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It is in force.
+    /// The write is active.
     Active,
-    /// It was in force and has been replaced.
+    /// The write was active and has been replaced.
     Replaced,
-    /// Another write took its place; it never was in force.
+    /// Another write took effect instead; this one was never active.
     Lost,
-    /// Nothing was written since; it may yet take effect.
+    /// Nothing was written since; the write may still take effect.
     Pending,
-    /// The head can't tell: it went too far on, or back to an older state.
+    /// The head does not show it: too many writes followed, or an older state was restored.
     Unknown,
 }
 
-/// One item of a document.
+/// An item of a document.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Item {
@@ -116,7 +115,7 @@
     Model(Model),
     /// A plain service.
     Service(Name),
-    /// A call that may not be repeated.
+    /// A call that must not be retried.
     #[serde(rename = "non_repeatable")]
     NonRetryable(NonRetryable),
     /// An objective.
@@ -137,11 +136,11 @@
     batch_wait_ms: u64,
 }
 
-/// Cuts `doc` into parts; the same document gives the same parts.
+/// Cuts `doc` into parts; the same document always gives the same parts.
 ///
 /// # Errors
 ///
-/// An item over [`MAX_PART`], or a whole over [`MAX_PARTS`] or [`MAX_SNAPSHOT`].
+/// An item over [`MAX_PART`], or a document over [`MAX_PARTS`] or [`MAX_SNAPSHOT`].
 pub fn split(doc: &Document) -> Result<Snapshot, SnapshotError> {
     let mut builder = PartBuilder::default();
     for item in items(doc) {
@@ -156,12 +155,12 @@
     Ok(Snapshot { digest, parts })
 }
 
-/// Puts a document together from the parts that `head` lists, in its order.
+/// Assembles a document from the parts that `head` lists, in its order.
 ///
 /// # Errors
 ///
-/// Parts that are missing, too many, in another order or not what they are
-/// named, and a head whose digest is not that of its list.
+/// Parts that are missing, surplus, in another order or not those of their names, and a
+/// head whose digest is not that of its list.
 pub fn assemble(head: &Head, parts: &[Part]) -> Result<Document, SnapshotError> {
     check_parts(head, parts)?;
     let mut doc = Document::default();
@@ -177,12 +176,12 @@
 ///
 /// # Errors
 ///
-/// As [`assemble`], but for parts that can't be read.
+/// As [`assemble`], except for parts that can't be read.
 pub(crate) fn check_parts(head: &Head, parts: &[Part]) -> Result<(), SnapshotError> {
     head.check()?;
     if parts.len() != head.parts.len() {
         return Err(SnapshotError::PartCount {
-            wanted: head.parts.len(),
+            listed: head.parts.len(),
             given: parts.len(),
         });
     }
@@ -195,7 +194,7 @@
     }
 }
 
-/// Items of a part.
+/// Reads the items of a part.
 ///
 /// # Errors
 ///
@@ -205,7 +204,7 @@
 }
 
 impl Part {
-    /// Part of these bytes.
+    /// Creates a part of these bytes.
     #[must_use]
     pub fn new(data: impl Into<Arc<[u8]>>) -> Self {
         let data = data.into();
@@ -215,17 +214,17 @@
         }
     }
 
-    /// Value that the platform holds for the part.
+    /// Returns the value that the platform stores for the part.
     ///
     /// # Errors
     ///
-    /// Bytes that are no text.
+    /// Bytes that are not UTF-8.
     pub fn to_value(&self) -> Result<Value, SnapshotError> {
         let text = std::str::from_utf8(&self.data).map_err(malformed)?;
         Ok(Value::String(text.to_owned()))
     }
 
-    /// Part of the value that the platform holds under `name`.
+    /// Returns the part that the platform stores under `name`.
     ///
     /// # Errors
     ///
@@ -233,18 +232,20 @@
     pub fn from_value(name: PartName, value: &Value) -> Result<Self, SnapshotError> {
         let text = value
             .as_str()
-            .ok_or_else(|| malformed("the value of a part is no string"))?;
+            .ok_or_else(|| malformed("the value of a part is not a string"))?;
         let part = Self::new(text.as_bytes());
         if part.name == name {
             Ok(part)
         } else {
-            Err(malformed(format!("part {name} holds other content")))
+            Err(malformed(format!(
+                "the content of part {name} does not match its name"
+            )))
         }
     }
 }
 
 impl Snapshot {
-    /// Head that puts this snapshot in force as `version`.
+    /// Creates the head that activates this snapshot as `version`.
     #[must_use]
     pub fn head(&self, version: ConfigVersion, at: u64, by: Name, token: Name) -> Head {
         Head {
@@ -258,7 +259,7 @@
         }
     }
 
-    /// Bytes of all parts.
+    /// Returns the number of bytes of all parts.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.parts.iter().map(|p| p.data.len()).sum()
@@ -266,13 +267,13 @@
 }
 
 impl Head {
-    /// Version of the configuration.
+    /// Returns the version of the configuration.
     #[must_use]
     pub const fn config_version(&self) -> ConfigVersion {
         ConfigVersion(self.version)
     }
 
-    /// This head as the one that follows `base`.
+    /// Returns this head with the history of a write over `base`.
     #[must_use]
     pub fn after(mut self, base: Option<&Self>) -> Self {
         let Some(base) = base else { return self };
@@ -285,8 +286,8 @@
         self
     }
 
-    /// What `now`, read after this head was written over `base`, tells of
-    /// that write.
+    /// Returns the outcome of writing this head over `base`, given the head `now` read
+    /// afterwards.
     #[must_use]
     pub fn write_outcome(&self, base: Option<&Self>, now: Option<&Self>) -> WriteOutcome {
         let Some(now) = now else {
@@ -311,12 +312,12 @@
         }
     }
 
-    /// Whether the write with this token is among those before this one.
+    /// Returns whether the write with this token precedes this head.
     fn follows(&self, token: &Name) -> bool {
         self.past.iter().any(|w| w.token == *token)
     }
 
-    /// Checks that the digest is that of the list, and the list not too long.
+    /// Checks that the digest is that of the list, and that the list is not too long.
     ///
     /// # Errors
     ///
@@ -332,7 +333,7 @@
     }
 }
 
-/// Fills parts with items and cuts where an item's name says so.
+/// Builds parts from items, ending each at an item whose name is a boundary.
 #[derive(Default)]
 struct PartBuilder {
     parts: Vec<Part>,
@@ -395,7 +396,7 @@
     u16::from_le_bytes([low, high]) % ITEMS_PER_CUT == 0
 }
 
-/// Items of a document, in the order in which they are cut.
+/// Returns the items of a document in the order in which they are cut.
 pub(crate) fn items(doc: &Document) -> impl Iterator<Item = Item> {
     let Document { inventory, rules } = doc;
     let settings = Settings {
@@ -414,7 +415,7 @@
         .chain(rules.quotas.iter().cloned().map(Item::Quota))
 }
 
-/// Puts an item in its place.
+/// Adds an item to its list in the document.
 pub(crate) fn add_item(doc: &mut Document, item: Item) {
     let Document { inventory, rules } = doc;
     match item {
@@ -441,7 +442,7 @@
     Digest::of(&names)
 }
 
-/// A digest as 32 hexadecimal digits.
+/// Serialises a digest as 32 hexadecimal digits.
 mod digest_hex {
     use crate::ids::Digest;
     use serde::{Deserialize, Deserializer, Serializer};
--- a/fireflycroft/src/snapshot_error.rs
+++ b/fireflycroft/src/snapshot_error.rs
@@ -1,9 +1,9 @@
-//! Limits of a configuration as it is stored and carried, and what is wrong with one.
+//! Limits of stored and transferred configurations, and errors in them.
 
 use crate::ids::Name;
 use std::fmt;
 
-/// Most bytes of one part; within a JSON string at most twice as many.
+/// Most bytes of one part; as a JSON string it takes at most twice as many.
 pub const MAX_PART: usize = 500 * 1024;
 
 /// Most parts of one configuration.
@@ -12,28 +12,28 @@
 /// Most bytes of all parts of one configuration.
 pub const MAX_SNAPSHOT: usize = 64 * 1024 * 1024;
 
-/// Why a document can't be cut, or parts make no document.
+/// Error in cutting a document or assembling parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
     /// One item is larger than a part may be.
     ItemTooLarge {
         /// Name of the item.
         item: Name,
-        /// Its bytes.
+        /// Size of the item in bytes.
         bytes: usize,
     },
-    /// More parts or bytes than the limits.
+    /// The parts or bytes exceed a limit.
     TooLarge,
-    /// The head's digest is not that of its parts.
+    /// The head's digest does not match its list of parts.
     HeadDigest,
-    /// Not as many parts as the head lists.
+    /// The number of parts is not that of the head's list.
     PartCount {
         /// Parts that the head lists.
-        wanted: usize,
+        listed: usize,
         /// Parts given.
         given: usize,
     },
-    /// The bytes at this place are not the part that the head lists there.
+    /// The part at this index is not the one that the head lists.
     WrongPart(usize),
     /// The part or head can't be read.
     Malformed(String),
@@ -43,25 +43,25 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::ItemTooLarge { item, bytes } => {
-                write!(f, "{item:?} takes {bytes} bytes, at most {MAX_PART}")
+                write!(f, "item {item:?} has {bytes} bytes, at most {MAX_PART}")
             }
             Self::TooLarge => write!(
                 f,
-                "the configuration is over {MAX_PARTS} parts or {MAX_SNAPSHOT} bytes"
+                "the configuration exceeds {MAX_PARTS} parts or {MAX_SNAPSHOT} bytes"
             ),
-            Self::HeadDigest => f.write_str("the head's digest is not that of its parts"),
-            Self::PartCount { wanted, given } => {
-                write!(f, "{given} parts given, {wanted} wanted")
+            Self::HeadDigest => f.write_str("the head's digest does not match its parts"),
+            Self::PartCount { listed, given } => {
+                write!(f, "{given} parts given, the head lists {listed}")
             }
-            Self::WrongPart(i) => write!(f, "part {i} is not what the head lists"),
-            Self::Malformed(why) => write!(f, "unreadable: {why}"),
+            Self::WrongPart(i) => write!(f, "part {i} is not the one that the head lists"),
+            Self::Malformed(why) => write!(f, "malformed part or head: {why}"),
         }
     }
 }
 
 impl std::error::Error for SnapshotError {}
 
-/// What can't be read, and why.
+/// Returns an error about an unreadable part or head.
 pub(crate) fn malformed(why: impl fmt::Display) -> SnapshotError {
     SnapshotError::Malformed(why.to_string())
 }
