--- a/fireflycroft/examples/config_cost.rs
+++ b/fireflycroft/examples/config_cost.rs
@@ -16,24 +16,24 @@
 use std::time::Instant;
 
 /// Workspaces of each brand.
-const PER_BRAND: usize = 3_200;
+const WORKSPACES_PER_BRAND: usize = 3_200;
 /// Changes of one workspace that are tried.
-const CHANGES: usize = 50;
+const SAMPLED_CHANGES: usize = 50;
 
 fn main() -> Result<(), Box<dyn Error>> {
     let args: Vec<String> = std::env::args().skip(1).collect();
     match args.iter().map(String::as_str).collect::<Vec<_>>()[..] {
-        ["make", workspaces, path] => make(workspaces.parse()?, path),
-        ["take", path] => take(path),
+        ["make", workspaces, path] => make_snapshot(workspaces.parse()?, path),
+        ["take", path] => load_snapshot(path),
         _ => Err("config_cost make WORKSPACES FILE | take FILE".into()),
     }
 }
 
-fn make(workspaces: usize, path: &str) -> Result<(), Box<dyn Error>> {
+fn make_snapshot(workspaces: usize, path: &str) -> Result<(), Box<dyn Error>> {
     let mut doc = document(workspaces);
-    let began = Instant::now();
+    let started = Instant::now();
     let snapshot = split(&doc)?;
-    let split_ms = began.elapsed().as_secs_f64() * 1e3;
+    let split_ms = started.elapsed().as_secs_f64() * 1e3;
     let largest = snapshot.parts.iter().map(|p| p.data.len()).max();
     let head = snapshot.head(ConfigVersion(1), 0, "cost".into(), "cost".into());
     let head = serde_json::to_string(&head)?;
@@ -54,8 +54,8 @@
     Ok(f.flush()?)
 }
 
-fn take(path: &str) -> Result<(), Box<dyn Error>> {
-    let before = resident("VmRSS:");
+fn load_snapshot(path: &str) -> Result<(), Box<dyn Error>> {
+    let before = status_bytes("VmRSS:");
     let mut lines = BufReader::new(File::open(path)?).lines();
     let head: Head = serde_json::from_str(&lines.next().ok_or("empty file")??)?;
     let mut parts = Vec::new();
@@ -63,21 +63,21 @@
         parts.push(Part::new(line?.into_bytes()));
     }
     let mut transfer = ConfigTransfer::default();
-    let began = Instant::now();
+    let started = Instant::now();
     let whole = transfer.install(head, parts)?.ok_or("not held")?;
-    let held_ms = began.elapsed().as_secs_f64() * 1e3;
-    let began = Instant::now();
+    let held_ms = started.elapsed().as_secs_f64() * 1e3;
+    let started = Instant::now();
     let config = whole
         .compile()
         .map_err(|faults| format!("{} faults", faults.len()))?;
-    let compile_ms = began.elapsed().as_secs_f64() * 1e3;
-    let after = resident("VmRSS:");
+    let compile_ms = started.elapsed().as_secs_f64() * 1e3;
+    let after = status_bytes("VmRSS:");
     println!(
         "workspaces={} held_bytes={} hold_ms={held_ms:.1} compile_ms={compile_ms:.1} \
          resident_before={before} resident_after={after} peak={}",
         config.workspaces(),
         transfer.bytes(),
-        resident("VmHWM:"),
+        status_bytes("VmHWM:"),
     );
     Ok(())
 }
@@ -87,14 +87,17 @@
     let known: HashSet<_> = before.parts.iter().map(|p| p.name).collect();
     let count = doc.inventory.workspaces.len();
     let mut sum = 0;
-    for i in (0..count).step_by((count / CHANGES).max(1)) {
-        let old = std::mem::replace(&mut doc.inventory.workspaces[i].brand, brand(i + PER_BRAND));
+    for i in (0..count).step_by((count / SAMPLED_CHANGES).max(1)) {
+        let old = std::mem::replace(
+            &mut doc.inventory.workspaces[i].brand,
+            brand(i + WORKSPACES_PER_BRAND),
+        );
         let after = split(doc)?;
         let new = after.parts.iter().filter(|p| !known.contains(&p.name));
         sum += new.map(|p| p.data.len()).sum::<usize>();
         doc.inventory.workspaces[i].brand = old;
     }
-    Ok(sum / count.div_ceil((count / CHANGES).max(1)).max(1))
+    Ok(sum / count.div_ceil((count / SAMPLED_CHANGES).max(1)).max(1))
 }
 
 fn document(workspaces: usize) -> Document {
@@ -113,7 +116,7 @@
         workspace: name(i),
         tokens_per_minute: 60_000,
     };
-    let brands = (0..=workspaces.div_ceil(PER_BRAND)).map(|i| Brand {
+    let brands = (0..=workspaces.div_ceil(WORKSPACES_PER_BRAND)).map(|i| Brand {
         name: format!("brand-{i}").into(),
         models: Vec::new(),
         services: Vec::new(),
@@ -133,11 +136,11 @@
 }
 
 fn brand(workspace: usize) -> Name {
-    format!("brand-{}", workspace / PER_BRAND).into()
+    format!("brand-{}", workspace / WORKSPACES_PER_BRAND).into()
 }
 
 /// A size of the process in bytes; 0 where the system doesn't tell.
-fn resident(field: &str) -> usize {
+fn status_bytes(field: &str) -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix(field));
     let kib = line.and_then(|l| l.split_whitespace().next()?.parse::<usize>().ok());
--- a/fireflycroft/examples/membership.rs
+++ b/fireflycroft/examples/membership.rs
@@ -18,8 +18,8 @@
 /// As many as the steps below end or pick out by index.
 const MIN_MEMBERS: usize = 64;
 const DEFAULT_SEED: u64 = 7;
-const BOUND: Duration = Duration::from_mins(3);
-const STEADY_SECS: u64 = 30;
+const TIMEOUT: Duration = Duration::from_mins(3);
+const IDLE_SECS: u64 = 30;
 const DEATHS: usize = 5;
 const TABLES: usize = 50;
 const PAGE_BYTES: usize = 4_096;
@@ -101,8 +101,8 @@
 
 fn cold_start(count: usize, seed: u64) -> Fleet {
     let mut fleet = Fleet::settled(seed, count, Duration::ZERO);
-    let took = fleet.run_until(BOUND, Fleet::is_agreed);
-    let rate = rate(&fleet, 0, took.unwrap_or(BOUND));
+    let took = fleet.run_until(TIMEOUT, Fleet::is_agreed);
+    let rate = rate(&fleet, 0, took.unwrap_or(TIMEOUT));
     println!("cold_start_agreed={took:?} bytes_per_second_per_member={rate}");
     fleet
 }
@@ -110,12 +110,12 @@
 fn measure_idle(fleet: &mut Fleet) {
     fleet.run(Duration::from_mins(3));
     let before: Vec<u64> = fleet.nodes.iter().map(|node| node.bytes).collect();
-    let begun = Instant::now();
-    fleet.run(Duration::from_secs(STEADY_SECS));
-    let micros = begun.elapsed().as_micros() / u128::from(STEADY_SECS);
+    let started = Instant::now();
+    fleet.run(Duration::from_secs(IDLE_SECS));
+    let micros = started.elapsed().as_micros() / u128::from(IDLE_SECS);
     let pairs = fleet.nodes.iter().zip(&before);
     let rates: Vec<u64> = pairs
-        .map(|(node, b)| (node.bytes - b) / STEADY_SECS)
+        .map(|(node, b)| (node.bytes - b) / IDLE_SECS)
         .collect();
     let mean = rates.iter().sum::<u64>() / rates.len() as u64;
     let most = rates.iter().max().copied().unwrap_or(0);
@@ -126,16 +126,16 @@
 
 fn measure_deaths(fleet: &mut Fleet) {
     for n in 0..DEATHS {
-        let victim = NodeIx(10 + 7 * n);
-        let name = fleet.node(victim).peer.name.clone();
-        let (begun, bytes) = (fleet.now, fleet.bytes());
-        fleet.end(victim);
-        let all = fleet.run_until(BOUND, |f| {
+        let terminated = NodeIx(10 + 7 * n);
+        let name = fleet.node(terminated).peer.name.clone();
+        let (started, bytes) = (fleet.now, fleet.bytes());
+        fleet.end(terminated);
+        let all = fleet.run_until(TIMEOUT, |f| {
             f.all_hold(&name, |s| s == Some(MemberState::Dead))
         });
-        let suspects = first_and_last(fleet, &name, MemberState::Suspect, begun);
-        let dead = first_and_last(fleet, &name, MemberState::Dead, begun);
-        let rate = rate(fleet, bytes, all.unwrap_or(BOUND));
+        let suspects = first_and_last(fleet, &name, MemberState::Suspect, started);
+        let dead = first_and_last(fleet, &name, MemberState::Dead, started);
+        let rate = rate(fleet, bytes, all.unwrap_or(TIMEOUT));
         println!(
             "death suspect_first_last={suspects:?} dead_first_last={dead:?} all={all:?} bytes_per_second_per_member={rate}"
         );
@@ -150,13 +150,13 @@
         let name = fleet.node(leaver).peer.name.clone();
         let (before, all_before) = (fleet.node(leaver).bytes, fleet.bytes());
         fleet.leave(leaver);
-        let entries = fleet.run_until(BOUND, |f| {
+        let entries = fleet.run_until(TIMEOUT, |f| {
             let entries = f.running().into_iter();
             entries
                 .filter(|ix| f.node(*ix).peer.role == Role::Entry && *ix != leaver)
                 .all(|ix| f.state(ix, &name) == Some(MemberState::Leaving))
         });
-        let rest = fleet.run_until(BOUND, |f| {
+        let rest = fleet.run_until(TIMEOUT, |f| {
             f.all_hold(&name, |s| s == Some(MemberState::Leaving))
         });
         let all = entries.zip(rest).map(|(a, b)| a + b);
@@ -176,13 +176,13 @@
     let bytes = fleet.bytes();
     let new = fleet.start(name, count);
     let alive = |s| s == Some(MemberState::Alive);
-    let by_all = fleet.run_until(BOUND, |f| f.all_hold(name, alive));
+    let by_all = fleet.run_until(TIMEOUT, |f| f.all_hold(name, alive));
     let wanted = fleet.running().len();
-    let itself = fleet.run_until(BOUND, |f| {
+    let itself = fleet.run_until(TIMEOUT, |f| {
         let records = f.node(new).members.records();
         records.filter(|r| r.state < MemberState::Dead).count() >= wanted
     });
-    let rate = rate(fleet, bytes, by_all.unwrap_or(BOUND));
+    let rate = rate(fleet, bytes, by_all.unwrap_or(TIMEOUT));
     println!(
         "join known_to_all={by_all:?} then_knows_all={itself:?} bytes_per_second_per_member={rate}"
     );
@@ -191,7 +191,7 @@
 
 /// Views of a running member that called it dead for a while.
 fn measure_loss(fleet: &mut Fleet) {
-    let (begun, bytes) = (fleet.now, fleet.bytes());
+    let (started, bytes) = (fleet.now, fleet.bytes());
     fleet.loss = 20;
     let span = Duration::from_mins(1);
     fleet.run(span);
@@ -201,7 +201,7 @@
     let names: HashSet<Name> = peers.map(|node| node.peer.name.clone()).collect();
     let seen = running.iter().flat_map(|ix| &fleet.node(*ix).seen);
     let falsely = seen.filter(|((name, state), at)| {
-        *state == MemberState::Dead && **at >= begun && names.contains(name)
+        *state == MemberState::Dead && **at >= started && names.contains(name)
     });
     let count = falsely.count();
     let rate = rate(fleet, bytes, span);
@@ -218,8 +218,8 @@
     let dead = count_dead(fleet);
     fleet.cuts.clear();
     let bytes = fleet.bytes();
-    let healed = fleet.run_until(BOUND, Fleet::is_agreed);
-    let rate_healed = rate(fleet, bytes, healed.unwrap_or(BOUND));
+    let healed = fleet.run_until(TIMEOUT, Fleet::is_agreed);
+    let rate_healed = rate(fleet, bytes, healed.unwrap_or(TIMEOUT));
     println!(
         "cut_60s dead_views={dead} bytes_per_second_per_member={rate_cut} healed={healed:?} bytes_per_second_per_member={rate_healed}"
     );
@@ -238,11 +238,11 @@
     fleet: &Fleet,
     name: &fireflycroft::Name,
     state: MemberState,
-    begun: fireflycroft::Time,
+    started: fireflycroft::Time,
 ) -> Option<(Duration, Duration)> {
     let key = (name.clone(), state);
     let times = fleet.nodes.iter().filter_map(|node| node.seen.get(&key));
-    let spans: Vec<Duration> = times.map(|at| at.since(begun)).collect();
+    let spans: Vec<Duration> = times.map(|at| at.since(started)).collect();
     spans.iter().min().copied().zip(spans.iter().max().copied())
 }
 
--- a/fireflycroft/tests/config.rs
+++ b/fireflycroft/tests/config.rs
@@ -125,7 +125,7 @@
 }
 
 faults! {
-    sound_document: |_| {} => [];
+    valid_document: |_| {} => [];
     empty_document: |doc| *doc = Document::default() => [];
     brand_used_twice: |doc| doc.inventory.brands[1].name = name("one") => [
         "brands[1].name": "used twice: \"one\"",
@@ -257,7 +257,7 @@
         assert!(config.is_non_retryable(workspace_ix(&config, "lab"), "model-b", "POST", "/x"));
         assert!(!config.is_non_retryable(workspace_ix(&config, "desk"), "model-b", "POST", "/x"));
     };
-    own_objective_goes_before_the_general => {
+    own_objective_precedes_the_general => {
         let config = compiled(&document());
         let first = |brand| config.objective(brand, Priority::Interactive).unwrap().first_token_ms;
         assert_eq!((first("one"), first("two")), (500, 1_000));
@@ -302,13 +302,13 @@
 }
 
 cases! {
-    higher_version_comes_in_force => {
+    higher_version_becomes_active => {
         let mut held = ActiveConfig::default();
         assert_eq!(held.adopt(config_of(3, 1)), AdoptOutcome::Activated);
         assert_eq!(held.adopt(config_of(7, 2)), AdoptOutcome::Activated);
         assert_eq!(held.version(), ConfigVersion(7));
     };
-    lower_version_is_not_taken => {
+    lower_version_is_rejected => {
         let mut held = ActiveConfig::default();
         held.adopt(config_of(7, 1));
         assert_eq!(held.adopt(config_of(6, 2)), AdoptOutcome::Outdated);
@@ -321,7 +321,7 @@
         assert_eq!(held.adopt(config_of(7, 2)), AdoptOutcome::Conflict);
         assert_eq!(held.get().unwrap().digest, Digest(1));
     };
-    hearing_of_a_higher_version_is_being_behind => {
+    observing_a_higher_version_is_lagging => {
         let mut held = ActiveConfig::default();
         held.adopt(config_of(3, 1));
         assert!(!held.observe_version(ConfigVersion(3)) && !held.observe_version(ConfigVersion(2)));
@@ -356,7 +356,7 @@
     /// A node's pull is cut off after so many parts.
     CutPull(usize, usize, usize),
     /// A node hears which version a peer has in force.
-    Hear(usize, usize),
+    Observe(usize, usize),
     /// A node is replaced and knows nothing.
     Replace(usize),
 }
@@ -385,7 +385,7 @@
     }
 
     /// A node is given a whole version.
-    fn give(&mut self, node: usize, write: Option<Write>) {
+    fn deliver(&mut self, node: usize, write: Option<Write>) {
         let held = self.nodes[node].map_or(0, |w| w.0);
         if let Some(write) = write.filter(|w| w.0 > held) {
             self.nodes[node] = Some(write);
@@ -412,7 +412,7 @@
             4 => pair.clone().prop_map(|(from, to)| Step::Pull(from, to)),
             2 => (pair.clone(), 0_u32..12).prop_map(|((from, to), part)| Step::LatePart(from, to, part)),
             2 => (pair.clone(), 1_usize..6).prop_map(|((from, to), n)| Step::CutPull(from, to, n)),
-            2 => pair.prop_map(|(from, to)| Step::Hear(from, to)),
+            2 => pair.prop_map(|(from, to)| Step::Observe(from, to)),
             1 => node.prop_map(Step::Replace),
         ]
         .boxed()
@@ -429,10 +429,10 @@
                 let keep = state.writes.len().saturating_sub(back);
                 state.writes.truncate(keep);
             }
-            Step::Read(node, back) => state.give(node, state.read(back)),
-            Step::Pull(from, to) => state.give(to, state.nodes[from]),
+            Step::Read(node, back) => state.deliver(node, state.read(back)),
+            Step::Pull(from, to) => state.deliver(to, state.nodes[from]),
             Step::Replace(node) => state.nodes[node] = None,
-            Step::LatePart(..) | Step::CutPull(..) | Step::Hear(..) => {}
+            Step::LatePart(..) | Step::CutPull(..) | Step::Observe(..) => {}
         }
         state
     }
@@ -455,8 +455,8 @@
     }
 
     /// Pulls at most `most` parts from `peer`.
-    fn pull(&mut self, peer: &Self, most: usize) {
-        for _ in 0..most {
+    fn pull(&mut self, peer: &Self, limit: usize) {
+        for _ in 0..limit {
             let (have, part) = (self.transfer.version(), self.transfer.next_part());
             let Some(answer) = peer.transfer.serve(have, part).or_else(|| {
                 self.transfer.abandon();
@@ -464,14 +464,14 @@
             }) else {
                 return;
             };
-            if self.take(answer) {
+            if self.receive(answer) {
                 return;
             }
         }
     }
 
     /// Takes a part; true when a version came whole.
-    fn take(&mut self, answer: Message) -> bool {
+    fn receive(&mut self, answer: Message) -> bool {
         let Message::ConfigPart {
             version,
             part,
@@ -511,14 +511,15 @@
 }
 
 /// Snapshots by content.
-static SNAPSHOTS: LazyLock<Vec<Snapshot>> = LazyLock::new(|| (0..CONTENTS).map(cut).collect());
+static SNAPSHOTS: LazyLock<Vec<Snapshot>> =
+    LazyLock::new(|| (0..CONTENTS).map(snapshot_with).collect());
 
 fn snapshot_of(content: u8) -> &'static Snapshot {
     &SNAPSHOTS[usize::from(content)]
 }
 
 /// A document of several parts that says which content it is.
-fn cut(content: u8) -> Snapshot {
+fn snapshot_with(content: u8) -> Snapshot {
     let workspace = |i: usize| Workspace {
         name: format!("workspace-{i}").into(),
         brand: name(if i == usize::from(content) {
@@ -583,10 +584,10 @@
                     && missing(node, &peer) > 1
                     && let Some(answer) = peer.transfer.serve(ConfigVersion(0), part)
                 {
-                    node.take(answer);
+                    node.receive(answer);
                 }
             }
-            Step::Hear(from, to) => {
+            Step::Observe(from, to) => {
                 if let Some((peer, node)) = sut.pair(from, to) {
                     node.active.observe_version(peer.active.version());
                 }
@@ -626,20 +627,20 @@
 /// version.
 fn missing(node: &Node, peer: &Node) -> usize {
     let mut trial = node.transfer.clone();
-    let mut pulls = 0;
+    let mut missing_parts = 0;
     while let Some(answer) = peer.transfer.serve(trial.version(), trial.next_part()) {
-        let mut taker = Node {
+        let mut receiver = Node {
             transfer: trial,
             active: node.active.clone(),
         };
-        pulls += 1;
-        let whole = taker.take(answer);
-        trial = taker.transfer;
-        if whole {
+        missing_parts += 1;
+        let is_complete = receiver.receive(answer);
+        trial = receiver.transfer;
+        if is_complete {
             break;
         }
     }
-    pulls
+    missing_parts
 }
 
 prop_state_machine! {
@@ -652,5 +653,5 @@
     })]
 
     #[test]
-    fn nodes_never_go_back_and_catch_up(sequential 1..60 => Nodes);
+    fn nodes_never_revert_and_catch_up(sequential 1..60 => Nodes);
 }
--- a/fireflycroft/tests/member.rs
+++ b/fireflycroft/tests/member.rs
@@ -12,7 +12,7 @@
 
 const SEED: u64 = 11;
 const SETTLE: Duration = Duration::from_secs(30);
-const BOUND: Duration = Duration::from_mins(1);
+const TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Bytes a second of one member of two hundred when nothing happens.
 const MAX_IDLE_BYTES_PER_SECOND: u64 = 1_024;
@@ -45,7 +45,7 @@
     };
     dead_everywhere(20): |fleet| {
         fleet.end(NodeIx(7));
-        let took = fleet.run_until(BOUND, |f| f.all_hold("member-7", is_dead));
+        let took = fleet.run_until(TIMEOUT, |f| f.all_hold("member-7", is_dead));
         assert_within(took, 12_000);
         assert_eq!(false_deaths(fleet), 0);
     };
@@ -53,14 +53,14 @@
         fleet.end(NodeIx(4));
         fleet.run(shorter_by(DEAD_RETENTION, 10_000));
         assert!(fleet.all_hold("member-4", is_dead));
-        fleet.run(BOUND);
+        fleet.run(TIMEOUT);
         assert!(fleet.all_hold("member-4", |state| state.is_none()));
     };
     paused_is_dead_then_alive(12): |fleet| {
         fleet.pause(NodeIx(5));
-        assert!(fleet.run_until(BOUND, |f| f.all_hold("member-5", is_dead)).is_some());
+        assert!(fleet.run_until(TIMEOUT, |f| f.all_hold("member-5", is_dead)).is_some());
         fleet.resume(NodeIx(5));
-        let took = fleet.run_until(BOUND, Fleet::is_agreed);
+        let took = fleet.run_until(TIMEOUT, Fleet::is_agreed);
         assert_within(took, 15_000);
     };
     resumed_process_reports_no_deaths(12): |fleet| {
@@ -68,7 +68,7 @@
             fleet.pause(NodeIx(5));
             fleet.run(Duration::from_secs(pause));
             fleet.resume(NodeIx(5));
-            fleet.run(BOUND);
+            fleet.run(TIMEOUT);
             assert!(fleet.is_agreed());
         }
         assert_eq!(deaths_seen_by(fleet, NodeIx(5)), 0);
@@ -78,11 +78,11 @@
         for ix in &all {
             fleet.pause(*ix);
         }
-        fleet.run(BOUND);
+        fleet.run(TIMEOUT);
         for ix in &all {
             fleet.resume(*ix);
         }
-        fleet.run(BOUND);
+        fleet.run(TIMEOUT);
         assert!(fleet.is_agreed());
         assert_eq!(false_deaths(fleet), 0);
     };
@@ -90,14 +90,14 @@
         fleet.pause(NodeIx(5));
         fleet.run(Duration::from_secs(2));
         fleet.resume(NodeIx(5));
-        fleet.run(BOUND);
+        fleet.run(TIMEOUT);
         assert!(fleet.is_agreed());
         assert_eq!(false_deaths(fleet), 0);
     };
     replaced_under_its_name(12): |fleet| {
         fleet.end(NodeIx(5));
         let new = fleet.start("member-5", 5);
-        let took = fleet.run_until(BOUND, Fleet::is_agreed);
+        let took = fleet.run_until(TIMEOUT, Fleet::is_agreed);
         assert_within(took, 8_000);
         let incarnation = fleet.node(new).peer.incarnation;
         for at in fleet.running() {
@@ -108,27 +108,27 @@
     replaced_at_the_same_address(12): |fleet| {
         fleet.end(NodeIx(5));
         fleet.start("another", 5);
-        let took = fleet.run_until(BOUND, |f| {
+        let took = fleet.run_until(TIMEOUT, |f| {
             f.all_hold("member-5", |state| state.is_none_or(|s| s == MemberState::Dead))
         });
         assert_within(took, 8_000);
-        assert!(fleet.run_until(BOUND, Fleet::is_agreed).is_some());
+        assert!(fleet.run_until(TIMEOUT, Fleet::is_agreed).is_some());
     };
     cut_off_data_centre_comes_back(18): |fleet| {
         fleet.cut(1);
-        fleet.run(BOUND);
+        fleet.run(TIMEOUT);
         let far = fleet.state(NodeIx(0), "member-1");
         assert_eq!(far, Some(MemberState::Dead));
         fleet.cuts.clear();
-        let took = fleet.run_until(BOUND, Fleet::is_agreed);
+        let took = fleet.run_until(TIMEOUT, Fleet::is_agreed);
         assert_within(took, 30_000);
     };
     cut_for_longer_than_the_dead_are_kept(9): |fleet| {
         fleet.cut(1);
-        fleet.run(DEAD_RETENTION + BOUND);
+        fleet.run(DEAD_RETENTION + TIMEOUT);
         assert_eq!(fleet.state(NodeIx(0), "member-4"), None);
         fleet.cuts.clear();
-        assert!(fleet.run_until(BOUND, Fleet::is_agreed).is_some());
+        assert!(fleet.run_until(TIMEOUT, Fleet::is_agreed).is_some());
     };
     cut_between_two_of_three_causes_no_false_death(18): |fleet| {
         fleet.cut_between(0, 1);
@@ -137,18 +137,18 @@
     };
     every_fifth_message_lost(20): |fleet| {
         fleet.loss = 20;
-        fleet.run(BOUND);
+        fleet.run(TIMEOUT);
         fleet.end(NodeIx(9));
-        let took = fleet.run_until(BOUND, |f| f.all_hold("member-9", is_dead));
+        let took = fleet.run_until(TIMEOUT, |f| f.all_hold("member-9", is_dead));
         assert_within(took, 30_000);
         fleet.loss = 0;
-        assert!(fleet.run_until(BOUND, Fleet::is_agreed).is_some());
+        assert!(fleet.run_until(TIMEOUT, Fleet::is_agreed).is_some());
     };
     leaving_everywhere_at_once(60): |fleet| {
         fleet.leave(NodeIx(10));
-        let took = fleet.run_until(BOUND, |f| f.all_hold("member-10", is_leaving));
+        let took = fleet.run_until(TIMEOUT, |f| f.all_hold("member-10", is_leaving));
         assert_within(took, 500);
-        fleet.run(BOUND);
+        fleet.run(TIMEOUT);
         assert!(fleet.all_hold("member-10", is_leaving));
     };
     leaving_everywhere_in_spite_of_loss(60): |fleet| {
@@ -156,7 +156,7 @@
         for ix in [10, 20, 30] {
             fleet.leave(NodeIx(ix));
             let name = format!("member-{ix}");
-            let took = fleet.run_until(BOUND, |f| f.all_hold(&name, is_leaving));
+            let took = fleet.run_until(TIMEOUT, |f| f.all_hold(&name, is_leaving));
             assert_within(took, 3_000);
         }
     };
@@ -164,12 +164,12 @@
         fleet.leave(NodeIx(5));
         fleet.run(Duration::from_secs(5));
         fleet.end(NodeIx(5));
-        assert!(fleet.run_until(BOUND, |f| f.all_hold("member-5", is_dead)).is_some());
+        assert!(fleet.run_until(TIMEOUT, |f| f.all_hold("member-5", is_dead)).is_some());
     };
     listed_as_leaving(12): |fleet| {
         fleet.run(MAX_VM_LIST_LAG);
         fleet.list_vms(NodeIx(2), &[Vm { addr: addr(5), leaving: true }]);
-        let took = fleet.run_until(BOUND, |f| f.all_hold("member-5", is_leaving));
+        let took = fleet.run_until(TIMEOUT, |f| f.all_hold("member-5", is_leaving));
         assert_within(took, 3_000);
         let own = fleet.node(NodeIx(5)).members.own();
         assert_eq!(own.state, MemberState::Leaving);
@@ -189,7 +189,7 @@
     listed_members_that_are_gone(6): |fleet| {
         let gone: Vec<Vm> = (6..40).map(|at| Vm { addr: addr(at), leaving: false }).collect();
         fleet.list_vms(NodeIx(2), &gone);
-        fleet.run(BOUND);
+        fleet.run(TIMEOUT);
         assert!(fleet.is_agreed());
     };
     found_by_the_vm_list_alone(6): |fleet| {
@@ -197,17 +197,17 @@
         for ix in 0..3 {
             fleet.end(NodeIx(ix));
         }
-        fleet.run(BOUND);
+        fleet.run(TIMEOUT);
         let new = fleet.start("newcomer", 6);
-        fleet.run(BOUND);
+        fleet.run(TIMEOUT);
         assert_eq!(fleet.present(new).len(), 1);
         fleet.list_vms(new, &[Vm { addr: addr(4), leaving: false }]);
-        assert!(fleet.run_until(BOUND, Fleet::is_agreed).is_some());
+        assert!(fleet.run_until(TIMEOUT, Fleet::is_agreed).is_some());
     };
     served_models_spread(12): |fleet| {
         let serves: Vec<Name> = vec!["other-model".into()];
         fleet.serve(NodeIx(4), &serves);
-        let took = fleet.run_until(BOUND, |f| {
+        let took = fleet.run_until(TIMEOUT, |f| {
             f.running().into_iter().all(|at| {
                 f.node(at).members.get("member-4").is_some_and(|r| r.serves == serves)
             })
@@ -221,11 +221,11 @@
         fleet.deliver(NodeIx(0), third, Message::ViewPage { records });
         let known = |f: &Fleet| f.node(NodeIx(1)).members.records().count() > TABLE_MEMBERS;
         assert!(!known(fleet));
-        let took = fleet.run_until(BOUND, known);
+        let took = fleet.run_until(TIMEOUT, known);
         assert_within(took, 10_000);
     };
     few_bytes_when_idle(200): |fleet| {
-        fleet.run(BOUND);
+        fleet.run(TIMEOUT);
         let before: Vec<u64> = fleet.nodes.iter().map(|node| node.bytes).collect();
         let secs = 20;
         fleet.run(Duration::from_secs(secs));
@@ -547,10 +547,10 @@
 fn pause_is_followed_by_grace() {
     let mut process = SingleProcess::new();
     process.run(Duration::from_secs(2));
-    process.now = process.now + BOUND;
+    process.now = process.now + TIMEOUT;
     process.run(shorter_by(GRACE_PERIOD, 200));
     assert_eq!(process.held().2, Alive);
-    process.run(BOUND);
+    process.run(TIMEOUT);
     assert_eq!(process.held().2, Dead);
 }
 
--- a/fireflycroft/tests/point7_config.rs
+++ b/fireflycroft/tests/point7_config.rs
@@ -11,7 +11,7 @@
 const ENTRY: Proc = Proc::Entry(0);
 
 cases! {
-    lower_version_is_not_taken(world) {
+    lower_version_is_rejected(world) {
         for proc in Proc::all() {
             world.configure(proc, &fleet::config(5, false));
             world.configure(proc, &fleet::config(2, false));
@@ -19,7 +19,7 @@
         }
     }
 
-    rival_of_the_same_version_is_not_taken(world) {
+    other_content_of_the_same_version_is_rejected(world) {
         for proc in Proc::all() {
             world.configure(proc, &fleet::config(5, true));
             world.configure(proc, &fleet::config(5, false));
@@ -29,7 +29,7 @@
 
     /// An entry that learns of a later version runs nothing until it holds
     /// it, then serves what it held.
-    entry_behind_serves_when_it_caught_up(world) {
+    lagging_entry_serves_after_catching_up(world) {
         world.configure(Proc::Agent(0), &fleet::config(2, false));
         world.configure(Proc::Agent(1), &fleet::config(2, false));
         world.configure(Proc::Agent(2), &fleet::config(2, false));
@@ -45,7 +45,7 @@
     }
 
     /// One that cannot catch up says so at its bound, and ran nothing.
-    entry_that_stays_behind_refuses(world) {
+    entry_that_stays_lagging_refuses(world) {
         world.configure(Proc::Agent(0), &fleet::config(2, false));
         world.configure(Proc::Agent(1), &fleet::config(2, false));
         world.configure(Proc::Agent(2), &fleet::config(2, false));
@@ -61,7 +61,7 @@
     }
 
     /// An agent that is behind catches up before it runs anything.
-    agent_behind_catches_up_before_work_runs(world) {
+    lagging_agent_catches_up_before_work_runs(world) {
         world.configure(ENTRY, &fleet::config(4, false));
         let first = world.submit(0, Ask::default()).unwrap();
         world.advance(2);
@@ -75,7 +75,7 @@
     }
 
     /// A thawed peer still holds and tells the old one.
-    frozen_peer_brings_nothing_back(world) {
+    frozen_peer_reverts_nothing(world) {
         world.freeze(Proc::Entry(1));
         for proc in Proc::all() {
             world.configure(proc, &fleet::config(5, false));
--- a/fireflycroft/tests/snapshot.rs
+++ b/fireflycroft/tests/snapshot.rs
@@ -126,7 +126,7 @@
         let value = serde_json::to_vec(&part.to_value().unwrap()).unwrap();
         assert!(value.len() <= 1024 * 1024);
     };
-    part_survives_the_platform => {
+    part_round_trips_through_the_platform => {
         for part in split(&document(2_000)).unwrap().parts {
             let text = serde_json::to_string(&part.to_value().unwrap()).unwrap();
             let value = serde_json::from_str(&text).unwrap();
@@ -181,29 +181,29 @@
         let past: Vec<u64> = head.unwrap().past.iter().map(|w| w.version).collect();
         assert_eq!(past, (23..39).rev().collect::<Vec<_>>());
     };
-    own_write_is_in_force => assert_eq!(outcome_after(&["a"], "b", &["b"]), WriteOutcome::Active);
-    untouched_head_leaves_a_write_open => {
+    own_write_is_active => assert_eq!(outcome_after(&["a"], "b", &["b"]), WriteOutcome::Active);
+    unchanged_head_leaves_a_write_pending => {
         assert_eq!(outcome_after(&["a"], "b", &[]), WriteOutcome::Pending);
         assert_eq!(outcome_after(&[], "b", &[]), WriteOutcome::Pending);
     };
-    write_behind_another_was_replaced => {
+    write_before_another_was_replaced => {
         assert_eq!(outcome_after(&["a"], "b", &["b", "c", "d"]), WriteOutcome::Replaced);
     };
     write_that_no_head_names_was_lost => {
         assert_eq!(outcome_after(&["a"], "b", &["c"]), WriteOutcome::Lost);
         assert_eq!(outcome_after(&[], "b", &["c", "d"]), WriteOutcome::Lost);
     };
-    head_of_another_line_leaves_a_write_unknown => {
+    head_of_another_history_leaves_a_write_unknown => {
         assert_eq!(outcome_read(&["a", "b"], "c", &["a"]), WriteOutcome::Unknown);
         assert_eq!(outcome_read(&["a", "b"], "c", &["a", "x"]), WriteOutcome::Unknown);
         assert_eq!(outcome_read(&["a"], "c", &[]), WriteOutcome::Unknown);
     };
-    write_far_behind_is_unknown => {
+    write_before_many_others_is_unknown => {
         let later: Vec<String> = (0..40).map(|i| format!("later-{i}")).collect();
         let later: Vec<&str> = later.iter().map(String::as_str).collect();
         assert_eq!(outcome_after(&["a"], "b", &later), WriteOutcome::Unknown);
     };
-    head_survives_json => {
+    head_round_trips_through_json => {
         let head = head_of(&split(&document(2_000)).unwrap(), 7);
         let text = serde_json::to_string(&head).unwrap();
         assert_eq!(serde_json::from_str::<Head>(&text).unwrap(), head);
@@ -218,7 +218,7 @@
 
 /// Fate of a write by `own` over the heads `before`, when the head that is
 /// read came of the writes `line`.
-fn outcome_read(before: &[&str], own: &str, line: &[&str]) -> WriteOutcome {
+fn outcome_read(before: &[&str], own: &str, writes: &[&str]) -> WriteOutcome {
     let snapshot = split(&document(10)).unwrap();
     let write = |base: Option<Head>, token: &str| {
         let version = base.as_ref().map_or(0, |h| h.version) + 1;
@@ -226,7 +226,7 @@
         Some(head.after(base.as_ref()))
     };
     let base = before.iter().copied().fold(None, write);
-    let now = line.iter().copied().fold(None, write);
+    let now = writes.iter().copied().fold(None, write);
     let head = write(base.clone(), own).unwrap();
     head.write_outcome(base.as_ref(), now.as_ref())
 }
@@ -240,7 +240,7 @@
 }
 
 /// A carrier that holds `doc` as `version`.
-fn holder(doc: &Document, version: u64) -> ConfigTransfer {
+fn transfer_with(doc: &Document, version: u64) -> ConfigTransfer {
     let snapshot = split(doc).unwrap();
     let mut transfer = ConfigTransfer::default();
     let head = head_of(&snapshot, version);
@@ -285,9 +285,9 @@
 }
 
 cases! {
-    peer_carries_a_large_document => {
+    peer_transfers_a_large_document => {
         let doc = document(LARGE);
-        let from = holder(&doc, 3);
+        let from = transfer_with(&doc, 3);
         let mut to = ConfigTransfer::default();
         let (got, pulls) = pull_all(&from, &mut to);
         assert_eq!(got, doc);
@@ -295,23 +295,23 @@
         assert_eq!(pulls, from.head().unwrap().parts.len() + 1);
         assert_eq!(to.bytes(), from.bytes());
     };
-    small_change_carries_few_parts => {
+    small_change_transfers_few_parts => {
         let mut doc = document(LARGE);
-        let mut to = holder(&doc, 3);
+        let mut to = transfer_with(&doc, 3);
         doc.inventory.workspaces[5].brand = "brand-other".into();
-        let (got, pulls) = pull_all(&holder(&doc, 4), &mut to);
+        let (got, pulls) = pull_all(&transfer_with(&doc, 4), &mut to);
         assert_eq!(got, doc);
         assert!(pulls <= 1 + REWRITTEN, "{pulls} pulls");
     };
-    reverted_content_carries_the_head_alone => {
+    reverted_content_transfers_the_head_alone => {
         let doc = document(2_000);
-        let mut to = holder(&doc, 3);
-        let (got, pulls) = pull_all(&holder(&doc, 4), &mut to);
+        let mut to = transfer_with(&doc, 3);
+        let (got, pulls) = pull_all(&transfer_with(&doc, 4), &mut to);
         assert_eq!((got, pulls), (doc, 1));
         assert_eq!(to.version(), ConfigVersion(4));
     };
     nothing_is_served_to_a_peer_as_new => {
-        let from = holder(&document(10), 3);
+        let from = transfer_with(&document(10), 3);
         assert!(from.serve(ConfigVersion(3), 0).is_none());
         assert!(from.serve(ConfigVersion(4), 0).is_none());
         assert!(from.serve(ConfigVersion(2), 0).is_some());
@@ -319,19 +319,19 @@
         assert!(ConfigTransfer::default().serve(ConfigVersion(0), 0).is_none());
     };
     part_of_a_lower_version_is_ignored => {
-        let mut to = holder(&document(10), 5);
-        let old = pull(&holder(&document(20), 4), ConfigVersion(0), 0).unwrap();
+        let mut to = transfer_with(&document(10), 5);
+        let old = pull(&transfer_with(&document(20), 4), ConfigVersion(0), 0).unwrap();
         assert_eq!(to.on_part(&old), Progress::Ignored);
         assert_eq!(to.version(), ConfigVersion(5));
     };
     lower_version_read_from_the_platform_is_not_held => {
-        let mut to = holder(&document(10), 5);
+        let mut to = transfer_with(&document(10), 5);
         let snapshot = split(&document(20)).unwrap();
         assert_eq!(to.install(head_of(&snapshot, 4), snapshot.parts), Ok(None));
         assert_eq!(to.version(), ConfigVersion(5));
     };
-    higher_version_overtakes_a_collection => {
-        let (three, four) = (holder(&document(2_000), 3), holder(&document(3_000), 4));
+    higher_version_supersedes_a_collection => {
+        let (three, four) = (transfer_with(&document(2_000), 3), transfer_with(&document(3_000), 4));
         let mut to = ConfigTransfer::default();
         let none = ConfigVersion(0);
         assert_eq!(to.on_part(&pull(&three, none, 0).unwrap()), Progress::Next(1));
@@ -340,7 +340,7 @@
         assert_eq!(to.on_part(&pull(&three, none, 1).unwrap()), Progress::Ignored);
     };
     version_that_nobody_has_any_more_is_given_up => {
-        let (three, four) = (holder(&document(3_000), 3), holder(&document(2_000), 4));
+        let (three, four) = (transfer_with(&document(3_000), 3), transfer_with(&document(2_000), 4));
         let mut to = ConfigTransfer::default();
         let none = ConfigVersion(0);
         to.on_part(&pull(&four, none, 0).unwrap());
@@ -351,7 +351,7 @@
         assert_eq!(pull_all(&three, &mut to).0, document(3_000));
     };
     bundle_shows_what_is_held => {
-        let transfer = holder(&document(2_000), 3);
+        let transfer = transfer_with(&document(2_000), 3);
         let text = serde_json::to_string(&transfer.bundle().unwrap()).unwrap();
         let bundle: ConfigBundle = serde_json::from_str(&text).unwrap();
         assert_eq!(bundle.head.version, 3);
@@ -359,7 +359,7 @@
         assert!(ConfigTransfer::default().bundle().is_none());
     };
     repeated_part_is_ignored => {
-        let from = holder(&document(2_000), 3);
+        let from = transfer_with(&document(2_000), 3);
         let mut to = ConfigTransfer::default();
         let none = ConfigVersion(0);
         to.on_part(&pull(&from, none, 0).unwrap());
@@ -368,7 +368,7 @@
         assert_eq!(to.next_part(), 2);
     };
     abandoned_collection_begins_at_the_head => {
-        let from = holder(&document(2_000), 3);
+        let from = transfer_with(&document(2_000), 3);
         let mut to = ConfigTransfer::default();
         to.on_part(&pull(&from, ConfigVersion(0), 0).unwrap());
         assert_eq!(to.next_part(), 1);
@@ -376,8 +376,8 @@
         assert_eq!(to.next_part(), 0);
         assert_eq!(to.bytes(), 0);
     };
-    forged_part_is_faulty_and_not_taken => {
-        let from = holder(&document(2_000), 3);
+    forged_part_is_invalid_and_rejected => {
+        let from = transfer_with(&document(2_000), 3);
         let mut to = ConfigTransfer::default();
         to.on_part(&pull(&from, ConfigVersion(0), 0).unwrap());
         let mut forged = pull(&from, ConfigVersion(0), 1).unwrap();
@@ -385,24 +385,24 @@
         assert_eq!(to.on_part(&forged), Progress::Invalid(SnapshotError::WrongPart(0)));
         assert_eq!(pull_all(&from, &mut to).0, document(2_000));
     };
-    head_that_contradicts_its_message_is_faulty => {
-        let mut part = pull(&holder(&document(10), 3), ConfigVersion(0), 0).unwrap();
+    head_that_contradicts_its_message_is_invalid => {
+        let mut part = pull(&transfer_with(&document(10), 3), ConfigVersion(0), 0).unwrap();
         part.version = ConfigVersion(9);
         let mut to = ConfigTransfer::default();
         assert_eq!(to.on_part(&part), Progress::Invalid(SnapshotError::HeadDigest));
         assert_eq!(to.next_part(), 0);
     };
-    oversized_part_is_faulty => {
-        let mut part = pull(&holder(&document(10), 3), ConfigVersion(0), 0).unwrap();
+    oversized_part_is_invalid => {
+        let mut part = pull(&transfer_with(&document(10), 3), ConfigVersion(0), 0).unwrap();
         part.data = vec![b' '; MAX_PART + 1].into();
         let got = ConfigTransfer::default().on_part(&part);
         assert_eq!(got, Progress::Invalid(SnapshotError::TooLarge));
     };
-    part_beyond_the_list_is_faulty => {
-        let from = holder(&document(10), 3);
+    part_beyond_the_list_is_invalid => {
+        let from = transfer_with(&document(10), 3);
         let mut to = ConfigTransfer::default();
         let snapshot = split(&document(2_000)).unwrap();
-        let two_parts = holder(&document(2_000), 3);
+        let two_parts = transfer_with(&document(2_000), 3);
         to.on_part(&pull(&two_parts, ConfigVersion(0), 0).unwrap());
         let mut part = pull(&from, ConfigVersion(0), 1).unwrap();
         part.part = 999;
