--- a/fireflycroft/examples/config_cost.rs
+++ b/fireflycroft/examples/config_cost.rs
@@ -1,9 +1,9 @@
-//! Measures what a configuration costs: bytes, parts, memory and time.
+//! Measures the cost of a configuration: bytes, parts, memory and time.
 //!
-//! `config_cost make 38000 FILE` cuts a document of so many workspaces, prints
-//! its sizes and writes its head and parts, a line each. `config_cost take
-//! FILE` holds and compiles them as a node does and prints the resident set,
-//! in a process of its own so that nothing else counts.
+//! `config_cost make 38000 FILE` cuts a document of that many workspaces, prints its
+//! sizes and writes its head and parts, one per line. `config_cost take FILE` installs
+//! and compiles them as a node does and prints the resident set, in a separate process
+//! so that nothing else is counted.
 
 use fireflycroft::{
     Brand, ConfigTransfer, ConfigVersion, Document, Head, Inventory, Name, Part, Priority,
@@ -15,9 +15,9 @@
 use std::io::{BufRead, BufReader, BufWriter, Write};
 use std::time::Instant;
 
-/// Workspaces of each brand.
+/// Workspaces per brand.
 const WORKSPACES_PER_BRAND: usize = 3_200;
-/// Changes of one workspace that are tried.
+/// Number of single-workspace changes that are measured.
 const SAMPLED_CHANGES: usize = 50;
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-/// Mean bytes of parts that a change of one workspace rewrites.
+/// Returns the mean bytes of parts that a change of one workspace rewrites.
 fn changed_bytes(doc: &mut Document, before: &Snapshot) -> Result<usize, Box<dyn Error>> {
     let known: HashSet<_> = before.parts.iter().map(|p| p.name).collect();
     let count = doc.inventory.workspaces.len();
@@ -139,7 +139,7 @@
     format!("brand-{}", workspace / WORKSPACES_PER_BRAND).into()
 }
 
-/// A size of the process in bytes; 0 where the system doesn't tell.
+/// Returns a size from the process status in bytes; 0 if it is not available.
 fn status_bytes(field: &str) -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix(field));
--- a/fireflycroft/examples/membership.rs
+++ b/fireflycroft/examples/membership.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 const DEFAULT_MEMBERS: usize = 1_000;
-/// As many as the steps below end or pick out by index.
+/// Number of members that the steps below end or select by index.
 const MIN_MEMBERS: usize = 64;
 const DEFAULT_SEED: u64 = 7;
 const TIMEOUT: Duration = Duration::from_mins(3);
@@ -44,7 +44,7 @@
     println!("longest_packet_bytes={}", fleet.longest_packet);
 }
 
-/// Resident bytes of tables filled from decoded messages.
+/// Measures the resident bytes of tables filled from decoded messages.
 fn measure_table_memory(count: usize) {
     let before = resident_bytes();
     let tables: Vec<Members> = (0..TABLES).map(|_| filled_table(count)).collect();
@@ -74,7 +74,7 @@
             records: vec![record],
         };
         let packet = encode_all(&agent(0), ConfigVersion(0), None, &[body]);
-        let (_, bodies) = decode_all(&packet).expect("a sound packet");
+        let (_, bodies) = decode_all(&packet).expect("a valid packet");
         for body in bodies {
             let event = MemberEvent::Message(agent(1), body);
             members.on_event(Time::default(), event, &mut out);
@@ -189,7 +189,7 @@
     fleet.run(Duration::from_secs(20));
 }
 
-/// Views of a running member that called it dead for a while.
+/// Counts records of running members that were dead for a time under message loss.
 fn measure_loss(fleet: &mut Fleet) {
     let (started, bytes) = (fleet.now, fleet.bytes());
     fleet.loss = 20;
@@ -246,7 +246,7 @@
     spans.iter().min().copied().zip(spans.iter().max().copied())
 }
 
-/// Bytes a second and member since the count was `before`.
+/// Returns bytes per second and member since the count was `before`.
 fn rate(fleet: &Fleet, before: u64, span: Duration) -> u64 {
     let millis = u64::try_from(span.as_millis()).unwrap_or(u64::MAX).max(1);
     (fleet.bytes() - before) * 1_000 / millis / fleet.nodes.len() as u64
--- a/fireflycroft/src/config_transfer.rs
+++ b/fireflycroft/src/config_transfer.rs
@@ -31,7 +31,7 @@
     pub part: u32,
     /// Number of all parts, including the head.
     pub parts: u32,
-    /// Digest of the whole.
+    /// Digest of all parts.
     pub digest: Digest,
     /// Content of the part.
     pub data: Arc<[u8]>,
--- a/fireflycroft/src/leave_broadcast.rs
+++ b/fireflycroft/src/leave_broadcast.rs
@@ -43,12 +43,12 @@
 
 impl LeaveBroadcast {
     pub(crate) fn forget(&mut self, ix: MemberIx) {
-        self.pending.retain(|u| u.ix != ix);
+        self.pending.retain(|p| p.ix != ix);
     }
 
     /// Returns the next member to ping at `now`.
     fn next(&mut self, now: Time) -> Option<MemberIx> {
-        let at = self.pending.iter().position(|u| u.due <= now)?;
+        let at = self.pending.iter().position(|p| p.due <= now)?;
         let mut pending = self.pending.remove(at)?;
         pending.attempts += 1;
         pending.due = now + PONG_TIMEOUT;
--- a/fireflycroft/src/snapshot.rs
+++ b/fireflycroft/src/snapshot.rs
@@ -49,7 +49,7 @@
 /// A document cut into parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Digest of the whole.
+    /// Digest of all parts.
     pub digest: Digest,
     /// The parts, in order.
     pub parts: Vec<Part>,
@@ -60,7 +60,7 @@
 pub struct Head {
     /// Version of the configuration; it only increases.
     pub version: u64,
-    /// Digest of the whole.
+    /// Digest of all parts.
     #[serde(with = "digest_hex")]
     pub digest: Digest,
     /// Names of the parts, in order.
--- a/fireflycroft/tests/config.rs
+++ b/fireflycroft/tests/config.rs
@@ -1,4 +1,4 @@
-//! Checking documents, looking things up, and never going back.
+//! Validation, look-ups and version order of configurations.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -17,7 +17,7 @@
 use std::sync::{Arc, LazyLock};
 use std::time::Duration;
 
-/// A document that the change spoils, and the faults it then has.
+/// Defines one test per invalid change of the document and the faults expected.
 macro_rules! faults {
     ($($name:ident: $change:expr => [$($field:literal: $text:literal),* $(,)?];)+) => {
         $(
@@ -333,42 +333,42 @@
     };
 }
 
-/// Contents that the stateful test writes.
+/// Number of contents that the stateful test writes.
 const CONTENTS: u8 = 8;
-/// Nodes of the stateful test.
+/// Number of nodes in the stateful test.
 const NODES: usize = 4;
 
-/// What may happen to the configuration of a fleet.
+/// A step of the stateful test.
 #[derive(Clone, Debug)]
 enum Step {
-    /// An operator who asks the nodes accepts other content.
+    /// An operator publishes other content with a version above those of all nodes.
     Accept(u8),
-    /// An operator who asks no node accepts other content.
+    /// An operator publishes other content with a version above the platform's only.
     AcceptBlind(u8),
-    /// The platform goes so many writes back.
+    /// The platform is restored to a state several writes earlier.
     Restore(usize),
-    /// A node reads the platform as it was so many writes before.
+    /// A node reads the platform as it was several writes earlier.
     Read(usize, usize),
-    /// A node pulls all it lacks from a peer.
+    /// A node pulls a peer's version.
     Pull(usize, usize),
-    /// One part of a peer's version reaches a node late and unasked.
+    /// A part of a peer's version reaches a node late and unrequested.
     LatePart(usize, usize, u32),
-    /// A node's pull is cut off after so many parts.
+    /// A node's pull ends after several parts.
     CutPull(usize, usize, usize),
-    /// A node hears which version a peer has in force.
+    /// A node receives the version that is active at a peer.
     Observe(usize, usize),
-    /// A node is replaced and knows nothing.
+    /// A node is replaced by one without any state.
     Replace(usize),
 }
 
-/// A write of the head: its version and content.
+/// A write of the head: version and content.
 type Write = (u64, u8);
 
-/// Oracle: what the platform holds, and what each node must have in force.
+/// Oracle: the platform's writes, and the write that must be active at each node.
 #[derive(Clone, Debug, Default)]
 struct Fleet {
     writes: Vec<Write>,
-    /// Last write, in each life of a node, that came in force there.
+    /// Write that last became active in the current incarnation of each node.
     nodes: [Option<Write>; NODES],
 }
 
@@ -384,7 +384,7 @@
         self.writes.get(at).copied()
     }
 
-    /// A node is given a whole version.
+    /// Delivers a complete version to a node.
     fn deliver(&mut self, node: usize, write: Option<Write>) {
         let held = self.nodes[node].map_or(0, |w| w.0);
         if let Some(write) = write.filter(|w| w.0 > held) {
@@ -438,7 +438,7 @@
     }
 }
 
-/// A node as the daemon drives it.
+/// A node, driven as the daemon does it.
 #[derive(Default)]
 struct Node {
     transfer: ConfigTransfer,
@@ -454,7 +454,7 @@
         }
     }
 
-    /// Pulls at most `most` parts from `peer`.
+    /// Pulls at most `limit` parts from `peer`.
     fn pull(&mut self, peer: &Self, limit: usize) {
         for _ in 0..limit {
             let (have, part) = (self.transfer.version(), self.transfer.next_part());
@@ -470,7 +470,7 @@
         }
     }
 
-    /// Takes a part; true when a version came whole.
+    /// Receives a part; returns whether it completed a version.
     fn receive(&mut self, answer: Message) -> bool {
         let Message::ConfigPart {
             version,
@@ -518,7 +518,7 @@
     &SNAPSHOTS[usize::from(content)]
 }
 
-/// A document of several parts that says which content it is.
+/// Returns the snapshot of a document of several parts that contains `content`.
 fn snapshot_with(content: u8) -> Snapshot {
     let workspace = |i: usize| Workspace {
         name: format!("workspace-{i}").into(),
@@ -538,7 +538,7 @@
 struct Nodes([Node; NODES]);
 
 impl Nodes {
-    /// Two nodes, the second to be changed.
+    /// Returns a copy of one node and a reference to another.
     fn pair(&mut self, from: usize, to: usize) -> Option<(Node, &mut Node)> {
         if from == to {
             return None;
@@ -573,7 +573,7 @@
                 }
             }
             Step::CutPull(from, to, parts) => {
-                // Short of the whole, which has four parts and a head.
+                // Fewer than all parts, of which there are four and a head.
                 if let Some((peer, node)) = sut.pair(from, to) {
                     let missing = missing(node, &peer);
                     node.pull(&peer, parts.min(missing.saturating_sub(1)));
@@ -623,7 +623,7 @@
     }
 }
 
-/// Parts, the head included, that `node` must still take to be at `peer`'s
+/// Returns the number of parts, including the head, that `node` lacks of `peer`'s
 /// version.
 fn missing(node: &Node, peer: &Node) -> usize {
     let mut trial = node.transfer.clone();
--- a/fireflycroft/tests/diff.rs
+++ b/fireflycroft/tests/diff.rs
@@ -1,11 +1,11 @@
-//! What operators are shown of a change.
+//! Differences of configurations as operators see them.
 
 use fireflycroft::{
     Brand, Diff, Document, Inventory, Model, Name, NonRetryable, Objective, Priority, PriorityRule,
     Quota, Rules, WithoutKey, Workspace,
 };
 
-/// A change of the document, and the lines that show it.
+/// Defines one test per change of the document and the lines that show it.
 macro_rules! changes {
     ($($name:ident: $change:expr => [$($line:literal),* $(,)?];)+) => {
         $(
@@ -59,7 +59,7 @@
     }
 }
 
-/// Lines of a diff without the counts at its end.
+/// Returns the lines of a diff without the counts at its end.
 fn lines(before: &Document, after: &Document) -> Vec<String> {
     let text = Diff::between(before, after).to_string();
     let mut lines: Vec<String> = text.lines().map(str::to_owned).collect();
--- a/fireflycroft/tests/member.rs
+++ b/fireflycroft/tests/member.rs
@@ -1,4 +1,4 @@
-//! Membership, case by case.
+//! Membership on small simulated fleets and single processes.
 
 mod members;
 
@@ -14,13 +14,13 @@
 const SETTLE: Duration = Duration::from_secs(30);
 const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Bytes a second of one member of two hundred when nothing happens.
+/// Limit on bytes per second of one member in an idle fleet of two hundred.
 const MAX_IDLE_BYTES_PER_SECOND: u64 = 1_024;
-/// Members of a table that is compared.
+/// Members of a table that is sent by comparison.
 const TABLE_MEMBERS: usize = 200;
 const MAX_PACKET_BYTES: usize = 1_500;
 
-/// One test for each scenario, on a settled fleet of its size.
+/// Defines one test per scenario, run on a settled fleet of the given size.
 macro_rules! fleets {
     ($($name:ident($count:literal): $scenario:expr;)+) => {
         $(
@@ -193,7 +193,7 @@
         assert!(fleet.is_agreed());
     };
     found_by_the_vm_list_alone(6): |fleet| {
-        // Ends the seeds, so that the newcomer hears of nobody else.
+        // Ends the seeds, so that the newcomer can learn of other members only from the list.
         for ix in 0..3 {
             fleet.end(NodeIx(ix));
         }
@@ -215,7 +215,7 @@
         assert_within(took, 5_000);
     };
     comparison_passes_on_ungossiped_records(2): |fleet| {
-        // Records of a page are not told on, so only tables can pass them.
+        // Records of a page are not gossiped, so only table comparison can pass them on.
         let records = (0..TABLE_MEMBERS).map(|n| numbered(n, Alive)).collect();
         let third = peer("third", 9, 60);
         fleet.deliver(NodeIx(0), third, Message::ViewPage { records });
@@ -242,7 +242,7 @@
     assert!(took.is_some_and(|took| took < bound), "{took:?}");
 }
 
-/// The span less some milliseconds.
+/// Shortens a span by some milliseconds.
 fn shorter_by(span: Duration, millis: u64) -> Duration {
     span.saturating_sub(Duration::from_millis(millis))
 }
@@ -255,14 +255,14 @@
     state == Some(MemberState::Leaving)
 }
 
-/// Members that some process ever held as suspect or dead.
+/// Counts records that some process ever held as suspect or dead.
 fn count_suspected(fleet: &Fleet) -> usize {
     let seen = fleet.nodes.iter().flat_map(|node| node.seen.keys());
     seen.filter(|(_, state)| matches!(state, MemberState::Suspect | MemberState::Dead))
         .count()
 }
 
-/// Running members that some process ever held as dead.
+/// Counts running members that some process ever held as dead.
 fn false_deaths(fleet: &Fleet) -> usize {
     let running = fleet.running().into_iter();
     let name = |ix: NodeIx| fleet.node(ix).peer.name.clone();
@@ -279,7 +279,7 @@
         .count()
 }
 
-/// One process, driven by hand, that knows one member named `other`.
+/// One process, driven event by event, that knows one member named `other`.
 struct SingleProcess {
     members: Members,
     now: Time,
@@ -331,7 +331,7 @@
         self.members.on_event(self.now, event, &mut self.out);
     }
 
-    /// Gives a record that a third process tells.
+    /// Delivers a record in a ping of a third process.
     fn deliver_record(&mut self, record: MemberRecord) {
         self.deliver_record_from(peer("third", 2, 60), record);
     }
@@ -358,7 +358,7 @@
         (held.peer.incarnation.0, held.revision, held.state)
     }
 
-    /// Whether a message to `place` tells so of a member.
+    /// Returns whether a ping or pong to `place` contains such a record.
     fn sent_to(&self, place: usize, wanted: impl Fn(&MemberRecord) -> bool) -> bool {
         self.out.iter().any(|action| match action {
             MemberAction::Send(
@@ -370,7 +370,8 @@
     }
 }
 
-/// One test for each record told about a member held alive in turn 5.
+/// Defines one test per sequence of records received about a member held alive in
+/// revision 5.
 macro_rules! merges {
     ($($name:ident: $($received:expr),+ => $held:expr;)+) => {
         $(
--- a/fireflycroft/tests/member_model.rs
+++ b/fireflycroft/tests/member_model.rs
@@ -1,9 +1,10 @@
-//! Membership against an oracle that knows which processes truly live.
+//! Membership checked against an oracle that knows which processes run.
 //!
-//! The oracle asks, whatever was started, ended, paused, cut and lost before:
-//! once nothing has happened for [`CALM`], every running process holds exactly
-//! the running ones; who leaves is held as leaving everywhere after
-//! [`LEAVE_BOUND`]; and no record ever goes back to an older life or turn.
+//! The steps start, end, pause and partition processes and lose messages. The oracle
+//! requires that, once nothing has happened for [`SETTLE_TIME`], every running process
+//! holds exactly the running ones; that a leaving process is held as leaving everywhere
+//! after [`LEAVE_BOUND`]; and that no record reverts to an older incarnation or
+//! revision.
 
 mod members;
 
@@ -21,16 +22,16 @@
 const DATA_CENTRES: usize = 3;
 const MAX_LOSS: u64 = 20;
 
-/// Time without any event after which all must agree.
+/// Time without any event after which all processes must agree.
 const SETTLE_TIME: Duration = Duration::from_secs(45);
 
-/// Time after which a leaving member is held so everywhere.
+/// Time after which a leaving member is held as leaving everywhere.
 const LEAVE_BOUND: Duration = Duration::from_secs(3);
 
-/// Time between two looks at all records.
+/// Time between two checks of all records.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What is at one place.
+/// State of the process at one address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Place {
     Empty,
@@ -48,7 +49,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Starts a process at a place; under a name of its own or the former one.
+    /// Starts a process at a place, under a new name or the former one.
     Start(usize, bool),
     End(usize),
     Pause(usize),
@@ -57,13 +58,13 @@
     /// Cuts a data centre off from all others, or from the next one only.
     Cut(usize, bool),
     Heal,
-    /// Lets messages of a hundred be lost.
+    /// Sets the percentage of messages lost.
     SetLoss(u64),
     Run(u64),
 }
 
 impl Oracle {
-    /// Whether a seed other than at `place` can be reached.
+    /// Returns whether a seed other than the one at `place` runs.
     fn has_other_seed(&self, place: usize) -> bool {
         let seeds = self.places[..SEED_PLACES].iter().enumerate();
         seeds
@@ -128,14 +129,14 @@
     }
 }
 
-/// What an observer held of a member when last looked at.
+/// Incarnation, revision and state that an observer last held of a member.
 type Held = (Incarnation, u64, MemberState);
 
-/// The fleet, and what the oracle keeps of it.
+/// The fleet under test, with the oracle's observations.
 struct CheckedFleet {
     fleet: Fleet,
     at: [NodeIx; PLACES],
-    /// When something last happened, or messages were last lost or cut.
+    /// Time of the last step, or of the last loss or partition.
     last_disturbed: Time,
     last_held: HashMap<(NodeIx, Name), Held>,
     started: usize,
@@ -201,7 +202,7 @@
         }
     }
 
-    /// No record goes back, and leaving is never taken back.
+    /// Checks that no record reverts, and that leaving is never revoked.
     fn check_order(&mut self) {
         for at in self.fleet.running() {
             for record in self.fleet.node(at).members.records() {
@@ -220,7 +221,7 @@
         }
     }
 
-    /// After a calm time all hold the truth.
+    /// Checks that all processes agree with the oracle after [`SETTLE_TIME`].
     fn check_agreement(&self) {
         if self.fleet.now.since(self.last_disturbed) < SETTLE_TIME {
             return;
@@ -251,7 +252,7 @@
         assert_eq!(held, Some((node.peer.clone(), wanted)), "at {at:?}");
     }
 
-    /// Who does not run is dead or forgotten.
+    /// Checks that members that do not run are dead or forgotten.
     fn check_gone(&self, at: NodeIx) {
         let running = self.fleet.running();
         for record in self.fleet.node(at).members.records() {
@@ -303,7 +304,7 @@
         checked
     }
 
-    /// Ends every case with a calm time, so that each is judged.
+    /// Ends every case with a settled fleet, so that agreement is always checked.
     fn teardown(mut checked: CheckedFleet, _: Oracle) {
         checked.fleet.cuts.clear();
         checked.fleet.loss = 0;
--- a/fireflycroft/tests/members/fleet.rs
+++ b/fireflycroft/tests/members/fleet.rs
@@ -1,6 +1,6 @@
-//! A few members in virtual time, with a network that fails on demand.
+//! A simulated fleet of members in virtual time, with a network that fails on demand.
 
-// Each test uses a part of it.
+// Each test uses only a part of this module.
 #![allow(dead_code)]
 
 use fireflycroft::{
@@ -14,10 +14,10 @@
 /// Time between two ticks of one process.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Messages kept for a process that is paused.
+/// Most messages kept for a paused process.
 const MAX_INBOX: usize = 4_096;
 
-/// Slowest and fastest way of a message, in microseconds.
+/// Shortest latency of a message, and the range above it, in microseconds.
 const MIN_LATENCY_MICROS: u64 = 200;
 const LATENCY_RANGE_MICROS: u64 = 4_000;
 
@@ -25,7 +25,7 @@
 const PORTS_PER_HOST: usize = 10_000;
 const DATA_CENTRES: [&str; 3] = ["north", "middle", "south"];
 
-/// Processes that all know from the start.
+/// Processes known to all others from the start.
 const SEEDS: usize = 3;
 
 /// Wall-clock time of the first start, in milliseconds.
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct NodeIx(pub(crate) usize);
 
-/// Whether a process runs.
+/// Run state of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProcessState {
     Running,
@@ -50,19 +50,19 @@
     pub(crate) process_state: ProcessState,
     pub(crate) peer: Peer,
     pub(crate) data_centre: usize,
-    /// Whether it was told to leave.
+    /// Whether the process is leaving.
     pub(crate) is_leaving: bool,
     /// Bytes sent, as encoded.
     pub(crate) bytes: u64,
-    /// Entries that it last counted.
+    /// Number of entries that the process last reported.
     pub(crate) entries: u32,
-    /// When it last saw a member come into a state.
+    /// Time at which the process last saw a member enter a state.
     pub(crate) seen: HashMap<(Name, MemberState), Time>,
     started_at: Time,
     inbox: Vec<(Peer, Message)>,
 }
 
-/// Numbers that follow from a seed.
+/// Random number generator with a fixed seed.
 #[derive(Clone)]
 pub(crate) struct SplitMix64(u64);
 
@@ -77,12 +77,12 @@
 pub(crate) struct Fleet {
     pub(crate) nodes: Vec<Node>,
     pub(crate) now: Time,
-    /// Messages of a hundred that are lost.
+    /// Percentage of messages lost.
     pub(crate) loss: u64,
-    /// Data centres from which nothing passes to the other.
+    /// Pairs of data centres; no message passes from the first to the second.
     pub(crate) cuts: HashSet<(usize, usize)>,
     pub(crate) rng: SplitMix64,
-    /// Longest packet sent.
+    /// Longest packet sent, in bytes.
     pub(crate) longest_packet: usize,
     event_queue: BTreeMap<(Time, u64), Scheduled>,
     by_addr: HashMap<SocketAddr, NodeIx>,
@@ -90,7 +90,7 @@
 }
 
 impl SplitMix64 {
-    /// Next number, by `SplitMix64`.
+    /// Returns the next number of `SplitMix64`.
     pub(crate) fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -104,7 +104,7 @@
     }
 }
 
-/// Address number `place` of the fleet.
+/// Returns the address of place number `place`.
 pub(crate) fn addr(place: usize) -> SocketAddr {
     let host = u8::try_from(place / PORTS_PER_HOST + 1).unwrap();
     let port = u16::try_from(FIRST_PORT + place % PORTS_PER_HOST).unwrap();
@@ -126,7 +126,8 @@
         }
     }
 
-    /// A fleet of `count` processes, a third of them entries, after `settle`.
+    /// Creates a fleet of `count` processes, a third of them entries, and runs it for
+    /// `settle`.
     pub(crate) fn settled(seed: u64, count: usize, settle: Duration) -> Self {
         let mut fleet = Self::new(seed);
         for place in 0..count {
@@ -136,7 +137,7 @@
         fleet
     }
 
-    /// Starts a process of that name at that address.
+    /// Starts a process with this name and address.
     pub(crate) fn start(&mut self, name: &str, place: usize) -> NodeIx {
         let data_centre = place % DATA_CENTRES.len();
         let is_entry = (place / DATA_CENTRES.len()).is_multiple_of(3);
@@ -182,14 +183,14 @@
         &self.nodes[ix.0]
     }
 
-    /// Indices of processes that run.
+    /// Returns the indices of running processes.
     pub(crate) fn running(&self) -> Vec<NodeIx> {
         let all = (0..self.nodes.len()).map(NodeIx);
         all.filter(|ix| self.node(*ix).process_state == ProcessState::Running)
             .collect()
     }
 
-    /// Ends a process without a word.
+    /// Ends a process without a leave broadcast.
     pub(crate) fn end(&mut self, ix: NodeIx) {
         self.nodes[ix.0].process_state = ProcessState::Ended;
         self.nodes[ix.0].inbox.clear();
@@ -199,7 +200,7 @@
         self.nodes[ix.0].process_state = ProcessState::Paused;
     }
 
-    /// Lets a paused process go on; it first reads what has come meanwhile.
+    /// Resumes a paused process, which first handles the messages received meanwhile.
     pub(crate) fn resume(&mut self, ix: NodeIx) {
         self.nodes[ix.0].process_state = ProcessState::Running;
         for (from, message) in std::mem::take(&mut self.nodes[ix.0].inbox) {
@@ -233,7 +234,7 @@
         self.cuts.insert((other, one));
     }
 
-    /// Lets `span` go by.
+    /// Advances virtual time by `span`.
     pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(next) = self.event_queue.first_entry() {
@@ -249,7 +250,7 @@
         self.now = end;
     }
 
-    /// Lets time go by until `done`, at most `bound`; gives the time it took.
+    /// Advances time until `done`, at most by `bound`; returns the time taken.
     pub(crate) fn run_until(
         &mut self,
         bound: Duration,
@@ -265,12 +266,12 @@
         None
     }
 
-    /// State in which `at` holds the member of that name.
+    /// Returns the state in which `at` holds the member of that name.
     pub(crate) fn state(&self, at: NodeIx, name: &str) -> Option<MemberState> {
         self.node(at).members.get(name).map(|r| r.state)
     }
 
-    /// Whether every running process but the member itself holds it so.
+    /// Returns whether every running process except the member itself holds a wanted state.
     pub(crate) fn all_hold(
         &self,
         name: &str,
@@ -282,8 +283,8 @@
             .all(|at| wanted(self.state(at, name)))
     }
 
-    /// Whether all running processes hold the same records, and exactly the
-    /// running ones as present.
+    /// Returns whether all running processes hold the same records, and exactly the running
+    /// processes as present.
     pub(crate) fn is_agreed(&self) -> bool {
         let running = self.running();
         let views: HashSet<u64> = running
@@ -296,7 +297,7 @@
         views.len() == 1 && self.present(*first) == self.names(&running)
     }
 
-    /// Names that a process holds as present.
+    /// Returns the names that a process holds as present.
     pub(crate) fn present(&self, at: NodeIx) -> HashSet<Name> {
         let records = self.node(at).members.records();
         let present = records.filter(|r| r.state < MemberState::Dead);
@@ -308,7 +309,7 @@
         peers.map(|peer| peer.name.clone()).collect()
     }
 
-    /// Bytes sent by all processes.
+    /// Returns the number of bytes sent by all processes.
     pub(crate) fn bytes(&self) -> u64 {
         self.nodes.iter().map(|node| node.bytes).sum()
     }
@@ -326,7 +327,7 @@
         self.event_queue.insert((at, self.serial), what);
     }
 
-    /// Time as the process itself counts it.
+    /// Returns the time on the process's own clock.
     fn own_time(&self, ix: NodeIx) -> Time {
         Time::from_millis(0) + self.now.since(self.node(ix).started_at)
     }
@@ -402,7 +403,7 @@
     }
 }
 
-/// Load of an agent as it rides on each of its messages.
+/// Returns the load that an agent attaches to each message.
 fn sample_load() -> Load {
     Load {
         running: 24,
--- a/fireflycroft/tests/members/mod.rs
+++ b/fireflycroft/tests/members/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests of this crate share.
+//! Helpers shared by the membership tests.
 
-// Each test uses a part of it.
+// Each test uses only a part of this module.
 #![allow(dead_code)]
 
 pub(crate) mod fleet;
@@ -9,7 +9,7 @@
 
 const SEED: u64 = 0x00f1_4ef1_7c40_f701;
 
-/// Fixed seed; failures are kept beside the tests.
+/// Returns a configuration with a fixed seed; failures are stored beside the tests.
 pub(crate) fn config(cases: u32) -> Config {
     Config {
         cases,
--- a/fireflycroft/tests/point7_config.rs
+++ b/fireflycroft/tests/point7_config.rs
@@ -1,4 +1,4 @@
-//! Point 7, in the core: a configuration in force never goes back.
+//! Point 7, in the core: an active configuration is never replaced by an older one.
 
 mod support;
 
@@ -27,8 +27,8 @@
         }
     }
 
-    /// An entry that learns of a later version runs nothing until it holds
-    /// it, then serves what it held.
+    /// An entry that knows of a later version runs nothing until it has that version, then
+    /// serves the requests that it held back.
     lagging_entry_serves_after_catching_up(world) {
         world.configure(Proc::Agent(0), &fleet::config(2, false));
         world.configure(Proc::Agent(1), &fleet::config(2, false));
@@ -44,7 +44,7 @@
         assert_eq!(world.version(ENTRY), 2);
     }
 
-    /// One that cannot catch up says so at its bound, and ran nothing.
+    /// An entry that cannot catch up refuses at its time limit and has run nothing.
     entry_that_stays_lagging_refuses(world) {
         world.configure(Proc::Agent(0), &fleet::config(2, false));
         world.configure(Proc::Agent(1), &fleet::config(2, false));
@@ -60,7 +60,7 @@
         assert_eq!(world.runs(first), 0);
     }
 
-    /// An agent that is behind catches up before it runs anything.
+    /// A lagging agent catches up before it runs anything.
     lagging_agent_catches_up_before_work_runs(world) {
         world.configure(ENTRY, &fleet::config(4, false));
         let first = world.submit(0, Ask::default()).unwrap();
@@ -74,7 +74,7 @@
         assert_eq!(world.version(Proc::Agent(agent)), 4);
     }
 
-    /// A thawed peer still holds and tells the old one.
+    /// A resumed peer still holds and announces the old version.
     frozen_peer_reverts_nothing(world) {
         world.freeze(Proc::Entry(1));
         for proc in Proc::all() {
--- a/fireflycroft/tests/snapshot.rs
+++ b/fireflycroft/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Cutting a document into parts, putting it together and carrying it.
+//! Cutting documents into parts, assembling them and transferring them.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -11,10 +11,10 @@
 };
 use std::collections::HashSet;
 
-/// Workspaces of the largest fleet that is asked for.
+/// Workspaces of the largest fleet that is required.
 const LARGE: usize = 38_000;
-/// Parts that a change of one item may rewrite: the one around it and, when
-/// a cut moves, the one behind.
+/// Most parts that a change of one item may rewrite: the one around it and, if a cut
+/// moves, the next.
 const REWRITTEN: usize = 2;
 
 fn workspace(i: usize) -> Workspace {
@@ -53,7 +53,7 @@
     snapshot.head(ConfigVersion(version), 0, "test".into(), "token".into())
 }
 
-/// Parts of `to` that `from` doesn't have.
+/// Counts the parts of `to` that `from` lacks.
 fn rewritten(from: &Snapshot, to: &Snapshot) -> usize {
     let known: HashSet<_> = from.parts.iter().map(|p| p.name).collect();
     to.parts.iter().filter(|p| !known.contains(&p.name)).count()
@@ -210,14 +210,13 @@
     };
 }
 
-/// Fate of a write by `own` over the heads `before`, when those by `after`
-/// follow.
+/// Returns the outcome of the write `own` after `before`, if `after` follow.
 fn outcome_after(before: &[&str], own: &str, after: &[&str]) -> WriteOutcome {
     outcome_read(before, own, &[before, after].concat())
 }
 
-/// Fate of a write by `own` over the heads `before`, when the head that is
-/// read came of the writes `line`.
+/// Returns the outcome of the write `own` after `before`, if the head read afterwards
+/// results from `writes`.
 fn outcome_read(before: &[&str], own: &str, writes: &[&str]) -> WriteOutcome {
     let snapshot = split(&document(10)).unwrap();
     let write = |base: Option<Head>, token: &str| {
@@ -239,7 +238,7 @@
     );
 }
 
-/// A carrier that holds `doc` as `version`.
+/// Returns a transfer that holds `doc` as `version`.
 fn transfer_with(doc: &Document, version: u64) -> ConfigTransfer {
     let snapshot = split(doc).unwrap();
     let mut transfer = ConfigTransfer::default();
@@ -267,7 +266,7 @@
     }
 }
 
-/// Pulls until the carrier is done; gives the document and the pulls made.
+/// Pulls until the version is complete; returns the document and the number of pulls.
 fn pull_all(from: &ConfigTransfer, to: &mut ConfigTransfer) -> (Document, usize) {
     let have = to.version();
     let mut pulls = 0;
