--- a/fireflycroft/src/agent.rs
+++ b/fireflycroft/src/agent.rs
@@ -6,15 +6,15 @@
 
 use crate::admit::Admission;
 use crate::code::Code;
+use crate::crash_announcements::CrashAnnouncements;
 use crate::generation::Generation;
+use crate::generation_store::GenerationStore;
 use crate::ids::{GenerationId, Name, Peer, RequestId};
 use crate::message::{ConfigVersion, Envelope, Finish, Load, Message, Standing};
-use crate::news::News;
 use crate::note::Note;
 use crate::offer::{AdmitPolicy, Capacity, OfferId, UpstreamReport};
 use crate::order::{Order, Orders};
 use crate::quarantine::Quarantine;
-use crate::store::Store;
 use crate::time::Time;
 use crate::work::{Demand, Work};
 use std::collections::BTreeMap;
@@ -187,10 +187,10 @@
     pub(crate) config: ConfigVersion,
     pub(crate) admission: Admission,
     pub(crate) offers: BTreeMap<OfferId, Offered>,
-    pub(crate) generations: Store,
+    pub(crate) generations: GenerationStore,
     pub(crate) next_serial: u64,
     pub(crate) quarantine: Quarantine,
-    pub(crate) news: News,
+    pub(crate) crash_announcements: CrashAnnouncements,
     pub(crate) upstream_up: bool,
     pub(crate) leaving: bool,
     pub(crate) orders: Orders,
@@ -211,10 +211,10 @@
             config: ConfigVersion(0),
             admission: Admission::new(setup.policy, setup.capacity),
             offers: BTreeMap::new(),
-            generations: Store::default(),
+            generations: GenerationStore::default(),
             next_serial: 1,
             quarantine: Quarantine::default(),
-            news: News::default(),
+            crash_announcements: CrashAnnouncements::default(),
             upstream_up: false,
             leaving: false,
             orders: Orders::default(),
--- a/fireflycroft/src/attend.rs
+++ b/fireflycroft/src/agent_generations.rs
@@ -193,7 +193,7 @@
                 .saturating_add(1);
             if self.quarantine.learn(now, *content, count) {
                 let content = *content;
-                self.news.add(now, content, count);
+                self.crash_announcements.add(now, content, count);
                 out.push(AgentAction::Broadcast(Message::Crashes { content, count }));
             }
         }
--- a/fireflycroft/src/tidy.rs
+++ b/fireflycroft/src/agent_maintenance.rs
@@ -38,7 +38,12 @@
         self.stop_stalled(now, out);
         self.forget_old(now);
         self.quarantine.expire(now);
-        out.extend(self.news.due(now).into_iter().map(AgentAction::Broadcast));
+        out.extend(
+            self.crash_announcements
+                .due(now)
+                .into_iter()
+                .map(AgentAction::Broadcast),
+        );
     }
 
     pub(crate) fn lapse_due(&mut self, now: Time, out: &mut Vec<AgentAction>) {
--- a/fireflycroft/src/news.rs
+++ b/fireflycroft/src/crash_announcements.rs
@@ -25,11 +25,11 @@
 
 /// Counts that are still to be told.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct News {
+pub(crate) struct CrashAnnouncements {
     items: Vec<Item>,
 }
 
-impl News {
+impl CrashAnnouncements {
     /// Takes a count that has just been told for the first time.
     pub(crate) fn add(&mut self, now: Time, content: Digest, count: u8) {
         self.items.retain(|i| i.content != content);
--- a/fireflycroft/src/store.rs
+++ b/fireflycroft/src/generation_store.rs
@@ -30,14 +30,14 @@
 
 /// Generations by serial number, and traces of those that went.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Store {
+pub(crate) struct GenerationStore {
     held: BTreeMap<u64, Generation>,
     traces: BTreeMap<u64, Trace>,
     /// Bytes held, or more.
     bytes: usize,
 }
 
-impl Store {
+impl GenerationStore {
     pub(crate) fn insert(&mut self, g: Generation) {
         self.held.insert(g.id.serial, g);
     }
