--- a/fireflycroft/src/admit.rs
+++ b/fireflycroft/src/admit.rs
@@ -7,7 +7,7 @@
 //! interactive work. What does not fit waits by priority, then by arrival,
 //! within a bound; a batch request that has waited long is kept room for.
 
-use crate::length::{LengthKey, Lengths, Survival};
+use crate::length::{AnswerLengths, LengthKey, Survival};
 use crate::message::Load;
 use crate::offer::{AdmitPolicy, Capacity, OfferId, UpstreamReport, Verdict};
 use crate::outlook::Outlook;
@@ -67,7 +67,7 @@
     capacity: Capacity,
     waiting: Vec<Waiting>,
     admitted: HashMap<OfferId, Admitted>,
-    lengths: Lengths,
+    lengths: AnswerLengths,
     typical: Typical,
     step: Duration,
     /// Time that one token of a prompt takes.
@@ -140,7 +140,7 @@
             capacity,
             waiting: Vec::new(),
             admitted: HashMap::new(),
-            lengths: Lengths::default(),
+            lengths: AnswerLengths::default(),
             typical: Typical::default(),
             step: Duration::ZERO,
             prefill: Duration::ZERO,
@@ -213,7 +213,7 @@
     /// Frees the slot of a request that came to its own end.
     pub fn finish(&mut self, offer: OfferId) {
         if let Some(done) = self.admitted.get(&offer) {
-            self.lengths.ended(&done.key, done.produced);
+            self.lengths.record_end(&done.key, done.produced);
         }
         self.release(offer);
     }
@@ -228,7 +228,8 @@
         admitted.produced = produced;
         admitted.at = now;
         let prompt = admitted.prompt;
-        self.lengths.passed(&admitted.key, before, produced);
+        self.lengths
+            .record_progress(&admitted.key, before, produced);
         let count = produced.saturating_sub(before);
         self.stale += count;
         // Also when nobody asks: the load told to entries rests on it.
--- a/fireflycroft/src/length.rs
+++ b/fireflycroft/src/length.rs
@@ -12,22 +12,22 @@
 use std::collections::HashMap;
 
 /// Spans of lengths that a sketch tells apart; four to each doubling.
-pub const SPANS: usize = 60;
+pub const LENGTH_BUCKETS: usize = 60;
 
 /// Sketches of workspaces that are kept; the least seen goes first.
 pub const MAX_SKETCHES: usize = 512;
 
 /// Spans to each doubling of the length.
-const SPANS_PER_DOUBLING: f64 = 4.0;
+const BUCKETS_PER_DOUBLING: f64 = 4.0;
 
 /// Answers after which an older one counts by a factor of e less.
-const MEMORY: f32 = 500.0;
+const DECAY_ANSWERS: f32 = 500.0;
 
 /// Answers that the wider sketch counts for within the narrower one.
-const LEAN: f32 = 10.0;
+const WORKSPACE_PRIOR_ANSWERS: f32 = 10.0;
 
 /// Answers that the prior counts for within a sketch of a model.
-const PRIOR_LEAN: f32 = 3.0;
+const MODEL_PRIOR_ANSWERS: f32 = 3.0;
 
 /// Share of answers that end in each span, before anything was seen.
 const PRIOR_HAZARD: f32 = 0.08;
@@ -58,72 +58,76 @@
 /// Answers that entered each span and ended in it.
 #[derive(Clone, Copy, Debug)]
 struct Sketch {
-    entered: [f32; SPANS],
-    ended: [f32; SPANS],
+    entered: [f32; LENGTH_BUCKETS],
+    ended: [f32; LENGTH_BUCKETS],
 }
 
 impl Default for Sketch {
     fn default() -> Self {
         Self {
-            entered: [0.0; SPANS],
-            ended: [0.0; SPANS],
+            entered: [0.0; LENGTH_BUCKETS],
+            ended: [0.0; LENGTH_BUCKETS],
         }
     }
 }
 
 impl Sketch {
-    fn enter(&mut self, span: usize) {
-        let kept = 1.0 - 1.0 / MEMORY;
-        self.entered[span] = self.entered[span] * kept + 1.0;
-        self.ended[span] *= kept;
+    fn enter(&mut self, bucket: usize) {
+        let kept = 1.0 - 1.0 / DECAY_ANSWERS;
+        self.entered[bucket] = self.entered[bucket] * kept + 1.0;
+        self.ended[bucket] *= kept;
     }
 
-    fn end(&mut self, span: usize) {
-        self.ended[span] += 1.0;
+    fn end(&mut self, bucket: usize) {
+        self.ended[bucket] += 1.0;
     }
 
     /// Share of answers that end in each span, leaning on `wider` as on
     /// `lean` answers.
-    fn hazards(&self, wider: &[f32; SPANS], lean: f32) -> [f32; SPANS] {
+    fn hazards(&self, prior: &[f32; LENGTH_BUCKETS], prior_answers: f32) -> [f32; LENGTH_BUCKETS] {
         std::array::from_fn(|i| {
-            let ended = self.ended[i] + lean * wider[i];
-            (ended / (self.entered[i] + lean)).min(1.0)
+            let ended = self.ended[i] + prior_answers * prior[i];
+            (ended / (self.entered[i] + prior_answers)).min(1.0)
         })
     }
 }
 
 /// Lengths seen on one upstream.
 #[derive(Clone, Debug, Default)]
-pub struct Lengths {
-    narrow: HashMap<LengthKey, Sketch>,
-    wide: HashMap<(Name, Priority), Sketch>,
+pub struct AnswerLengths {
+    by_workspace: HashMap<LengthKey, Sketch>,
+    by_model: HashMap<(Name, Priority), Sketch>,
 }
 
-impl Lengths {
+impl AnswerLengths {
     /// Notes that an answer came from `before` tokens to `now` tokens.
-    pub fn passed(&mut self, key: &LengthKey, before: u64, now: u64) {
-        let first = if before == 0 { 0 } else { span_of(before) + 1 };
-        let last = span_of(now.max(1));
-        for span in first..=last {
-            self.each(key, |sketch| sketch.enter(span));
+    pub fn record_progress(&mut self, key: &LengthKey, before: u64, now: u64) {
+        let first = if before == 0 {
+            0
+        } else {
+            bucket_of(before) + 1
+        };
+        let last = bucket_of(now.max(1));
+        for bucket in first..=last {
+            self.update_sketches(key, |sketch| sketch.enter(bucket));
         }
     }
 
     /// Notes that an answer ended by itself after so many tokens.
-    pub fn ended(&mut self, key: &LengthKey, total: u64) {
-        let span = span_of(total.max(1));
-        self.each(key, |sketch| sketch.end(span));
+    pub fn record_end(&mut self, key: &LengthKey, total: u64) {
+        let bucket = bucket_of(total.max(1));
+        self.update_sketches(key, |sketch| sketch.end(bucket));
     }
 
     /// How long answers of that key grow.
     #[must_use]
     pub fn survival(&self, key: &LengthKey) -> Survival {
-        let mut hazards = [PRIOR_HAZARD; SPANS];
-        if let Some(wide) = self.wide.get(&(key.target.clone(), key.priority)) {
-            hazards = wide.hazards(&hazards, PRIOR_LEAN);
+        let mut hazards = [PRIOR_HAZARD; LENGTH_BUCKETS];
+        if let Some(by_model) = self.by_model.get(&(key.target.clone(), key.priority)) {
+            hazards = by_model.hazards(&hazards, MODEL_PRIOR_ANSWERS);
         }
-        if let Some(narrow) = self.narrow.get(key) {
-            hazards = narrow.hazards(&hazards, LEAN);
+        if let Some(by_workspace) = self.by_workspace.get(key) {
+            hazards = by_workspace.hazards(&hazards, WORKSPACE_PRIOR_ANSWERS);
         }
         Survival::new(&hazards)
     }
@@ -131,30 +135,30 @@
     /// Sketches of workspaces that are held.
     #[must_use]
     pub fn sketches(&self) -> usize {
-        self.narrow.len()
+        self.by_workspace.len()
     }
 
-    fn each(&mut self, key: &LengthKey, f: impl Fn(&mut Sketch)) {
-        if !self.narrow.contains_key(key) {
-            self.make_room();
+    fn update_sketches(&mut self, key: &LengthKey, f: impl Fn(&mut Sketch)) {
+        if !self.by_workspace.contains_key(key) {
+            self.evict_least_seen();
         }
-        f(self.narrow.entry(key.clone()).or_default());
-        let wide = (key.target.clone(), key.priority);
-        f(self.wide.entry(wide).or_default());
+        f(self.by_workspace.entry(key.clone()).or_default());
+        let by_model = (key.target.clone(), key.priority);
+        f(self.by_model.entry(by_model).or_default());
     }
 
-    fn make_room(&mut self) {
-        if self.narrow.len() < MAX_SKETCHES {
+    fn evict_least_seen(&mut self) {
+        if self.by_workspace.len() < MAX_SKETCHES {
             return;
         }
         let seen = |s: &Sketch| s.entered[0];
         let least = self
-            .narrow
+            .by_workspace
             .iter()
             .min_by(|(_, a), (_, b)| seen(a).total_cmp(&seen(b)))
             .map(|(key, _)| key.clone());
         if let Some(key) = least {
-            self.narrow.remove(&key);
+            self.by_workspace.remove(&key);
         }
     }
 }
@@ -163,15 +167,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Survival {
     /// Logarithm of the probability at the start of each span.
-    logs: [f32; SPANS + 1],
+    logs: [f32; LENGTH_BUCKETS + 1],
 }
 
 impl Survival {
-    fn new(hazards: &[f32; SPANS]) -> Self {
-        const LEAST: f32 = 1e-4;
-        let mut logs = [0.0; SPANS + 1];
-        for i in 0..SPANS {
-            logs[i + 1] = logs[i] + (1.0 - hazards[i]).max(LEAST).ln();
+    fn new(hazards: &[f32; LENGTH_BUCKETS]) -> Self {
+        const MIN_SURVIVAL: f32 = 1e-4;
+        let mut logs = [0.0; LENGTH_BUCKETS + 1];
+        for i in 0..LENGTH_BUCKETS {
+            logs[i + 1] = logs[i] + (1.0 - hazards[i]).max(MIN_SURVIVAL).ln();
         }
         Self { logs }
     }
@@ -189,8 +193,8 @@
     pub fn mean(&self, produced: u64, limit: u64) -> f64 {
         let mut mean = 0.0;
         let mut at = produced;
-        for span in span_of(produced.max(1))..SPANS {
-            let end = start_of(span + 1).min(limit);
+        for bucket in bucket_of(produced.max(1))..LENGTH_BUCKETS {
+            let end = bucket_start(bucket + 1).min(limit);
             if end <= at {
                 continue;
             }
@@ -206,8 +210,8 @@
     /// Tokens to come after `produced` that a share `q` of answers stays within.
     #[must_use]
     pub fn quantile(&self, produced: u64, limit: u64, q: f64) -> u64 {
-        let most = limit.saturating_sub(produced);
-        let (mut low, mut high) = (0, most);
+        let max_more = limit.saturating_sub(produced);
+        let (mut low, mut high) = (0, max_more);
         while low < high {
             let middle = low.midpoint(high);
             if self.beyond(produced, middle) <= 1.0 - q {
@@ -225,19 +229,19 @@
         if tokens <= 1 {
             return 0.0;
         }
-        let span = span_of(tokens);
-        let start = to_f64(start_of(span));
-        let part = (to_f64(tokens) / start).log2() * SPANS_PER_DOUBLING;
-        let (from, to) = (self.logs[span], self.logs[span + 1]);
+        let bucket = bucket_of(tokens);
+        let start = to_f64(bucket_start(bucket));
+        let part = (to_f64(tokens) / start).log2() * BUCKETS_PER_DOUBLING;
+        let (from, to) = (self.logs[bucket], self.logs[bucket + 1]);
         from + (to - from) * part.clamp(0.0, 1.0) as f32
     }
 }
 
 /// Span in which an answer of so many tokens is.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn span_of(tokens: u64) -> usize {
-    let place = to_f64(tokens.max(1)).log2() * SPANS_PER_DOUBLING;
-    (place as usize).min(SPANS - 1)
+fn bucket_of(tokens: u64) -> usize {
+    let place = to_f64(tokens.max(1)).log2() * BUCKETS_PER_DOUBLING;
+    (place as usize).min(LENGTH_BUCKETS - 1)
 }
 
 /// Tokens at which a span starts.
@@ -246,8 +250,8 @@
     clippy::cast_sign_loss,
     clippy::cast_precision_loss
 )]
-fn start_of(span: usize) -> u64 {
-    (span as f64 / SPANS_PER_DOUBLING).exp2().ceil() as u64
+fn bucket_start(bucket: usize) -> u64 {
+    (bucket as f64 / BUCKETS_PER_DOUBLING).exp2().ceil() as u64
 }
 
 #[allow(clippy::cast_precision_loss)]
--- a/fireflycroft/tests/length.rs
+++ b/fireflycroft/tests/length.rs
@@ -4,7 +4,7 @@
 #[path = "support/cases.rs"]
 mod cases;
 
-use fireflycroft::{LengthKey, Lengths, MAX_SKETCHES, Name, Priority, Survival};
+use fireflycroft::{AnswerLengths, LengthKey, MAX_SKETCHES, Name, Priority, Survival};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -36,18 +36,18 @@
 }
 
 /// Feeds one whole answer, a few tokens at a time.
-fn feed(lengths: &mut Lengths, key: &LengthKey, total: u64) {
+fn feed(lengths: &mut AnswerLengths, key: &LengthKey, total: u64) {
     let mut at = 0;
     while at < total {
         let next = (at + 7).min(total);
-        lengths.passed(key, at, next);
+        lengths.record_progress(key, at, next);
         at = next;
     }
-    lengths.ended(key, total);
+    lengths.record_end(key, total);
 }
 
 fn learned(totals: &[u64]) -> Survival {
-    let mut lengths = Lengths::default();
+    let mut lengths = AnswerLengths::default();
     for total in totals {
         feed(&mut lengths, &key("a"), *total);
     }
@@ -55,7 +55,7 @@
 }
 
 fn prior_is_a_distribution() {
-    let survival = Lengths::default().survival(&key("a"));
+    let survival = AnswerLengths::default().survival(&key("a"));
     assert!((survival.beyond(0, 0) - 1.0).abs() < 1e-6);
     let mean = survival.mean(0, LIMIT);
     assert!((50.0..5_000.0).contains(&mean), "{mean}");
@@ -86,17 +86,17 @@
 
 /// Answers that never end must not leave only the short ones to be seen.
 fn running_answers_count() {
-    let mut lengths = Lengths::default();
+    let mut lengths = AnswerLengths::default();
     for _ in 0..200 {
         feed(&mut lengths, &key("a"), 30);
-        lengths.passed(&key("a"), 0, 1_000);
+        lengths.record_progress(&key("a"), 0, 1_000);
     }
     let beyond = lengths.survival(&key("a")).beyond(0, 900);
     assert!((beyond - 0.5).abs() < TOLERANCE, "{beyond}");
 }
 
 fn new_workspace_leans_on_model() {
-    let mut lengths = Lengths::default();
+    let mut lengths = AnswerLengths::default();
     for _ in 0..300 {
         feed(&mut lengths, &key("old"), 500);
     }
@@ -110,7 +110,7 @@
 }
 
 fn old_lengths_fade_away() {
-    let mut lengths = Lengths::default();
+    let mut lengths = AnswerLengths::default();
     for total in [vec![2_000; 1_000], vec![50; 3_000]].concat() {
         feed(&mut lengths, &key("a"), total);
     }
@@ -119,7 +119,7 @@
 }
 
 fn sketches_stay_bounded() {
-    let mut lengths = Lengths::default();
+    let mut lengths = AnswerLengths::default();
     for i in 0..2 * MAX_SKETCHES {
         feed(&mut lengths, &key(&format!("w{i}")), 10);
     }
