--- a/fireflycroft/src/admit.rs
+++ b/fireflycroft/src/admit.rs
@@ -9,7 +9,7 @@
 
 use crate::length::{AnswerLengths, LengthKey, Survival};
 use crate::message::Load;
-use crate::offer::{AdmitPolicy, Capacity, OfferId, UpstreamReport, Verdict};
+use crate::offer::{AdmitDecision, AdmitPolicy, Capacity, OfferId, UpstreamReport};
 use crate::outlook::Outlook;
 use crate::time::Time;
 use crate::work::{Demand, Priority};
@@ -18,17 +18,17 @@
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct WaitingRequest {
     offer: OfferId,
     demand: Demand,
-    since: Time,
-    until: Time,
+    arrived: Time,
+    deadline: Time,
     /// Memory that it will need once it runs.
-    outlook: Outlook,
+    forecast: Outlook,
 }
 
 #[derive(Clone, Debug)]
-struct Admitted {
+struct AdmittedRequest {
     key: LengthKey,
     prompt: u32,
     produced: u64,
@@ -39,12 +39,12 @@
 
 /// Outlooks of requests of late, by priority.
 #[derive(Clone, Copy, Debug, Default)]
-struct Typical {
+struct TypicalForecasts {
     interactive: Outlook,
     batch: Outlook,
 }
 
-impl Typical {
+impl TypicalForecasts {
     const fn of(&self, priority: Priority) -> &Outlook {
         match priority {
             Priority::Interactive => &self.interactive,
@@ -65,71 +65,71 @@
 pub struct Admission {
     policy: AdmitPolicy,
     capacity: Capacity,
-    waiting: Vec<Waiting>,
-    admitted: HashMap<OfferId, Admitted>,
+    waiting: Vec<WaitingRequest>,
+    admitted: HashMap<OfferId, AdmittedRequest>,
     lengths: AnswerLengths,
-    typical: Typical,
+    typical: TypicalForecasts,
     step: Duration,
     /// Time that one token of a prompt takes.
     prefill: Duration,
     report: UpstreamReport,
-    outlook: Outlook,
+    forecast: Outlook,
     /// Tokens produced since the outlook was made.
-    stale: u64,
+    tokens_since_forecast: u64,
 }
 
 /// Standard deviations of margin for the memory needed.
-const MARGIN: f64 = 1.2;
+const MARGIN_STD_DEVS: f64 = 1.2;
 
 /// Share of the memory that batch work leaves free, one in so many.
-const HEADROOM_TOKENS: u64 = 16;
+const BATCH_MEMORY_HEADROOM_DIVISOR: u64 = 16;
 
 /// Share of the slots that batch work leaves free, one in so many.
-const HEADROOM_SLOTS: u32 = 8;
+const BATCH_SLOT_HEADROOM_DIVISOR: u32 = 8;
 
 /// Share of the slots that interactive work has even when a batch request has
 /// waited long, one in so many.
-const FLOOR_SLOTS: usize = 4;
+const INTERACTIVE_SLOT_FLOOR_DIVISOR: usize = 4;
 
 /// Part of the expected wait that must fit a request's patience; the rest is
 /// hope, since the expectation errs to both sides.
-const HOPE: f64 = 0.5;
+const REQUIRED_WAIT_FRACTION: f64 = 0.5;
 
 /// Share of its patience after which a batch request is kept room for.
-const AGED: u32 = 2;
+const AGED_WAIT_DIVISOR: u32 = 2;
 
 /// Tokens produced after which the outlook is made anew.
-const STALE_TOKENS: u64 = 64;
+const FORECAST_REFRESH_TOKENS: u64 = 64;
 
 /// Weight of the newest request in what is typical.
-const TYPICAL_WEIGHT: f64 = 0.05;
+const TYPICAL_FORECAST_WEIGHT: f64 = 0.05;
 
 /// Time for one token before any was seen.
-const FIRST_STEP: Duration = Duration::from_millis(20);
+const INITIAL_STEP: Duration = Duration::from_millis(20);
 
 /// Weight of the step known against one just seen.
-const STEP_WEIGHT: u32 = 64;
+const STEP_SMOOTHING: u32 = 64;
 
 /// Shortest prompt whose time is taken in, in tokens.
-const LEAST_PROMPT: u32 = 256;
+const MIN_PREFILL_SAMPLE_TOKENS: u32 = 256;
 
 /// Weight of the time of a prompt's token known against a lower one seen.
-const LOW_WEIGHT: u32 = 4;
+const PREFILL_FALL_SMOOTHING: u32 = 4;
 
 /// Weight of the time of a prompt's token known against a higher one seen.
-const HIGH_WEIGHT: u32 = 64;
+const PREFILL_RISE_SMOOTHING: u32 = 64;
 
 /// Steps that a request waits for a better moment to join.
-const JOIN_PATIENCE: u32 = 192;
+const MAX_PREFILL_DELAY_STEPS: u32 = 192;
 
 /// Steps that the work of prompts may hold up interactive answers.
-const JOIN_STEPS_INTERACTIVE: f64 = 4.0;
+const MAX_PREFILL_STEPS_INTERACTIVE: f64 = 4.0;
 
 /// Steps that the work of several prompts may hold up batch answers.
-const JOIN_STEPS_BATCH: f64 = 10.0;
+const MAX_PREFILL_STEPS_BATCH: f64 = 10.0;
 
 /// Longest step taken in, in steps known; longer ones are a prompt's work.
-const STEP_CLIP: u32 = 4;
+const MAX_STEP_RATIO: u32 = 4;
 
 impl Admission {
     /// Admission to an upstream of that size.
@@ -141,50 +141,56 @@
             waiting: Vec::new(),
             admitted: HashMap::new(),
             lengths: AnswerLengths::default(),
-            typical: Typical::default(),
+            typical: TypicalForecasts::default(),
             step: Duration::ZERO,
             prefill: Duration::ZERO,
             report: UpstreamReport::default(),
-            outlook: Outlook::default(),
-            stale: 0,
+            forecast: Outlook::default(),
+            tokens_since_forecast: 0,
         }
     }
 
     /// Decides on an offer that may wait until `until`.
-    pub fn offer(&mut self, now: Time, offer: OfferId, demand: &Demand, until: Time) -> Verdict {
+    pub fn offer(
+        &mut self,
+        now: Time,
+        offer: OfferId,
+        demand: &Demand,
+        deadline: Time,
+    ) -> AdmitDecision {
         if u64::from(demand.prompt_tokens) >= self.capacity.tokens {
-            return Verdict::TooLong;
+            return AdmitDecision::TooLong;
         }
-        let waiting = Waiting {
+        let waiting = WaitingRequest {
             offer,
             demand: demand.clone(),
-            since: now,
-            until,
-            outlook: self.outlook_of(demand),
+            arrived: now,
+            deadline,
+            forecast: self.forecast_of(demand),
         };
         if self.policy == AdmitPolicy::PassThrough {
             self.admit(now, &waiting);
-            return Verdict::Admit;
+            return AdmitDecision::Admit;
         }
-        self.refresh();
-        let first = !self.waiting.iter().any(|w| goes_before(w, &waiting));
-        if first && self.may_run(now, &waiting) {
+        self.refresh_forecast();
+        let is_first = !self.waiting.iter().any(|w| precedes(w, &waiting));
+        if is_first && self.may_run(now, &waiting) {
             self.admit(now, &waiting);
-            return Verdict::Admit;
+            return AdmitDecision::Admit;
         }
-        let wait = self.wait_of(demand.priority, &waiting.outlook);
-        let hopeless = now + wait.mul_f64(HOPE) > until;
-        if self.waiting.len() >= self.capacity.max_queue || hopeless {
-            return Verdict::Refuse(wait);
+        let wait = self.expected_wait_for(demand.priority, &waiting.forecast);
+        let too_late = now + wait.mul_f64(REQUIRED_WAIT_FRACTION) > deadline;
+        if self.waiting.len() >= self.capacity.max_queue || too_late {
+            return AdmitDecision::Refuse(wait);
         }
         self.waiting.push(waiting);
-        Verdict::Queue(wait)
+        AdmitDecision::Queue(wait)
     }
 
     /// Takes the next waiting request that may run now.
     pub fn next(&mut self, now: Time) -> Option<OfferId> {
-        let at = self.first_in_line()?;
-        self.refresh();
+        let at = self.first_waiting()?;
+        self.refresh_forecast();
         if !self.may_run(now, &self.waiting[at]) {
             return None;
         }
@@ -194,19 +200,19 @@
     }
 
     /// Takes out the requests that have waited too long.
-    pub fn expired(&mut self, now: Time) -> Vec<OfferId> {
-        let (gone, kept) = self.waiting.drain(..).partition(|w| w.until <= now);
+    pub fn remove_expired(&mut self, now: Time) -> Vec<OfferId> {
+        let (expired_requests, kept) = self.waiting.drain(..).partition(|w| w.deadline <= now);
         self.waiting = kept;
-        let gone: Vec<Waiting> = gone;
-        gone.into_iter().map(|w| w.offer).collect()
+        let expired_requests: Vec<WaitingRequest> = expired_requests;
+        expired_requests.into_iter().map(|w| w.offer).collect()
     }
 
     /// Forgets a request that waits or holds a slot.
     pub fn release(&mut self, offer: OfferId) {
         self.waiting.retain(|w| w.offer != offer);
         if self.admitted.remove(&offer).is_some() {
-            self.stale = STALE_TOKENS;
-            self.refresh();
+            self.tokens_since_forecast = FORECAST_REFRESH_TOKENS;
+            self.refresh_forecast();
         }
     }
 
@@ -219,7 +225,7 @@
     }
 
     /// Notes how many tokens an admitted request has produced.
-    pub fn progress(&mut self, now: Time, offer: OfferId, produced: u64) {
+    pub fn record_progress(&mut self, now: Time, offer: OfferId, produced: u64) {
         let Some(admitted) = self.admitted.get_mut(&offer) else {
             return;
         };
@@ -231,21 +237,21 @@
         self.lengths
             .record_progress(&admitted.key, before, produced);
         let count = produced.saturating_sub(before);
-        self.stale += count;
+        self.tokens_since_forecast += count;
         // Also when nobody asks: the load told to entries rests on it.
-        self.refresh();
+        self.refresh_forecast();
         if count == 0 {
             return;
         }
         if before > 0 {
-            self.learn_step(span / u32::try_from(count).unwrap_or(u32::MAX));
-        } else if prompt >= LEAST_PROMPT {
-            self.learn_prefill(span.saturating_sub(self.step) / prompt);
+            self.record_step(span / u32::try_from(count).unwrap_or(u32::MAX));
+        } else if prompt >= MIN_PREFILL_SAMPLE_TOKENS {
+            self.record_prefill(span.saturating_sub(self.step) / prompt);
         }
     }
 
     /// Takes what the upstream reports.
-    pub const fn report(&mut self, report: UpstreamReport) {
+    pub const fn record_report(&mut self, report: UpstreamReport) {
         self.report = report;
     }
 
@@ -259,7 +265,7 @@
             running: count(self.admitted.len()),
             queued: count(self.waiting.len()),
             used_tokens: self.used_tokens(),
-            expected_tokens: self.outlook.peak(),
+            expected_tokens: self.forecast.peak(),
             capacity_tokens: self.capacity.tokens,
             step: self.step,
             wait_interactive: self.expected_wait(Priority::Interactive),
@@ -272,7 +278,7 @@
     /// Time until a request of that priority would begin.
     #[must_use]
     pub fn expected_wait(&self, priority: Priority) -> Duration {
-        self.wait_of(priority, self.typical.of(priority))
+        self.expected_wait_for(priority, self.typical.of(priority))
     }
 
     /// Load as an upstream tells it that queues by itself.
@@ -292,27 +298,29 @@
     }
 
     /// Time until those ahead and one more find room.
-    fn wait_of(&self, priority: Priority, own: &Outlook) -> Duration {
+    fn expected_wait_for(&self, priority: Priority, own: &Outlook) -> Duration {
         let mut more = *own;
-        let ahead = |w: &&Waiting| w.demand.priority >= priority;
+        let ahead = |w: &&WaitingRequest| w.demand.priority >= priority;
         for w in self.waiting.iter().filter(ahead) {
-            more.add(&w.outlook);
+            more.add(&w.forecast);
         }
-        let lacking = self.outlook.excess(&more, MARGIN, self.limit(priority));
-        let slots = self.admitted.len() < self.slots(priority);
-        if lacking <= 0.0 && slots {
+        let shortfall = self
+            .forecast
+            .excess(&more, MARGIN_STD_DEVS, self.limit(priority));
+        let has_slot = self.admitted.len() < self.slots(priority);
+        if shortfall <= 0.0 && has_slot {
             return Duration::ZERO;
         }
-        let steps = self.outlook.steps_to_free(lacking.max(1.0));
+        let steps = self.forecast.steps_to_free(shortfall.max(1.0));
         let step = if self.step.is_zero() {
-            FIRST_STEP
+            INITIAL_STEP
         } else {
             self.step
         };
         step.mul_f64(steps)
     }
 
-    fn may_run(&self, now: Time, waiting: &Waiting) -> bool {
+    fn may_run(&self, now: Time, waiting: &WaitingRequest) -> bool {
         if self.admitted.is_empty() {
             return true;
         }
@@ -320,53 +328,63 @@
         if self.admitted.len() >= self.slots(priority) {
             return false;
         }
-        if priority == Priority::Batch && !self.may_join(now, waiting) {
+        if priority == Priority::Batch && !self.may_start_prefill(now, waiting) {
             return false;
         }
         let limit = self.limit(priority);
-        if self.outlook.excess(&waiting.outlook, MARGIN, limit) > 0.0 {
+        if self
+            .forecast
+            .excess(&waiting.forecast, MARGIN_STD_DEVS, limit)
+            > 0.0
+        {
             return false;
         }
-        priority == Priority::Batch || self.leaves_room_for_aged(now, &waiting.outlook)
+        priority == Priority::Batch || self.leaves_capacity_for_aged(now, &waiting.forecast)
     }
 
     /// Whether a prompt's work, with those that join, leaves the next token of
     /// the others in time. It waits a little for such a moment, no longer.
-    fn may_join(&self, now: Time, waiting: &Waiting) -> bool {
-        if now.since(waiting.since) >= self.step * JOIN_PATIENCE {
+    fn may_start_prefill(&self, now: Time, waiting: &WaitingRequest) -> bool {
+        if now.since(waiting.arrived) >= self.step * MAX_PREFILL_DELAY_STEPS {
             return true;
         }
-        let joining = |a: &&Admitted| a.produced == 0;
-        let prompts = |a: &Admitted| u64::from(a.prompt);
+        let joining = |a: &&AdmittedRequest| a.produced == 0;
+        let prompts = |a: &AdmittedRequest| u64::from(a.prompt);
         let joining: u64 = self.admitted.values().filter(joining).map(prompts).sum();
         let prompt = u64::from(waiting.demand.prompt_tokens);
-        let work = self.prefill.as_secs_f64() * to_f64(joining + prompt);
-        let interactive = |a: &Admitted| a.key.priority == Priority::Interactive;
+        let prefill_time = self.prefill.as_secs_f64() * to_f64(joining + prompt);
+        let interactive = |a: &AdmittedRequest| a.key.priority == Priority::Interactive;
         let step = self.step.as_secs_f64();
         if self.admitted.values().any(interactive) {
-            return work <= JOIN_STEPS_INTERACTIVE * step;
+            return prefill_time <= MAX_PREFILL_STEPS_INTERACTIVE * step;
         }
-        joining == 0 || work <= JOIN_STEPS_BATCH * step
+        joining == 0 || prefill_time <= MAX_PREFILL_STEPS_BATCH * step
     }
 
     /// Whether a batch request that has waited long still finds its room.
-    fn leaves_room_for_aged(&self, now: Time, own: &Outlook) -> bool {
-        let aged = |w: &&Waiting| w.demand.priority == Priority::Batch && is_aged(now, w);
-        let Some(aged) = self.waiting.iter().filter(aged).min_by_key(|w| w.since) else {
+    fn leaves_capacity_for_aged(&self, now: Time, own: &Outlook) -> bool {
+        let aged = |w: &&WaitingRequest| w.demand.priority == Priority::Batch && is_aged(now, w);
+        let Some(aged) = self.waiting.iter().filter(aged).min_by_key(|w| w.arrived) else {
             return true;
         };
-        let interactive = |a: &&Admitted| a.key.priority == Priority::Interactive;
+        let interactive = |a: &&AdmittedRequest| a.key.priority == Priority::Interactive;
         let running = self.admitted.values().filter(interactive).count();
-        let floor = self.capacity.max_batch as usize / FLOOR_SLOTS;
-        let both = own.with(&aged.outlook);
-        running < floor || self.outlook.excess(&both, MARGIN, self.capacity.tokens) <= 0.0
+        let slot_floor = self.capacity.max_batch as usize / INTERACTIVE_SLOT_FLOOR_DIVISOR;
+        let both = own.with(&aged.forecast);
+        running < slot_floor
+            || self
+                .forecast
+                .excess(&both, MARGIN_STD_DEVS, self.capacity.tokens)
+                <= 0.0
     }
 
     /// Memory that requests of that priority may fill.
     const fn limit(&self, priority: Priority) -> u64 {
         match priority {
             Priority::Interactive => self.capacity.tokens,
-            Priority::Batch => self.capacity.tokens - self.capacity.tokens / HEADROOM_TOKENS,
+            Priority::Batch => {
+                self.capacity.tokens - self.capacity.tokens / BATCH_MEMORY_HEADROOM_DIVISOR
+            }
         }
     }
 
@@ -375,47 +393,49 @@
         let all = self.capacity.max_batch;
         match priority {
             Priority::Interactive => all as usize,
-            Priority::Batch => (all - all / HEADROOM_SLOTS) as usize,
+            Priority::Batch => (all - all / BATCH_SLOT_HEADROOM_DIVISOR) as usize,
         }
     }
 
-    fn outlook_of(&self, demand: &Demand) -> Outlook {
+    fn forecast_of(&self, demand: &Demand) -> Outlook {
         let survival = self.lengths.survival(&LengthKey::of(demand));
         Outlook::of(&survival, demand.prompt_tokens, 0, demand.max_tokens)
     }
 
     /// Makes the outlook anew when much has changed since.
-    fn refresh(&mut self) {
-        if self.stale < STALE_TOKENS || self.policy == AdmitPolicy::PassThrough {
+    fn refresh_forecast(&mut self) {
+        if self.tokens_since_forecast < FORECAST_REFRESH_TOKENS
+            || self.policy == AdmitPolicy::PassThrough
+        {
             return;
         }
-        self.stale = 0;
-        let mut known: HashMap<&LengthKey, Survival> = HashMap::new();
-        let mut outlook = Outlook::default();
+        self.tokens_since_forecast = 0;
+        let mut survivals: HashMap<&LengthKey, Survival> = HashMap::new();
+        let mut forecast = Outlook::default();
         for a in self.admitted.values() {
-            let survival = known
+            let survival = survivals
                 .entry(&a.key)
                 .or_insert_with(|| self.lengths.survival(&a.key));
-            outlook.add(&Outlook::of(survival, a.prompt, a.produced, a.limit));
+            forecast.add(&Outlook::of(survival, a.prompt, a.produced, a.limit));
         }
-        self.outlook = outlook;
+        self.forecast = forecast;
     }
 
     fn used_tokens(&self) -> u64 {
-        let used = |a: &Admitted| u64::from(a.prompt) + a.produced;
+        let used = |a: &AdmittedRequest| u64::from(a.prompt) + a.produced;
         self.admitted.values().map(used).sum()
     }
 
-    fn admit(&mut self, now: Time, waiting: &Waiting) {
+    fn admit(&mut self, now: Time, waiting: &WaitingRequest) {
         let demand = &waiting.demand;
         if self.policy == AdmitPolicy::Expected {
-            self.outlook.add(&waiting.outlook);
+            self.forecast.add(&waiting.forecast);
             let typical = self.typical.of_mut(demand.priority);
-            typical.blend(&waiting.outlook, TYPICAL_WEIGHT);
+            typical.blend(&waiting.forecast, TYPICAL_FORECAST_WEIGHT);
         }
         self.admitted.insert(
             waiting.offer,
-            Admitted {
+            AdmittedRequest {
                 key: LengthKey::of(demand),
                 prompt: demand.prompt_tokens,
                 produced: 0,
@@ -425,42 +445,42 @@
         );
     }
 
-    fn first_in_line(&self) -> Option<usize> {
-        (0..self.waiting.len()).min_by_key(|i| rank(&self.waiting[*i]))
+    fn first_waiting(&self) -> Option<usize> {
+        (0..self.waiting.len()).min_by_key(|i| queue_order(&self.waiting[*i]))
     }
 
     /// What else delays a first token is never negative, so a low figure tells
     /// more than a high one.
-    fn learn_prefill(&mut self, seen: Duration) {
+    fn record_prefill(&mut self, seen: Duration) {
         let weight = if self.prefill.is_zero() || seen < self.prefill {
-            LOW_WEIGHT
+            PREFILL_FALL_SMOOTHING
         } else {
-            HIGH_WEIGHT
+            PREFILL_RISE_SMOOTHING
         };
         self.prefill = (self.prefill * (weight - 1) + seen) / weight;
     }
 
-    fn learn_step(&mut self, step: Duration) {
+    fn record_step(&mut self, step: Duration) {
         if self.step.is_zero() {
             self.step = step;
         }
-        let seen = step.min(self.step * STEP_CLIP);
-        self.step = (self.step * (STEP_WEIGHT - 1) + seen) / STEP_WEIGHT;
+        let seen = step.min(self.step * MAX_STEP_RATIO);
+        self.step = (self.step * (STEP_SMOOTHING - 1) + seen) / STEP_SMOOTHING;
     }
 }
 
 /// Place in the line: interactive first, then by arrival.
-const fn rank(w: &Waiting) -> (Reverse<Priority>, Time, OfferId) {
-    (Reverse(w.demand.priority), w.since, w.offer)
+const fn queue_order(w: &WaitingRequest) -> (Reverse<Priority>, Time, OfferId) {
+    (Reverse(w.demand.priority), w.arrived, w.offer)
 }
 
 /// Whether it has waited a good part of its patience.
-fn is_aged(now: Time, w: &Waiting) -> bool {
-    now.since(w.since) >= w.until.since(w.since) / AGED
+fn is_aged(now: Time, w: &WaitingRequest) -> bool {
+    now.since(w.arrived) >= w.deadline.since(w.arrived) / AGED_WAIT_DIVISOR
 }
 
-fn goes_before(one: &Waiting, other: &Waiting) -> bool {
-    rank(one) < rank(other)
+fn precedes(one: &WaitingRequest, other: &WaitingRequest) -> bool {
+    queue_order(one) < queue_order(other)
 }
 
 fn count(len: usize) -> u32 {
--- a/fireflycroft/src/agent.rs
+++ b/fireflycroft/src/agent.rs
@@ -239,7 +239,7 @@
             AgentEvent::Lost { generation } => self.on_lost(now, generation, out),
             AgentEvent::UpstreamDown => self.on_upstream_down(now, out),
             AgentEvent::UpstreamUp => self.upstream_up = true,
-            AgentEvent::Report(report) => self.admission.report(report),
+            AgentEvent::Report(report) => self.admission.record_report(report),
             AgentEvent::Leave => self.on_leave(now, out),
             AgentEvent::Stay => self.leaving = false,
             AgentEvent::Serves(models) => self.serves = models,
--- a/fireflycroft/src/agent_generations.rs
+++ b/fireflycroft/src/agent_generations.rs
@@ -94,7 +94,7 @@
         let offer = g.offer;
         let produced = g.log.end();
         self.generations.grow(added, self.limits.max_bytes);
-        self.admission.progress(now, offer, produced);
+        self.admission.record_progress(now, offer, produced);
     }
 
     pub(crate) fn finish(
--- a/fireflycroft/src/agent_maintenance.rs
+++ b/fireflycroft/src/agent_maintenance.rs
@@ -60,7 +60,7 @@
     }
 
     pub(crate) fn refuse_expired(&mut self, now: Time, out: &mut Vec<AgentAction>) {
-        for offer in self.admission.expired(now) {
+        for offer in self.admission.remove_expired(now) {
             let Some(Offered::Waiting(to, demand)) = self.offers.get(&offer).cloned() else {
                 continue;
             };
--- a/fireflycroft/src/agent_reservations.rs
+++ b/fireflycroft/src/agent_reservations.rs
@@ -11,7 +11,7 @@
 use crate::generation::{Generation, Stage};
 use crate::ids::{Digest, GenerationId, RequestId};
 use crate::message::{Message, Standing};
-use crate::offer::{OfferId, Verdict};
+use crate::offer::{AdmitDecision, OfferId};
 use crate::stream::TokenLog;
 use crate::time::Time;
 use crate::work::{Demand, Work};
@@ -38,13 +38,15 @@
             return;
         }
         match self.admission.offer(now, offer, &demand, now + max_wait) {
-            Verdict::Admit => self.reserve(now, from, offer, demand, out),
-            Verdict::Queue(wait) => {
+            AdmitDecision::Admit => self.reserve(now, from, offer, demand, out),
+            AdmitDecision::Queue(wait) => {
                 self.offers.insert(offer, Offered::Waiting(from, demand));
                 out.push(AgentAction::Send(from, queued(offer, wait)));
             }
-            Verdict::Refuse(retry) => self.refuse(now, from, offer, Code::Overloaded, retry, out),
-            Verdict::TooLong => {
+            AdmitDecision::Refuse(retry) => {
+                self.refuse(now, from, offer, Code::Overloaded, retry, out)
+            }
+            AdmitDecision::TooLong => {
                 self.refuse(now, from, offer, Code::PromptTooLong, Duration::ZERO, out);
             }
         }
--- a/fireflycroft/src/offer.rs
+++ b/fireflycroft/src/offer.rs
@@ -46,7 +46,7 @@
 
 /// What becomes of an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdmitDecision {
     /// It may run now; its slot and memory are taken.
     Admit,
     /// It waits about so long.
--- a/fireflycroft/tests/admit.rs
+++ b/fireflycroft/tests/admit.rs
@@ -5,8 +5,8 @@
 mod cases;
 
 use fireflycroft::{
-    Admission, AdmitPolicy, Capacity, Demand, Digest, Name, OfferId, Priority, RequestId, Time,
-    UpstreamReport, Verdict,
+    Admission, AdmitDecision, AdmitPolicy, Capacity, Demand, Digest, Name, OfferId, Priority,
+    RequestId, Time, UpstreamReport,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -84,7 +84,7 @@
         door
     }
 
-    fn offer(&mut self, priority: Priority, prompt: u32) -> (OfferId, Verdict) {
+    fn offer(&mut self, priority: Priority, prompt: u32) -> (OfferId, AdmitDecision) {
         self.next += 1;
         let offer = OfferId {
             request: RequestId(self.next),
@@ -99,7 +99,7 @@
     fn produce(&mut self, offer: OfferId, total: u64) {
         for count in 1..=total {
             self.now = self.now + STEP;
-            self.admission.progress(self.now, offer, count);
+            self.admission.record_progress(self.now, offer, count);
         }
     }
 
@@ -108,7 +108,7 @@
         let mut taken = Vec::new();
         loop {
             let (offer, verdict) = self.offer(priority, prompt);
-            if verdict != Verdict::Admit {
+            if verdict != AdmitDecision::Admit {
                 self.admission.release(offer);
                 return taken;
             }
@@ -119,12 +119,15 @@
 
 fn takes_first() {
     let mut door = Door::taught(Priority::Batch, 4_000);
-    assert_eq!(door.offer(Priority::Batch, 9_000).1, Verdict::Admit);
+    assert_eq!(door.offer(Priority::Batch, 9_000).1, AdmitDecision::Admit);
 }
 
 fn refuses_too_long() {
     let mut door = Door::new(AdmitPolicy::Expected);
-    assert_eq!(door.offer(Priority::Batch, 10_000).1, Verdict::TooLong);
+    assert_eq!(
+        door.offer(Priority::Batch, 10_000).1,
+        AdmitDecision::TooLong
+    );
 }
 
 /// Ten prompts would fit at once, but not the answers that they grow.
@@ -149,8 +152,11 @@
     }
     door.fill(Priority::Batch, 900);
     door.fill(Priority::Batch, 400);
-    assert!(door.offer(Priority::Batch, 400).1 != Verdict::Admit);
-    assert_eq!(door.offer(Priority::Interactive, 400).1, Verdict::Admit);
+    assert!(door.offer(Priority::Batch, 400).1 != AdmitDecision::Admit);
+    assert_eq!(
+        door.offer(Priority::Interactive, 400).1,
+        AdmitDecision::Admit
+    );
 }
 
 fn headroom_of_slots() {
@@ -163,9 +169,9 @@
     let mut door = Door::taught(Priority::Batch, 500);
     let taken = door.fill(Priority::Batch, 1_500);
     let (large, verdict) = door.offer(Priority::Batch, 2_000);
-    assert!(matches!(verdict, Verdict::Queue(_)), "{verdict:?}");
+    assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
     let (small, verdict) = door.offer(Priority::Batch, 1);
-    assert!(matches!(verdict, Verdict::Queue(_)), "{verdict:?}");
+    assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
     assert_eq!(door.admission.next(door.now), None);
     for offer in taken {
         door.admission.release(offer);
@@ -179,7 +185,7 @@
     let first = door.fill(Priority::Interactive, 10);
     door.offer(Priority::Batch, 10);
     let (clerk, verdict) = door.offer(Priority::Interactive, 10);
-    assert!(matches!(verdict, Verdict::Queue(_)), "{verdict:?}");
+    assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
     door.admission.release(first[0]);
     assert_eq!(door.admission.next(door.now), Some(clerk));
 }
@@ -192,12 +198,12 @@
         door.offer(Priority::Interactive, 1_400);
     }
     let (_, verdict) = door.offer(Priority::Batch, 6_000);
-    assert!(matches!(verdict, Verdict::Queue(_)), "{verdict:?}");
+    assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
     let (young, verdict) = door.offer(Priority::Interactive, 500);
-    assert_eq!(verdict, Verdict::Admit);
+    assert_eq!(verdict, AdmitDecision::Admit);
     door.admission.release(young);
     door.now = door.now + PATIENCE / 2;
-    assert!(door.offer(Priority::Interactive, 500).1 != Verdict::Admit);
+    assert!(door.offer(Priority::Interactive, 500).1 != AdmitDecision::Admit);
 }
 
 /// A door that knows a prompt's token to take a hundredth of a step.
@@ -206,7 +212,7 @@
     for _ in 0..20 {
         let (offer, _) = door.offer(Priority::Batch, 1_000);
         door.now = door.now + STEP * 11;
-        door.admission.progress(door.now, offer, 1);
+        door.admission.record_progress(door.now, offer, 1);
         door.produce(offer, 20);
         door.admission.finish(offer);
         door.now = door.now + PATIENCE;
@@ -219,7 +225,7 @@
     let (clerk, _) = door.offer(Priority::Interactive, 10);
     door.produce(clerk, 2);
     let (long, verdict) = door.offer(Priority::Batch, 2_000);
-    assert!(matches!(verdict, Verdict::Queue(_)), "{verdict:?}");
+    assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
     assert_eq!(door.admission.next(door.now), None);
     door.now = door.now + PATIENCE / 2;
     assert_eq!(door.admission.next(door.now), Some(long));
@@ -229,19 +235,19 @@
     let mut door = door_with_prefill();
     let (clerk, _) = door.offer(Priority::Interactive, 10);
     door.produce(clerk, 2);
-    assert_eq!(door.offer(Priority::Batch, 200).1, Verdict::Admit);
+    assert_eq!(door.offer(Priority::Batch, 200).1, AdmitDecision::Admit);
 }
 
 /// Two prompts in one step would hold up the others twice as long.
 fn prompts_join_apart() {
     let mut door = door_with_prefill();
     let (first, verdict) = door.offer(Priority::Batch, 2_000);
-    assert_eq!(verdict, Verdict::Admit);
+    assert_eq!(verdict, AdmitDecision::Admit);
     let (second, verdict) = door.offer(Priority::Batch, 2_000);
-    assert!(matches!(verdict, Verdict::Queue(_)), "{verdict:?}");
+    assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
     assert_eq!(door.admission.next(door.now), None);
     door.now = door.now + PATIENCE / 2;
-    door.admission.progress(door.now, first, 1);
+    door.admission.record_progress(door.now, first, 1);
     assert_eq!(door.admission.next(door.now), Some(second));
 }
 
@@ -260,7 +266,7 @@
     let mut door = Door::taught(Priority::Batch, 3_000);
     door.fill(Priority::Batch, 2_000);
     let refused = (0..20).any(|_| match door.offer(Priority::Batch, 2_000).1 {
-        Verdict::Refuse(wait) => wait > PATIENCE,
+        AdmitDecision::Refuse(wait) => wait > PATIENCE,
         _ => false,
     });
     assert!(refused);
@@ -290,8 +296,8 @@
     let mut door = Door::taught(Priority::Batch, 500);
     door.fill(Priority::Batch, 1_500);
     let (waits, _) = door.offer(Priority::Batch, 2_000);
-    assert_eq!(door.admission.expired(door.now), []);
-    assert_eq!(door.admission.expired(door.now + PATIENCE), [waits]);
+    assert_eq!(door.admission.remove_expired(door.now), []);
+    assert_eq!(door.admission.remove_expired(door.now + PATIENCE), [waits]);
     assert_eq!(door.admission.load().queued, 0);
 }
 
@@ -306,10 +312,10 @@
 fn passes_through() {
     let mut door = Door::new(AdmitPolicy::PassThrough);
     for _ in 0..100 {
-        assert_eq!(door.offer(Priority::Batch, 5_000).1, Verdict::Admit);
+        assert_eq!(door.offer(Priority::Batch, 5_000).1, AdmitDecision::Admit);
     }
     assert_eq!(door.admission.load().running, 0);
-    door.admission.report(UpstreamReport {
+    door.admission.record_report(UpstreamReport {
         running: 7,
         waiting: 93,
         used_tokens: 9_000,
@@ -382,21 +388,22 @@
                 Priority::Batch
             };
             match door.offer(priority, prompt) {
-                (offer, Verdict::Admit) => inside.push((offer, prompt, 0)),
-                (offer, Verdict::Queue(_)) => outside.push((offer, prompt)),
+                (offer, AdmitDecision::Admit) => inside.push((offer, prompt, 0)),
+                (offer, AdmitDecision::Queue(_)) => outside.push((offer, prompt)),
                 _ => {}
             }
         }
         Op::Produce(i, more) if i < inside.len() => {
             inside[i].2 += more;
             door.now = door.now + STEP;
-            door.admission.progress(door.now, inside[i].0, inside[i].2);
+            door.admission
+                .record_progress(door.now, inside[i].0, inside[i].2);
         }
         Op::Finish(i) if i < inside.len() => door.admission.finish(inside.remove(i).0),
         Op::Release(i) if i < inside.len() => door.admission.release(inside.remove(i).0),
         Op::Wait(millis) => {
             door.now = door.now + Duration::from_millis(millis);
-            let gone = door.admission.expired(door.now);
+            let gone = door.admission.remove_expired(door.now);
             outside.retain(|(offer, _)| !gone.contains(offer));
         }
         _ => {}
