--- a/fireflycroft/src/agent.rs
+++ b/fireflycroft/src/agent.rs
@@ -243,7 +243,7 @@
             AgentEvent::Leave => self.on_leave(now, out),
             AgentEvent::Stay => self.leaving = false,
             AgentEvent::Serves(models) => self.serves = models,
-            AgentEvent::Fence(fence) => self.orders.learn_fence(fence),
+            AgentEvent::Fence(fence) => self.orders.observe_fence(fence),
             AgentEvent::OrderSettled(code) => self.on_order_settled(code, out),
             AgentEvent::Config(version) => self.config = self.config.max(version),
             AgentEvent::Tick => self.on_tick(now, out),
--- a/fireflycroft/src/agent_orders.rs
+++ b/fireflycroft/src/agent_orders.rs
@@ -6,7 +6,7 @@
 use crate::ids::{Name, RequestId};
 use crate::message::Message;
 use crate::note::Note;
-use crate::order::{Order, OrderKind, OrderVerdict};
+use crate::order::{Order, OrderDecision, OrderKind};
 use std::net::SocketAddr;
 
 impl Agent {
@@ -17,11 +17,11 @@
     }
 
     pub(crate) fn on_order(&mut self, from: SocketAddr, order: Order, out: &mut Vec<AgentAction>) {
-        let running = self.using(&order.model);
+        let running = self.active_generations_of(&order.model);
         match self.orders.decide(&order, running) {
-            OrderVerdict::Answer(code) => out.push(self.order_answer(from, order.id, code)),
-            OrderVerdict::UnderWay => self.issuer = Some(from),
-            OrderVerdict::Pass => {
+            OrderDecision::Answer(code) => out.push(self.order_answer(from, order.id, code)),
+            OrderDecision::InProgress => self.issuer = Some(from),
+            OrderDecision::Forward => {
                 self.issuer = Some(from);
                 if order.kind == OrderKind::Unload {
                     self.serves.retain(|model| *model != order.model);
@@ -46,7 +46,7 @@
     }
 
     /// Generations that hold or may yet take the model.
-    fn using(&self, model: &Name) -> usize {
+    fn active_generations_of(&self, model: &Name) -> usize {
         let active = |g: &&Generation| matches!(g.stage, Stage::Reserved(_) | Stage::Running);
         let of_model = |g: &&Generation| g.demand.target == *model;
         self.generations
--- a/fireflycroft/src/order.rs
+++ b/fireflycroft/src/order.rs
@@ -33,11 +33,11 @@
 
 /// What an agent does with an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderVerdict {
+pub enum OrderDecision {
     /// Pass it on to the upstream.
-    Pass,
+    Forward,
     /// A copy of the one under way: say nothing yet.
-    UnderWay,
+    InProgress,
     /// Answer with this code; it is not passed on.
     Answer(Code),
 }
@@ -46,13 +46,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Orders {
     highest: Option<u64>,
-    under_way: Option<Order>,
+    in_progress: Option<Order>,
     last: Option<(RequestId, Code)>,
 }
 
 impl Orders {
     /// Learns a fencing number from the platform.
-    pub fn learn_fence(&mut self, fence: u64) {
+    pub fn observe_fence(&mut self, fence: u64) {
         self.highest = Some(self.highest.map_or(fence, |h| h.max(fence)));
     }
 
@@ -63,39 +63,39 @@
     }
 
     /// Decides on an order while `running` generations use its model.
-    pub fn decide(&mut self, order: &Order, running: usize) -> OrderVerdict {
+    pub fn decide(&mut self, order: &Order, running: usize) -> OrderDecision {
         if let Some((_, code)) = self.last.filter(|(id, _)| *id == order.id) {
-            return OrderVerdict::Answer(code);
+            return OrderDecision::Answer(code);
         }
         let Some(highest) = self.highest else {
-            return OrderVerdict::Answer(Code::OrderTooEarly);
+            return OrderDecision::Answer(Code::OrderTooEarly);
         };
         if order.fence < highest {
-            return OrderVerdict::Answer(Code::OrderFenced);
+            return OrderDecision::Answer(Code::OrderFenced);
         }
         self.highest = Some(order.fence);
-        match &self.under_way {
-            Some(current) if current.id == order.id => return OrderVerdict::UnderWay,
-            Some(_) => return OrderVerdict::Answer(Code::OrderBusy),
+        match &self.in_progress {
+            Some(current) if current.id == order.id => return OrderDecision::InProgress,
+            Some(_) => return OrderDecision::Answer(Code::OrderBusy),
             None => {}
         }
         if order.kind == OrderKind::Unload && running > 0 {
-            return OrderVerdict::Answer(Code::OrderBusy);
+            return OrderDecision::Answer(Code::OrderBusy);
         }
-        self.under_way = Some(order.clone());
-        OrderVerdict::Pass
+        self.in_progress = Some(order.clone());
+        OrderDecision::Forward
     }
 
     /// Notes the upstream's answer; gives the order it was for.
     pub fn settle(&mut self, code: Code) -> Option<Order> {
-        let order = self.under_way.take()?;
+        let order = self.in_progress.take()?;
         self.last = Some((order.id, code));
         Some(order)
     }
 
     /// Model that is being loaded or unloaded.
     #[must_use]
-    pub fn model_under_way(&self) -> Option<&Name> {
-        self.under_way.as_ref().map(|o| &o.model)
+    pub fn model_in_progress(&self) -> Option<&Name> {
+        self.in_progress.as_ref().map(|o| &o.model)
     }
 }
--- a/fireflycroft/tests/order.rs
+++ b/fireflycroft/tests/order.rs
@@ -1,6 +1,6 @@
 //! Orders at the agent: fencing, copies and busy upstreams.
 
-use fireflycroft::{Code, Name, Order, OrderKind, OrderVerdict, Orders, RequestId};
+use fireflycroft::{Code, Name, Order, OrderDecision, OrderKind, Orders, RequestId};
 
 fn order(id: u128, fence: u64, kind: OrderKind) -> Order {
     Order {
@@ -15,9 +15,9 @@
     order(id, fence, OrderKind::Load)
 }
 
-fn told(fence: u64) -> Orders {
+fn orders_with_fence(fence: u64) -> Orders {
     let mut orders = Orders::default();
-    orders.learn_fence(fence);
+    orders.observe_fence(fence);
     orders
 }
 
@@ -31,43 +31,43 @@
 cases! {
     an_agent_that_knows_no_number_takes_no_order: {
         let verdict = Orders::default().decide(&load(1, 7), 0);
-        assert_eq!(verdict, OrderVerdict::Answer(Code::OrderTooEarly));
+        assert_eq!(verdict, OrderDecision::Answer(Code::OrderTooEarly));
     }
 
     the_number_in_force_is_taken: {
-        assert_eq!(told(7).decide(&load(1, 7), 0), OrderVerdict::Pass);
+        assert_eq!(orders_with_fence(7).decide(&load(1, 7), 0), OrderDecision::Forward);
     }
 
     an_order_of_a_former_issuer_is_refused: {
-        let mut orders = told(7);
-        assert_eq!(orders.decide(&load(1, 8), 0), OrderVerdict::Pass);
+        let mut orders = orders_with_fence(7);
+        assert_eq!(orders.decide(&load(1, 8), 0), OrderDecision::Forward);
         orders.settle(Code::OrderDone);
-        assert_eq!(orders.decide(&load(2, 7), 0), OrderVerdict::Answer(Code::OrderFenced));
+        assert_eq!(orders.decide(&load(2, 7), 0), OrderDecision::Answer(Code::OrderFenced));
     }
 
     a_number_from_the_platform_fences_too: {
-        let mut orders = told(7);
-        orders.learn_fence(9);
-        assert_eq!(orders.decide(&load(1, 8), 0), OrderVerdict::Answer(Code::OrderFenced));
+        let mut orders = orders_with_fence(7);
+        orders.observe_fence(9);
+        assert_eq!(orders.decide(&load(1, 8), 0), OrderDecision::Answer(Code::OrderFenced));
     }
 
     a_copy_is_not_passed_on_twice: {
-        let mut orders = told(7);
-        assert_eq!(orders.decide(&load(1, 7), 0), OrderVerdict::Pass);
-        assert_eq!(orders.decide(&load(1, 7), 0), OrderVerdict::UnderWay);
+        let mut orders = orders_with_fence(7);
+        assert_eq!(orders.decide(&load(1, 7), 0), OrderDecision::Forward);
+        assert_eq!(orders.decide(&load(1, 7), 0), OrderDecision::InProgress);
         orders.settle(Code::OrderDone);
-        assert_eq!(orders.decide(&load(1, 7), 0), OrderVerdict::Answer(Code::OrderDone));
+        assert_eq!(orders.decide(&load(1, 7), 0), OrderDecision::Answer(Code::OrderDone));
     }
 
     one_order_at_a_time: {
-        let mut orders = told(7);
-        assert_eq!(orders.decide(&load(1, 7), 0), OrderVerdict::Pass);
-        assert_eq!(orders.decide(&load(2, 7), 0), OrderVerdict::Answer(Code::OrderBusy));
+        let mut orders = orders_with_fence(7);
+        assert_eq!(orders.decide(&load(1, 7), 0), OrderDecision::Forward);
+        assert_eq!(orders.decide(&load(2, 7), 0), OrderDecision::Answer(Code::OrderBusy));
     }
 
     a_model_in_use_is_not_unloaded: {
         let unload = order(1, 7, OrderKind::Unload);
-        assert_eq!(told(7).decide(&unload, 1), OrderVerdict::Answer(Code::OrderBusy));
-        assert_eq!(told(7).decide(&unload, 0), OrderVerdict::Pass);
+        assert_eq!(orders_with_fence(7).decide(&unload, 1), OrderDecision::Answer(Code::OrderBusy));
+        assert_eq!(orders_with_fence(7).decide(&unload, 0), OrderDecision::Forward);
     }
 }
