--- a/fireflycroft/src/agent.rs
+++ b/fireflycroft/src/agent.rs
@@ -27,9 +27,9 @@
     /// How long a reservation waits for its start.
     pub hold: Duration,
     /// How long a settled offer is remembered, so that copies get its answer.
-    pub remember: Duration,
+    pub offer_retention: Duration,
     /// How long an ended answer is kept for readers.
-    pub keep_finished: Duration,
+    pub finished_retention: Duration,
     /// How long a generation that nobody reads goes on.
     pub keep_unread: Duration,
     /// Silence of the upstream after which a generation is stopped.
@@ -48,8 +48,8 @@
     fn default() -> Self {
         Self {
             hold: Duration::from_secs(2),
-            remember: Duration::from_mins(1),
-            keep_finished: Duration::from_mins(1),
+            offer_retention: Duration::from_mins(1),
+            finished_retention: Duration::from_mins(1),
             keep_unread: Duration::from_secs(30),
             max_stall: Duration::from_mins(10),
             reader_silence: Duration::from_secs(5),
@@ -281,7 +281,7 @@
     /// Whether a planned stop would cut off nothing any more.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        !self.generations.values().any(Generation::is_wanted)
+        !self.generations.values().any(Generation::blocks_shutdown)
     }
 
     /// Whether the agent takes no new work.
--- a/fireflycroft/src/agent_generations.rs
+++ b/fireflycroft/src/agent_generations.rs
@@ -22,7 +22,7 @@
         token: u64,
         out: &mut Vec<AgentAction>,
     ) {
-        self.lapse_if_due(now, id, out);
+        self.expire_if_due(now, id, out);
         let own =
             |g: &&mut Generation| g.offer.request == request && g.demand.workspace == *workspace;
         // A foreign workspace learns no more than that nothing is known.
@@ -56,10 +56,10 @@
             return;
         };
         match g.stage {
-            Stage::Reserved(_) => self.lapse(now, id.serial, out),
+            Stage::Reserved(_) => self.expire_reservation(now, id.serial, out),
             Stage::Running => self.stop(now, id, Code::Cancelled, out),
-            Stage::Finished(_) => g.taken = true,
-            Stage::Lapsed(_) => {}
+            Stage::Finished(_) => g.end_delivered = true,
+            Stage::Expired(_) => {}
         }
     }
 
@@ -84,7 +84,7 @@
         let Some(g) = self.find(id).filter(|g| g.is_running()) else {
             return;
         };
-        g.heard = now;
+        g.last_output = now;
         let before = g.log.bytes();
         for token in tokens {
             g.log.push(token);
@@ -93,7 +93,8 @@
         out.extend(sends(g.messages_to_all()));
         let offer = g.offer;
         let produced = g.log.end();
-        self.generations.grow(added, self.limits.max_bytes);
+        self.generations
+            .record_added_bytes(added, self.limits.max_bytes);
         self.admission.record_progress(now, offer, produced);
     }
 
@@ -159,11 +160,11 @@
         let Some(g) = self.find(id).filter(|g| g.is_running()) else {
             return;
         };
-        if g.resumed >= most {
+        if g.resume_count >= most {
             self.on_lost(now, id, out);
             return;
         }
-        g.resumed += 1;
+        g.resume_count += 1;
         let from = g.log.end();
         out.push(AgentAction::Resume {
             generation: id,
--- a/fireflycroft/src/agent_maintenance.rs
+++ b/fireflycroft/src/agent_maintenance.rs
@@ -31,12 +31,12 @@
     }
 
     pub(crate) fn on_tick(&mut self, now: Time, out: &mut Vec<AgentAction>) {
-        self.lapse_due(now, out);
+        self.expire_due_reservations(now, out);
         self.refuse_expired(now, out);
         self.drop_silent_readers(now);
         self.stop_unread(now, out);
         self.stop_stalled(now, out);
-        self.forget_old(now);
+        self.remove_old_records(now);
         self.quarantine.expire(now);
         out.extend(
             self.crash_announcements
@@ -46,7 +46,7 @@
         );
     }
 
-    pub(crate) fn lapse_due(&mut self, now: Time, out: &mut Vec<AgentAction>) {
+    pub(crate) fn expire_due_reservations(&mut self, now: Time, out: &mut Vec<AgentAction>) {
         let due = |g: &&Generation| matches!(g.stage, Stage::Reserved(until) if until <= now);
         let serials: Vec<u64> = self
             .generations
@@ -55,7 +55,7 @@
             .map(|g| g.id.serial)
             .collect();
         for serial in serials {
-            self.lapse(now, serial, out);
+            self.expire_reservation(now, serial, out);
         }
     }
 
@@ -99,7 +99,7 @@
 
     pub(crate) fn stop_stalled(&mut self, now: Time, out: &mut Vec<AgentAction>) {
         let most = self.limits.max_stall;
-        let stalled = |g: &&Generation| g.is_running() && now.since(g.heard) >= most;
+        let stalled = |g: &&Generation| g.is_running() && now.since(g.last_output) >= most;
         let ids: Vec<GenerationId> = self
             .generations
             .values()
@@ -112,14 +112,14 @@
     }
 
     /// Forgets settled offers and ended answers whose time has come.
-    pub(crate) fn forget_old(&mut self, now: Time) {
+    pub(crate) fn remove_old_records(&mut self, now: Time) {
         let limits = self.limits;
-        self.generations.forget(now, &limits);
+        self.generations.remove_old(now, &limits);
         let held = &self.generations;
         self.offers.retain(|_, o| match o {
             Offered::Waiting(..) => true,
             Offered::Reserved(serial) => held.get(*serial).is_some(),
-            Offered::Refused(_, at) => now.since(*at) < limits.remember,
+            Offered::Refused(_, at) => now.since(*at) < limits.offer_retention,
         });
     }
 }
--- a/fireflycroft/src/agent_reservations.rs
+++ b/fireflycroft/src/agent_reservations.rs
@@ -77,7 +77,7 @@
         let hold = match stage {
             Some(Stage::Reserved(until)) => until.since(now),
             Some(Stage::Running | Stage::Finished(_)) => Duration::ZERO,
-            Some(Stage::Lapsed(_)) | None => {
+            Some(Stage::Expired(_)) | None => {
                 return refused(offer, Code::ReservationLapsed, Duration::ZERO);
             }
         };
@@ -159,10 +159,10 @@
             log: TokenLog::default(),
             finish: None,
             readers: Vec::new(),
-            taken: false,
+            end_delivered: false,
             unread_since: None,
-            resumed: 0,
-            heard: now,
+            resume_count: 0,
+            last_output: now,
         };
         self.generations.insert(generation);
         self.offers.insert(offer, Offered::Reserved(serial));
@@ -172,7 +172,7 @@
     pub(crate) fn on_withdraw(&mut self, now: Time, offer: OfferId, out: &mut Vec<AgentAction>) {
         let known = self.offers.get(&offer).cloned();
         match known {
-            Some(Offered::Reserved(serial)) => self.lapse(now, serial, out),
+            Some(Offered::Reserved(serial)) => self.expire_reservation(now, serial, out),
             Some(Offered::Refused(..)) => return,
             Some(Offered::Waiting(..)) | None => self.admission.release(offer),
         }
@@ -189,14 +189,19 @@
         }
     }
 
-    pub(crate) fn lapse(&mut self, now: Time, serial: u64, out: &mut Vec<AgentAction>) {
+    pub(crate) fn expire_reservation(
+        &mut self,
+        now: Time,
+        serial: u64,
+        out: &mut Vec<AgentAction>,
+    ) {
         let Some(g) = self.generations.get_mut(serial) else {
             return;
         };
         if !matches!(g.stage, Stage::Reserved(_)) {
             return;
         }
-        g.stage = Stage::Lapsed(now);
+        g.stage = Stage::Expired(now);
         let offer = g.offer;
         self.admission.release(offer);
         out.push(note("reservation_lapsed", offer.request, None));
@@ -211,21 +216,21 @@
         work: Work,
         out: &mut Vec<AgentAction>,
     ) {
-        self.lapse_if_due(now, id, out);
+        self.expire_if_due(now, id, out);
         let standing = self.forgotten(id, request, None);
         let Some(g) = self.find(id).filter(|g| g.offer.request == request) else {
             out.push(stand(from, request, id, standing));
             return;
         };
         match g.stage {
-            Stage::Lapsed(_) => out.push(stand(from, request, id, Standing::NeverStarted)),
+            Stage::Expired(_) => out.push(stand(from, request, id, Standing::NeverStarted)),
             Stage::Running | Stage::Finished(_) => {
                 // A copy: the first one started it already.
                 out.extend(sends(g.messages(request, true)));
             }
             Stage::Reserved(_) => {
                 g.stage = Stage::Running;
-                g.heard = now;
+                g.last_output = now;
                 let demand = g.demand.clone();
                 if g.attach(now, request, from, 0).is_ok() {
                     out.extend(sends(g.messages(request, true)));
@@ -242,10 +247,15 @@
     }
 
     /// Lets a reservation lapse by the clock, also when no tick came in time.
-    pub(crate) fn lapse_if_due(&mut self, now: Time, id: GenerationId, out: &mut Vec<AgentAction>) {
+    pub(crate) fn expire_if_due(
+        &mut self,
+        now: Time,
+        id: GenerationId,
+        out: &mut Vec<AgentAction>,
+    ) {
         let stage = self.find(id).map(|g| g.stage);
         if matches!(stage, Some(Stage::Reserved(until)) if until <= now) {
-            self.lapse(now, id.serial, out);
+            self.expire_reservation(now, id.serial, out);
         }
     }
 
--- a/fireflycroft/src/deliver.rs
+++ b/fireflycroft/src/deliver.rs
@@ -3,7 +3,7 @@
 use crate::code::{Class, Code};
 use crate::entry::{Call, Entry, Origin, Phase, Reading};
 use crate::entry_io::{Delivery, EntryAction, EntryLimits, Reply, ResumePoint};
-use crate::generation::WINDOW;
+use crate::generation::WINDOW_TOKENS;
 use crate::ids::{CallId, GenerationId, Incarnation, Name, Peer, RequestId};
 use crate::message::{Finish, Message, Standing};
 use crate::note::Note;
@@ -347,7 +347,7 @@
         if delivery == Delivery::Whole {
             reading.acked = reading.cursor.next;
         }
-        if reading.cursor.next - reading.acked >= WINDOW {
+        if reading.cursor.next - reading.acked >= WINDOW_TOKENS {
             // The agent waits for the caller, not the other way round.
             reading.heard = now;
         }
--- a/fireflycroft/src/generation.rs
+++ b/fireflycroft/src/generation.rs
@@ -17,7 +17,7 @@
 pub(crate) const MAX_READERS: usize = 8;
 
 /// Tokens sent to a reader ahead of its acknowledgement.
-pub(crate) const WINDOW: u64 = 2_048;
+pub(crate) const WINDOW_TOKENS: u64 = 2_048;
 
 /// Most bytes of tokens in one message.
 pub(crate) const MAX_CHUNK_BYTES: usize = 64 * 1024;
@@ -30,7 +30,7 @@
     /// May be started until then.
     Reserved(Time),
     /// Was never started and never will be, as of then.
-    Lapsed(Time),
+    Expired(Time),
     /// Runs on the upstream.
     Running,
     /// Ended at that time.
@@ -49,9 +49,9 @@
     /// First token not acknowledged.
     pub(crate) acked: u64,
     /// When it was last heard of.
-    pub(crate) heard: Time,
+    pub(crate) last_received: Time,
     /// Whether it was sent the end.
-    pub(crate) told_end: bool,
+    pub(crate) end_sent: bool,
 }
 
 /// A reservation and what it becomes.
@@ -65,13 +65,13 @@
     pub(crate) finish: Option<Finish>,
     pub(crate) readers: Vec<Reader>,
     /// Whether a reader left after it was sent the end.
-    pub(crate) taken: bool,
+    pub(crate) end_delivered: bool,
     /// Since when nobody reads it.
     pub(crate) unread_since: Option<Time>,
     /// Times that the stream from the upstream was taken up again.
-    pub(crate) resumed: u32,
+    pub(crate) resume_count: u32,
     /// When the upstream was last heard of; the start until then.
-    pub(crate) heard: Time,
+    pub(crate) last_output: Time,
 }
 
 impl Generation {
@@ -82,15 +82,17 @@
     /// Whether to end the agent now would cut somebody off.
     ///
     /// A whole answer waits for its reader, also when that one is silent.
-    pub(crate) fn is_wanted(&self) -> bool {
+    pub(crate) fn blocks_shutdown(&self) -> bool {
         match self.stage {
             Stage::Reserved(_) | Stage::Running => true,
-            Stage::Lapsed(_) => false,
-            Stage::Finished(_) => !self.readers.is_empty() || (self.is_whole() && !self.taken),
+            Stage::Expired(_) => false,
+            Stage::Finished(_) => {
+                !self.readers.is_empty() || (self.is_complete() && !self.end_delivered)
+            }
         }
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.finish.as_ref().is_some_and(|f| f.code == Code::Ok)
     }
 
@@ -104,7 +106,7 @@
     ) -> Result<(), Standing> {
         match self.stage {
             Stage::Reserved(_) => return Err(Standing::Reserved),
-            Stage::Lapsed(_) => return Err(Standing::NeverStarted),
+            Stage::Expired(_) => return Err(Standing::NeverStarted),
             Stage::Running | Stage::Finished(_) => {}
         }
         if from < self.log.first() || from > self.log.end() {
@@ -120,8 +122,8 @@
             addr,
             next: from,
             acked: from,
-            heard: now,
-            told_end: false,
+            last_received: now,
+            end_sent: false,
         });
         Ok(())
     }
@@ -132,24 +134,24 @@
         if let Some(r) = self.readers.iter_mut().find(|r| r.id == reader) {
             r.acked = r.acked.max(next.min(end));
             r.next = r.next.max(r.acked);
-            r.heard = now;
+            r.last_received = now;
         }
     }
 
     pub(crate) fn detach(&mut self, now: Time, reader: RequestId) {
-        let told_end = |r: &Reader| r.id == reader && r.told_end;
-        self.taken |= self.readers.iter().any(told_end);
+        let end_sent = |r: &Reader| r.id == reader && r.end_sent;
+        self.end_delivered |= self.readers.iter().any(end_sent);
         self.readers.retain(|r| r.id != reader);
-        self.note_unread(now);
+        self.record_unread(now);
     }
 
     /// Drops the readers not heard of since `limit`.
     pub(crate) fn drop_silent(&mut self, now: Time, limit: Time) {
-        self.readers.retain(|r| r.heard > limit);
-        self.note_unread(now);
+        self.readers.retain(|r| r.last_received > limit);
+        self.record_unread(now);
     }
 
-    fn note_unread(&mut self, now: Time) {
+    fn record_unread(&mut self, now: Time) {
         if self.readers.is_empty() && self.unread_since.is_none() {
             self.unread_since = Some(now);
         }
@@ -161,16 +163,16 @@
     pub(crate) fn messages(
         &mut self,
         reader: RequestId,
-        answer: bool,
+        always_reply: bool,
     ) -> Vec<(SocketAddr, Message)> {
         let Some(at) = self.readers.iter().position(|r| r.id == reader) else {
             return Vec::new();
         };
         let mut out = Vec::new();
-        let mut must = answer;
-        while let Some(message) = self.next_message(at, must) {
+        let mut allow_empty = always_reply;
+        while let Some(message) = self.next_message(at, allow_empty) {
             out.push((self.readers[at].addr, message));
-            must = false;
+            allow_empty = false;
         }
         out
     }
@@ -183,10 +185,10 @@
             .collect()
     }
 
-    fn next_message(&mut self, at: usize, must: bool) -> Option<Message> {
+    fn next_message(&mut self, at: usize, allow_empty: bool) -> Option<Message> {
         let reader = &mut self.readers[at];
-        let room = (reader.acked + WINDOW).saturating_sub(reader.next);
-        let window = usize::try_from(room)
+        let window_left = (reader.acked + WINDOW_TOKENS).saturating_sub(reader.next);
+        let window = usize::try_from(window_left)
             .unwrap_or(MAX_CHUNK_TOKENS)
             .min(MAX_CHUNK_TOKENS);
         let chunk = self.log.cut(reader.next, window, MAX_CHUNK_BYTES)?;
@@ -194,12 +196,12 @@
         let finish = self
             .finish
             .clone()
-            .filter(|_| reaches_end && !reader.told_end);
-        if chunk.count() == 0 && finish.is_none() && !must {
+            .filter(|_| reaches_end && !reader.end_sent);
+        if chunk.count() == 0 && finish.is_none() && !allow_empty {
             return None;
         }
         reader.next = chunk.end();
-        reader.told_end |= finish.is_some();
+        reader.end_sent |= finish.is_some();
         Some(Message::Tokens {
             reader: reader.id,
             generation: self.id,
--- a/fireflycroft/src/generation_store.rs
+++ b/fireflycroft/src/generation_store.rs
@@ -15,14 +15,14 @@
 use std::collections::BTreeMap;
 
 /// Traces kept at once; the oldest goes when more come.
-const MAX_TRACES: usize = 16_384;
+const MAX_DROPPED: usize = 16_384;
 
 /// This part of the bound is freed at once, not a little at each token.
-const FREED_PART: usize = 8;
+const FREED_FRACTION_DIVISOR: usize = 8;
 
 /// What is known of a generation that is no longer kept.
 #[derive(Clone, Debug)]
-struct Trace {
+struct DroppedGeneration {
     request: RequestId,
     workspace: Name,
     ran: bool,
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GenerationStore {
     held: BTreeMap<u64, Generation>,
-    traces: BTreeMap<u64, Trace>,
+    dropped: BTreeMap<u64, DroppedGeneration>,
     /// Bytes held, or more.
     bytes: usize,
 }
@@ -70,68 +70,68 @@
         request: RequestId,
         workspace: Option<&Name>,
     ) -> Standing {
-        let own = |t: &&Trace| {
+        let own = |t: &&DroppedGeneration| {
             t.request == request && workspace.is_none_or(|workspace| t.workspace == *workspace)
         };
-        match self.traces.get(&serial).filter(own) {
-            Some(trace) if trace.ran => Standing::PartGone,
+        match self.dropped.get(&serial).filter(own) {
+            Some(dropped_generation) if dropped_generation.ran => Standing::PartGone,
             Some(_) => Standing::NeverStarted,
             None => Standing::Unknown,
         }
     }
 
     /// Forgets what lapsed or ended long enough ago.
-    pub(crate) fn forget(&mut self, now: Time, limits: &AgentLimits) {
+    pub(crate) fn remove_old(&mut self, now: Time, limits: &AgentLimits) {
         let old = |g: &&Generation| match g.stage {
-            Stage::Lapsed(at) => now.since(at) >= limits.remember,
-            Stage::Finished(at) => now.since(at) >= limits.keep_finished,
+            Stage::Expired(at) => now.since(at) >= limits.offer_retention,
+            Stage::Finished(at) => now.since(at) >= limits.finished_retention,
             Stage::Reserved(_) | Stage::Running => false,
         };
         let serials: Vec<u64> = self.held.values().filter(old).map(serial_of).collect();
         for serial in serials {
-            self.drop(serial);
+            self.drop_generation(serial);
         }
     }
 
     /// Notes that so many bytes of tokens were added, and keeps the bound.
-    pub(crate) fn grow(&mut self, added: usize, max: usize) {
+    pub(crate) fn record_added_bytes(&mut self, added: usize, max: usize) {
         self.bytes += added;
         if self.bytes > max {
-            self.make_room(max);
+            self.enforce_byte_limit(max);
         }
     }
 
-    fn make_room(&mut self, max: usize) {
+    fn enforce_byte_limit(&mut self, max: usize) {
         self.bytes = self.bytes();
         if self.bytes <= max {
             return;
         }
-        let target = max - max / FREED_PART;
-        self.drop_ended(target);
-        self.release_taken(target);
+        let target = max - max / FREED_FRACTION_DIVISOR;
+        self.drop_finished(target);
+        self.release_acknowledged(target);
         while self.bytes > target && self.release_oldest(target) {}
     }
 
     /// Drops ended answers that nobody reads, oldest first.
-    fn drop_ended(&mut self, target: usize) {
+    fn drop_finished(&mut self, target: usize) {
         let ended = |g: &&Generation| matches!(g.stage, Stage::Finished(_)) && g.readers.is_empty();
         while self.bytes > target {
             let Some(serial) = self.held.values().find(ended).map(serial_of) else {
                 return;
             };
-            self.drop(serial);
+            self.drop_generation(serial);
         }
     }
 
     /// Releases tokens that every reader has handed on.
-    fn release_taken(&mut self, target: usize) {
+    fn release_acknowledged(&mut self, target: usize) {
         for g in self.held.values_mut() {
             if self.bytes <= target {
                 return;
             }
-            let taken = g.readers.iter().map(|r| r.acked).min();
+            let lowest_acked = g.readers.iter().map(|r| r.acked).min();
             let before = g.log.bytes();
-            g.log.release_below(taken.unwrap_or(0));
+            g.log.release_below(lowest_acked.unwrap_or(0));
             self.bytes -= before - g.log.bytes();
         }
     }
@@ -147,19 +147,19 @@
         before > g.log.bytes()
     }
 
-    fn drop(&mut self, serial: u64) {
+    fn drop_generation(&mut self, serial: u64) {
         let Some(g) = self.held.remove(&serial) else {
             return;
         };
         self.bytes = self.bytes.saturating_sub(g.log.bytes());
-        let trace = Trace {
+        let dropped_generation = DroppedGeneration {
             request: g.offer.request,
             ran: has_run(&g),
             workspace: g.demand.workspace,
         };
-        self.traces.insert(serial, trace);
-        if self.traces.len() > MAX_TRACES {
-            self.traces.pop_first();
+        self.dropped.insert(serial, dropped_generation);
+        if self.dropped.len() > MAX_DROPPED {
+            self.dropped.pop_first();
         }
     }
 }
@@ -171,7 +171,7 @@
 fn has_run(g: &Generation) -> bool {
     let refused = |code: crate::code::Code| code.class() == Class::NotRun;
     match g.stage {
-        Stage::Reserved(_) | Stage::Lapsed(_) => false,
+        Stage::Reserved(_) | Stage::Expired(_) => false,
         Stage::Running => true,
         Stage::Finished(_) => !g.finish.as_ref().is_some_and(|f| refused(f.code)),
     }
