--- a/fireflycroft/src/agent.rs
+++ b/fireflycroft/src/agent.rs
@@ -31,11 +31,11 @@
     /// How long an ended answer is kept for readers.
     pub finished_retention: Duration,
     /// How long a generation that nobody reads goes on.
-    pub keep_unread: Duration,
+    pub unread_timeout: Duration,
     /// Silence of the upstream after which a generation is stopped.
-    pub max_stall: Duration,
+    pub stall_timeout: Duration,
     /// Silence after which a reader is dropped.
-    pub reader_silence: Duration,
+    pub reader_timeout: Duration,
     /// Bytes of answers kept in all.
     pub max_bytes: usize,
     /// Offers remembered in all.
@@ -50,9 +50,9 @@
             hold: Duration::from_secs(2),
             offer_retention: Duration::from_mins(1),
             finished_retention: Duration::from_mins(1),
-            keep_unread: Duration::from_secs(30),
-            max_stall: Duration::from_mins(10),
-            reader_silence: Duration::from_secs(5),
+            unread_timeout: Duration::from_secs(30),
+            stall_timeout: Duration::from_mins(10),
+            reader_timeout: Duration::from_secs(5),
             max_bytes: 64 * 1024 * 1024,
             max_offers: 8_192,
             max_resumes: 3,
@@ -169,7 +169,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Offered {
+pub(crate) enum OfferState {
     /// Waits for admission.
     Waiting(SocketAddr, Demand),
     /// Became a reservation of that serial number.
@@ -186,7 +186,7 @@
     pub(crate) limits: AgentLimits,
     pub(crate) config: ConfigVersion,
     pub(crate) admission: Admission,
-    pub(crate) offers: BTreeMap<OfferId, Offered>,
+    pub(crate) offers: BTreeMap<OfferId, OfferState>,
     pub(crate) generations: GenerationStore,
     pub(crate) next_serial: u64,
     pub(crate) quarantine: Quarantine,
@@ -198,8 +198,8 @@
     pub(crate) issuer: Option<SocketAddr>,
 }
 
-pub(crate) const LEAVING_RETRY: Duration = Duration::from_millis(100);
-pub(crate) const DOWN_RETRY: Duration = Duration::from_secs(1);
+pub(crate) const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(100);
+pub(crate) const UPSTREAM_DOWN_RETRY_AFTER: Duration = Duration::from_secs(1);
 impl Agent {
     /// An agent whose upstream is not yet known to answer.
     #[must_use]
@@ -293,7 +293,7 @@
     /// Digests that are refused.
     #[must_use]
     pub fn quarantined(&self) -> usize {
-        self.quarantine.refused()
+        self.quarantine.refused_count()
     }
 
     fn on_message(&mut self, now: Time, envelope: Envelope, out: &mut Vec<AgentAction>) {
@@ -310,8 +310,8 @@
             } => {
                 let offer = OfferId { request, attempt };
                 // Either side may be the older one; it catches up before work runs.
-                let differs = envelope.config != self.config;
-                self.on_offer(now, from, offer, demand, max_wait, differs, out);
+                let config_differs = envelope.config != self.config;
+                self.on_offer(now, from, offer, demand, max_wait, config_differs, out);
             }
             Message::Withdraw { request, attempt } => {
                 self.on_withdraw(now, OfferId { request, attempt }, out);
@@ -343,7 +343,7 @@
             Message::Cancel { generation } => self.on_cancel(now, generation, out),
             Message::Order(order) => self.on_order(from, order, out),
             Message::Crashes { content, count } => {
-                self.quarantine.learn(now, content, count);
+                self.quarantine.record(now, content, count);
             }
             _ => {}
         }
@@ -357,7 +357,7 @@
     }
 }
 
-pub(crate) fn id_request(g: &Generation) -> RequestId {
+pub(crate) fn request_of(g: &Generation) -> RequestId {
     g.offer.request
 }
 
@@ -378,7 +378,7 @@
     }
 }
 
-pub(crate) fn stand(
+pub(crate) fn status_message(
     to: SocketAddr,
     reader: RequestId,
     generation: GenerationId,
@@ -394,7 +394,9 @@
     )
 }
 
-pub(crate) fn sends(messages: Vec<(SocketAddr, Message)>) -> impl Iterator<Item = AgentAction> {
+pub(crate) fn send_actions(
+    messages: Vec<(SocketAddr, Message)>,
+) -> impl Iterator<Item = AgentAction> {
     messages
         .into_iter()
         .map(|(to, message)| AgentAction::Send(to, message))
--- a/fireflycroft/src/agent_generations.rs
+++ b/fireflycroft/src/agent_generations.rs
@@ -1,6 +1,8 @@
 //! The agent's generations: their tokens, their readers and their ends.
 
-use crate::agent::{Agent, AgentAction, id_request, note, sends, stand, with_count};
+use crate::agent::{
+    Agent, AgentAction, note, request_of, send_actions, status_message, with_count,
+};
 use crate::code::Code;
 use crate::generation::{Generation, Stage};
 use crate::ids::{Digest, GenerationId, Name, RequestId};
@@ -26,14 +28,14 @@
         let own =
             |g: &&mut Generation| g.offer.request == request && g.demand.workspace == *workspace;
         // A foreign workspace learns no more than that nothing is known.
-        let standing = self.forgotten(id, request, Some(workspace));
+        let standing = self.dropped_standing(id, request, Some(workspace));
         let Some(g) = self.find(id).filter(own) else {
-            out.push(stand(from, reader, id, standing));
+            out.push(status_message(from, reader, id, standing));
             return;
         };
         match g.attach(now, reader, from, token) {
-            Ok(()) => out.extend(sends(g.messages(reader, true))),
-            Err(standing) => out.push(stand(from, reader, id, standing)),
+            Ok(()) => out.extend(send_actions(g.messages(reader, true))),
+            Err(standing) => out.push(status_message(from, reader, id, standing)),
         }
     }
 
@@ -47,7 +49,7 @@
     ) {
         if let Some(g) = self.find(id) {
             g.ack(now, reader, next);
-            out.extend(sends(g.messages(reader, false)));
+            out.extend(send_actions(g.messages(reader, false)));
         }
     }
 
@@ -71,7 +73,7 @@
         out: &mut Vec<AgentAction>,
     ) {
         out.push(AgentAction::Stop(id));
-        self.end_with(now, id, code, "stopped", out);
+        self.finish_with_code(now, id, code, "stopped", out);
     }
 
     pub(crate) fn on_tokens(
@@ -90,7 +92,7 @@
             g.log.push(token);
         }
         let added = g.log.bytes() - before;
-        out.extend(sends(g.messages_to_all()));
+        out.extend(send_actions(g.messages_to_all()));
         let offer = g.offer;
         let produced = g.log.end();
         self.generations
@@ -113,7 +115,7 @@
             total: g.log.end(),
             ..finish.clone()
         });
-        out.extend(sends(g.messages_to_all()));
+        out.extend(send_actions(g.messages_to_all()));
         let offer = g.offer;
         let total = g.log.end();
         if finish.code == Code::Ok {
@@ -125,7 +127,7 @@
         out.push(with_count(event, total));
     }
 
-    pub(crate) fn end_with(
+    pub(crate) fn finish_with_code(
         &mut self,
         now: Time,
         id: GenerationId,
@@ -152,15 +154,15 @@
         if code == Code::NoUpstream {
             self.upstream_up = false;
         }
-        self.end_with(now, id, code, "not started", out);
+        self.finish_with_code(now, id, code, "not started", out);
     }
 
     pub(crate) fn on_broken(&mut self, now: Time, id: GenerationId, out: &mut Vec<AgentAction>) {
-        let most = self.limits.max_resumes;
+        let max_resumes = self.limits.max_resumes;
         let Some(g) = self.find(id).filter(|g| g.is_running()) else {
             return;
         };
-        if g.resume_count >= most {
+        if g.resume_count >= max_resumes {
             self.on_lost(now, id, out);
             return;
         }
@@ -170,11 +172,11 @@
             generation: id,
             from,
         });
-        out.push(note("upstream_stream_broken", id_request(g), None));
+        out.push(note("upstream_stream_broken", request_of(g), None));
     }
 
     pub(crate) fn on_lost(&mut self, now: Time, id: GenerationId, out: &mut Vec<AgentAction>) {
-        self.end_with(now, id, Code::UpstreamFailed, "upstream failed", out);
+        self.finish_with_code(now, id, Code::UpstreamFailed, "upstream failed", out);
     }
 
     /// Counts a crash for all that ran, tells the fleet and ends them.
@@ -192,7 +194,7 @@
                 .crashes(*content)
                 .max(*known)
                 .saturating_add(1);
-            if self.quarantine.learn(now, *content, count) {
+            if self.quarantine.record(now, *content, count) {
                 let content = *content;
                 self.crash_announcements.add(now, content, count);
                 out.push(AgentAction::Broadcast(Message::Crashes { content, count }));
@@ -212,7 +214,7 @@
     }
 
     /// How a generation stands that is no longer held.
-    pub(crate) fn forgotten(
+    pub(crate) fn dropped_standing(
         &self,
         id: GenerationId,
         request: RequestId,
--- a/fireflycroft/src/agent_maintenance.rs
+++ b/fireflycroft/src/agent_maintenance.rs
@@ -1,6 +1,6 @@
 //! What the agent does by the clock, and when it is to leave.
 
-use crate::agent::{Agent, AgentAction, LEAVING_RETRY, Offered};
+use crate::agent::{Agent, AgentAction, LEAVING_RETRY_AFTER, OfferState};
 use crate::code::Code;
 use crate::generation::{Generation, Stage};
 use crate::ids::GenerationId;
@@ -15,24 +15,24 @@
         }
         self.leaving = true;
         out.push(AgentAction::Note(Note::new("agent_leaving")));
-        let is_waiting = |o: &Offered| matches!(o, Offered::Waiting(..));
-        let waiting: Vec<(OfferId, Offered)> = self
+        let is_waiting = |o: &OfferState| matches!(o, OfferState::Waiting(..));
+        let waiting: Vec<(OfferId, OfferState)> = self
             .offers
             .iter()
             .filter(|(_, o)| is_waiting(o))
             .map(|(id, o)| (*id, o.clone()))
             .collect();
         for (offer, state) in waiting {
-            if let Offered::Waiting(to, _) = state {
+            if let OfferState::Waiting(to, _) = state {
                 self.admission.release(offer);
-                self.refuse(now, to, offer, Code::Leaving, LEAVING_RETRY, out);
+                self.refuse(now, to, offer, Code::Leaving, LEAVING_RETRY_AFTER, out);
             }
         }
     }
 
     pub(crate) fn on_tick(&mut self, now: Time, out: &mut Vec<AgentAction>) {
         self.expire_due_reservations(now, out);
-        self.refuse_expired(now, out);
+        self.refuse_expired_offers(now, out);
         self.drop_silent_readers(now);
         self.stop_unread(now, out);
         self.stop_stalled(now, out);
@@ -59,9 +59,9 @@
         }
     }
 
-    pub(crate) fn refuse_expired(&mut self, now: Time, out: &mut Vec<AgentAction>) {
+    pub(crate) fn refuse_expired_offers(&mut self, now: Time, out: &mut Vec<AgentAction>) {
         for offer in self.admission.remove_expired(now) {
-            let Some(Offered::Waiting(to, demand)) = self.offers.get(&offer).cloned() else {
+            let Some(OfferState::Waiting(to, demand)) = self.offers.get(&offer).cloned() else {
                 continue;
             };
             let retry = self.admission.expected_wait(demand.priority);
@@ -70,7 +70,7 @@
     }
 
     pub(crate) fn drop_silent_readers(&mut self, now: Time) {
-        let limit = now - self.limits.reader_silence;
+        let limit = now - self.limits.reader_timeout;
         if limit == Time::default() {
             return;
         }
@@ -82,9 +82,11 @@
     }
 
     pub(crate) fn stop_unread(&mut self, now: Time, out: &mut Vec<AgentAction>) {
-        let keep = self.limits.keep_unread;
+        let unread_timeout = self.limits.unread_timeout;
         let unread = |g: &&Generation| {
-            g.is_running() && g.unread_since.is_some_and(|t| now.since(t) >= keep)
+            g.is_running()
+                && g.unread_since
+                    .is_some_and(|t| now.since(t) >= unread_timeout)
         };
         let ids: Vec<GenerationId> = self
             .generations
@@ -98,8 +100,8 @@
     }
 
     pub(crate) fn stop_stalled(&mut self, now: Time, out: &mut Vec<AgentAction>) {
-        let most = self.limits.max_stall;
-        let stalled = |g: &&Generation| g.is_running() && now.since(g.last_output) >= most;
+        let stall_timeout = self.limits.stall_timeout;
+        let stalled = |g: &&Generation| g.is_running() && now.since(g.last_output) >= stall_timeout;
         let ids: Vec<GenerationId> = self
             .generations
             .values()
@@ -117,9 +119,9 @@
         self.generations.remove_old(now, &limits);
         let held = &self.generations;
         self.offers.retain(|_, o| match o {
-            Offered::Waiting(..) => true,
-            Offered::Reserved(serial) => held.get(*serial).is_some(),
-            Offered::Refused(_, at) => now.since(*at) < limits.offer_retention,
+            OfferState::Waiting(..) => true,
+            OfferState::Reserved(serial) => held.get(*serial).is_some(),
+            OfferState::Refused(_, at) => now.since(*at) < limits.offer_retention,
         });
     }
 }
--- a/fireflycroft/src/agent_reservations.rs
+++ b/fireflycroft/src/agent_reservations.rs
@@ -5,7 +5,8 @@
 //! start that names a live reservation runs it.
 
 use crate::agent::{
-    Agent, AgentAction, DOWN_RETRY, LEAVING_RETRY, Offered, note, queued, refused, sends, stand,
+    Agent, AgentAction, LEAVING_RETRY_AFTER, OfferState, UPSTREAM_DOWN_RETRY_AFTER, note, queued,
+    refused, send_actions, status_message,
 };
 use crate::code::Code;
 use crate::generation::{Generation, Stage};
@@ -27,20 +28,20 @@
         offer: OfferId,
         demand: Demand,
         max_wait: Duration,
-        differs: bool,
+        config_differs: bool,
         out: &mut Vec<AgentAction>,
     ) {
-        if self.repeat_answer(now, from, offer, out) {
+        if self.answer_duplicate(now, from, offer, out) {
             return;
         }
-        if let Some((code, retry)) = self.reason_to_refuse(&demand, differs) {
+        if let Some((code, retry)) = self.refusal_reason(&demand, config_differs) {
             self.refuse(now, from, offer, code, retry, out);
             return;
         }
         match self.admission.offer(now, offer, &demand, now + max_wait) {
             AdmitDecision::Admit => self.reserve(now, from, offer, demand, out),
             AdmitDecision::Queue(wait) => {
-                self.offers.insert(offer, Offered::Waiting(from, demand));
+                self.offers.insert(offer, OfferState::Waiting(from, demand));
                 out.push(AgentAction::Send(from, queued(offer, wait)));
             }
             AdmitDecision::Refuse(retry) => {
@@ -53,7 +54,7 @@
     }
 
     /// Answers a copy of an offer as the first was answered.
-    pub(crate) fn repeat_answer(
+    pub(crate) fn answer_duplicate(
         &mut self,
         now: Time,
         from: SocketAddr,
@@ -62,11 +63,11 @@
     ) -> bool {
         let answer = match self.offers.get(&offer) {
             None => return false,
-            Some(Offered::Waiting(_, demand)) => {
+            Some(OfferState::Waiting(_, demand)) => {
                 queued(offer, self.admission.expected_wait(demand.priority))
             }
-            Some(Offered::Refused(code, _)) => refused(offer, *code, Duration::ZERO),
-            Some(Offered::Reserved(serial)) => self.accepted(now, offer, *serial),
+            Some(OfferState::Refused(code, _)) => refused(offer, *code, Duration::ZERO),
+            Some(OfferState::Reserved(serial)) => self.accepted(now, offer, *serial),
         };
         out.push(AgentAction::Send(from, answer));
         true
@@ -89,29 +90,29 @@
         }
     }
 
-    pub(crate) fn reason_to_refuse(
+    pub(crate) fn refusal_reason(
         &self,
         demand: &Demand,
-        differs: bool,
+        config_differs: bool,
     ) -> Option<(Code, Duration)> {
         if self.leaving {
-            return Some((Code::Leaving, LEAVING_RETRY));
+            return Some((Code::Leaving, LEAVING_RETRY_AFTER));
         }
         if !self.upstream_up || !self.serves.contains(&demand.target) {
-            return Some((Code::NoUpstream, DOWN_RETRY));
+            return Some((Code::NoUpstream, UPSTREAM_DOWN_RETRY_AFTER));
         }
         if self.quarantine.is_refused(demand.content) {
             return Some((Code::Quarantined, Duration::ZERO));
         }
-        if differs {
-            return Some((Code::ConfigBehind, LEAVING_RETRY));
+        if config_differs {
+            return Some((Code::ConfigBehind, LEAVING_RETRY_AFTER));
         }
         if self.offers.len() >= self.limits.max_offers {
-            return Some((Code::Overloaded, DOWN_RETRY));
+            return Some((Code::Overloaded, UPSTREAM_DOWN_RETRY_AFTER));
         }
         let suspect = demand.crashes.max(self.quarantine.crashes(demand.content)) > 0;
         if suspect && self.runs_another_suspect(demand.content) {
-            return Some((Code::Overloaded, DOWN_RETRY));
+            return Some((Code::Overloaded, UPSTREAM_DOWN_RETRY_AFTER));
         }
         None
     }
@@ -165,16 +166,16 @@
             last_output: now,
         };
         self.generations.insert(generation);
-        self.offers.insert(offer, Offered::Reserved(serial));
+        self.offers.insert(offer, OfferState::Reserved(serial));
         out.push(AgentAction::Send(to, self.accepted(now, offer, serial)));
     }
 
     pub(crate) fn on_withdraw(&mut self, now: Time, offer: OfferId, out: &mut Vec<AgentAction>) {
         let known = self.offers.get(&offer).cloned();
         match known {
-            Some(Offered::Reserved(serial)) => self.expire_reservation(now, serial, out),
-            Some(Offered::Refused(..)) => return,
-            Some(Offered::Waiting(..)) | None => self.admission.release(offer),
+            Some(OfferState::Reserved(serial)) => self.expire_reservation(now, serial, out),
+            Some(OfferState::Refused(..)) => return,
+            Some(OfferState::Waiting(..)) | None => self.admission.release(offer),
         }
         // A copy of the offer may still be under way; it must not be taken.
         self.remember_refusal(now, offer, Code::Withdrawn);
@@ -183,9 +184,9 @@
     /// Keeps a refusal for copies of the offer, within the bound. Beyond it,
     /// a copy may be reserved afresh; unless started, that lapses.
     pub(crate) fn remember_refusal(&mut self, now: Time, offer: OfferId, code: Code) {
-        let room = self.offers.len() < self.limits.max_offers;
-        if room || self.offers.contains_key(&offer) {
-            self.offers.insert(offer, Offered::Refused(code, now));
+        let has_capacity = self.offers.len() < self.limits.max_offers;
+        if has_capacity || self.offers.contains_key(&offer) {
+            self.offers.insert(offer, OfferState::Refused(code, now));
         }
     }
 
@@ -217,23 +218,25 @@
         out: &mut Vec<AgentAction>,
     ) {
         self.expire_if_due(now, id, out);
-        let standing = self.forgotten(id, request, None);
+        let standing = self.dropped_standing(id, request, None);
         let Some(g) = self.find(id).filter(|g| g.offer.request == request) else {
-            out.push(stand(from, request, id, standing));
+            out.push(status_message(from, request, id, standing));
             return;
         };
         match g.stage {
-            Stage::Expired(_) => out.push(stand(from, request, id, Standing::NeverStarted)),
+            Stage::Expired(_) => {
+                out.push(status_message(from, request, id, Standing::NeverStarted))
+            }
             Stage::Running | Stage::Finished(_) => {
                 // A copy: the first one started it already.
-                out.extend(sends(g.messages(request, true)));
+                out.extend(send_actions(g.messages(request, true)));
             }
             Stage::Reserved(_) => {
                 g.stage = Stage::Running;
                 g.last_output = now;
                 let demand = g.demand.clone();
                 if g.attach(now, request, from, 0).is_ok() {
-                    out.extend(sends(g.messages(request, true)));
+                    out.extend(send_actions(g.messages(request, true)));
                 }
                 out.push(AgentAction::Run {
                     generation: id,
@@ -265,7 +268,7 @@
         }
         while let Some(offer) = self.admission.next(now) {
             match self.offers.remove(&offer) {
-                Some(Offered::Waiting(to, demand)) => self.reserve(now, to, offer, demand, out),
+                Some(OfferState::Waiting(to, demand)) => self.reserve(now, to, offer, demand, out),
                 _ => self.admission.release(offer),
             }
         }
--- a/fireflycroft/src/crash_announcements.rs
+++ b/fireflycroft/src/crash_announcements.rs
@@ -7,38 +7,38 @@
 use std::time::Duration;
 
 /// Times that a count is told after the first.
-const TELLINGS: u8 = 4;
+const RETRANSMISSIONS: u8 = 4;
 
 /// Time between two tellings.
-const BETWEEN: Duration = Duration::from_millis(400);
+const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Counts told at once; beyond it a count is told only the first time.
-const MAX_ITEMS: usize = 256;
+const MAX_ANNOUNCEMENTS: usize = 256;
 
 #[derive(Clone, Copy, Debug)]
-struct Item {
+struct Announcement {
     content: Digest,
     count: u8,
     next: Time,
-    left: u8,
+    remaining: u8,
 }
 
 /// Counts that are still to be told.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CrashAnnouncements {
-    items: Vec<Item>,
+    announcements: Vec<Announcement>,
 }
 
 impl CrashAnnouncements {
     /// Takes a count that has just been told for the first time.
     pub(crate) fn add(&mut self, now: Time, content: Digest, count: u8) {
-        self.items.retain(|i| i.content != content);
-        if self.items.len() < MAX_ITEMS {
-            self.items.push(Item {
+        self.announcements.retain(|i| i.content != content);
+        if self.announcements.len() < MAX_ANNOUNCEMENTS {
+            self.announcements.push(Announcement {
                 content,
                 count,
-                next: now + BETWEEN,
-                left: TELLINGS,
+                next: now + RETRANSMIT_INTERVAL,
+                remaining: RETRANSMISSIONS,
             });
         }
     }
@@ -46,15 +46,15 @@
     /// Messages to be told now.
     pub(crate) fn due(&mut self, now: Time) -> Vec<Message> {
         let mut out = Vec::new();
-        for item in self.items.iter_mut().filter(|i| i.next <= now) {
-            item.next = now + BETWEEN;
-            item.left -= 1;
+        for announcement in self.announcements.iter_mut().filter(|i| i.next <= now) {
+            announcement.next = now + RETRANSMIT_INTERVAL;
+            announcement.remaining -= 1;
             out.push(Message::Crashes {
-                content: item.content,
-                count: item.count,
+                content: announcement.content,
+                count: announcement.count,
             });
         }
-        self.items.retain(|i| i.left > 0);
+        self.announcements.retain(|i| i.remaining > 0);
         out
     }
 }
--- a/fireflycroft/src/deliver.rs
+++ b/fireflycroft/src/deliver.rs
@@ -155,7 +155,7 @@
             return;
         }
         let content = call.demand.content;
-        if finish.crashes > 0 && self.quarantine.learn(now, content, finish.crashes) {
+        if finish.crashes > 0 && self.quarantine.record(now, content, finish.crashes) {
             let count = finish.crashes;
             out.push(EntryAction::Broadcast(Message::Crashes { content, count }));
         }
--- a/fireflycroft/src/dispatch.rs
+++ b/fireflycroft/src/dispatch.rs
@@ -225,7 +225,7 @@
         if code == Code::Quarantined {
             let content = call.demand.content;
             self.quarantine
-                .learn(now, content, crate::quarantine::CRASH_LIMIT);
+                .record(now, content, crate::quarantine::CRASH_LIMIT);
             self.fail(id, code, None, out);
             return;
         }
--- a/fireflycroft/src/entry.rs
+++ b/fireflycroft/src/entry.rs
@@ -232,7 +232,7 @@
     /// Digests that are refused.
     #[must_use]
     pub fn quarantined(&self) -> usize {
-        self.quarantine.refused()
+        self.quarantine.refused_count()
     }
 
     fn on_message(&mut self, now: Time, envelope: Envelope, out: &mut Vec<EntryAction>) {
@@ -278,7 +278,7 @@
                 standing,
             } => self.on_stand(now, reader, generation, standing, out),
             Message::Crashes { content, count } => {
-                self.quarantine.learn(now, content, count);
+                self.quarantine.record(now, content, count);
             }
             _ => {}
         }
@@ -376,7 +376,7 @@
             code
         };
         if code.class() == Class::NotRun {
-            self.quotas.give_back(&call.demand.workspace, call.charged);
+            self.quotas.refund(&call.demand.workspace, call.charged);
         }
         let least = self.limits.min_retry_after;
         out.push(EntryAction::Reply(
--- a/fireflycroft/src/quarantine.rs
+++ b/fireflycroft/src/quarantine.rs
@@ -16,10 +16,10 @@
 pub const MAX_DIGESTS: usize = 4_096;
 
 /// How long a digest is kept after its last crash.
-pub const KEEP: Duration = Duration::from_hours(1);
+pub const CRASH_RETENTION: Duration = Duration::from_hours(1);
 
 #[derive(Clone, Copy, Debug)]
-struct Entry {
+struct CrashRecord {
     crashes: u8,
     last: Time,
 }
@@ -27,14 +27,14 @@
 /// Crash counts by content.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    entries: HashMap<Digest, Entry>,
+    records: HashMap<Digest, CrashRecord>,
 }
 
 impl Quarantine {
     /// Upstreams that the content crashed, as far as known here.
     #[must_use]
     pub fn crashes(&self, content: Digest) -> u8 {
-        self.entries.get(&content).map_or(0, |e| e.crashes)
+        self.records.get(&content).map_or(0, |e| e.crashes)
     }
 
     /// Whether the content is refused.
@@ -44,35 +44,37 @@
     }
 
     /// Takes a count from a peer or an upstream; true when it is news.
-    pub fn learn(&mut self, now: Time, content: Digest, crashes: u8) -> bool {
+    pub fn record(&mut self, now: Time, content: Digest, crashes: u8) -> bool {
         if crashes <= self.crashes(content) {
             return false;
         }
-        if self.entries.len() >= MAX_DIGESTS && !self.entries.contains_key(&content) {
+        if self.records.len() >= MAX_DIGESTS && !self.records.contains_key(&content) {
             self.drop_oldest();
         }
-        self.entries.insert(content, Entry { crashes, last: now });
+        self.records
+            .insert(content, CrashRecord { crashes, last: now });
         true
     }
 
     /// Forgets what has expired.
     pub fn expire(&mut self, now: Time) {
-        self.entries.retain(|_, e| now.since(e.last) < KEEP);
+        self.records
+            .retain(|_, e| now.since(e.last) < CRASH_RETENTION);
     }
 
     /// Number of digests that are refused.
     #[must_use]
-    pub fn refused(&self) -> usize {
-        self.entries
+    pub fn refused_count(&self) -> usize {
+        self.records
             .values()
             .filter(|e| e.crashes >= CRASH_LIMIT)
             .count()
     }
 
     fn drop_oldest(&mut self) {
-        let oldest = self.entries.iter().min_by_key(|(_, e)| (e.crashes, e.last));
+        let oldest = self.records.iter().min_by_key(|(_, e)| (e.crashes, e.last));
         if let Some(digest) = oldest.map(|(digest, _)| *digest) {
-            self.entries.remove(&digest);
+            self.records.remove(&digest);
         }
     }
 }
--- a/fireflycroft/src/quota.rs
+++ b/fireflycroft/src/quota.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     level: f64,
-    at: Time,
+    updated_at: Time,
 }
 
 /// Token buckets of the workspaces that have a quota.
@@ -46,14 +46,15 @@
         }
         let bucket = self.buckets.entry(workspace.clone()).or_insert(Bucket {
             level: depth,
-            at: now,
+            updated_at: now,
         });
-        bucket.level = (bucket.level + rate * now.since(bucket.at).as_secs_f64()).min(depth);
-        bucket.at = now;
+        bucket.level =
+            (bucket.level + rate * now.since(bucket.updated_at).as_secs_f64()).min(depth);
+        bucket.updated_at = now;
         // More than a whole minute's share is let through from a full bucket.
-        let asked = (tokens as f64).min(depth);
-        if bucket.level < asked {
-            return Err(Duration::from_secs_f64((asked - bucket.level) / rate));
+        let required = (tokens as f64).min(depth);
+        if bucket.level < required {
+            return Err(Duration::from_secs_f64((required - bucket.level) / rate));
         }
         bucket.level -= tokens as f64;
         Ok(())
@@ -61,7 +62,7 @@
 
     /// Gives back tokens that were taken and not used.
     #[allow(clippy::cast_precision_loss)]
-    pub fn give_back(&mut self, workspace: &Name, tokens: u64) {
+    pub fn refund(&mut self, workspace: &Name, tokens: u64) {
         if let Some(bucket) = self.buckets.get_mut(workspace) {
             bucket.level += tokens as f64;
         }
@@ -77,6 +78,6 @@
 
     fn drop_full(&mut self, now: Time) {
         self.buckets
-            .retain(|_, b| now.since(b.at).as_secs_f64() < MINUTE_SECS);
+            .retain(|_, b| now.since(b.updated_at).as_secs_f64() < MINUTE_SECS);
     }
 }
--- a/fireflycroft/tests/quota.rs
+++ b/fireflycroft/tests/quota.rs
@@ -45,7 +45,7 @@
 fn gives_back() {
     let mut quotas = Quotas::default();
     quotas.take(at(0), &name(), SHARE, SHARE).unwrap();
-    quotas.give_back(&name(), 500);
+    quotas.refund(&name(), 500);
     assert_eq!(quotas.take(at(0), &name(), 500, SHARE), Ok(()));
 }
 
--- a/fireflycroft/tests/support/fleet.rs
+++ b/fireflycroft/tests/support/fleet.rs
@@ -137,7 +137,7 @@
         },
         limits: AgentLimits {
             max_bytes: MAX_BYTES,
-            max_stall: Duration::from_mins(1),
+            stall_timeout: Duration::from_mins(1),
             max_offers: MAX_OFFERS,
             ..AgentLimits::default()
         },
--- a/fireflyd/src/process.rs
+++ b/fireflyd/src/process.rs
@@ -225,7 +225,7 @@
         policy,
         capacity,
         limits: AgentLimits {
-            keep_unread: settings.timeouts.retain,
+            unread_timeout: settings.timeouts.retain,
             ..AgentLimits::default()
         },
     };
--- a/fireflydirect/src/crash.rs
+++ b/fireflydirect/src/crash.rs
@@ -59,7 +59,7 @@
     node.pool.borrow_mut().avoid(now, ix, AVOID_CRASHED);
     let mut quarantine = node.quarantine.borrow_mut();
     let crashes = quarantine.crashes(content).saturating_add(1);
-    quarantine.learn(now, content, crashes);
+    quarantine.record(now, content, crashes);
     node.peers.borrow_mut().tell_crash(content, crashes);
     node.tell_all_at_once();
     crashes
--- a/fireflydirect/src/hear.rs
+++ b/fireflydirect/src/hear.rs
@@ -126,7 +126,7 @@
 
 fn learn_crash(node: &Node, now: Time, crash: &CrashCount) {
     let mut quarantine = node.quarantine.borrow_mut();
-    if quarantine.learn(now, crash.content, crash.count) {
+    if quarantine.record(now, crash.content, crash.count) {
         let content = crash.content.to_string();
         log::warn!(event = "crash_told", content = content, crashes = crash.count; "");
     }
--- a/fireflydirect/src/metrics.rs
+++ b/fireflydirect/src/metrics.rs
@@ -231,7 +231,7 @@
             .set(i64::try_from(node.version()).unwrap_or(i64::MAX));
         self.peers.set(to_i64(node.entries() - 1));
         self.watching.set(i64::from(node.watches_store()));
-        let quarantined = node.quarantine.borrow().refused();
+        let quarantined = node.quarantine.borrow().refused_count();
         self.quarantined.set(to_i64(quarantined));
         self.read_places(&node.pool.borrow(), now);
         self.store_era
