--- a/fireflycroft-wire/src/decode.rs
+++ b/fireflycroft-wire/src/decode.rs
@@ -297,7 +297,7 @@
         max_tokens: demand.max_tokens,
         prefix: read_digest(&demand.prefix, "demand.prefix")?,
         content: read_digest(&demand.content, "demand.content")?,
-        repeatable: demand.repeatable,
+        retryable: demand.repeatable,
         crashes: read_narrow(demand.crashes, "demand.crashes")?,
     })
 }
@@ -325,7 +325,7 @@
         lens: chunk.lens,
     };
     let ends = chunk.offset.checked_add(chunk.count()).is_some();
-    if !ends || !chunk.is_sound() {
+    if !ends || !chunk.is_consistent() {
         return Err(WireError::UnsoundChunk);
     }
     Ok(chunk)
--- a/fireflycroft-wire/src/encode.rs
+++ b/fireflycroft-wire/src/encode.rs
@@ -312,7 +312,7 @@
         max_tokens: demand.max_tokens,
         prefix: id_bytes(demand.prefix.0),
         content: id_bytes(demand.content.0),
-        repeatable: demand.repeatable,
+        repeatable: demand.retryable,
         crashes: u32::from(demand.crashes),
     }
 }
--- a/fireflycroft-wire/tests/support/mod.rs
+++ b/fireflycroft-wire/tests/support/mod.rs
@@ -248,7 +248,7 @@
             max_tokens: counts.1,
             prefix,
             content,
-            repeatable: counts.2,
+            retryable: counts.2,
             crashes: counts.3,
         },
     )
--- a/fireflycroft/src/deliver.rs
+++ b/fireflycroft/src/deliver.rs
@@ -8,12 +8,12 @@
 use crate::message::{Finish, Message, Standing};
 use crate::note::Note;
 use crate::quarantine::CRASH_LIMIT;
-use crate::stream::{Chunk, Cursor, Taken};
+use crate::stream::{Chunk, ChunkOutcome, Cursor};
 use crate::time::Time;
 use std::time::Duration;
 
 /// Tokens of a whole answer between two acknowledgements.
-const ACK_STEP: u64 = 256;
+const ACK_INTERVAL_TOKENS: u64 = 256;
 
 impl Entry {
     /// Goes on with a generation where the caller left it.
@@ -86,10 +86,10 @@
         let Phase::Reading(reading) = &mut call.phase else {
             return;
         };
-        let taken = reading.cursor.take(generation, chunk);
-        reading.begun |= taken != Taken::Foreign;
-        match taken {
-            Taken::Foreign => {
+        let outcome = reading.cursor.advance(generation, chunk);
+        reading.begun |= outcome != ChunkOutcome::OtherGeneration;
+        match outcome {
+            ChunkOutcome::OtherGeneration => {
                 // The fenced generation of an earlier start: nobody wants it.
                 out.push(EntryAction::Send(
                     from.addr,
@@ -97,16 +97,16 @@
                 ));
                 return;
             }
-            Taken::Unsound => return,
-            Taken::Gap(_) => {
+            ChunkOutcome::Malformed => return,
+            ChunkOutcome::Gap(_) => {
                 reading.heard = now;
                 self.send_attach(now, id, out);
                 return;
             }
-            Taken::Old => reading.heard = now,
-            Taken::Next(chunk) => {
+            ChunkOutcome::Duplicate => reading.heard = now,
+            ChunkOutcome::Next(chunk) => {
                 reading.heard = now;
-                self.hand_on(now, id, chunk, out);
+                self.deliver_chunk(now, id, chunk, out);
             }
         }
         if let Some(finish) = finish {
@@ -114,9 +114,9 @@
         }
     }
 
-    fn hand_on(&mut self, now: Time, id: CallId, chunk: Chunk, out: &mut Vec<EntryAction>) {
-        let most = self.limits.max_answer;
-        let most_in_all = self.limits.max_held;
+    fn deliver_chunk(&mut self, now: Time, id: CallId, chunk: Chunk, out: &mut Vec<EntryAction>) {
+        let max_answer = self.limits.max_answer;
+        let max_held = self.limits.max_held;
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -125,7 +125,7 @@
             Delivery::Stream => {
                 if !call.told_begin {
                     call.told_begin = true;
-                    let point = point_of(call, chunk.offset);
+                    let point = resume_point_of(call, chunk.offset);
                     out.extend(point.map(|p| EntryAction::Reply(id, Reply::Begin(p))));
                 }
                 out.push(EntryAction::Reply(id, Reply::Tokens(chunk)));
@@ -136,7 +136,7 @@
                 }
                 self.held += chunk.data.len();
                 ack_held_back(now, call, out);
-                if call.held_back.data.len() > most || self.held > most_in_all {
+                if call.held_back.data.len() > max_answer || self.held > max_held {
                     self.cancel(id, out);
                     self.fail(id, Code::AnswerTooLarge, None, out);
                 }
@@ -166,27 +166,27 @@
         } else if finish.code == Code::UpstreamFailed {
             self.on_lost(now, id, Code::UpstreamFailed, out);
         } else {
-            self.send_last_ack(id, out);
+            self.send_detach(id, out);
             self.fail(id, finish.code, None, out);
         }
     }
 
     fn complete(&mut self, id: CallId, finish: Finish, out: &mut Vec<EntryAction>) {
-        self.send_last_ack(id, out);
+        self.send_detach(id, out);
         let Some(mut call) = self.remove(id) else {
             return;
         };
         // Who joined or came back reads what the first one was charged for.
-        if call.is_own() {
+        if call.reads_own_generation() {
             self.quotas.charge(&call.demand.workspace, finish.total);
         }
         out.push(call.measured(finish.code));
         if call.delivery == Delivery::Whole {
-            let whole = std::mem::take(&mut call.held_back);
-            if let Some(point) = point_of(&call, whole.offset) {
+            let answer = std::mem::take(&mut call.held_back);
+            if let Some(point) = resume_point_of(&call, answer.offset) {
                 out.push(EntryAction::Reply(id, Reply::Begin(point)));
             }
-            out.push(EntryAction::Reply(id, Reply::Tokens(whole)));
+            out.push(EntryAction::Reply(id, Reply::Tokens(answer)));
         }
         let note = Note::new("request_done")
             .request(call.request)
@@ -195,7 +195,7 @@
         out.push(EntryAction::Reply(id, Reply::End(finish)));
     }
 
-    fn send_last_ack(&self, id: CallId, out: &mut Vec<EntryAction>) {
+    fn send_detach(&self, id: CallId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
@@ -244,8 +244,8 @@
             return;
         };
         let crashes = self.quarantine.crashes(call.demand.content);
-        let may = call.may_restart(self.limits.max_starts);
-        if !may || crashes >= CRASH_LIMIT || !self.retries.spend() {
+        let allowed = call.may_restart(self.limits.max_starts);
+        if !allowed || crashes >= CRASH_LIMIT || !self.retries.spend() {
             self.fail(id, code, None, out);
             return;
         }
@@ -313,7 +313,7 @@
         }
     }
 
-    pub(crate) fn on_taken(
+    pub(crate) fn on_delivered(
         &mut self,
         now: Time,
         id: CallId,
@@ -328,7 +328,7 @@
             let next = next.min(reading.cursor.next);
             if next > reading.acked {
                 reading.acked = next;
-                out.push(ack_of(now, request, reading));
+                out.push(ack_action(now, request, reading));
             }
         }
     }
@@ -340,7 +340,7 @@
         };
         let request = call.request;
         let delivery = call.delivery;
-        let patience = call.patience(&limits);
+        let silence_timeout = call.silence_timeout(&limits);
         let Phase::Reading(reading) = &mut call.phase else {
             return;
         };
@@ -351,18 +351,18 @@
             // The agent waits for the caller, not the other way round.
             reading.heard = now;
         }
-        if now.since(reading.heard) >= patience {
-            self.on_silence(now, id, out);
+        if now.since(reading.heard) >= silence_timeout {
+            self.on_agent_timeout(now, id, out);
             return;
         }
         if now.since(reading.acked_at) >= limits.ack_every {
-            out.push(ack_of(now, request, reading));
+            out.push(ack_action(now, request, reading));
         }
         let quiet = now.since(reading.heard) >= limits.poll_after;
         if quiet && now.since(reading.polled) >= limits.poll_after {
             reading.polled = now;
-            let unheard = reading.origin == Origin::Own && !reading.begun;
-            if unheard {
+            let start_unconfirmed = reading.origin == Origin::Own && !reading.begun;
+            if start_unconfirmed {
                 self.send_start(id, out);
             } else {
                 self.send_attach(now, id, out);
@@ -370,7 +370,7 @@
         }
     }
 
-    fn on_silence(&mut self, now: Time, id: CallId, out: &mut Vec<EntryAction>) {
+    fn on_agent_timeout(&mut self, now: Time, id: CallId, out: &mut Vec<EntryAction>) {
         let Some(Phase::Reading(reading)) = self.calls.get(&id).map(|c| &c.phase) else {
             return;
         };
@@ -402,8 +402,8 @@
         // Called dead, it may only be paused; a later life says for sure.
         let lost = |call: &Call| match &call.phase {
             Phase::Reading(r) if r.asked.agent == *agent => match alive {
-                Some(life) => r.cursor.generation.incarnation != life,
-                None => call.patience(&limits) == limits.silence,
+                Some(incarnation) => r.cursor.generation.incarnation != incarnation,
+                None => call.silence_timeout(&limits) == limits.silence,
             },
             _ => false,
         };
@@ -414,7 +414,7 @@
             .map(|c| c.id)
             .collect();
         for id in ids {
-            self.on_silence(now, id, out);
+            self.on_agent_timeout(now, id, out);
         }
     }
 
@@ -427,7 +427,7 @@
             Phase::Offered { .. } | Phase::Queued { .. } | Phase::Claiming { .. } => {
                 self.withdraw(id, out);
             }
-            Phase::Reading(_) => self.send_last_ack(id, out),
+            Phase::Reading(_) => self.send_detach(id, out),
         }
         if let Some(call) = self.remove(id) {
             out.push(EntryAction::Note(
@@ -443,16 +443,16 @@
     fn may_restart(&self, max_starts: u32) -> bool {
         let own = matches!(&self.phase, Phase::Reading(r) if r.origin == Origin::Own);
         let unseen = self.delivered() == 0;
-        own && unseen && self.demand.repeatable && self.starts < max_starts
+        own && unseen && self.demand.retryable && self.starts < max_starts
     }
 
-    fn is_own(&self) -> bool {
+    fn reads_own_generation(&self) -> bool {
         matches!(&self.phase, Phase::Reading(r) if r.origin == Origin::Own)
     }
 
     /// Silence of the agent after which it is given up. Where nobody else can
     /// go on, an agent that was only paused is waited for.
-    fn patience(&self, limits: &EntryLimits) -> Duration {
+    fn silence_timeout(&self, limits: &EntryLimits) -> Duration {
         let joined =
             matches!(&self.phase, Phase::Reading(r) if matches!(r.origin, Origin::Joined(_)));
         if joined || self.may_restart(limits.max_starts) {
@@ -463,7 +463,7 @@
     }
 }
 
-fn ack_of(now: Time, reader: RequestId, reading: &mut Reading) -> EntryAction {
+fn ack_action(now: Time, reader: RequestId, reading: &mut Reading) -> EntryAction {
     reading.acked_at = now;
     EntryAction::Send(
         reading.asked.addr,
@@ -479,14 +479,14 @@
 fn ack_held_back(now: Time, call: &mut Call, out: &mut Vec<EntryAction>) {
     let request = call.request;
     if let Phase::Reading(reading) = &mut call.phase
-        && reading.cursor.next - reading.acked >= ACK_STEP
+        && reading.cursor.next - reading.acked >= ACK_INTERVAL_TOKENS
     {
         reading.acked = reading.cursor.next;
-        out.push(ack_of(now, request, reading));
+        out.push(ack_action(now, request, reading));
     }
 }
 
-fn point_of(call: &Call, next: u64) -> Option<ResumePoint> {
+fn resume_point_of(call: &Call, next: u64) -> Option<ResumePoint> {
     let Phase::Reading(reading) = &call.phase else {
         return None;
     };
--- a/fireflycroft/src/entry.rs
+++ b/fireflycroft/src/entry.rs
@@ -170,7 +170,7 @@
         match event {
             EntryEvent::Submit(id, submission) => self.on_submit(now, id, *submission, out),
             EntryEvent::CallerGone(id) => self.on_caller_gone(id, out),
-            EntryEvent::Taken(id, next) => self.on_taken(now, id, next, out),
+            EntryEvent::Taken(id, next) => self.on_delivered(now, id, next, out),
             EntryEvent::Message(envelope) => self.on_message(now, *envelope, out),
             EntryEvent::Claim(id, answer) => self.on_claim(now, id, answer, out),
             EntryEvent::Config(config) => self.on_config(now, &config, out),
--- a/fireflycroft/src/generation.rs
+++ b/fireflycroft/src/generation.rs
@@ -191,7 +191,7 @@
         let window = usize::try_from(window_left)
             .unwrap_or(MAX_CHUNK_TOKENS)
             .min(MAX_CHUNK_TOKENS);
-        let chunk = self.log.cut(reader.next, window, MAX_CHUNK_BYTES)?;
+        let chunk = self.log.chunk_at(reader.next, window, MAX_CHUNK_BYTES)?;
         let reaches_end = chunk.end() == self.log.end();
         let finish = self
             .finish
--- a/fireflycroft/src/stream.rs
+++ b/fireflycroft/src/stream.rs
@@ -33,7 +33,7 @@
 
     /// Whether the lengths add up to the data.
     #[must_use]
-    pub fn is_sound(&self) -> bool {
+    pub fn is_consistent(&self) -> bool {
         let total: u64 = self.lens.iter().map(|len| u64::from(*len)).sum();
         total == self.data.len() as u64
     }
@@ -123,7 +123,7 @@
     ///
     /// `None` when that part is no longer held or not there yet.
     #[must_use]
-    pub fn cut(&self, offset: u64, max_tokens: usize, max_bytes: usize) -> Option<Chunk> {
+    pub fn chunk_at(&self, offset: u64, max_tokens: usize, max_bytes: usize) -> Option<Chunk> {
         let skip = usize::try_from(offset.checked_sub(self.held.offset)?).ok()?;
         let lens = self.held.lens.get(skip..)?;
         let from = self
@@ -151,17 +151,17 @@
 
 /// What became of a chunk that arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum ChunkOutcome {
     /// These tokens are next; hand them on.
     Next(Chunk),
     /// All of it was delivered before.
-    Old,
+    Duplicate,
     /// Tokens from this number on are missing.
     Gap(u64),
     /// It belongs to another generation.
-    Foreign,
+    OtherGeneration,
     /// Its lengths do not add up.
-    Unsound,
+    Malformed,
 }
 
 /// Place of one reader in the one generation it delivers.
@@ -175,21 +175,21 @@
 
 impl Cursor {
     /// Takes what is next of `chunk` and moves on.
-    pub fn take(&mut self, generation: GenerationId, mut chunk: Chunk) -> Taken {
+    pub fn advance(&mut self, generation: GenerationId, mut chunk: Chunk) -> ChunkOutcome {
         if generation != self.generation {
-            return Taken::Foreign;
+            return ChunkOutcome::OtherGeneration;
         }
-        if !chunk.is_sound() {
-            return Taken::Unsound;
+        if !chunk.is_consistent() {
+            return ChunkOutcome::Malformed;
         }
         if chunk.offset > self.next {
-            return Taken::Gap(self.next);
+            return ChunkOutcome::Gap(self.next);
         }
         if chunk.end() <= self.next {
-            return Taken::Old;
+            return ChunkOutcome::Duplicate;
         }
         chunk.skip(self.next - chunk.offset);
         self.next = chunk.end();
-        Taken::Next(chunk)
+        ChunkOutcome::Next(chunk)
     }
 }
--- a/fireflycroft/src/submit.rs
+++ b/fireflycroft/src/submit.rs
@@ -160,7 +160,7 @@
             max_tokens: submission.max_tokens,
             prefix: submission.prefix,
             content,
-            repeatable,
+            retryable: repeatable,
             crashes: self.quarantine.crashes(content),
         }
     }
@@ -244,7 +244,7 @@
         }
         let (method, path) = self.work.method_and_path();
         if config.is_non_repeatable(ix, &self.demand.target, method, path) {
-            self.demand.repeatable = false;
+            self.demand.retryable = false;
         }
         Ok(())
     }
--- a/fireflycroft/src/work.rs
+++ b/fireflycroft/src/work.rs
@@ -54,7 +54,7 @@
     /// Digest of the whole content, for quarantine.
     pub content: Digest,
     /// Whether it may be run again.
-    pub repeatable: bool,
+    pub retryable: bool,
     /// Upstreams that crashed while running this content.
     pub crashes: u8,
 }
--- a/fireflycroft/tests/admit.rs
+++ b/fireflycroft/tests/admit.rs
@@ -59,7 +59,7 @@
         max_tokens: 8_192,
         prefix: Digest(0),
         content: Digest(0),
-        repeatable: true,
+        retryable: true,
         crashes: 0,
     }
 }
--- a/fireflycroft/tests/route.rs
+++ b/fireflycroft/tests/route.rs
@@ -82,7 +82,7 @@
         max_tokens: 1_000,
         prefix: Digest(0),
         content: Digest(0),
-        repeatable: true,
+        retryable: true,
         crashes: 0,
     }
 }
