--- a/fireflycroft/tests/admit.rs
+++ b/fireflycroft/tests/admit.rs
@@ -19,13 +19,13 @@
 };
 /// Time for one token.
 const STEP: Duration = Duration::from_millis(20);
-const PATIENCE: Duration = Duration::from_secs(10);
+const MAX_WAIT: Duration = Duration::from_secs(10);
 
 cases! {
     empty_upstream_takes_what_fits_at_all => takes_first();
     prompt_beyond_memory_is_too_long => refuses_too_long();
     learned_length_counts_before_it_is_used => counts_expected_memory();
-    short_answers_fit_where_long_ones_do_not => learned_shortness_lets_more_in();
+    short_answers_fit_where_long_ones_do_not => short_lengths_admit_more();
     batch_work_leaves_memory_to_interactive => headroom_of_memory();
     batch_work_leaves_slots_to_interactive => headroom_of_slots();
     later_batch_does_not_pass_earlier => batch_keeps_order();
@@ -44,7 +44,7 @@
 }
 
 /// An admission with the numbers and times of its offers.
-struct Door {
+struct AdmissionFixture {
     admission: Admission,
     now: Time,
     next: u128,
@@ -64,7 +64,7 @@
     }
 }
 
-impl Door {
+impl AdmissionFixture {
     fn new(policy: AdmitPolicy) -> Self {
         Self {
             admission: Admission::new(policy, CAPACITY),
@@ -74,14 +74,14 @@
     }
 
     /// A door that has seen many answers of that length.
-    fn taught(priority: Priority, length: u64) -> Self {
-        let mut door = Self::new(AdmitPolicy::Expected);
+    fn with_lengths(priority: Priority, length: u64) -> Self {
+        let mut fixture = Self::new(AdmitPolicy::Expected);
         for _ in 0..300 {
-            let (offer, _) = door.offer(priority, 10);
-            door.produce(offer, length);
-            door.admission.finish(offer);
+            let (offer, _) = fixture.offer(priority, 10);
+            fixture.produce(offer, length);
+            fixture.admission.finish(offer);
         }
-        door
+        fixture
     }
 
     fn offer(&mut self, priority: Priority, prompt: u32) -> (OfferId, AdmitDecision) {
@@ -90,7 +90,7 @@
             request: RequestId(self.next),
             attempt: 1,
         };
-        let until = self.now + PATIENCE;
+        let until = self.now + MAX_WAIT;
         let demand = demand(priority, prompt);
         let verdict = self.admission.offer(self.now, offer, &demand, until);
         (offer, verdict)
@@ -118,209 +118,218 @@
 }
 
 fn takes_first() {
-    let mut door = Door::taught(Priority::Batch, 4_000);
-    assert_eq!(door.offer(Priority::Batch, 9_000).1, AdmitDecision::Admit);
+    let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 4_000);
+    assert_eq!(
+        fixture.offer(Priority::Batch, 9_000).1,
+        AdmitDecision::Admit
+    );
 }
 
 fn refuses_too_long() {
-    let mut door = Door::new(AdmitPolicy::Expected);
+    let mut fixture = AdmissionFixture::new(AdmitPolicy::Expected);
     assert_eq!(
-        door.offer(Priority::Batch, 10_000).1,
+        fixture.offer(Priority::Batch, 10_000).1,
         AdmitDecision::TooLong
     );
 }
 
 /// Ten prompts would fit at once, but not the answers that they grow.
 fn counts_expected_memory() {
-    let mut door = Door::taught(Priority::Batch, 2_000);
-    let taken = door.fill(Priority::Batch, 1_000).len();
+    let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 2_000);
+    let taken = fixture.fill(Priority::Batch, 1_000).len();
     assert!((2..=3).contains(&taken), "{taken}");
 }
 
-fn learned_shortness_lets_more_in() {
-    let mut door = Door::taught(Priority::Batch, 20);
-    let taken = door.fill(Priority::Batch, 1_000).len();
+fn short_lengths_admit_more() {
+    let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 20);
+    let taken = fixture.fill(Priority::Batch, 1_000).len();
     assert!((7..=9).contains(&taken), "{taken}");
 }
 
 fn headroom_of_memory() {
-    let mut door = Door::taught(Priority::Batch, 20);
+    let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 20);
     for _ in 0..100 {
-        let (offer, _) = door.offer(Priority::Interactive, 10);
-        door.produce(offer, 20);
-        door.admission.finish(offer);
+        let (offer, _) = fixture.offer(Priority::Interactive, 10);
+        fixture.produce(offer, 20);
+        fixture.admission.finish(offer);
     }
-    door.fill(Priority::Batch, 900);
-    door.fill(Priority::Batch, 400);
-    assert!(door.offer(Priority::Batch, 400).1 != AdmitDecision::Admit);
+    fixture.fill(Priority::Batch, 900);
+    fixture.fill(Priority::Batch, 400);
+    assert!(fixture.offer(Priority::Batch, 400).1 != AdmitDecision::Admit);
     assert_eq!(
-        door.offer(Priority::Interactive, 400).1,
+        fixture.offer(Priority::Interactive, 400).1,
         AdmitDecision::Admit
     );
 }
 
 fn headroom_of_slots() {
-    let mut door = Door::taught(Priority::Batch, 20);
-    assert_eq!(door.fill(Priority::Batch, 10).len(), 14);
-    assert_eq!(door.fill(Priority::Interactive, 10).len(), 2);
+    let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 20);
+    assert_eq!(fixture.fill(Priority::Batch, 10).len(), 14);
+    assert_eq!(fixture.fill(Priority::Interactive, 10).len(), 2);
 }
 
 fn batch_keeps_order() {
-    let mut door = Door::taught(Priority::Batch, 500);
-    let taken = door.fill(Priority::Batch, 1_500);
-    let (large, verdict) = door.offer(Priority::Batch, 2_000);
+    let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 500);
+    let taken = fixture.fill(Priority::Batch, 1_500);
+    let (large, verdict) = fixture.offer(Priority::Batch, 2_000);
     assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
-    let (small, verdict) = door.offer(Priority::Batch, 1);
+    let (small, verdict) = fixture.offer(Priority::Batch, 1);
     assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
-    assert_eq!(door.admission.next(door.now), None);
+    assert_eq!(fixture.admission.next(fixture.now), None);
     for offer in taken {
-        door.admission.release(offer);
+        fixture.admission.release(offer);
     }
-    assert_eq!(door.admission.next(door.now), Some(large));
-    assert_eq!(door.admission.next(door.now), Some(small));
+    assert_eq!(fixture.admission.next(fixture.now), Some(large));
+    assert_eq!(fixture.admission.next(fixture.now), Some(small));
 }
 
 fn interactive_first() {
-    let mut door = Door::taught(Priority::Batch, 20);
-    let first = door.fill(Priority::Interactive, 10);
-    door.offer(Priority::Batch, 10);
-    let (clerk, verdict) = door.offer(Priority::Interactive, 10);
+    let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 20);
+    let first = fixture.fill(Priority::Interactive, 10);
+    fixture.offer(Priority::Batch, 10);
+    let (interactive, verdict) = fixture.offer(Priority::Interactive, 10);
     assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
-    door.admission.release(first[0]);
-    assert_eq!(door.admission.next(door.now), Some(clerk));
+    fixture.admission.release(first[0]);
+    assert_eq!(fixture.admission.next(fixture.now), Some(interactive));
 }
 
 /// Interactive work past its floor may not take the room that a batch
 /// request has waited for; before that it may.
 fn aged_batch_is_kept_room() {
-    let mut door = Door::taught(Priority::Interactive, 20);
+    let mut fixture = AdmissionFixture::with_lengths(Priority::Interactive, 20);
     for _ in 0..5 {
-        door.offer(Priority::Interactive, 1_400);
+        fixture.offer(Priority::Interactive, 1_400);
     }
-    let (_, verdict) = door.offer(Priority::Batch, 6_000);
+    let (_, verdict) = fixture.offer(Priority::Batch, 6_000);
     assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
-    let (young, verdict) = door.offer(Priority::Interactive, 500);
+    let (young, verdict) = fixture.offer(Priority::Interactive, 500);
     assert_eq!(verdict, AdmitDecision::Admit);
-    door.admission.release(young);
-    door.now = door.now + PATIENCE / 2;
-    assert!(door.offer(Priority::Interactive, 500).1 != AdmitDecision::Admit);
+    fixture.admission.release(young);
+    fixture.now = fixture.now + MAX_WAIT / 2;
+    assert!(fixture.offer(Priority::Interactive, 500).1 != AdmitDecision::Admit);
 }
 
 /// A door that knows a prompt's token to take a hundredth of a step.
-fn door_with_prefill() -> Door {
-    let mut door = Door::taught(Priority::Batch, 20);
+fn fixture_with_prefill() -> AdmissionFixture {
+    let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 20);
     for _ in 0..20 {
-        let (offer, _) = door.offer(Priority::Batch, 1_000);
-        door.now = door.now + STEP * 11;
-        door.admission.record_progress(door.now, offer, 1);
-        door.produce(offer, 20);
-        door.admission.finish(offer);
-        door.now = door.now + PATIENCE;
+        let (offer, _) = fixture.offer(Priority::Batch, 1_000);
+        fixture.now = fixture.now + STEP * 11;
+        fixture.admission.record_progress(fixture.now, offer, 1);
+        fixture.produce(offer, 20);
+        fixture.admission.finish(offer);
+        fixture.now = fixture.now + MAX_WAIT;
     }
-    door
+    fixture
 }
 
 fn long_prompt_waits() {
-    let mut door = door_with_prefill();
-    let (clerk, _) = door.offer(Priority::Interactive, 10);
-    door.produce(clerk, 2);
-    let (long, verdict) = door.offer(Priority::Batch, 2_000);
+    let mut fixture = fixture_with_prefill();
+    let (interactive, _) = fixture.offer(Priority::Interactive, 10);
+    fixture.produce(interactive, 2);
+    let (long, verdict) = fixture.offer(Priority::Batch, 2_000);
     assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
-    assert_eq!(door.admission.next(door.now), None);
-    door.now = door.now + PATIENCE / 2;
-    assert_eq!(door.admission.next(door.now), Some(long));
+    assert_eq!(fixture.admission.next(fixture.now), None);
+    fixture.now = fixture.now + MAX_WAIT / 2;
+    assert_eq!(fixture.admission.next(fixture.now), Some(long));
 }
 
 fn short_prompt_joins() {
-    let mut door = door_with_prefill();
-    let (clerk, _) = door.offer(Priority::Interactive, 10);
-    door.produce(clerk, 2);
-    assert_eq!(door.offer(Priority::Batch, 200).1, AdmitDecision::Admit);
+    let mut fixture = fixture_with_prefill();
+    let (interactive, _) = fixture.offer(Priority::Interactive, 10);
+    fixture.produce(interactive, 2);
+    assert_eq!(fixture.offer(Priority::Batch, 200).1, AdmitDecision::Admit);
 }
 
 /// Two prompts in one step would hold up the others twice as long.
 fn prompts_join_apart() {
-    let mut door = door_with_prefill();
-    let (first, verdict) = door.offer(Priority::Batch, 2_000);
+    let mut fixture = fixture_with_prefill();
+    let (first, verdict) = fixture.offer(Priority::Batch, 2_000);
     assert_eq!(verdict, AdmitDecision::Admit);
-    let (second, verdict) = door.offer(Priority::Batch, 2_000);
+    let (second, verdict) = fixture.offer(Priority::Batch, 2_000);
     assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
-    assert_eq!(door.admission.next(door.now), None);
-    door.now = door.now + PATIENCE / 2;
-    door.admission.record_progress(door.now, first, 1);
-    assert_eq!(door.admission.next(door.now), Some(second));
+    assert_eq!(fixture.admission.next(fixture.now), None);
+    fixture.now = fixture.now + MAX_WAIT / 2;
+    fixture.admission.record_progress(fixture.now, first, 1);
+    assert_eq!(fixture.admission.next(fixture.now), Some(second));
 }
 
 /// Entries steer by the load told, so it must not stay what the last offer left.
 fn load_is_fresh() {
-    let mut door = Door::taught(Priority::Batch, 500);
-    let taken = door.fill(Priority::Batch, 1_500);
-    assert!(door.admission.load().expected_tokens > 5_000);
+    let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 500);
+    let taken = fixture.fill(Priority::Batch, 1_500);
+    assert!(fixture.admission.load().expected_tokens > 5_000);
     for offer in taken {
-        door.admission.release(offer);
+        fixture.admission.release(offer);
     }
-    assert_eq!(door.admission.load().expected_tokens, 0);
+    assert_eq!(fixture.admission.load().expected_tokens, 0);
 }
 
 fn refuses_early() {
-    let mut door = Door::taught(Priority::Batch, 3_000);
-    door.fill(Priority::Batch, 2_000);
-    let refused = (0..20).any(|_| match door.offer(Priority::Batch, 2_000).1 {
-        AdmitDecision::Refuse(wait) => wait > PATIENCE,
+    let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 3_000);
+    fixture.fill(Priority::Batch, 2_000);
+    let refused = (0..20).any(|_| match fixture.offer(Priority::Batch, 2_000).1 {
+        AdmitDecision::Refuse(wait) => wait > MAX_WAIT,
         _ => false,
     });
     assert!(refused);
 }
 
 fn wait_shrinks() {
-    let mut door = Door::taught(Priority::Batch, 200);
-    let taken = door.fill(Priority::Batch, 1_000);
-    let (queued, _) = door.offer(Priority::Batch, 1_000);
-    let long = door.admission.expected_wait(Priority::Batch);
-    door.admission.release(queued);
-    let short = door.admission.expected_wait(Priority::Batch);
+    let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 200);
+    let taken = fixture.fill(Priority::Batch, 1_000);
+    let (queued, _) = fixture.offer(Priority::Batch, 1_000);
+    let long = fixture.admission.expected_wait(Priority::Batch);
+    fixture.admission.release(queued);
+    let short = fixture.admission.expected_wait(Priority::Batch);
     assert!(short < long, "{short:?} {long:?}");
     for offer in taken {
-        door.admission.release(offer);
+        fixture.admission.release(offer);
     }
-    assert_eq!(door.admission.next(door.now), None);
-    let (last, _) = door.offer(Priority::Batch, 10);
-    door.admission.release(last);
+    assert_eq!(fixture.admission.next(fixture.now), None);
+    let (last, _) = fixture.offer(Priority::Batch, 10);
+    fixture.admission.release(last);
     assert_eq!(
-        door.admission.expected_wait(Priority::Batch),
+        fixture.admission.expected_wait(Priority::Batch),
         Duration::ZERO
     );
 }
 
 fn expires() {
-    let mut door = Door::taught(Priority::Batch, 500);
-    door.fill(Priority::Batch, 1_500);
-    let (waits, _) = door.offer(Priority::Batch, 2_000);
-    assert_eq!(door.admission.remove_expired(door.now), []);
-    assert_eq!(door.admission.remove_expired(door.now + PATIENCE), [waits]);
-    assert_eq!(door.admission.load().queued, 0);
+    let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 500);
+    fixture.fill(Priority::Batch, 1_500);
+    let (waiting, _) = fixture.offer(Priority::Batch, 2_000);
+    assert_eq!(fixture.admission.remove_expired(fixture.now), []);
+    assert_eq!(
+        fixture.admission.remove_expired(fixture.now + MAX_WAIT),
+        [waiting]
+    );
+    assert_eq!(fixture.admission.load().queued, 0);
 }
 
 fn releases() {
-    let mut door = Door::taught(Priority::Batch, 20);
-    let taken = door.fill(Priority::Batch, 10);
-    let (waits, _) = door.offer(Priority::Batch, 10);
-    door.admission.release(taken[3]);
-    assert_eq!(door.admission.next(door.now), Some(waits));
+    let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 20);
+    let taken = fixture.fill(Priority::Batch, 10);
+    let (waiting, _) = fixture.offer(Priority::Batch, 10);
+    fixture.admission.release(taken[3]);
+    assert_eq!(fixture.admission.next(fixture.now), Some(waiting));
 }
 
 fn passes_through() {
-    let mut door = Door::new(AdmitPolicy::PassThrough);
+    let mut fixture = AdmissionFixture::new(AdmitPolicy::PassThrough);
     for _ in 0..100 {
-        assert_eq!(door.offer(Priority::Batch, 5_000).1, AdmitDecision::Admit);
+        assert_eq!(
+            fixture.offer(Priority::Batch, 5_000).1,
+            AdmitDecision::Admit
+        );
     }
-    assert_eq!(door.admission.load().running, 0);
-    door.admission.record_report(UpstreamReport {
+    assert_eq!(fixture.admission.load().running, 0);
+    fixture.admission.record_report(UpstreamReport {
         running: 7,
         waiting: 93,
         used_tokens: 9_000,
     });
-    let load = door.admission.load();
+    let load = fixture.admission.load();
     assert_eq!((load.running, load.queued), (7, 93));
 }
 
@@ -350,24 +359,24 @@
     let mut runner = TestRunner::new_with_rng(Config::with_cases(200), rng);
     runner
         .run(&prop::collection::vec(op(), 1..120), |ops| {
-            let mut door = Door::new(AdmitPolicy::Expected);
-            let mut inside: Vec<(OfferId, u32, u64)> = Vec::new();
-            let mut outside: Vec<(OfferId, u32)> = Vec::new();
+            let mut fixture = AdmissionFixture::new(AdmitPolicy::Expected);
+            let mut admitted: Vec<(OfferId, u32, u64)> = Vec::new();
+            let mut queued: Vec<(OfferId, u32)> = Vec::new();
             for op in ops {
-                step(&mut door, &mut inside, &mut outside, op);
-                while let Some(offer) = door.admission.next(door.now) {
-                    let at = outside.iter().position(|(o, _)| *o == offer);
-                    let (offer, prompt) = outside.remove(at.unwrap());
-                    inside.push((offer, prompt, 0));
+                step(&mut fixture, &mut admitted, &mut queued, op);
+                while let Some(offer) = fixture.admission.next(fixture.now) {
+                    let at = queued.iter().position(|(o, _)| *o == offer);
+                    let (offer, prompt) = queued.remove(at.unwrap());
+                    admitted.push((offer, prompt, 0));
                 }
-                let prompts: u64 = inside.iter().map(|(_, p, _)| u64::from(*p)).sum();
-                let load = door.admission.load();
-                prop_assert!(inside.len() <= 1 || prompts <= CAPACITY.tokens);
-                prop_assert!(inside.len() <= CAPACITY.max_batch as usize);
-                prop_assert_eq!(load.running as usize, inside.len());
-                prop_assert_eq!(load.queued as usize, outside.len());
-                prop_assert!(outside.len() <= CAPACITY.max_queue);
-                prop_assert!(!inside.is_empty() || outside.is_empty());
+                let prompts: u64 = admitted.iter().map(|(_, p, _)| u64::from(*p)).sum();
+                let load = fixture.admission.load();
+                prop_assert!(admitted.len() <= 1 || prompts <= CAPACITY.tokens);
+                prop_assert!(admitted.len() <= CAPACITY.max_batch as usize);
+                prop_assert_eq!(load.running as usize, admitted.len());
+                prop_assert_eq!(load.queued as usize, queued.len());
+                prop_assert!(queued.len() <= CAPACITY.max_queue);
+                prop_assert!(!admitted.is_empty() || queued.is_empty());
             }
             Ok(())
         })
@@ -375,9 +384,9 @@
 }
 
 fn step(
-    door: &mut Door,
-    inside: &mut Vec<(OfferId, u32, u64)>,
-    outside: &mut Vec<(OfferId, u32)>,
+    fixture: &mut AdmissionFixture,
+    admitted: &mut Vec<(OfferId, u32, u64)>,
+    queued: &mut Vec<(OfferId, u32)>,
     op: Op,
 ) {
     match op {
@@ -387,24 +396,25 @@
             } else {
                 Priority::Batch
             };
-            match door.offer(priority, prompt) {
-                (offer, AdmitDecision::Admit) => inside.push((offer, prompt, 0)),
-                (offer, AdmitDecision::Queue(_)) => outside.push((offer, prompt)),
+            match fixture.offer(priority, prompt) {
+                (offer, AdmitDecision::Admit) => admitted.push((offer, prompt, 0)),
+                (offer, AdmitDecision::Queue(_)) => queued.push((offer, prompt)),
                 _ => {}
             }
         }
-        Op::Produce(i, more) if i < inside.len() => {
-            inside[i].2 += more;
-            door.now = door.now + STEP;
-            door.admission
-                .record_progress(door.now, inside[i].0, inside[i].2);
+        Op::Produce(i, more) if i < admitted.len() => {
+            admitted[i].2 += more;
+            fixture.now = fixture.now + STEP;
+            fixture
+                .admission
+                .record_progress(fixture.now, admitted[i].0, admitted[i].2);
         }
-        Op::Finish(i) if i < inside.len() => door.admission.finish(inside.remove(i).0),
-        Op::Release(i) if i < inside.len() => door.admission.release(inside.remove(i).0),
+        Op::Finish(i) if i < admitted.len() => fixture.admission.finish(admitted.remove(i).0),
+        Op::Release(i) if i < admitted.len() => fixture.admission.release(admitted.remove(i).0),
         Op::Wait(millis) => {
-            door.now = door.now + Duration::from_millis(millis);
-            let gone = door.admission.remove_expired(door.now);
-            outside.retain(|(offer, _)| !gone.contains(offer));
+            fixture.now = fixture.now + Duration::from_millis(millis);
+            let expired = fixture.admission.remove_expired(fixture.now);
+            queued.retain(|(offer, _)| !expired.contains(offer));
         }
         _ => {}
     }
--- a/fireflycroft/tests/point5_leaving.rs
+++ b/fireflycroft/tests/point5_leaving.rs
@@ -10,7 +10,7 @@
 use support::upstream::Mood;
 use support::world::World;
 
-fn filing() -> Ask {
+fn plain_service() -> Ask {
     Ask {
         kind: Kind::Service,
         ..Ask::default()
@@ -50,7 +50,7 @@
     stale_entries_offer_to_a_leaving_agent(world) {
         keep_busy(world);
         world.leave(Proc::Agent(3));
-        let calls = [0, 1, 2].map(|entry| world.submit(entry, filing()).unwrap());
+        let calls = [0, 1, 2].map(|entry| world.submit(entry, plain_service()).unwrap());
         world.advance(50);
         for call in calls {
             assert_eq!(world.outcome(call), LEAVING);
@@ -74,7 +74,7 @@
     /// The offer was under way before the leave and comes after it.
     offer_overtaken_by_the_leave(world) {
         keep_busy(world);
-        let call = world.submit(0, filing()).unwrap();
+        let call = world.submit(0, plain_service()).unwrap();
         world.leave(Proc::Agent(3));
         world.advance(100);
         assert_eq!(world.outcome(call), LEAVING);
@@ -82,7 +82,7 @@
 
     /// Reserved before the leave: it may start within its hold.
     reserved_before_the_leave(world) {
-        let call = world.submit(0, filing()).unwrap();
+        let call = world.submit(0, plain_service()).unwrap();
         world.advance(1);
         world.leave(Proc::Agent(3));
         world.advance(5_000);
@@ -91,7 +91,7 @@
 
     /// The start of a reservation made before comes after the hold.
     start_delayed_past_the_hold_of_a_leaving_agent(world) {
-        let call = world.submit(0, filing()).unwrap();
+        let call = world.submit(0, plain_service()).unwrap();
         world.advance(2);
         world.leave(Proc::Agent(3));
         world.freeze(Proc::Agent(3));
@@ -131,15 +131,15 @@
     }
 
     agent_stays_after_all(world) {
-        let first = world.submit(0, Ask { content: 5, ..filing() }).unwrap();
+        let first = world.submit(0, Ask { content: 5, ..plain_service() }).unwrap();
         world.advance(50);
         world.leave(Proc::Agent(3));
-        let refused = world.submit(0, filing()).unwrap();
+        let refused = world.submit(0, plain_service()).unwrap();
         world.advance(50);
         assert_eq!(world.outcome(refused), LEAVING);
         world.stay(3);
         world.advance(1_200);
-        let call = world.submit(0, filing()).unwrap();
+        let call = world.submit(0, plain_service()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(first), Some(Outcome::Whole));
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
--- a/fireflycroft/tests/poison.rs
+++ b/fireflycroft/tests/poison.rs
@@ -18,7 +18,7 @@
 const SEEDS: u64 = 100;
 
 /// Time that a caller takes to send again, in milliseconds.
-const PAUSE: u64 = 2_500;
+const RETRY_DELAY_MS: u64 = 2_500;
 
 fn poison() -> Ask {
     Ask {
@@ -28,7 +28,7 @@
 }
 
 /// Sends it until a final answer each time; `entries` in that order.
-fn send_one_after_another(world: &mut World, ask: Ask, entries: &[usize]) -> Vec<usize> {
+fn send_sequentially(world: &mut World, ask: Ask, entries: &[usize]) -> Vec<usize> {
     let mut calls = Vec::new();
     for entry in entries {
         let Some(call) = world.submit(*entry, ask) else {
@@ -46,7 +46,7 @@
 
 cases! {
     sent_again_through_every_entry(world) {
-        let calls = send_one_after_another(world, poison(), &[0, 1, 2, 0, 1, 2]);
+        let calls = send_sequentially(world, poison(), &[0, 1, 2, 0, 1, 2]);
         assert!(crashes(world) <= u32::from(CRASH_LIMIT), "{}", crashes(world));
         let last = world.outcome(calls[5]);
         assert_eq!(last, Some(Outcome::Failed(Code::Quarantined)));
@@ -54,21 +54,21 @@
 
     sent_again_as_a_whole_answer(world) {
         let ask = Ask { whole: true, ..poison() };
-        send_one_after_another(world, ask, &[2, 0, 1, 1]);
+        send_sequentially(world, ask, &[2, 0, 1, 1]);
         assert!(crashes(world) <= u32::from(CRASH_LIMIT), "{}", crashes(world));
     }
 
     sent_again_through_an_entry_that_died(world) {
-        send_one_after_another(world, poison(), &[0]);
+        send_sequentially(world, poison(), &[0]);
         world.advance(100);
         world.kill(support::fleet::Proc::Entry(1));
         world.advance(4_000);
-        send_one_after_another(world, poison(), &[1, 2, 1]);
+        send_sequentially(world, poison(), &[1, 2, 1]);
         assert!(crashes(world) <= u32::from(CRASH_LIMIT), "{}", crashes(world));
     }
 
     quarantined_request_gets_its_answer_at_once(world) {
-        send_one_after_another(world, poison(), &[0, 1, 2]);
+        send_sequentially(world, poison(), &[0, 1, 2]);
         world.advance(100);
         let call = world.submit(1, poison()).unwrap();
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::Quarantined)));
@@ -106,8 +106,8 @@
         let mut world = World::new(seed, Mutant::None);
         world.net.weather = Weather::Lossy;
         for entry in [0, 1, 2, 0, 1, 2] {
-            send_one_after_another(&mut world, poison(), &[entry]);
-            world.advance(PAUSE);
+            send_sequentially(&mut world, poison(), &[entry]);
+            world.advance(RETRY_DELAY_MS);
         }
         assert!(crashes(&world) <= u32::from(CRASH_LIMIT), "seed {seed}");
         world.settle();
--- a/fireflycroft/tests/quota.rs
+++ b/fireflycroft/tests/quota.rs
@@ -11,7 +11,7 @@
 
 cases! {
     full_bucket_gives_a_minute => gives_a_minute();
-    told_time_is_when_it_holds_enough => tells_when();
+    told_time_is_when_it_holds_enough => reports_retry_time();
     what_was_not_used_comes_back => gives_back();
     answers_are_charged_afterwards => charges_below_zero();
     workspaces_do_not_share => workspaces_are_apart();
@@ -33,7 +33,7 @@
     assert!(quotas.take(at(1), &name(), 1, SHARE).is_err());
 }
 
-fn tells_when() {
+fn reports_retry_time() {
     let mut quotas = Quotas::default();
     quotas.take(at(0), &name(), SHARE, SHARE).unwrap();
     let wait = quotas.take(at(0), &name(), 100, SHARE).unwrap_err();
