--- a/fireflycroft/tests/bounds.rs
+++ b/fireflycroft/tests/bounds.rs
@@ -6,7 +6,7 @@
 use support::cases;
 use support::fleet::{AGENTS, Ask, ENGINES, GIANT, MAX_CALLS, MAX_HELD, MAX_OFFERS, Proc};
 use support::oracle::Outcome;
-use support::upstream::Mood;
+use support::upstream::UpstreamMode;
 
 /// Tokens that an agent sends ahead of what the caller has taken.
 const WINDOW: u64 = 2_048;
@@ -55,7 +55,7 @@
     /// The upstream gives nothing: its caller does not wait for ever.
     upstream_that_hangs(world) {
         for agent in 0..ENGINES {
-            world.set_mood(agent, Mood::Full);
+            world.set_upstream_mode(agent, UpstreamMode::Full);
         }
         let call = world.submit(0, Ask { content: 5, ..Ask::default() }).unwrap();
         world.advance(59_000);
@@ -80,7 +80,7 @@
     /// Nobody withdraws what a dead entry had offered.
     waits_of_a_dead_entry(world) {
         for agent in 0..ENGINES {
-            world.set_mood(agent, Mood::Full);
+            world.set_upstream_mode(agent, UpstreamMode::Full);
         }
         for _ in 0..20 {
             world.submit(0, Ask { content: 5, ..Ask::default() });
@@ -95,7 +95,7 @@
     /// More offers within a minute than an agent remembers.
     offers_at_the_agents_bound(world) {
         for agent in 0..ENGINES {
-            world.set_mood(agent, Mood::Full);
+            world.set_upstream_mode(agent, UpstreamMode::Full);
         }
         for i in 0..1_200 {
             world.submit(i % 3, Ask { interactive: i % 2 == 0, ..Ask::default() });
--- a/fireflycroft/tests/point1_tokens.rs
+++ b/fireflycroft/tests/point1_tokens.rs
@@ -5,10 +5,10 @@
 use fireflycroft::Code;
 use support::cases;
 use support::fleet::{Ask, ENGINES, HUGE, Kind, MAX_BYTES, Proc};
-use support::link::Weather;
+use support::link::NetworkMode;
 use support::oracle::Outcome;
 use support::scenario;
-use support::upstream::Mood;
+use support::upstream::UpstreamMode;
 use support::world::World;
 
 /// Tokens of the content that most cases ask for.
@@ -25,9 +25,9 @@
     Ask { whole: true, ..ask }
 }
 
-fn set_moods(world: &mut World, mood: Mood) {
+fn set_upstream_modes(world: &mut World, mode: UpstreamMode) {
     for agent in 0..ENGINES {
-        world.set_mood(agent, mood);
+        world.set_upstream_mode(agent, mode);
     }
 }
 
@@ -167,14 +167,14 @@
     engine_killed_after_no_token(world) {
         let call = world.submit(0, long()).unwrap();
         world.advance(5);
-        world.set_mood(world.agent_of(call).unwrap(), Mood::Die(0));
+        world.set_upstream_mode(world.agent_of(call).unwrap(), UpstreamMode::Die(0));
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
         assert_eq!(world.runs(call), 2);
     }
 
     engine_killed_after_one_token(world) {
-        set_moods(world, Mood::Die(1));
+        set_upstream_modes(world, UpstreamMode::Die(1));
         let call = world.submit(0, long()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::UpstreamFailed)));
@@ -182,7 +182,7 @@
     }
 
     engine_killed_after_many_tokens(world) {
-        set_moods(world, Mood::Die(50));
+        set_upstream_modes(world, UpstreamMode::Die(50));
         let call = world.submit(0, long()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::UpstreamFailed)));
@@ -193,14 +193,14 @@
     engine_killed_under_a_whole_answer(world) {
         let call = world.submit(0, whole(Ask::default())).unwrap();
         world.advance(5);
-        world.set_mood(world.agent_of(call).unwrap(), Mood::Die(5));
+        world.set_upstream_mode(world.agent_of(call).unwrap(), UpstreamMode::Die(5));
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
         assert_eq!(world.runs(call), 2);
     }
 
     engine_stream_broken_and_taken_up(world) {
-        set_moods(world, Mood::Break(50));
+        set_upstream_modes(world, UpstreamMode::Break(50));
         let call = world.submit(0, long()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
@@ -208,7 +208,7 @@
     }
 
     engine_stream_broken_for_good(world) {
-        set_moods(world, Mood::Lose(50));
+        set_upstream_modes(world, UpstreamMode::Lose(50));
         let call = world.submit(0, long()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::UpstreamFailed)));
@@ -225,7 +225,7 @@
     frames_lost_copied_and_overtaken(world) {
         let call = world.submit(0, long()).unwrap();
         world.advance(20);
-        world.net.weather = Weather::Storm;
+        world.net.mode = NetworkMode::Combined;
         world.advance(20_000);
         world.net.heal();
         world.advance(5_000);
--- a/fireflycroft/tests/point2_own_answer.rs
+++ b/fireflycroft/tests/point2_own_answer.rs
@@ -5,7 +5,7 @@
 use fireflycroft::{Code, GenerationId, Message, RequestId, ResumePoint};
 use support::cases;
 use support::fleet::{Ask, Kind, Proc};
-use support::link::Weather;
+use support::link::NetworkMode;
 use support::oracle::Outcome;
 
 fn long(workspace: usize) -> Ask {
@@ -31,7 +31,7 @@
     frames_late_and_out_of_order(world) {
         let calls = [0, 1, 2].map(|i| world.submit(i, long(i)).unwrap());
         world.advance(20);
-        world.net.weather = Weather::Slow;
+        world.net.mode = NetworkMode::Slow;
         world.advance(20_000);
         for call in calls {
             assert_eq!(world.outcome(call), Some(Outcome::Whole));
@@ -40,7 +40,7 @@
 
     /// Copies of frames come after their call has ended and others run.
     frames_copied_into_later_calls(world) {
-        world.net.weather = Weather::Copies;
+        world.net.mode = NetworkMode::Duplicating;
         for i in 0..6 {
             world.submit(i % 3, long(i % 3));
             world.advance(2_000);
@@ -88,7 +88,7 @@
 
     /// Messages to an agent's former life reach the new one.
     old_messages_reach_an_agents_new_life(world) {
-        world.net.weather = Weather::Slow;
+        world.net.mode = NetworkMode::Slow;
         let first = world.submit(0, long(0)).unwrap();
         world.advance(900);
         for agent in 0..3 {
@@ -103,7 +103,7 @@
     old_frames_reach_an_entrys_new_life(world) {
         world.submit(0, long(0)).unwrap();
         world.advance(200);
-        world.net.weather = Weather::Copies;
+        world.net.mode = NetworkMode::Duplicating;
         world.kill(Proc::Entry(0));
         world.advance(3_000);
         let call = world.submit(0, long(1)).unwrap();
--- a/fireflycroft/tests/point3_not_run.rs
+++ b/fireflycroft/tests/point3_not_run.rs
@@ -5,9 +5,9 @@
 use fireflycroft::{CRASH_LIMIT, Class, Code};
 use support::cases;
 use support::fleet::{Ask, ENGINES, Kind, Proc};
-use support::link::Weather;
+use support::link::NetworkMode;
 use support::oracle::Outcome;
-use support::upstream::Mood;
+use support::upstream::UpstreamMode;
 use support::world::World;
 
 fn code(world: &World, call: usize) -> Code {
@@ -33,7 +33,7 @@
     /// Refused on its second way as quarantined: it ran on its first.
     quarantined_after_a_start_is_not_called_not_run(world) {
         for agent in 0..ENGINES {
-            world.set_mood(agent, Mood::Lose(5));
+            world.set_upstream_mode(agent, UpstreamMode::Lose(5));
         }
         let ask = Ask { whole: true, ..Ask::default() };
         let call = world.submit(0, ask).unwrap();
@@ -87,7 +87,7 @@
 
     /// Offers, accepts and starts that take longer than any deadline.
     dispatch_delayed_past_its_deadline(world) {
-        world.net.weather = Weather::Slow;
+        world.net.mode = NetworkMode::Slow;
         let calls: Vec<_> = (0..6)
             .map(|i| world.submit(i % 3, Ask::default()).unwrap())
             .collect();
@@ -97,7 +97,7 @@
 
     /// Copies of offers come when the agent has forgotten the first.
     offer_copied_after_its_withdrawal_was_forgotten(world) {
-        world.net.weather = Weather::Copies;
+        world.net.mode = NetworkMode::Duplicating;
         for i in 0..10 {
             let call = world.submit(i % 3, Ask::default()).unwrap();
             world.advance(1);
@@ -156,7 +156,7 @@
 
     upstream_refuses_after_the_start(world) {
         for agent in 0..ENGINES {
-            world.set_mood(agent, Mood::Refuse);
+            world.set_upstream_mode(agent, UpstreamMode::Refuse);
         }
         let call = world.submit(0, Ask::default()).unwrap();
         world.advance(5_000);
@@ -166,7 +166,7 @@
 
     /// Two offers are made in all, so one refusal is borne.
     one_upstream_refuses_and_another_serves(world) {
-        world.set_mood(0, Mood::Refuse);
+        world.set_upstream_mode(0, UpstreamMode::Refuse);
         for i in 0..9 {
             let call = world.submit(i % 3, Ask::default()).unwrap();
             world.advance(1_500);
@@ -219,7 +219,7 @@
     /// Queued behind long jobs until the wait of the rules is over.
     refused_when_its_wait_is_over(world) {
         for agent in 0..ENGINES {
-            world.set_mood(agent, Mood::Full);
+            world.set_upstream_mode(agent, UpstreamMode::Full);
         }
         let calls: Vec<_> = (0..40)
             .map(|i| world.submit(i % 3, Ask { content: 5, ..Ask::default() }).unwrap())
--- a/fireflycroft/tests/point4_once.rs
+++ b/fireflycroft/tests/point4_once.rs
@@ -7,7 +7,7 @@
 use support::fleet::{Ask, ENGINES, Kind, Proc};
 use support::oracle::Outcome;
 use support::platform::PlatformMode;
-use support::upstream::Mood;
+use support::upstream::UpstreamMode;
 use support::world::World;
 
 fn keyed() -> Ask {
@@ -90,7 +90,7 @@
     }
 
     refused_at_once_in_an_outage(world) {
-        world.platform.mode = PlatformMode::Out;
+        world.platform.mode = PlatformMode::Unavailable;
         let call = world.submit(0, filing()).unwrap();
         world.advance(10);
         assert_code(world, call, Code::ClaimUnavailable);
@@ -109,7 +109,7 @@
     }
 
     platform_loses_answers(world) {
-        world.platform.mode = PlatformMode::Deaf;
+        world.platform.mode = PlatformMode::LosesAnswers;
         for key in 0..20 {
             let ask = Ask { key: Some(key), content: 1, ..filing() };
             let calls = [0, 1].map(|entry| world.submit(entry, ask).unwrap());
@@ -120,7 +120,7 @@
 
     /// The write takes effect long after the caller was refused.
     platform_writes_late(world) {
-        world.platform.mode = PlatformMode::Late;
+        world.platform.mode = PlatformMode::DelayedWrites;
         for key in 0..20 {
             let ask = Ask { key: Some(key), content: 1, ..filing() };
             let first = world.submit(0, ask).unwrap();
@@ -132,7 +132,7 @@
     }
 
     platform_reads_stale(world) {
-        world.platform.mode = PlatformMode::Stale;
+        world.platform.mode = PlatformMode::StaleReads;
         for key in 0..10 {
             let ask = Ask { key: Some(key), content: 1, ..filing() };
             let calls = [0, 1, 2].map(|entry| world.submit(entry, ask).unwrap());
@@ -212,11 +212,11 @@
     upstream_refused_then_sent_again(world) {
         for wait in [10, 180_000] {
             let ask = Ask { key: Some(u8::try_from(wait % 7).unwrap()), ..filing() };
-            world.set_mood(3, Mood::Refuse);
+            world.set_upstream_mode(3, UpstreamMode::Refuse);
             let first = world.submit(0, ask).unwrap();
             world.advance(1_000);
             assert_code(world, first, Code::Overloaded);
-            world.set_mood(3, Mood::Good);
+            world.set_upstream_mode(3, UpstreamMode::Serve);
             world.advance(wait);
             let again = world.submit(1, ask).unwrap();
             world.advance(10_000);
@@ -256,7 +256,7 @@
     no_key_and_the_upstream_dies(world) {
         // Each its own content, or the third would be quarantined.
         for (tokens, content) in [(0, 3), (1, 4), (20, 5)] {
-            world.set_mood(3, Mood::Die(tokens));
+            world.set_upstream_mode(3, UpstreamMode::Die(tokens));
             let call = world.submit(0, Ask { content, ..unkeyed() }).unwrap();
             world.advance(10_000);
             assert_code(world, call, Code::UpstreamFailed);
@@ -279,7 +279,7 @@
     /// The caller forbids it for a generation that could be repeated.
     never_repeat_and_the_engine_dies(world) {
         for agent in 0..ENGINES {
-            world.set_mood(agent, Mood::Die(0));
+            world.set_upstream_mode(agent, UpstreamMode::Die(0));
         }
         let ask = Ask { kind: Kind::NeverRepeat, ..Ask::default() };
         let call = world.submit(0, ask).unwrap();
@@ -290,7 +290,7 @@
 
     /// The claimed call's engine dies: the key stays spent.
     key_stays_spent_after_the_engine_died(world) {
-        world.set_mood(3, Mood::Die(2));
+        world.set_upstream_mode(3, UpstreamMode::Die(2));
         let first = world.submit(0, filing()).unwrap();
         world.advance(5_000);
         let again = world.submit(1, filing()).unwrap();
--- a/fireflycroft/tests/point5_leaving.rs
+++ b/fireflycroft/tests/point5_leaving.rs
@@ -5,9 +5,9 @@
 use fireflycroft::Code;
 use support::cases;
 use support::fleet::{AGENTS, Ask, ENGINES, Kind, Proc};
-use support::link::Weather;
+use support::link::NetworkMode;
 use support::oracle::Outcome;
-use support::upstream::Mood;
+use support::upstream::UpstreamMode;
 use support::world::World;
 
 fn plain_service() -> Ask {
@@ -103,7 +103,7 @@
 
     waiting_requests_move_on_at_the_leave(world) {
         for agent in 0..ENGINES {
-            world.set_mood(agent, Mood::Full);
+            world.set_upstream_mode(agent, UpstreamMode::Full);
         }
         let ask = Ask { interactive: false, ..Ask::default() };
         let calls: Vec<_> = (0..12).map(|i| world.submit(i % 3, ask).unwrap()).collect();
@@ -111,7 +111,7 @@
         world.leave(Proc::Agent(0));
         world.advance(100);
         for agent in 0..ENGINES {
-            world.set_mood(agent, Mood::Good);
+            world.set_upstream_mode(agent, UpstreamMode::Serve);
         }
         world.advance(10_000);
         let whole = calls.iter().filter(|c| world.outcome(**c) == Some(Outcome::Whole));
@@ -119,7 +119,7 @@
     }
 
     copies_of_old_offers_reach_a_leaving_agent(world) {
-        world.net.weather = Weather::Copies;
+        world.net.mode = NetworkMode::Duplicating;
         for i in 0..6 {
             world.submit(i % 3, Ask::default());
         }
--- a/fireflycroft/tests/point7_config.rs
+++ b/fireflycroft/tests/point7_config.rs
@@ -5,7 +5,7 @@
 use fireflycroft::Code;
 use support::cases;
 use support::fleet::{self, Ask, Proc};
-use support::link::Weather;
+use support::link::NetworkMode;
 use support::oracle::Outcome;
 
 const ENTRY: Proc = Proc::Entry(0);
@@ -97,7 +97,7 @@
     }
 
     versions_read_out_of_order_in_a_storm(world) {
-        world.net.weather = Weather::Storm;
+        world.net.mode = NetworkMode::Combined;
         for version in [3, 2, 6, 4, 5, 1] {
             for proc in Proc::all() {
                 world.configure(proc, &fleet::config(version, version % 2 == 0));
--- a/fireflycroft/tests/poison.rs
+++ b/fireflycroft/tests/poison.rs
@@ -9,7 +9,7 @@
 use fireflycroft::{CRASH_LIMIT, Code};
 use support::cases;
 use support::fleet::{Ask, POISON};
-use support::link::Weather;
+use support::link::NetworkMode;
 use support::mutant::Mutant;
 use support::oracle::Outcome;
 use support::world::World;
@@ -104,7 +104,7 @@
 fn sent_again_over_a_lossy_network() {
     for seed in 0..SEEDS {
         let mut world = World::new(seed, Mutant::None);
-        world.net.weather = Weather::Lossy;
+        world.net.mode = NetworkMode::Lossy;
         for entry in [0, 1, 2, 0, 1, 2] {
             send_sequentially(&mut world, poison(), &[entry]);
             world.advance(RETRY_DELAY_MS);
--- a/fireflycroft/tests/support/link.rs
+++ b/fireflycroft/tests/support/link.rs
@@ -9,24 +9,24 @@
 
 /// How the network treats messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Weather {
+pub(crate) enum NetworkMode {
     /// Every message once, in order, after a millisecond.
     #[default]
-    Calm,
+    Reliable,
     /// One in five is lost.
     Lossy,
     /// One in three comes twice, the copy up to seconds later.
-    Copies,
+    Duplicating,
     /// Each takes up to 400 ms, so they overtake one another.
     Slow,
     /// All of it together.
-    Storm,
+    Combined,
 }
 
 /// The network's state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Net {
-    pub(crate) weather: Weather,
+    pub(crate) mode: NetworkMode,
     cuts: BTreeSet<(SocketAddr, SocketAddr)>,
 }
 
@@ -36,12 +36,12 @@
         self.cuts.insert((from, to));
     }
 
-    pub(crate) fn join(&mut self, from: SocketAddr, to: SocketAddr) {
+    pub(crate) fn reconnect(&mut self, from: SocketAddr, to: SocketAddr) {
         self.cuts.remove(&(from, to));
     }
 
-    pub(crate) fn is_calm(&self) -> bool {
-        self.weather == Weather::Calm && self.cuts.is_empty()
+    pub(crate) fn is_reliable(&self) -> bool {
+        self.mode == NetworkMode::Reliable && self.cuts.is_empty()
     }
 
     pub(crate) fn heal(&mut self) {
@@ -53,18 +53,18 @@
         if self.cuts.contains(&(from, to)) {
             return Vec::new();
         }
-        let storm = self.weather == Weather::Storm;
-        if (storm || self.weather == Weather::Lossy) && rng.per_mille(200) {
+        let combined = self.mode == NetworkMode::Combined;
+        if (combined || self.mode == NetworkMode::Lossy) && rng.per_mille(200) {
             return Vec::new();
         }
-        let spread = if storm || self.weather == Weather::Slow {
+        let spread = if combined || self.mode == NetworkMode::Slow {
             400
         } else {
             0
         };
         let first = MS + rng.below(spread * MS + 1);
         let mut delays = vec![first];
-        if (storm || self.weather == Weather::Copies) && rng.per_mille(333) {
+        if (combined || self.mode == NetworkMode::Duplicating) && rng.per_mille(333) {
             let late = [5, 500, 5_000, 70_000][usize::try_from(rng.below(4)).unwrap()];
             delays.push(first + rng.below(late * MS));
         }
--- a/fireflycroft/tests/support/op.rs
+++ b/fireflycroft/tests/support/op.rs
@@ -1,9 +1,9 @@
 //! Steps of a test, and how they are drawn.
 
 use super::fleet::{AGENTS, Ask, CONTENTS, ENTRIES, Kind, Proc, WORKSPACES};
-use super::link::Weather;
+use super::link::NetworkMode;
 use super::platform::PlatformMode;
-use super::upstream::Mood;
+use super::upstream::UpstreamMode;
 use fireflycroft::MemberState;
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
@@ -35,7 +35,7 @@
     Gone(prop::sample::Index),
     /// Time goes on, in milliseconds.
     Advance(u64),
-    Weather(Weather),
+    NetworkMode(NetworkMode),
     /// A link loses all of one direction.
     Cut(Proc, Proc),
     Join(Proc, Proc),
@@ -46,7 +46,7 @@
     /// Planned stop; it ends when it is idle.
     Leave(Proc),
     Stay(usize),
-    Upstream(usize, Mood),
+    Upstream(usize, UpstreamMode),
     /// The upstream dies now.
     Crash(usize),
     Platform(PlatformMode),
@@ -100,25 +100,33 @@
     })
 }
 
-fn any_weather() -> impl Strategy<Value = Weather> {
-    use Weather::{Calm, Copies, Lossy, Slow, Storm};
-    prop::sample::select(vec![Calm, Lossy, Copies, Slow, Storm])
+fn any_network_mode() -> impl Strategy<Value = NetworkMode> {
+    use NetworkMode::{Combined, Duplicating, Lossy, Reliable, Slow};
+    prop::sample::select(vec![Reliable, Lossy, Duplicating, Slow, Combined])
 }
 
 fn any_platform() -> impl Strategy<Value = PlatformMode> {
-    use PlatformMode::{Deaf, Hung, Late, Out, Slow, Stale, Up};
-    prop::sample::select(vec![Up, Out, Slow, Deaf, Late, Stale, Hung])
+    use PlatformMode::{DelayedWrites, Hung, LosesAnswers, Slow, StaleReads, Unavailable, Up};
+    prop::sample::select(vec![
+        Up,
+        Unavailable,
+        Slow,
+        LosesAnswers,
+        DelayedWrites,
+        StaleReads,
+        Hung,
+    ])
 }
 
-fn any_mood() -> impl Strategy<Value = Mood> {
+fn any_mood() -> impl Strategy<Value = UpstreamMode> {
     let at = prop::sample::select(vec![0, 1, 2, 5, 20]);
     (0..6_u8, at).prop_map(|(kind, n)| match kind {
-        0 => Mood::Good,
-        1 => Mood::Refuse,
-        2 => Mood::Break(n),
-        3 => Mood::Lose(n),
-        4 => Mood::Die(n),
-        _ => Mood::Full,
+        0 => UpstreamMode::Serve,
+        1 => UpstreamMode::Refuse,
+        2 => UpstreamMode::Break(n),
+        3 => UpstreamMode::Lose(n),
+        4 => UpstreamMode::Die(n),
+        _ => UpstreamMode::Full,
     })
 }
 
@@ -154,7 +162,7 @@
         1 => (index(), any_entry()).prop_map(|(call, entry)| Op::Steal { call, entry }),
         2 => index().prop_map(Op::Gone),
         20 => any_span().prop_map(Op::Advance),
-        2 => any_weather().prop_map(Op::Weather),
+        2 => any_network_mode().prop_map(Op::NetworkMode),
         2 => link().prop_map(move |l| { let (a, b) = ends(l); Op::Cut(a, b) }),
         2 => link().prop_map(move |l| { let (a, b) = ends(l); Op::Join(a, b) }),
         2 => any_proc().prop_map(Op::Kill),
--- a/fireflycroft/tests/support/platform.rs
+++ b/fireflycroft/tests/support/platform.rs
@@ -12,15 +12,15 @@
     #[default]
     Up,
     /// Answers at once that it is out.
-    Out,
+    Unavailable,
     /// Takes up to three seconds.
     Slow,
     /// Writes take effect, but every second answer is lost.
-    Deaf,
+    LosesAnswers,
     /// Answers are lost, and the effect comes up to five seconds later.
-    Late,
+    DelayedWrites,
     /// Reads show the state before the last write.
-    Stale,
+    StaleReads,
     /// Nothing is answered at all; the client times out.
     Hung,
 }
@@ -43,14 +43,14 @@
     pub(crate) fn plan(&self, rng: &mut Rng) -> Plan {
         let quick = 2 * MS + rng.below(8 * MS);
         let (effect, answer, lost) = match self.mode {
-            PlatformMode::Up | PlatformMode::Stale => (Some(quick), quick, false),
-            PlatformMode::Out => (None, MS, false),
+            PlatformMode::Up | PlatformMode::StaleReads => (Some(quick), quick, false),
+            PlatformMode::Unavailable => (None, MS, false),
             PlatformMode::Slow => {
                 let at = rng.below(3_000 * MS);
                 (Some(at), at + rng.below(500 * MS), false)
             }
-            PlatformMode::Deaf => (Some(quick), quick + 100 * MS, rng.per_mille(500)),
-            PlatformMode::Late => (Some(rng.below(5_000 * MS)), 200 * MS, true),
+            PlatformMode::LosesAnswers => (Some(quick), quick + 100 * MS, rng.per_mille(500)),
+            PlatformMode::DelayedWrites => (Some(rng.below(5_000 * MS)), 200 * MS, true),
             PlatformMode::Hung => (None, 1_000 * MS, true),
         };
         Plan {
@@ -62,7 +62,7 @@
 
     /// Carries out a call.
     pub(crate) fn apply(&mut self, key: Digest, op: ClaimOp) -> ClaimAnswer {
-        let stale = self.mode == PlatformMode::Stale;
+        let stale = self.mode == PlatformMode::StaleReads;
         let records = self.history.entry(key).or_default();
         let version = records.len() as u64;
         match op {
--- a/fireflycroft/tests/support/upstream.rs
+++ b/fireflycroft/tests/support/upstream.rs
@@ -6,10 +6,10 @@
 
 /// What an upstream does next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Mood {
+pub(crate) enum UpstreamMode {
     /// Serves.
     #[default]
-    Good,
+    Serve,
     /// Refuses each request.
     Refuse,
     /// Breaks the next stream to reach that token; it may be taken up again.
@@ -24,7 +24,7 @@
 
 /// A run on the upstream.
 #[derive(Clone, Debug)]
-pub(crate) struct Live {
+pub(crate) struct ActiveRun {
     pub(crate) run: usize,
     pub(crate) content: u8,
     pub(crate) sent: u64,
@@ -36,9 +36,9 @@
 
 /// What a stream does at its next turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Turn {
+pub(crate) enum StreamStep {
     /// Gives so many tokens.
-    Give(u64),
+    Emit(u64),
     End,
     Break,
     Die,
@@ -49,17 +49,17 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Upstream {
     pub(crate) up: bool,
-    pub(crate) mood: Mood,
+    pub(crate) mode: UpstreamMode,
     /// Least milliseconds between tokens.
     pub(crate) pause: u64,
-    pub(crate) live: BTreeMap<GenerationId, Live>,
+    pub(crate) active: BTreeMap<GenerationId, ActiveRun>,
 }
 
 impl Upstream {
     pub(crate) fn begin(&mut self, generation: GenerationId, run: usize, content: u8) {
-        self.live.insert(
+        self.active.insert(
             generation,
-            Live {
+            ActiveRun {
                 run,
                 content,
                 sent: 0,
@@ -70,34 +70,38 @@
     }
 
     /// Decides on the next turn of a stream, at most `burst` tokens.
-    pub(crate) fn turn(&mut self, generation: GenerationId, burst: u64) -> Turn {
-        let Some(live) = self.live.get_mut(&generation) else {
-            return Turn::Wait;
+    pub(crate) fn next_step(&mut self, generation: GenerationId, burst: u64) -> StreamStep {
+        let Some(active) = self.active.get_mut(&generation) else {
+            return StreamStep::Wait;
         };
-        if live.content == fleet::POISON && live.sent >= 2 {
-            return Turn::Die;
+        if active.content == fleet::POISON && active.sent >= 2 {
+            return StreamStep::Die;
         }
-        let mut limit = fleet::length(live.content);
-        match self.mood {
-            Mood::Full => return Turn::Wait,
-            Mood::Die(n) if live.sent == n => {
-                self.mood = Mood::Good;
-                return Turn::Die;
+        let mut limit = fleet::length(active.content);
+        match self.mode {
+            UpstreamMode::Full => return StreamStep::Wait,
+            UpstreamMode::Die(n) if active.sent == n => {
+                self.mode = UpstreamMode::Serve;
+                return StreamStep::Die;
             }
-            Mood::Break(n) | Mood::Lose(n) if live.sent == n => {
-                live.resumable = matches!(self.mood, Mood::Break(_));
-                self.mood = Mood::Good;
-                return Turn::Break;
+            UpstreamMode::Break(n) | UpstreamMode::Lose(n) if active.sent == n => {
+                active.resumable = matches!(self.mode, UpstreamMode::Break(_));
+                self.mode = UpstreamMode::Serve;
+                return StreamStep::Break;
+            }
+            UpstreamMode::Die(n) | UpstreamMode::Break(n) | UpstreamMode::Lose(n)
+                if n > active.sent =>
+            {
+                limit = limit.min(n)
             }
-            Mood::Die(n) | Mood::Break(n) | Mood::Lose(n) if n > live.sent => limit = limit.min(n),
             _ => {}
         }
-        if live.sent >= fleet::length(live.content) {
-            return Turn::End;
+        if active.sent >= fleet::length(active.content) {
+            return StreamStep::End;
         }
-        if live.content == fleet::POISON {
+        if active.content == fleet::POISON {
             limit = limit.min(2);
         }
-        Turn::Give(burst.min(limit - live.sent))
+        StreamStep::Emit(burst.min(limit - active.sent))
     }
 }
--- a/fireflycroft/tests/support/world.rs
+++ b/fireflycroft/tests/support/world.rs
@@ -12,7 +12,7 @@
 use super::oracle::{Fault, Oracle};
 use super::platform::{Platform, PlatformMode};
 use super::rng::Rng;
-use super::upstream::{Mood, Upstream};
+use super::upstream::{Upstream, UpstreamMode};
 use fireflycroft::{
     Agent, AgentEvent, CallId, ClaimOp, ConfigVersion, Demand, Digest, Entry, EntryEvent, Envelope,
     GenerationId, InForce, MemberState, RequestId, Time, Work,
@@ -214,15 +214,15 @@
     fn trouble(&mut self, op: &Op) {
         self.troubled = self.now;
         match *op {
-            Op::Weather(weather) => self.net.weather = weather,
+            Op::NetworkMode(mode) => self.net.mode = mode,
             Op::Cut(from, to) => self.net.cut(from.addr(), to.addr()),
-            Op::Join(from, to) => self.net.join(from.addr(), to.addr()),
+            Op::Join(from, to) => self.net.reconnect(from.addr(), to.addr()),
             Op::Kill(proc) => self.kill(proc),
             Op::Freeze(proc) => self.freeze(proc),
             Op::Thaw(proc) => self.thaw(proc),
             Op::Leave(proc) => self.leave(proc),
             Op::Stay(agent) => self.stay(agent),
-            Op::Upstream(agent, mood) => self.set_mood(agent, mood),
+            Op::Upstream(agent, mood) => self.set_upstream_mode(agent, mood),
             Op::Crash(agent) => self.crash(agent),
             Op::Platform(mode) => self.platform.mode = mode,
             Op::Config { to, version, other } => {
@@ -316,7 +316,7 @@
         self.net.heal();
         self.platform.mode = PlatformMode::Up;
         for agent in 0..AGENTS {
-            self.set_mood(agent, Mood::Good);
+            self.set_upstream_mode(agent, UpstreamMode::Serve);
             self.set_pause(agent, 0);
         }
         for proc in Proc::all() {
--- a/fireflycroft/tests/support/world/processes.rs
+++ b/fireflycroft/tests/support/world/processes.rs
@@ -143,7 +143,7 @@
                 self.push(5 * MS, Due::Reattach(i, generation));
             }
             AgentAction::Stop(generation) => {
-                self.upstreams[i].live.remove(&generation);
+                self.upstreams[i].active.remove(&generation);
             }
             AgentAction::PullConfig(addr) => self.pull_config(from, addr),
             // No orders are given in this world.
@@ -166,7 +166,7 @@
                 if !std::mem::replace(&mut self.agents[i].alive, false) {
                     return;
                 }
-                self.upstreams[i].live.clear();
+                self.upstreams[i].active.clear();
             }
         }
         let delay = self.rng.below(3_000) * MS;
@@ -310,7 +310,7 @@
                     let run = record.run.or(record.runs.last().copied());
                     run.is_some_and(|r| {
                         let run = &self.oracle.runs[r];
-                        let live = self.upstreams[i].live.contains_key(&run.generation);
+                        let live = self.upstreams[i].active.contains_key(&run.generation);
                         live || (calm && run.agent == i && record.next < run.emitted)
                     })
                 };
@@ -322,6 +322,6 @@
     /// Whether nothing has been broken for a while.
     pub(super) fn is_calm(&self) -> bool {
         let frozen = self.entries.iter().any(|e| e.frozen.is_some());
-        self.net.is_calm() && !frozen && self.now - self.troubled > CALM
+        self.net.is_reliable() && !frozen && self.now - self.troubled > CALM
     }
 }
--- a/fireflycroft/tests/support/world/services.rs
+++ b/fireflycroft/tests/support/world/services.rs
@@ -5,7 +5,7 @@
 use crate::support::link::MS;
 use crate::support::mutant::Mutant;
 use crate::support::oracle::{RunStart, token};
-use crate::support::upstream::{Mood, Turn};
+use crate::support::upstream::{StreamStep, UpstreamMode};
 use fireflycroft::{
     AgentEvent, CallId, ClaimAnswer, ClaimOp, Code, ConfigVersion, Digest, EntryEvent, Finish,
     GenerationId, Message, Name,
@@ -51,13 +51,13 @@
         }
     }
 
-    pub(crate) fn set_mood(&mut self, agent: usize, mood: Mood) {
-        self.upstreams[agent].mood = mood;
+    pub(crate) fn set_upstream_mode(&mut self, agent: usize, mode: UpstreamMode) {
+        self.upstreams[agent].mode = mode;
     }
 
     /// Runs of the agent's upstream.
     pub(crate) fn running(&self, agent: usize) -> usize {
-        self.upstreams[agent].live.len()
+        self.upstreams[agent].active.len()
     }
 
     /// Lets an upstream wait longer between tokens.
@@ -94,7 +94,7 @@
         let generation = order.generation;
         let refusal = if !self.upstreams[agent].up {
             Some(Code::NoUpstream)
-        } else if self.upstreams[agent].mood == Mood::Refuse {
+        } else if self.upstreams[agent].mode == UpstreamMode::Refuse {
             Some(Code::Overloaded)
         } else {
             None
@@ -143,41 +143,46 @@
     }
 
     pub(super) fn emit(&mut self, agent: usize, generation: GenerationId, epoch: u64) {
-        let current = self.upstreams[agent].live.get(&generation).map(|l| l.epoch);
+        let current = self.upstreams[agent]
+            .active
+            .get(&generation)
+            .map(|l| l.epoch);
         if current != Some(epoch) {
             return;
         }
         let burst = 1 + self.rng.below(8);
         let pause = self.upstreams[agent].pause + self.rng.below(40);
         let pause = pause.max(2) * MS;
-        match self.upstreams[agent].turn(generation, burst) {
-            Turn::Give(count) => {
+        match self.upstreams[agent].next_step(generation, burst) {
+            StreamStep::Emit(count) => {
                 self.give_tokens(agent, generation, count);
                 self.push(pause, Due::Emit(agent, generation, epoch));
             }
-            Turn::Wait => self.push(200 * MS, Due::Emit(agent, generation, epoch)),
-            Turn::Break => self.agent(agent, AgentEvent::Broken { generation }),
-            Turn::Die => self.crash(agent),
-            Turn::End => self.end(agent, generation),
+            StreamStep::Wait => self.push(200 * MS, Due::Emit(agent, generation, epoch)),
+            StreamStep::Break => self.agent(agent, AgentEvent::Broken { generation }),
+            StreamStep::Die => self.crash(agent),
+            StreamStep::End => self.end(agent, generation),
         }
     }
 
     pub(super) fn give_tokens(&mut self, agent: usize, generation: GenerationId, count: u64) {
-        let Some(live) = self.upstreams[agent].live.get_mut(&generation) else {
+        let Some(active) = self.upstreams[agent].active.get_mut(&generation) else {
             return;
         };
-        let numbers = live.sent..live.sent + count;
-        let tokens = numbers.map(|n| token(live.run, n, live.content)).collect();
-        live.sent += count;
-        self.oracle.runs[live.run].emitted = live.sent;
+        let numbers = active.sent..active.sent + count;
+        let tokens = numbers
+            .map(|n| token(active.run, n, active.content))
+            .collect();
+        active.sent += count;
+        self.oracle.runs[active.run].emitted = active.sent;
         self.agent(agent, AgentEvent::Tokens { generation, tokens });
     }
 
     pub(super) fn end(&mut self, agent: usize, generation: GenerationId) {
-        let Some(live) = self.upstreams[agent].live.remove(&generation) else {
+        let Some(active) = self.upstreams[agent].active.remove(&generation) else {
             return;
         };
-        self.oracle.runs[live.run].ended = true;
+        self.oracle.runs[active.run].ended = true;
         let finish = Finish {
             total: 0,
             code: Code::Ok,
@@ -192,15 +197,15 @@
     }
 
     pub(super) fn reattach(&mut self, agent: usize, generation: GenerationId) {
-        let live = self.upstreams[agent].live.get_mut(&generation);
-        match live {
-            Some(live) if live.resumable => {
-                live.epoch += 1;
-                let epoch = live.epoch;
+        let active = self.upstreams[agent].active.get_mut(&generation);
+        match active {
+            Some(active) if active.resumable => {
+                active.epoch += 1;
+                let epoch = active.epoch;
                 self.push(MS, Due::Emit(agent, generation, epoch));
             }
             _ => {
-                self.upstreams[agent].live.remove(&generation);
+                self.upstreams[agent].active.remove(&generation);
                 self.agent(agent, AgentEvent::Lost { generation });
             }
         }
@@ -212,9 +217,9 @@
         if !std::mem::replace(&mut upstream.up, false) {
             return;
         }
-        let lost = std::mem::take(&mut upstream.live);
-        for live in lost.values() {
-            *self.oracle.crashes.entry(live.content).or_default() += 1;
+        let lost = std::mem::take(&mut upstream.active);
+        for active in lost.values() {
+            *self.oracle.crashes.entry(active.content).or_default() += 1;
         }
         self.agent(agent, AgentEvent::UpstreamDown);
         let delay = (300 + self.rng.below(1_500)) * MS;
