--- a/fireflycroft/tests/bounds.rs
+++ b/fireflycroft/tests/bounds.rs
@@ -41,7 +41,7 @@
         let calls: Vec<_> = (0..12).map(|_| world.submit(0, ask).unwrap()).collect();
         for _ in 0..100 {
             world.advance(50);
-            assert!(world.most_held() <= MAX_HELD, "{}", world.most_held());
+            assert!(world.max_held() <= MAX_HELD, "{}", world.max_held());
         }
         let of = |outcome| {
             let same = calls.iter().filter(|c| world.outcome(**c) == Some(outcome));
@@ -86,10 +86,10 @@
             world.submit(0, Ask { content: 5, ..Ask::default() });
         }
         world.advance(100);
-        assert!(world.most_queued() > 0);
+        assert!(world.max_queued() > 0);
         world.kill(Proc::Entry(0));
         world.advance(2_500);
-        assert_eq!(world.most_queued(), 0);
+        assert_eq!(world.max_queued(), 0);
     }
 
     /// More offers within a minute than an agent remembers.
@@ -100,7 +100,7 @@
         for i in 0..1_200 {
             world.submit(i % 3, Ask { interactive: i % 2 == 0, ..Ask::default() });
             world.advance(20);
-            assert!(world.most_offers() <= MAX_OFFERS, "{}", world.most_offers());
+            assert!(world.max_offers() <= MAX_OFFERS, "{}", world.max_offers());
         }
     }
 
@@ -115,6 +115,6 @@
             }
             world.advance(2);
         }
-        assert!(world.most_offers() <= MAX_OFFERS, "{}", world.most_offers());
+        assert!(world.max_offers() <= MAX_OFFERS, "{}", world.max_offers());
     }
 }
--- a/fireflycroft/tests/point1_tokens.rs
+++ b/fireflycroft/tests/point1_tokens.rs
@@ -54,7 +54,7 @@
         world.advance(10);
         assert_eq!(world.outcome(early), Some(Outcome::Failed(Code::StreamUnknown)));
         assert!(world.retry_after(early).is_some());
-        world.introduce(1);
+        world.announce_agents(1);
         let rest = world.resume(1, first, next).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
@@ -254,7 +254,7 @@
     stream_over_the_agents_buffer(world) {
         let call = world.submit(0, Ask { content: HUGE, ..Ask::default() }).unwrap();
         world.advance_until(60_000, |w| {
-            assert!(w.most_bytes() <= MAX_BYTES, "{}", w.most_bytes());
+            assert!(w.max_bytes() <= MAX_BYTES, "{}", w.max_bytes());
             w.outcome(call).is_some()
         });
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
@@ -268,7 +268,7 @@
         world.net.cut(Proc::Entry(0).addr(), agent);
         for _ in 0..100 {
             world.advance(100);
-            assert!(world.most_bytes() <= MAX_BYTES, "{}", world.most_bytes());
+            assert!(world.max_bytes() <= MAX_BYTES, "{}", world.max_bytes());
         }
     }
 
--- a/fireflycroft/tests/point3_not_run.rs
+++ b/fireflycroft/tests/point3_not_run.rs
@@ -39,7 +39,7 @@
         let call = world.submit(0, ask).unwrap();
         world.advance(10);
         let first = world.agent_of(call).unwrap();
-        world.tell_agents_of_crashes(first, &ask, CRASH_LIMIT);
+        world.announce_crashes_to_agents(first, &ask, CRASH_LIMIT);
         world.advance(2_000);
         assert_eq!(code(world, call), Code::OutcomeUnknown);
     }
--- a/fireflycroft/tests/point4_once.rs
+++ b/fireflycroft/tests/point4_once.rs
@@ -247,7 +247,7 @@
         let first = world.submit(0, keyed()).unwrap();
         world.advance(60);
         let agent = world.agent_of(first).unwrap();
-        world.tell_member(1, agent, MemberState::Dead);
+        world.announce_member(1, agent, MemberState::Dead);
         let again = world.submit(1, keyed()).unwrap();
         world.advance(10_000);
         assert_whole(world, &[first, again]);
--- a/fireflycroft/tests/support/world.rs
+++ b/fireflycroft/tests/support/world.rs
@@ -170,7 +170,7 @@
             world.configure(proc, &fleet::config(1, false));
         }
         for entry in 0..ENTRIES {
-            world.introduce(entry);
+            world.announce_agents(entry);
         }
         world.push(0, Due::Tick);
         world
@@ -233,7 +233,7 @@
                 entry,
                 agent,
                 state,
-            } => self.tell_member(entry, agent, state),
+            } => self.announce_member(entry, agent, state),
             _ => {}
         }
     }
@@ -282,7 +282,7 @@
                     self.agent(i, event);
                 }
             }
-            Due::Claim(call) => self.claim_effect(call),
+            Due::Claim(call) => self.apply_claim(call),
             Due::Begin(agent, life, order) => {
                 if self.agents[agent].life == life && self.agents[agent].alive {
                     self.begin(agent, *order);
@@ -291,8 +291,8 @@
             Due::Emit(agent, generation, epoch) => self.emit(agent, generation, epoch),
             Due::Reattach(agent, generation) => self.reattach(agent, generation),
             Due::UpstreamUp(agent) => self.upstream_up(agent),
-            Due::Config { to, life, from } => self.give_config(to, life, from),
-            Due::Member(entry, agent, state) => self.tell_member(entry, agent, state),
+            Due::Config { to, life, from } => self.deliver_config(to, life, from),
+            Due::Member(entry, agent, state) => self.announce_member(entry, agent, state),
         }
     }
 
@@ -327,7 +327,7 @@
             self.configure(proc, &fleet::config(self.head, false));
         }
         for entry in 0..ENTRIES {
-            self.introduce(entry);
+            self.announce_agents(entry);
         }
     }
 
--- a/fireflycroft/tests/support/world/messages.rs
+++ b/fireflycroft/tests/support/world/messages.rs
@@ -97,13 +97,13 @@
     }
 
     /// An entry hears of every agent.
-    pub(crate) fn introduce(&mut self, entry: usize) {
+    pub(crate) fn announce_agents(&mut self, entry: usize) {
         for agent in 0..AGENTS {
-            self.tell_member(entry, agent, MemberState::Alive);
+            self.announce_member(entry, agent, MemberState::Alive);
         }
     }
 
-    pub(crate) fn tell_member(&mut self, entry: usize, agent: usize, state: MemberState) {
+    pub(crate) fn announce_member(&mut self, entry: usize, agent: usize, state: MemberState) {
         let record = MemberRecord {
             peer: Proc::Agent(agent).peer(self.agents[agent].life),
             data_centre: Name::from("dc"),
@@ -158,17 +158,17 @@
         }
     }
 
-    pub(super) fn give_config(&mut self, to: Proc, life: u64, from: Proc) {
+    pub(super) fn deliver_config(&mut self, to: Proc, life: u64, from: Proc) {
         let config = match from {
             Proc::Entry(i) if self.entries[i].works() => self.entries[i].core.config().cloned(),
             Proc::Agent(i) if self.agents[i].works() => self.agents[i].config.get().cloned(),
             _ => None,
         };
-        let same_life = match to {
+        let same_incarnation = match to {
             Proc::Entry(i) => self.entries[i].life == life,
             Proc::Agent(i) => self.agents[i].life == life,
         };
-        if let Some(config) = config.filter(|_| same_life) {
+        if let Some(config) = config.filter(|_| same_incarnation) {
             self.configure(to, &config);
         }
     }
--- a/fireflycroft/tests/support/world/processes.rs
+++ b/fireflycroft/tests/support/world/processes.rs
@@ -179,7 +179,7 @@
             Proc::Entry(i) => {
                 let life = self.entries[i].life + 1;
                 self.entries[i] = Node::new(fleet::new_entry(i, life), life, now);
-                self.introduce(i);
+                self.announce_agents(i);
             }
             Proc::Agent(i) => {
                 let life = self.agents[i].life + 1;
--- a/fireflycroft/tests/support/world/services.rs
+++ b/fireflycroft/tests/support/world/services.rs
@@ -38,7 +38,7 @@
         self.push(plan.answer, Due::Entry(entry, life, event));
     }
 
-    pub(super) fn claim_effect(&mut self, call: PlatformCall) {
+    pub(super) fn apply_claim(&mut self, call: PlatformCall) {
         let is_write = !matches!(call.op, ClaimOp::Read);
         let mut answer = self.platform.apply(call.key, call.op);
         if self.mutant == Mutant::EveryClaimWon && is_write {
@@ -66,25 +66,25 @@
     }
 
     /// Most bytes of whole answers that any entry holds back.
-    pub(crate) fn most_held(&self) -> usize {
+    pub(crate) fn max_held(&self) -> usize {
         let held = self.entries.iter().map(|e| e.core.held());
         held.max().unwrap_or(0)
     }
 
     /// Most requests that wait at any agent.
-    pub(crate) fn most_queued(&self) -> u32 {
+    pub(crate) fn max_queued(&self) -> u32 {
         let queued = self.agents.iter().map(|a| a.core.load().queued);
         queued.max().unwrap_or(0)
     }
 
     /// Most offers that any agent remembers.
-    pub(crate) fn most_offers(&self) -> usize {
+    pub(crate) fn max_offers(&self) -> usize {
         let offers = self.agents.iter().map(|a| a.core.offers());
         offers.max().unwrap_or(0)
     }
 
     /// Most bytes of answers that any agent keeps.
-    pub(crate) fn most_bytes(&self) -> usize {
+    pub(crate) fn max_bytes(&self) -> usize {
         let bytes = self.agents.iter().map(|a| a.core.bytes());
         bytes.max().unwrap_or(0)
     }
@@ -113,7 +113,7 @@
             content,
         });
         self.check_leaving(agent, run, generation);
-        if let Some(offered) = self.offered_under(generation) {
+        if let Some(offered) = self.config_at_offer(generation) {
             let own = self.agents[agent].config.version();
             self.oracle.began_behind(run, own, offered);
         }
@@ -122,7 +122,7 @@
     }
 
     /// Configuration under which the generation was offered.
-    fn offered_under(&self, generation: GenerationId) -> Option<ConfigVersion> {
+    fn config_at_offer(&self, generation: GenerationId) -> Option<ConfigVersion> {
         let offer = self.offer_of.get(&generation)?;
         self.offered.get(offer).copied()
     }
@@ -133,13 +133,13 @@
             return;
         };
         let offer = self.offer_of.get(&generation);
-        let late = offer.is_some_and(|(request, attempt)| {
+        let offered_after_leave = offer.is_some_and(|(request, attempt)| {
             let offer = (agent, node.life, *request, *attempt);
             self.too_late.contains(&offer)
         });
         // The upstream takes a millisecond to begin.
         let since = (self.now - leaving).saturating_sub(MS);
-        self.oracle.began_leaving(run, late, since);
+        self.oracle.began_leaving(run, offered_after_leave, since);
     }
 
     pub(super) fn emit(&mut self, agent: usize, generation: GenerationId, epoch: u64) {
@@ -155,7 +155,7 @@
         let pause = pause.max(2) * MS;
         match self.upstreams[agent].next_step(generation, burst) {
             StreamStep::Emit(count) => {
-                self.give_tokens(agent, generation, count);
+                self.emit_tokens(agent, generation, count);
                 self.push(pause, Due::Emit(agent, generation, epoch));
             }
             StreamStep::Wait => self.push(200 * MS, Due::Emit(agent, generation, epoch)),
@@ -165,7 +165,7 @@
         }
     }
 
-    pub(super) fn give_tokens(&mut self, agent: usize, generation: GenerationId, count: u64) {
+    pub(super) fn emit_tokens(&mut self, agent: usize, generation: GenerationId, count: u64) {
         let Some(active) = self.upstreams[agent].active.get_mut(&generation) else {
             return;
         };
@@ -232,9 +232,9 @@
     }
 
     /// All agents but one, and no entry, hear that the content crashed upstreams.
-    pub(crate) fn tell_agents_of_crashes(&mut self, but: usize, ask: &Ask, count: u8) {
+    pub(crate) fn announce_crashes_to_agents(&mut self, except: usize, ask: &Ask, count: u8) {
         let content = ask.digest();
-        for to in (0..AGENTS).filter(|a| *a != but).map(Proc::Agent) {
+        for to in (0..AGENTS).filter(|a| *a != except).map(Proc::Agent) {
             self.send(
                 Proc::Entry(0),
                 to.addr(),
