--- a/fireflycroft/src/admit.rs
+++ b/fireflycroft/src/admit.rs
@@ -1,11 +1,13 @@
-//! Admission at the agent: what may run on the upstream now, and what waits.
+//! Admission control at the agent: which requests run on the upstream now and
+//! which wait.
 //!
-//! The agent is the only door to its upstream, so it knows at once what the
-//! upstream would report late. A request is let in when the memory that all
-//! are expected to need, with it, stays within the upstream's at each moment
-//! to come, with a margin for chance. Batch work leaves a headroom to
-//! interactive work. What does not fit waits by priority, then by arrival,
-//! within a bound; a batch request that has waited long is kept room for.
+//! All requests to an upstream pass through its agent, so the agent knows the
+//! load before the upstream reports it. A request is admitted when the expected
+//! memory of all running requests and itself, plus a margin for variance, stays
+//! within the upstream's memory at every point of the forecast. Batch requests
+//! leave headroom for interactive ones. Other requests wait in a bounded queue,
+//! ordered by priority, then by arrival; capacity is set aside for a batch
+//! request that has waited long.
 
 use crate::length::{AnswerLengths, LengthKey, Survival};
 use crate::message::Load;
@@ -23,7 +25,7 @@
     demand: Demand,
     arrived: Time,
     deadline: Time,
-    /// Memory that it will need once it runs.
+    /// Memory that it is expected to need once it runs.
     forecast: Outlook,
 }
 
@@ -33,11 +35,11 @@
     prompt: u32,
     produced: u64,
     limit: u32,
-    /// When it produced its last token; its start until then.
+    /// Time of its last token; its start before the first one.
     at: Time,
 }
 
-/// Outlooks of requests of late, by priority.
+/// Moving averages of recent requests' forecasts, by priority.
 #[derive(Clone, Copy, Debug, Default)]
 struct TypicalForecasts {
     interactive: Outlook,
@@ -70,69 +72,72 @@
     lengths: AnswerLengths,
     typical: TypicalForecasts,
     step: Duration,
-    /// Time that one token of a prompt takes.
+    /// Prefill time of one prompt token.
     prefill: Duration,
     report: UpstreamReport,
     forecast: Outlook,
-    /// Tokens produced since the outlook was made.
+    /// Tokens produced since the forecast was computed.
     tokens_since_forecast: u64,
 }
 
-/// Standard deviations of margin for the memory needed.
+/// Margin on the expected memory, in standard deviations.
 const MARGIN_STD_DEVS: f64 = 1.2;
 
-/// Share of the memory that batch work leaves free, one in so many.
+/// Batch requests leave 1/16 of the memory free.
 const BATCH_MEMORY_HEADROOM_DIVISOR: u64 = 16;
 
-/// Share of the slots that batch work leaves free, one in so many.
+/// Batch requests leave 1/8 of the slots free.
 const BATCH_SLOT_HEADROOM_DIVISOR: u32 = 8;
 
-/// Share of the slots that interactive work has even when a batch request has
-/// waited long, one in so many.
+/// Interactive requests may use 1/4 of the slots even while an aged batch
+/// request waits.
 const INTERACTIVE_SLOT_FLOOR_DIVISOR: usize = 4;
 
-/// Part of the expected wait that must fit a request's patience; the rest is
-/// hope, since the expectation errs to both sides.
+/// Fraction of the expected wait that must fit before the deadline of a
+/// request; less than 1 because the expectation errs to both sides.
 const REQUIRED_WAIT_FRACTION: f64 = 0.5;
 
-/// Share of its patience after which a batch request is kept room for.
+/// A batch request is aged, and capacity is set aside for it, after 1/2 of its
+/// maximum wait.
 const AGED_WAIT_DIVISOR: u32 = 2;
 
-/// Tokens produced after which the outlook is made anew.
+/// Tokens produced after which the forecast is recomputed.
 const FORECAST_REFRESH_TOKENS: u64 = 64;
 
-/// Weight of the newest request in what is typical.
+/// Weight of the newest request in the typical forecast.
 const TYPICAL_FORECAST_WEIGHT: f64 = 0.05;
 
-/// Time for one token before any was seen.
+/// Step time assumed before the first measurement.
 const INITIAL_STEP: Duration = Duration::from_millis(20);
 
-/// Weight of the step known against one just seen.
+/// The moving average of the step time gives a new sample a weight of 1/64.
 const STEP_SMOOTHING: u32 = 64;
 
-/// Shortest prompt whose time is taken in, in tokens.
+/// Shortest prompt, in tokens, whose prefill time is sampled.
 const MIN_PREFILL_SAMPLE_TOKENS: u32 = 256;
 
-/// Weight of the time of a prompt's token known against a lower one seen.
+/// The moving average of the prefill time gives a lower sample a weight of 1/4.
 const PREFILL_FALL_SMOOTHING: u32 = 4;
 
-/// Weight of the time of a prompt's token known against a higher one seen.
+/// The moving average of the prefill time gives a higher sample a weight of
+/// 1/64.
 const PREFILL_RISE_SMOOTHING: u32 = 64;
 
-/// Steps that a request waits for a better moment to join.
+/// Maximum number of steps that a batch request is held back for its prefill.
 const MAX_PREFILL_DELAY_STEPS: u32 = 192;
 
-/// Steps that the work of prompts may hold up interactive answers.
+/// Steps by which prefill may delay interactive answers.
 const MAX_PREFILL_STEPS_INTERACTIVE: f64 = 4.0;
 
-/// Steps that the work of several prompts may hold up batch answers.
+/// Steps by which the prefill of several prompts may delay batch answers.
 const MAX_PREFILL_STEPS_BATCH: f64 = 10.0;
 
-/// Longest step taken in, in steps known; longer ones are a prompt's work.
+/// A sampled step counts for at most this multiple of the average; longer ones
+/// include prefill.
 const MAX_STEP_RATIO: u32 = 4;
 
 impl Admission {
-    /// Admission to an upstream of that size.
+    /// Creates the admission control of an upstream of the given size.
     #[must_use]
     pub fn new(policy: AdmitPolicy, capacity: Capacity) -> Self {
         Self {
@@ -150,7 +155,7 @@
         }
     }
 
-    /// Decides on an offer that may wait until `until`.
+    /// Decides on an offer that may wait until `deadline`.
     pub fn offer(
         &mut self,
         now: Time,
@@ -187,7 +192,7 @@
         AdmitDecision::Queue(wait)
     }
 
-    /// Takes the next waiting request that may run now.
+    /// Admits the next waiting request if it may run now.
     pub fn next(&mut self, now: Time) -> Option<OfferId> {
         let at = self.first_waiting()?;
         self.refresh_forecast();
@@ -199,7 +204,7 @@
         Some(waiting.offer)
     }
 
-    /// Takes out the requests that have waited too long.
+    /// Removes the waiting requests whose deadline has passed.
     pub fn remove_expired(&mut self, now: Time) -> Vec<OfferId> {
         let (expired_requests, kept) = self.waiting.drain(..).partition(|w| w.deadline <= now);
         self.waiting = kept;
@@ -207,7 +212,7 @@
         expired_requests.into_iter().map(|w| w.offer).collect()
     }
 
-    /// Forgets a request that waits or holds a slot.
+    /// Removes a request that waits or holds a slot.
     pub fn release(&mut self, offer: OfferId) {
         self.waiting.retain(|w| w.offer != offer);
         if self.admitted.remove(&offer).is_some() {
@@ -216,7 +221,7 @@
         }
     }
 
-    /// Frees the slot of a request that came to its own end.
+    /// Frees the slot of a completed request and records its length.
     pub fn finish(&mut self, offer: OfferId) {
         if let Some(done) = self.admitted.get(&offer) {
             self.lengths.record_end(&done.key, done.produced);
@@ -224,7 +229,7 @@
         self.release(offer);
     }
 
-    /// Notes how many tokens an admitted request has produced.
+    /// Records the number of tokens that an admitted request has produced.
     pub fn record_progress(&mut self, now: Time, offer: OfferId, produced: u64) {
         let Some(admitted) = self.admitted.get_mut(&offer) else {
             return;
@@ -238,7 +243,7 @@
             .record_progress(&admitted.key, before, produced);
         let count = produced.saturating_sub(before);
         self.tokens_since_forecast += count;
-        // Also when nobody asks: the load told to entries rests on it.
+        // Needed without offers too: the load sent to entries depends on it.
         self.refresh_forecast();
         if count == 0 {
             return;
@@ -250,12 +255,12 @@
         }
     }
 
-    /// Takes what the upstream reports.
+    /// Records the load that the upstream reports.
     pub const fn record_report(&mut self, report: UpstreamReport) {
         self.report = report;
     }
 
-    /// Load as the agent tells it.
+    /// Returns the load that the agent sends to entries.
     #[must_use]
     pub fn load(&self) -> Load {
         if self.policy == AdmitPolicy::PassThrough {
@@ -275,13 +280,13 @@
         }
     }
 
-    /// Time until a request of that priority would begin.
+    /// Returns the expected wait of a typical request of that priority.
     #[must_use]
     pub fn expected_wait(&self, priority: Priority) -> Duration {
         self.expected_wait_for(priority, self.typical.of(priority))
     }
 
-    /// Load as an upstream tells it that queues by itself.
+    /// Returns the load reported by an upstream that queues by itself.
     fn reported_load(&self) -> Load {
         Load {
             running: self.report.running,
@@ -297,7 +302,7 @@
         }
     }
 
-    /// Time until those ahead and one more find room.
+    /// Returns the time until the requests ahead and this one fit.
     fn expected_wait_for(&self, priority: Priority, own: &Outlook) -> Duration {
         let mut more = *own;
         let ahead = |w: &&WaitingRequest| w.demand.priority >= priority;
@@ -342,8 +347,9 @@
         priority == Priority::Batch || self.leaves_capacity_for_aged(now, &waiting.forecast)
     }
 
-    /// Whether a prompt's work, with those that join, leaves the next token of
-    /// the others in time. It waits a little for such a moment, no longer.
+    /// Returns whether prefill of this prompt, with the prefills under way,
+    /// delays the next token of the others within bounds. A request held back
+    /// for `MAX_PREFILL_DELAY_STEPS` runs in any case.
     fn may_start_prefill(&self, now: Time, waiting: &WaitingRequest) -> bool {
         if now.since(waiting.arrived) >= self.step * MAX_PREFILL_DELAY_STEPS {
             return true;
@@ -361,7 +367,7 @@
         joining == 0 || prefill_time <= MAX_PREFILL_STEPS_BATCH * step
     }
 
-    /// Whether a batch request that has waited long still finds its room.
+    /// Returns whether the longest-waiting aged batch request still fits.
     fn leaves_capacity_for_aged(&self, now: Time, own: &Outlook) -> bool {
         let aged = |w: &&WaitingRequest| w.demand.priority == Priority::Batch && is_aged(now, w);
         let Some(aged) = self.waiting.iter().filter(aged).min_by_key(|w| w.arrived) else {
@@ -378,7 +384,7 @@
                 <= 0.0
     }
 
-    /// Memory that requests of that priority may fill.
+    /// Returns the memory that requests of that priority may fill, in tokens.
     const fn limit(&self, priority: Priority) -> u64 {
         match priority {
             Priority::Interactive => self.capacity.tokens,
@@ -388,7 +394,7 @@
         }
     }
 
-    /// Slots that requests of that priority may fill.
+    /// Returns the slots that requests of that priority may fill.
     const fn slots(&self, priority: Priority) -> usize {
         let all = self.capacity.max_batch;
         match priority {
@@ -402,7 +408,7 @@
         Outlook::of(&survival, demand.prompt_tokens, 0, demand.max_tokens)
     }
 
-    /// Makes the outlook anew when much has changed since.
+    /// Recomputes the forecast after enough tokens were produced.
     fn refresh_forecast(&mut self) {
         if self.tokens_since_forecast < FORECAST_REFRESH_TOKENS
             || self.policy == AdmitPolicy::PassThrough
@@ -449,8 +455,8 @@
         (0..self.waiting.len()).min_by_key(|i| queue_order(&self.waiting[*i]))
     }
 
-    /// What else delays a first token is never negative, so a low figure tells
-    /// more than a high one.
+    /// Updates the prefill time of one token. Other delays of a first token only
+    /// add to the sample, so a low sample gets more weight than a high one.
     fn record_prefill(&mut self, seen: Duration) {
         let weight = if self.prefill.is_zero() || seen < self.prefill {
             PREFILL_FALL_SMOOTHING
@@ -469,12 +475,12 @@
     }
 }
 
-/// Place in the line: interactive first, then by arrival.
+/// Returns the sort key of the queue: interactive first, then by arrival.
 const fn queue_order(w: &WaitingRequest) -> (Reverse<Priority>, Time, OfferId) {
     (Reverse(w.demand.priority), w.arrived, w.offer)
 }
 
-/// Whether it has waited a good part of its patience.
+/// Returns whether a request has waited half of its maximum wait.
 fn is_aged(now: Time, w: &WaitingRequest) -> bool {
     now.since(w.arrived) >= w.deadline.since(w.arrived) / AGED_WAIT_DIVISOR
 }
--- a/fireflycroft/src/agent.rs
+++ b/fireflycroft/src/agent.rs
@@ -1,8 +1,9 @@
-//! The agent: the only door to one upstream.
+//! The agent, through which all requests to one upstream pass.
 //!
-//! It reserves, admits, starts, numbers the tokens and keeps them for readers
-//! to come. Time, messages and what the upstream does come in as
-//! [`AgentEvent`]s; what is to be done comes out as [`AgentAction`]s.
+//! It admits requests, grants reservations, starts generations, numbers their
+//! tokens and stores them for readers that attach later. Time, messages and
+//! upstream events come in as [`AgentEvent`]s; effects go out as
+//! [`AgentAction`]s.
 
 use crate::admit::Admission;
 use crate::code::Code;
@@ -21,26 +22,27 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bounds and waits of an agent.
+/// Limits and timeouts of an agent.
 #[derive(Clone, Copy, Debug)]
 pub struct AgentLimits {
-    /// How long a reservation waits for its start.
+    /// Lifetime of a reservation that is not started.
     pub hold: Duration,
-    /// How long a settled offer is remembered, so that copies get its answer.
+    /// Retention of a refused offer or expired reservation, so that duplicates
+    /// of the offer get the same answer.
     pub offer_retention: Duration,
-    /// How long an ended answer is kept for readers.
+    /// Retention of a finished answer for readers.
     pub finished_retention: Duration,
-    /// How long a generation that nobody reads goes on.
+    /// Time after which a generation without readers is stopped.
     pub unread_timeout: Duration,
-    /// Silence of the upstream after which a generation is stopped.
+    /// Time without output of the upstream after which a generation is stopped.
     pub stall_timeout: Duration,
-    /// Silence after which a reader is dropped.
+    /// Time without messages after which a reader is dropped.
     pub reader_timeout: Duration,
-    /// Bytes of answers kept in all.
+    /// Total bytes of answers kept.
     pub max_bytes: usize,
-    /// Offers remembered in all.
+    /// Total offers remembered.
     pub max_offers: usize,
-    /// Times that one broken stream is taken up again.
+    /// Reconnections of one broken upstream stream.
     pub max_resumes: u32,
 }
 
@@ -60,45 +62,45 @@
     }
 }
 
-/// What an agent is told at its start.
+/// Initial settings of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentSetup {
     /// The agent itself.
     pub me: Peer,
     /// Models or plain services of its upstream.
     pub serves: Vec<Name>,
-    /// How it admits.
+    /// Admission policy.
     pub policy: AdmitPolicy,
-    /// Size of its upstream.
+    /// Capacity of its upstream.
     pub capacity: Capacity,
-    /// Bounds and waits.
+    /// Limits and timeouts.
     pub limits: AgentLimits,
 }
 
-/// What an agent hears.
+/// Input of an agent.
 #[derive(Clone, Debug)]
 pub enum AgentEvent {
-    /// A message of a process of the fleet.
+    /// A message from another process of the fleet.
     Message(Box<Envelope>),
-    /// The upstream gave tokens.
+    /// The upstream produced tokens.
     Tokens {
         /// The generation.
         generation: GenerationId,
         /// The tokens, in order.
         tokens: Vec<Vec<u8>>,
     },
-    /// The upstream ended the generation in good order.
+    /// The upstream completed the generation.
     Finished {
         /// The generation.
         generation: GenerationId,
-        /// How it ended; total and crashes are set by the agent.
+        /// Result; `total` is set by the agent.
         finish: Finish,
     },
     /// The upstream refused the request, or it could not be sent.
     NotStarted {
         /// The generation.
         generation: GenerationId,
-        /// Why: a code of the class "not run".
+        /// Reason: a code of the class "not run".
         code: Code,
     },
     /// The stream from the upstream broke.
@@ -106,39 +108,39 @@
         /// The generation.
         generation: GenerationId,
     },
-    /// The broken stream cannot be taken up again.
+    /// The broken stream cannot be resumed.
     Lost {
         /// The generation.
         generation: GenerationId,
     },
-    /// The upstream does not answer; all that ran on it is lost.
+    /// The upstream does not answer; its generations are lost.
     UpstreamDown,
     /// The upstream answers.
     UpstreamUp,
-    /// The upstream reports its load, late.
+    /// A delayed load report of the upstream.
     Report(UpstreamReport),
-    /// The agent is to stop, or its upstream is reclaimed.
+    /// The agent is to drain: it stops, or its upstream is reclaimed.
     Leave,
-    /// The agent stays after all.
+    /// The drain is cancelled.
     Stay,
-    /// The upstream now holds these models.
+    /// Models that the upstream holds now.
     Serves(Vec<Name>),
-    /// The platform told the fencing number in force.
+    /// The fencing number in force, from the platform.
     Fence(u64),
-    /// The upstream answered the order that was passed on.
+    /// The upstream's answer to the forwarded order.
     OrderSettled(Code),
-    /// A configuration is in force here.
+    /// A configuration came into force here.
     Config(ConfigVersion),
-    /// Time went on.
+    /// Timer tick.
     Tick,
 }
 
-/// What an agent wants done.
+/// Effect that an agent requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentAction {
     /// Send a message.
     Send(SocketAddr, Message),
-    /// Send a message to every member that is known.
+    /// Send a message to every known member.
     Broadcast(Message),
     /// Run the work on the upstream.
     Run {
@@ -146,12 +148,12 @@
         generation: GenerationId,
         /// The request.
         request: RequestId,
-        /// What it needs.
+        /// Its resource demand.
         demand: Demand,
         /// The work.
         work: Work,
     },
-    /// Take up a broken stream at a token.
+    /// Resume a broken stream at a token.
     Resume {
         /// The generation.
         generation: GenerationId,
@@ -160,11 +162,11 @@
     },
     /// Stop a generation on the upstream.
     Stop(GenerationId),
-    /// Pass an order on to the upstream.
+    /// Forward an order to the upstream.
     Order(Order),
-    /// Ask the sender for its configuration.
+    /// Request the configuration of that process.
     PullConfig(SocketAddr),
-    /// Something to log and count.
+    /// Event to log and count.
     Note(Note),
 }
 
@@ -172,9 +174,9 @@
 pub(crate) enum OfferState {
     /// Waits for admission.
     Waiting(SocketAddr, Demand),
-    /// Became a reservation of that serial number.
+    /// Granted as the reservation with that serial number.
     Reserved(u64),
-    /// Settled: refused with that code since then.
+    /// Refused with that code at that time.
     Refused(Code, Time),
 }
 
@@ -194,14 +196,14 @@
     pub(crate) upstream_up: bool,
     pub(crate) leaving: bool,
     pub(crate) orders: Orders,
-    /// Where the answer to the order under way goes.
+    /// Recipient of the answer to the order in progress.
     pub(crate) issuer: Option<SocketAddr>,
 }
 
 pub(crate) const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(100);
 pub(crate) const UPSTREAM_DOWN_RETRY_AFTER: Duration = Duration::from_secs(1);
 impl Agent {
-    /// An agent whose upstream is not yet known to answer.
+    /// Creates an agent whose upstream is considered down.
     #[must_use]
     pub fn new(setup: AgentSetup) -> Self {
         Self {
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Takes one event at `now` and adds what is to be done to `out`.
+    /// Handles one event at `now` and appends the resulting actions to `out`.
     pub fn on_event(&mut self, now: Time, event: AgentEvent, out: &mut Vec<AgentAction>) {
         match event {
             AgentEvent::Message(envelope) => self.on_message(now, *envelope, out),
@@ -251,7 +253,7 @@
         self.admit_waiting(now, out);
     }
 
-    /// Load to ride on every message of this agent.
+    /// Returns the load to include in every message of this agent.
     #[must_use]
     pub fn load(&self) -> Load {
         Load {
@@ -260,37 +262,37 @@
         }
     }
 
-    /// Generations that run.
+    /// Returns the number of running generations.
     #[must_use]
     pub fn running(&self) -> usize {
         self.generations.values().filter(|g| g.is_running()).count()
     }
 
-    /// Bytes of answers kept.
+    /// Returns the bytes of answers kept.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.generations.bytes()
     }
 
-    /// Offers remembered.
+    /// Returns the number of offers remembered.
     #[must_use]
     pub fn offers(&self) -> usize {
         self.offers.len()
     }
 
-    /// Whether a planned stop would cut off nothing any more.
+    /// Returns whether a planned stop would interrupt nothing.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         !self.generations.values().any(Generation::blocks_shutdown)
     }
 
-    /// Whether the agent takes no new work.
+    /// Returns whether the agent refuses new work.
     #[must_use]
     pub const fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Digests that are refused.
+    /// Returns the number of quarantined digests.
     #[must_use]
     pub fn quarantined(&self) -> usize {
         self.quarantine.refused_count()
@@ -309,7 +311,7 @@
                 max_wait,
             } => {
                 let offer = OfferId { request, attempt };
-                // Either side may be the older one; it catches up before work runs.
+                // Either side may lag behind; it must catch up before work runs.
                 let config_differs = envelope.config != self.config;
                 self.on_offer(now, from, offer, demand, max_wait, config_differs, out);
             }
--- a/fireflycroft/src/agent_generations.rs
+++ b/fireflycroft/src/agent_generations.rs
@@ -1,4 +1,4 @@
-//! The agent's generations: their tokens, their readers and their ends.
+//! Generations on an agent: tokens, readers and ends.
 
 use crate::agent::{
     Agent, AgentAction, note, request_of, send_actions, status_message, with_count,
@@ -27,7 +27,7 @@
         self.expire_if_due(now, id, out);
         let own =
             |g: &&mut Generation| g.offer.request == request && g.demand.workspace == *workspace;
-        // A foreign workspace learns no more than that nothing is known.
+        // A reader of another workspace only gets `Unknown`.
         let standing = self.dropped_standing(id, request, Some(workspace));
         let Some(g) = self.find(id).filter(own) else {
             out.push(status_message(from, reader, id, standing));
@@ -179,7 +179,8 @@
         self.finish_with_code(now, id, Code::UpstreamFailed, "upstream failed", out);
     }
 
-    /// Counts a crash for all that ran, tells the fleet and ends them.
+    /// Counts a crash for every running content, broadcasts the counts and ends
+    /// the generations.
     pub(crate) fn on_upstream_down(&mut self, now: Time, out: &mut Vec<AgentAction>) {
         self.upstream_up = false;
         let lost: Vec<(GenerationId, Digest, u8)> = self
@@ -213,7 +214,7 @@
         self.generations.get_mut(id.serial)
     }
 
-    /// How a generation stands that is no longer held.
+    /// Returns the standing of a generation that is no longer held.
     pub(crate) fn dropped_standing(
         &self,
         id: GenerationId,
--- a/fireflycroft/src/agent_maintenance.rs
+++ b/fireflycroft/src/agent_maintenance.rs
@@ -1,4 +1,4 @@
-//! What the agent does by the clock, and when it is to leave.
+//! Timer-driven work of the agent, and its drain.
 
 use crate::agent::{Agent, AgentAction, LEAVING_RETRY_AFTER, OfferState};
 use crate::code::Code;
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Forgets settled offers and ended answers whose time has come.
+    /// Drops refused offers and finished answers past their retention.
     pub(crate) fn remove_old_records(&mut self, now: Time) {
         let limits = self.limits;
         self.generations.remove_old(now, &limits);
--- a/fireflycroft/src/agent_orders.rs
+++ b/fireflycroft/src/agent_orders.rs
@@ -1,4 +1,4 @@
-//! Orders at the agent: checked, passed on, answered.
+//! Orders at the agent: checked, forwarded and answered.
 
 use crate::agent::{Agent, AgentAction};
 use crate::code::Code;
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 impl Agent {
-    /// Models or plain services that new work may ask for.
+    /// Returns the models or plain services that accept new work.
     #[must_use]
     pub fn serves(&self) -> &[Name] {
         &self.serves
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Generations that hold or may yet take the model.
+    /// Returns the number of generations that use or have reserved the model.
     fn active_generations_of(&self, model: &Name) -> usize {
         let active = |g: &&Generation| matches!(g.stage, Stage::Reserved(_) | Stage::Running);
         let of_model = |g: &&Generation| g.demand.target == *model;
--- a/fireflycroft/src/agent_reservations.rs
+++ b/fireflycroft/src/agent_reservations.rs
@@ -1,8 +1,8 @@
-//! The agent's way from an offer to a start.
+//! Handling of offers, reservations and starts at the agent.
 //!
-//! An offer becomes a reservation at once or when its turn in the queue comes,
-//! or is refused and remembered, so that a copy gets the same answer. Only a
-//! start that names a live reservation runs it.
+//! An offer becomes a reservation immediately or after waiting in the queue, or
+//! is refused. Refusals are remembered, so that a duplicate offer gets the same
+//! answer. Only a start that names an unexpired reservation runs the work.
 
 use crate::agent::{
     Agent, AgentAction, LEAVING_RETRY_AFTER, OfferState, UPSTREAM_DOWN_RETRY_AFTER, note, queued,
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Answers a copy of an offer as the first was answered.
+    /// Answers a duplicate of an offer like the first; returns false for a new
+    /// offer.
     pub(crate) fn answer_duplicate(
         &mut self,
         now: Time,
@@ -177,12 +178,12 @@
             Some(OfferState::Refused(..)) => return,
             Some(OfferState::Waiting(..)) | None => self.admission.release(offer),
         }
-        // A copy of the offer may still be under way; it must not be taken.
+        // A duplicate of the offer may still arrive and must not be reserved.
         self.remember_refusal(now, offer, Code::Withdrawn);
     }
 
-    /// Keeps a refusal for copies of the offer, within the bound. Beyond it,
-    /// a copy may be reserved afresh; unless started, that lapses.
+    /// Remembers a refusal for duplicates of the offer, up to `max_offers`. Above
+    /// that, a duplicate may get a new reservation, which expires unless started.
     pub(crate) fn remember_refusal(&mut self, now: Time, offer: OfferId, code: Code) {
         let has_capacity = self.offers.len() < self.limits.max_offers;
         if has_capacity || self.offers.contains_key(&offer) {
@@ -228,7 +229,7 @@
                 out.push(status_message(from, request, id, Standing::NeverStarted))
             }
             Stage::Running | Stage::Finished(_) => {
-                // A copy: the first one started it already.
+                // A duplicate: the first start already ran it.
                 out.extend(send_actions(g.messages(request, true)));
             }
             Stage::Reserved(_) => {
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Lets a reservation lapse by the clock, also when no tick came in time.
+    /// Expires a reservation whose time has passed, without waiting for a tick.
     pub(crate) fn expire_if_due(
         &mut self,
         now: Time,
--- a/fireflycroft/src/crash_announcements.rs
+++ b/fireflycroft/src/crash_announcements.rs
@@ -1,18 +1,18 @@
-//! Crash counts to be told to the fleet again: any one message may be lost,
-//! and the next entry must know before the caller sends the request again.
+//! Retransmission of crash counts to the fleet: a single message may be lost, and
+//! every entry must know the count before a caller retries the request there.
 
 use crate::ids::Digest;
 use crate::message::Message;
 use crate::time::Time;
 use std::time::Duration;
 
-/// Times that a count is told after the first.
+/// Number of retransmissions of a count after the first broadcast.
 const RETRANSMISSIONS: u8 = 4;
 
-/// Time between two tellings.
+/// Interval between two transmissions.
 const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Counts told at once; beyond it a count is told only the first time.
+/// Maximum number of pending counts; above it, a count is sent only once.
 const MAX_ANNOUNCEMENTS: usize = 256;
 
 #[derive(Clone, Copy, Debug)]
@@ -23,14 +23,14 @@
     remaining: u8,
 }
 
-/// Counts that are still to be told.
+/// Counts pending retransmission.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CrashAnnouncements {
     announcements: Vec<Announcement>,
 }
 
 impl CrashAnnouncements {
-    /// Takes a count that has just been told for the first time.
+    /// Schedules a count that was just broadcast for the first time.
     pub(crate) fn add(&mut self, now: Time, content: Digest, count: u8) {
         self.announcements.retain(|i| i.content != content);
         if self.announcements.len() < MAX_ANNOUNCEMENTS {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Messages to be told now.
+    /// Returns the messages due now.
     pub(crate) fn due(&mut self, now: Time) -> Vec<Message> {
         let mut out = Vec::new();
         for announcement in self.announcements.iter_mut().filter(|i| i.next <= now) {
--- a/fireflycroft/src/deliver.rs
+++ b/fireflycroft/src/deliver.rs
@@ -1,4 +1,4 @@
-//! Reading a generation and handing it to the caller, once and in order.
+//! Reading of a generation and its in-order, exactly-once delivery to the caller.
 
 use crate::code::{Class, Code};
 use crate::entry::{Call, Entry, Origin, Phase, Reading};
@@ -12,11 +12,11 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Tokens of a whole answer between two acknowledgements.
+/// Tokens between two acknowledgements of an answer that is delivered whole.
 const ACK_INTERVAL_TOKENS: u64 = 256;
 
 impl Entry {
-    /// Goes on with a generation where the caller left it.
+    /// Resumes a generation at the caller's resume point.
     pub(crate) fn begin_resume(
         &mut self,
         now: Time,
@@ -28,7 +28,7 @@
         self.by_request.insert(call.request, id);
         self.calls.insert(id, call);
         let Some(addr) = self.router.addr_of(&point.agent) else {
-            // This entry may yet hear of the agent.
+            // This entry may not have received the agent's record yet.
             let retry = Some(self.limits.min_retry_after);
             self.fail(id, Code::StreamUnknown, retry, out);
             return;
@@ -90,7 +90,7 @@
         reading.begun |= outcome != ChunkOutcome::OtherGeneration;
         match outcome {
             ChunkOutcome::OtherGeneration => {
-                // The fenced generation of an earlier start: nobody wants it.
+                // Late tokens of a superseded generation.
                 out.push(EntryAction::Send(
                     from.addr,
                     Message::Detach { reader, generation },
@@ -176,7 +176,7 @@
         let Some(mut call) = self.remove(id) else {
             return;
         };
-        // Who joined or came back reads what the first one was charged for.
+        // The first reader was charged; readers that joined or resumed are not.
         if call.reads_own_generation() {
             self.quotas.charge(&call.demand.workspace, finish.total);
         }
@@ -208,7 +208,7 @@
         }
     }
 
-    /// The agent says that nothing ran: another may be asked.
+    /// Handles the agent's report that nothing ran: another may be tried.
     fn on_not_run(&mut self, now: Time, id: CallId, code: Code, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -227,7 +227,7 @@
                 call.refusal = Some(code);
                 self.offer_next(now, id, out);
             }
-            // The key's reservation is spent: its claim may be replaced.
+            // The key's reservation is used up: its claim may be replaced.
             Origin::Joined(version) => {
                 call.replace = Some(version);
                 call.tried.clear();
@@ -237,8 +237,8 @@
         }
     }
 
-    /// The generation is lost: starts afresh where nobody saw any of it and
-    /// the rules allow, else says so at once.
+    /// Handles a lost generation: restarts it if the caller has received nothing
+    /// of it and the rules allow, otherwise fails the call.
     fn on_lost(&mut self, now: Time, id: CallId, code: Code, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -348,7 +348,8 @@
             reading.acked = reading.cursor.next;
         }
         if reading.cursor.next - reading.acked >= WINDOW_TOKENS {
-            // The agent waits for the caller, not the other way round.
+            // The window is full: the agent waits for the caller, so its silence
+            // does not count.
             reading.heard = now;
         }
         if now.since(reading.heard) >= silence_timeout {
@@ -386,11 +387,11 @@
         }
     }
 
-    /// The agent was replaced, and what it held in other lives than `alive`
-    /// is lost; or it is believed dead, and what another can do is given up.
+    /// Handles a replaced agent, whose generations of incarnations other than
+    /// `alive` are lost; or, without `alive`, an agent believed dead.
     ///
-    /// Death is a belief: a paused agent comes back, so what nobody else can
-    /// go on with waits for the long silence.
+    /// An agent believed dead may only be paused and come back. Calls that can
+    /// restart elsewhere are given up; the others wait for the long silence.
     pub(crate) fn on_agent_gone(
         &mut self,
         now: Time,
@@ -399,7 +400,7 @@
         out: &mut Vec<EntryAction>,
     ) {
         let limits = self.limits;
-        // Called dead, it may only be paused; a later life says for sure.
+        // Only a later incarnation confirms that the generation is lost.
         let lost = |call: &Call| match &call.phase {
             Phase::Reading(r) if r.asked.agent == *agent => match alive {
                 Some(incarnation) => r.cursor.generation.incarnation != incarnation,
@@ -438,8 +439,8 @@
 }
 
 impl Call {
-    /// Whether the generation that is read may be started afresh elsewhere:
-    /// nobody saw any of it and the rules allow.
+    /// Returns whether the generation may restart elsewhere: the caller has
+    /// received nothing of it and the rules allow it.
     fn may_restart(&self, max_starts: u32) -> bool {
         let own = matches!(&self.phase, Phase::Reading(r) if r.origin == Origin::Own);
         let unseen = self.delivered() == 0;
@@ -450,8 +451,8 @@
         matches!(&self.phase, Phase::Reading(r) if r.origin == Origin::Own)
     }
 
-    /// Silence of the agent after which it is given up. Where nobody else can
-    /// go on, an agent that was only paused is waited for.
+    /// Returns the silence after which the agent is given up. It is longer where
+    /// no other agent can take over, since this one may only be paused.
     fn silence_timeout(&self, limits: &EntryLimits) -> Duration {
         let joined =
             matches!(&self.phase, Phase::Reading(r) if matches!(r.origin, Origin::Joined(_)));
@@ -475,7 +476,7 @@
     )
 }
 
-/// Acknowledges what is held back for the caller, in large steps.
+/// Acknowledges tokens held back for the caller, in large steps.
 fn ack_held_back(now: Time, call: &mut Call, out: &mut Vec<EntryAction>) {
     let request = call.request;
     if let Phase::Reading(reading) = &mut call.phase
--- a/fireflycroft/src/generation.rs
+++ b/fireflycroft/src/generation.rs
@@ -1,8 +1,8 @@
-//! One reservation on an agent and the generation it becomes.
+//! A reservation on an agent and the generation started from it.
 //!
-//! Its life goes one way: reserved, then either lapsed for good or started,
-//! then finished. Readers are attached to it at a token; each is sent what
-//! it has not yet acknowledged, within a window.
+//! States only advance: reserved, then either expired or running, then
+//! finished. Readers attach at a token offset; each is sent the tokens that
+//! follow, within a window beyond its last acknowledgement.
 
 use crate::code::Code;
 use crate::ids::{GenerationId, Name, RequestId};
@@ -13,23 +13,23 @@
 use crate::work::Demand;
 use std::net::SocketAddr;
 
-/// Most readers of one generation.
+/// Maximum number of readers of one generation.
 pub(crate) const MAX_READERS: usize = 8;
 
-/// Tokens sent to a reader ahead of its acknowledgement.
+/// Tokens sent to a reader beyond its last acknowledgement.
 pub(crate) const WINDOW_TOKENS: u64 = 2_048;
 
-/// Most bytes of tokens in one message.
+/// Maximum bytes of tokens in one message.
 pub(crate) const MAX_CHUNK_BYTES: usize = 64 * 1024;
 
 const MAX_CHUNK_TOKENS: usize = 1_024;
 
-/// Where a generation is in its life.
+/// State of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// May be started until then.
+    /// May be started until that time.
     Reserved(Time),
-    /// Was never started and never will be, as of then.
+    /// Expired or withdrawn at that time; can no longer be started.
     Expired(Time),
     /// Runs on the upstream.
     Running,
@@ -37,7 +37,7 @@
     Finished(Time),
 }
 
-/// One entry that reads a generation for one caller.
+/// An entry that reads a generation for one caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Reader {
     /// Request id of the reader's call.
@@ -48,13 +48,13 @@
     pub(crate) next: u64,
     /// First token not acknowledged.
     pub(crate) acked: u64,
-    /// When it was last heard of.
+    /// Time of its last message.
     pub(crate) last_received: Time,
-    /// Whether it was sent the end.
+    /// Whether the end was sent to it.
     pub(crate) end_sent: bool,
 }
 
-/// A reservation and what it becomes.
+/// A reservation and the generation started from it.
 #[derive(Clone, Debug)]
 pub(crate) struct Generation {
     pub(crate) id: GenerationId,
@@ -64,13 +64,14 @@
     pub(crate) log: TokenLog,
     pub(crate) finish: Option<Finish>,
     pub(crate) readers: Vec<Reader>,
-    /// Whether a reader left after it was sent the end.
+    /// Whether a reader detached after the end was sent to it, or the generation
+    /// was cancelled after its end.
     pub(crate) end_delivered: bool,
-    /// Since when nobody reads it.
+    /// Time since which it has had no readers.
     pub(crate) unread_since: Option<Time>,
-    /// Times that the stream from the upstream was taken up again.
+    /// Number of times the upstream stream was resumed.
     pub(crate) resume_count: u32,
-    /// When the upstream was last heard of; the start until then.
+    /// Time of the upstream's last output; the start before the first one.
     pub(crate) last_output: Time,
 }
 
@@ -79,9 +80,9 @@
         self.stage == Stage::Running
     }
 
-    /// Whether to end the agent now would cut somebody off.
+    /// Returns whether stopping the agent now would interrupt a caller.
     ///
-    /// A whole answer waits for its reader, also when that one is silent.
+    /// A complete answer is kept for its reader, even if the reader is silent.
     pub(crate) fn blocks_shutdown(&self) -> bool {
         match self.stage {
             Stage::Reserved(_) | Stage::Running => true,
@@ -96,7 +97,7 @@
         self.finish.as_ref().is_some_and(|f| f.code == Code::Ok)
     }
 
-    /// Attaches a reader at `from`, or moves the one it has.
+    /// Attaches a reader at `from`, replacing its previous attachment.
     pub(crate) fn attach(
         &mut self,
         now: Time,
@@ -128,7 +129,7 @@
         Ok(())
     }
 
-    /// Notes what a reader has handed on.
+    /// Records the tokens that a reader has delivered.
     pub(crate) fn ack(&mut self, now: Time, reader: RequestId, next: u64) {
         let end = self.log.end();
         if let Some(r) = self.readers.iter_mut().find(|r| r.id == reader) {
@@ -145,7 +146,7 @@
         self.record_unread(now);
     }
 
-    /// Drops the readers not heard of since `limit`.
+    /// Drops the readers without a message since `limit`.
     pub(crate) fn drop_silent(&mut self, now: Time, limit: Time) {
         self.readers.retain(|r| r.last_received > limit);
         self.record_unread(now);
@@ -157,9 +158,10 @@
         }
     }
 
-    /// Messages that bring one reader up to date within its window.
+    /// Returns the messages that bring one reader up to date within its window.
     ///
-    /// With `answer`, at least one message, so that the reader hears.
+    /// With `always_reply`, there is at least one message, so that the reader
+    /// receives a response.
     pub(crate) fn messages(
         &mut self,
         reader: RequestId,
@@ -177,7 +179,7 @@
         out
     }
 
-    /// Messages that bring all readers up to date.
+    /// Returns the messages that bring all readers up to date.
     pub(crate) fn messages_to_all(&mut self) -> Vec<(SocketAddr, Message)> {
         let ids: Vec<RequestId> = self.readers.iter().map(|r| r.id).collect();
         ids.into_iter()
@@ -210,7 +212,7 @@
         })
     }
 
-    /// Result that the generation is said to have, for a finish made here.
+    /// Returns the result of a generation that the agent itself ends.
     pub(crate) fn finish_with(&self, code: Code, reason: &str, crashes: u8) -> Finish {
         Finish {
             total: self.log.end(),
--- a/fireflycroft/src/generation_store.rs
+++ b/fireflycroft/src/generation_store.rs
@@ -1,10 +1,10 @@
-//! Reservations and answers that an agent keeps, within bounds.
+//! Bounded store of an agent's reservations and answers.
 //!
-//! What goes leaves a short trace, so that a claim or a reader that names it
-//! later is still told whether it ran. When the bytes kept are too many,
-//! ended answers that nobody reads go first, then tokens that all readers
-//! have, then the oldest tokens of the largest answers; who asks for those
-//! is told that the part is gone.
+//! Each dropped generation leaves a short record, so that a later start or
+//! reader that names it still learns whether it ran. Above the byte limit,
+//! finished answers without readers are dropped first, then tokens that all
+//! readers have acknowledged, then the oldest tokens of the largest answers;
+//! a reader that requests dropped tokens gets `PartGone`.
 
 use crate::agent::AgentLimits;
 use crate::code::Class;
@@ -14,13 +14,14 @@
 use crate::time::Time;
 use std::collections::BTreeMap;
 
-/// Traces kept at once; the oldest goes when more come.
+/// Maximum number of records of dropped generations; above it, the one with the
+/// lowest serial number is removed.
 const MAX_DROPPED: usize = 16_384;
 
-/// This part of the bound is freed at once, not a little at each token.
+/// 1/8 of the limit is freed at a time, rather than a little at each token.
 const FREED_FRACTION_DIVISOR: usize = 8;
 
-/// What is known of a generation that is no longer kept.
+/// Record of a generation that is no longer held.
 #[derive(Clone, Debug)]
 struct DroppedGeneration {
     request: RequestId,
@@ -28,12 +29,12 @@
     ran: bool,
 }
 
-/// Generations by serial number, and traces of those that went.
+/// Generations by serial number, and records of dropped ones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GenerationStore {
     held: BTreeMap<u64, Generation>,
     dropped: BTreeMap<u64, DroppedGeneration>,
-    /// Bytes held, or more.
+    /// Upper bound of the bytes held.
     bytes: usize,
 }
 
@@ -58,12 +59,13 @@
         self.held.values_mut()
     }
 
-    /// Bytes of answers held.
+    /// Returns the bytes of answers held.
     pub(crate) fn bytes(&self) -> usize {
         self.held.values().map(|g| g.log.bytes()).sum()
     }
 
-    /// How a generation stands that is not held; `None` asks for any workspace.
+    /// Returns the standing of a generation that is not held; `None` matches any
+    /// workspace.
     pub(crate) fn standing(
         &self,
         serial: u64,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Forgets what lapsed or ended long enough ago.
+    /// Drops expired and finished generations past their retention.
     pub(crate) fn remove_old(&mut self, now: Time, limits: &AgentLimits) {
         let old = |g: &&Generation| match g.stage {
             Stage::Expired(at) => now.since(at) >= limits.offer_retention,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Notes that so many bytes of tokens were added, and keeps the bound.
+    /// Adds to the byte count and enforces the limit.
     pub(crate) fn record_added_bytes(&mut self, added: usize, max: usize) {
         self.bytes += added;
         if self.bytes > max {
@@ -112,7 +114,7 @@
         while self.bytes > target && self.release_oldest(target) {}
     }
 
-    /// Drops ended answers that nobody reads, oldest first.
+    /// Drops finished answers without readers, oldest first.
     fn drop_finished(&mut self, target: usize) {
         let ended = |g: &&Generation| matches!(g.stage, Stage::Finished(_)) && g.readers.is_empty();
         while self.bytes > target {
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Releases tokens that every reader has handed on.
+    /// Releases tokens that every reader has acknowledged.
     fn release_acknowledged(&mut self, target: usize) {
         for g in self.held.values_mut() {
             if self.bytes <= target {
@@ -136,7 +138,8 @@
         }
     }
 
-    /// Releases the oldest tokens of the largest answer; false if there are none.
+    /// Releases the oldest tokens of the largest answer; returns false if nothing
+    /// was released.
     fn release_oldest(&mut self, target: usize) -> bool {
         let Some(g) = self.held.values_mut().max_by_key(|g| g.log.bytes()) else {
             return false;
--- a/fireflycroft/src/length.rs
+++ b/fireflycroft/src/length.rs
@@ -1,50 +1,51 @@
-//! Remaining length of answers, learned from the tokens that pass.
+//! Estimates of the remaining length of answers, from observed tokens.
 //!
-//! A sketch counts, for each of a few geometric spans of lengths, how many
-//! answers entered the span and how many ended in it. Survival is the product
-//! over the spans of those that did not end, the estimator of Kaplan and
-//! Meier, so answers that still run count for as far as they have come. Counts
-//! decay, so that the sketch follows change. Where a sketch has seen little it
-//! leans on the next wider one: workspace, then model and kind, then a prior.
+//! A sketch counts, for each of a few geometric length buckets, how many answers
+//! entered the bucket and how many ended in it. Survival is the product over the
+//! buckets of the share that did not end (the Kaplan-Meier estimator), so running
+//! answers count up to their current length. Counts decay, so that the sketch
+//! follows change. A sketch with few samples is blended with the next wider one:
+//! workspace, then model and priority, then a fixed prior.
 
 use crate::ids::Name;
 use crate::work::{Demand, Priority};
 use std::collections::HashMap;
 
-/// Spans of lengths that a sketch tells apart; four to each doubling.
+/// Length buckets of a sketch; four per doubling.
 pub const LENGTH_BUCKETS: usize = 60;
 
-/// Sketches of workspaces that are kept; the least seen goes first.
+/// Maximum number of workspace sketches; the one with the fewest answers is
+/// evicted first.
 pub const MAX_SKETCHES: usize = 512;
 
-/// Spans to each doubling of the length.
+/// Buckets per doubling of the length.
 const BUCKETS_PER_DOUBLING: f64 = 4.0;
 
-/// Answers after which an older one counts by a factor of e less.
+/// Answers after which the weight of an older one has decayed by a factor of e.
 const DECAY_ANSWERS: f32 = 500.0;
 
-/// Answers that the wider sketch counts for within the narrower one.
+/// Weight of the model's sketch within that of a workspace, in answers.
 const WORKSPACE_PRIOR_ANSWERS: f32 = 10.0;
 
-/// Answers that the prior counts for within a sketch of a model.
+/// Weight of the fixed prior within the sketch of a model, in answers.
 const MODEL_PRIOR_ANSWERS: f32 = 3.0;
 
-/// Share of answers that end in each span, before anything was seen.
+/// Share of answers that end in each bucket, before any observation.
 const PRIOR_HAZARD: f32 = 0.08;
 
-/// Whose answers a sketch is of.
+/// Key of a sketch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LengthKey {
-    /// Workspace that asks.
+    /// Workspace of the request.
     pub workspace: Name,
-    /// Model that answers.
+    /// Model that serves the request.
     pub target: Name,
-    /// Kind of the request.
+    /// Priority of the request.
     pub priority: Priority,
 }
 
 impl LengthKey {
-    /// Key of what a request asks.
+    /// Returns the key of a request.
     #[must_use]
     pub fn of(demand: &Demand) -> Self {
         Self {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Answers that entered each span and ended in it.
+/// Decayed counts of answers that entered each bucket and ended in it.
 #[derive(Clone, Copy, Debug)]
 struct Sketch {
     entered: [f32; LENGTH_BUCKETS],
@@ -82,8 +83,8 @@
         self.ended[bucket] += 1.0;
     }
 
-    /// Share of answers that end in each span, leaning on `wider` as on
-    /// `lean` answers.
+    /// Returns the share of answers that end in each bucket, with `prior` weighted
+    /// as `prior_answers` answers.
     fn hazards(&self, prior: &[f32; LENGTH_BUCKETS], prior_answers: f32) -> [f32; LENGTH_BUCKETS] {
         std::array::from_fn(|i| {
             let ended = self.ended[i] + prior_answers * prior[i];
@@ -92,7 +93,7 @@
     }
 }
 
-/// Lengths seen on one upstream.
+/// Answer lengths observed on one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerLengths {
     by_workspace: HashMap<LengthKey, Sketch>,
@@ -100,7 +101,7 @@
 }
 
 impl AnswerLengths {
-    /// Notes that an answer came from `before` tokens to `now` tokens.
+    /// Records that an answer grew from `before` to `now` tokens.
     pub fn record_progress(&mut self, key: &LengthKey, before: u64, now: u64) {
         let first = if before == 0 {
             0
@@ -113,13 +114,13 @@
         }
     }
 
-    /// Notes that an answer ended by itself after so many tokens.
+    /// Records that an answer completed at `total` tokens.
     pub fn record_end(&mut self, key: &LengthKey, total: u64) {
         let bucket = bucket_of(total.max(1));
         self.update_sketches(key, |sketch| sketch.end(bucket));
     }
 
-    /// How long answers of that key grow.
+    /// Returns the length distribution for that key.
     #[must_use]
     pub fn survival(&self, key: &LengthKey) -> Survival {
         let mut hazards = [PRIOR_HAZARD; LENGTH_BUCKETS];
@@ -132,7 +133,7 @@
         Survival::new(&hazards)
     }
 
-    /// Sketches of workspaces that are held.
+    /// Returns the number of workspace sketches.
     #[must_use]
     pub fn sketches(&self) -> usize {
         self.by_workspace.len()
@@ -163,10 +164,10 @@
     }
 }
 
-/// Probability that an answer outgrows a length.
+/// Distribution of the length of an answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Survival {
-    /// Logarithm of the probability at the start of each span.
+    /// Log probability of reaching the start of each bucket.
     logs: [f32; LENGTH_BUCKETS + 1],
 }
 
@@ -180,7 +181,8 @@
         Self { logs }
     }
 
-    /// Probability that an answer of `produced` tokens gets `more` after them.
+    /// Returns the probability that an answer with `produced` tokens produces
+    /// `more` further ones.
     #[must_use]
     pub fn beyond(&self, produced: u64, more: u64) -> f64 {
         let from = self.log_at(produced);
@@ -188,7 +190,8 @@
         f64::from(to - from).exp()
     }
 
-    /// Mean of the tokens to come after `produced`, at most `limit` in all.
+    /// Returns the mean number of tokens after `produced`, with at most `limit` in
+    /// total.
     #[must_use]
     pub fn mean(&self, produced: u64, limit: u64) -> f64 {
         let mut mean = 0.0;
@@ -207,7 +210,8 @@
         mean
     }
 
-    /// Tokens to come after `produced` that a share `q` of answers stays within.
+    /// Returns the quantile `q` of the number of tokens after `produced`, with at
+    /// most `limit` in total.
     #[must_use]
     pub fn quantile(&self, produced: u64, limit: u64, q: f64) -> u64 {
         let max_more = limit.saturating_sub(produced);
@@ -223,7 +227,7 @@
         low
     }
 
-    /// Logarithm of the probability to outgrow `tokens`.
+    /// Returns the log probability of reaching `tokens`.
     #[allow(clippy::cast_possible_truncation)]
     fn log_at(&self, tokens: u64) -> f32 {
         if tokens <= 1 {
@@ -237,14 +241,14 @@
     }
 }
 
-/// Span in which an answer of so many tokens is.
+/// Returns the bucket of a length.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn bucket_of(tokens: u64) -> usize {
     let place = to_f64(tokens.max(1)).log2() * BUCKETS_PER_DOUBLING;
     (place as usize).min(LENGTH_BUCKETS - 1)
 }
 
-/// Tokens at which a span starts.
+/// Returns the first length of a bucket, in tokens.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/fireflycroft/src/message.rs
+++ b/fireflycroft/src/message.rs
@@ -1,10 +1,10 @@
 //! Messages between entries and agents.
 //!
-//! A request takes two steps: `Offer` asks for a reservation, which `Accept`
-//! grants under a generation id of the agent's own; only `Start` with that id
-//! runs it. Copies of either that arrive late therefore run nothing: an old
-//! `Offer` makes a reservation that lapses, an old `Start` names an id that is
-//! spent. Any message may be lost, repeated or overtaken.
+//! A request takes two steps: `Offer` requests a reservation, which `Accept`
+//! grants under a generation id chosen by the agent; only `Start` with that id
+//! runs it. Late duplicates therefore run nothing: an old `Offer` creates a
+//! reservation that expires, an old `Start` names an id that is used up. Any
+//! message may be lost, duplicated or reordered.
 
 use crate::code::Code;
 use crate::ids::{Digest, GenerationId, Name, Peer, RequestId};
@@ -19,10 +19,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConfigVersion(pub u64);
 
-/// A message with what rides on every message.
+/// A message with the fields common to all messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Envelope {
-    /// Who sent it.
+    /// Sender.
     pub from: Peer,
     /// Configuration in force at the sender.
     pub config: ConfigVersion,
@@ -32,129 +32,129 @@
     pub body: Message,
 }
 
-/// What an agent knows of its upstream at this moment.
+/// Current load of an agent's upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Generations that run.
+    /// Running generations.
     pub running: u32,
-    /// Requests that wait at the agent.
+    /// Requests waiting at the agent.
     pub queued: u32,
     /// Memory in use, in tokens.
     pub used_tokens: u64,
-    /// Memory that the running are expected to need, in tokens.
+    /// Expected peak memory of the running generations, in tokens.
     pub expected_tokens: u64,
-    /// Memory in all, in tokens.
+    /// Total memory, in tokens.
     pub capacity_tokens: u64,
-    /// Time for one token of each running generation.
+    /// Time of one decoding step: one token of each running generation.
     pub step: Duration,
-    /// Time until an interactive request would begin.
+    /// Expected wait of an interactive request.
     pub wait_interactive: Duration,
-    /// Time until a batch request would begin.
+    /// Expected wait of a batch request.
     pub wait_batch: Duration,
-    /// Whether the agent takes no new work.
+    /// Whether the agent refuses new work.
     pub leaving: bool,
-    /// Most generations in a batch.
+    /// Maximum number of generations in a batch.
     pub max_batch: u32,
 }
 
-/// How a generation ended.
+/// End of a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finish {
-    /// Number of tokens in all.
+    /// Total number of tokens.
     pub total: u64,
     /// Result of the generation.
     pub code: Code,
-    /// Why it stopped, in the upstream's word.
+    /// Reason for the stop, as given by the upstream.
     pub reason: Name,
     /// HTTP status of a plain service's answer; zero for generations.
     pub status: u16,
     /// Content type of a plain service's answer.
     pub content_type: Name,
-    /// Tokens of the prompt as the upstream counted them.
+    /// Prompt tokens, as counted by the upstream.
     pub prompt_tokens: u32,
-    /// Times the upstream preempted the generation.
+    /// Number of preemptions by the upstream.
     pub preemptions: u32,
-    /// Upstreams that this content crashed, as far as known.
+    /// Known number of upstreams that this content crashed.
     pub crashes: u8,
 }
 
-/// State of a generation that an agent tells a reader of.
+/// State of a generation, as reported by an agent to a reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Standing {
-    /// Reserved, and may yet be started.
+    /// Reserved; may still be started.
     Reserved,
-    /// Reserved once, never started and never will be.
+    /// Reserved but never started, and no longer startable.
     NeverStarted,
-    /// Nothing is known of it here.
+    /// Unknown to this agent.
     Unknown,
-    /// Started, but the part asked for is no longer held.
+    /// Started, but the requested part is no longer held.
     PartGone,
-    /// Started, but as many readers as allowed are attached.
+    /// Started, but the maximum number of readers is attached.
     Crowded,
 }
 
-/// What one process says to another.
+/// Message from one process to another.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// Entry: may this run with you?
+    /// Entry: requests a reservation.
     Offer {
         /// The request.
         request: RequestId,
-        /// Counts the offers made for the request.
+        /// Number of the offer among those for the request.
         attempt: u32,
-        /// What it needs.
+        /// Its resource demand.
         demand: Demand,
-        /// Longest that it may wait at the agent.
+        /// Maximum wait at the agent.
         max_wait: Duration,
     },
-    /// Agent: it waits here and will be accepted or refused.
+    /// Agent: the offer waits here and will be accepted or refused.
     Queued {
         /// The request.
         request: RequestId,
         /// The offer's number.
         attempt: u32,
-        /// Expected time until it is accepted.
+        /// Expected time until acceptance.
         wait: Duration,
     },
-    /// Agent: reserved; start it before the hold lapses.
+    /// Agent: reserved; must be started before the hold expires.
     Accept {
         /// The request.
         request: RequestId,
         /// The offer's number.
         attempt: u32,
-        /// Id that only this reservation has.
+        /// Unique id of this reservation.
         generation: GenerationId,
-        /// How long the reservation is held.
+        /// Lifetime of the reservation.
         hold: Duration,
     },
-    /// Agent: not run here, and will not be under this attempt.
+    /// Agent: refused; nothing has run or will run under this attempt.
     Refuse {
         /// The request.
         request: RequestId,
         /// The offer's number.
         attempt: u32,
-        /// Why.
+        /// Reason.
         code: Code,
-        /// When to come back.
+        /// Time after which to retry.
         retry_after: Duration,
     },
-    /// Entry: the offer or reservation is not wanted any more.
+    /// Entry: withdraws the offer or reservation.
     Withdraw {
         /// The request.
         request: RequestId,
         /// The offer's number.
         attempt: u32,
     },
-    /// Entry: run it.
+    /// Entry: runs the reserved work.
     Start {
         /// The request.
         request: RequestId,
         /// The reservation.
         generation: GenerationId,
-        /// The work itself.
+        /// The work.
         work: Work,
     },
-    /// Entry: give the reader the generation from this token on.
+    /// Entry: attaches a reader to the generation at a token.
     Attach {
         /// The reader's own request id.
         reader: RequestId,
@@ -164,10 +164,10 @@
         generation: GenerationId,
         /// Workspace of the reader; must be the generation's.
         workspace: Name,
-        /// First token wanted.
+        /// First token requested.
         from: u64,
     },
-    /// Agent: tokens, and the end when all were given.
+    /// Agent: tokens, and the end after the last one.
     Tokens {
         /// The reader's request id.
         reader: RequestId,
@@ -175,60 +175,60 @@
         generation: GenerationId,
         /// Tokens; may be empty.
         chunk: Chunk,
-        /// The end, when the chunk reaches it.
+        /// The end, if the chunk reaches it.
         finish: Option<Finish>,
     },
-    /// Agent: no tokens, and why.
+    /// Agent: state of a generation from which no tokens can be sent.
     Stand {
         /// The reader's request id.
         reader: RequestId,
         /// The generation.
         generation: GenerationId,
-        /// How the generation stands.
+        /// State of the generation.
         standing: Standing,
     },
-    /// Entry: all tokens below `next` were handed on.
+    /// Entry: all tokens below `next` were delivered.
     Ack {
         /// The reader's request id.
         reader: RequestId,
         /// The generation.
         generation: GenerationId,
-        /// First token not yet handed on.
+        /// First token not yet delivered.
         next: u64,
     },
-    /// Entry: the caller went away; it may come back.
+    /// Entry: the reader stops reading; its caller may return.
     Detach {
         /// The reader's request id.
         reader: RequestId,
         /// The generation.
         generation: GenerationId,
     },
-    /// Entry: stop the generation.
+    /// Entry: stops the generation.
     Cancel {
         /// The generation.
         generation: GenerationId,
     },
-    /// Any: this content crashed so many upstreams.
+    /// Any: crash count of a content.
     Crashes {
         /// Digest of the content.
         content: Digest,
-        /// Upstreams crashed.
+        /// Number of upstreams crashed.
         count: u8,
     },
-    /// Holder of the fleet's lease: carry this out.
+    /// Holder of the fleet's lease: an order to be executed.
     Order(Order),
-    /// Agent: what became of an order.
+    /// Agent: outcome of an order.
     OrderAnswer {
         /// The order.
         id: RequestId,
-        /// What became of it.
+        /// Outcome.
         code: Code,
-        /// Highest fencing number that the agent knows.
+        /// Highest fencing number known to the agent.
         fence: u64,
     },
-    /// Any: is there anybody, and what changed of late.
+    /// Any: liveness probe, with recently changed records.
     Ping {
-        /// Number to be given back.
+        /// Number to repeat in the pong.
         nonce: u64,
         /// Records that changed.
         records: Vec<MemberRecord>,
@@ -244,14 +244,15 @@
         /// Digest of all records held.
         view: u64,
     },
-    /// Any: ping that member for me and pass its pong on under my number.
+    /// Any: requests an indirect ping of a member; its pong is relayed under the
+    /// sender's number.
     PingVia {
-        /// Number to be given back.
+        /// Number to repeat in the pong.
         nonce: u64,
         /// The member, as the sender knows it.
         target: MemberRecord,
     },
-    /// Any: digests of the parts of all records held.
+    /// Any: digests of the partitions of all records held.
     ViewParts {
         /// Digest of each part.
         parts: Vec<u64>,
@@ -262,28 +263,28 @@
         parts: u64,
         /// Hash of each record.
         hashes: Vec<u64>,
-        /// Whether it answers another of its kind.
+        /// Whether this message replies to another `ViewHashes`.
         reply: bool,
     },
-    /// Any: records that the other side lacks.
+    /// Any: records missing at the receiver.
     ViewPage {
         /// The records.
         records: Vec<MemberRecord>,
     },
-    /// Any: give me your configuration if it is later than this.
+    /// Any: requests the receiver's configuration if it is newer.
     ConfigPull {
-        /// What the sender holds.
+        /// Version held by the sender.
         have: ConfigVersion,
-        /// Part of it wanted, in the order of the parts.
+        /// Index of the requested part.
         part: u32,
     },
     /// Any: one part of the configuration.
     ConfigPart {
         /// Version the part belongs to.
         version: ConfigVersion,
-        /// Number of the part.
+        /// Index of the part.
         part: u32,
-        /// Parts in all.
+        /// Total number of parts.
         parts: u32,
         /// Digest of the whole.
         digest: Digest,
--- a/fireflycroft/src/offer.rs
+++ b/fireflycroft/src/offer.rs
@@ -1,4 +1,5 @@
-//! Offers to an agent: who makes them, what the upstream holds, what becomes of them.
+//! Offers to an agent: their identity, the admission policy, the upstream's
+//! capacity and the decision.
 
 use crate::ids::RequestId;
 use std::time::Duration;
@@ -8,51 +9,51 @@
 pub struct OfferId {
     /// The request.
     pub request: RequestId,
-    /// The offer's number.
+    /// Number of the offer among those for the request.
     pub attempt: u32,
 }
 
-/// How an agent admits.
+/// Admission policy of an agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AdmitPolicy {
-    /// By slots and expected memory, with a queue by priority.
+    /// Admits by slots and expected memory, with a priority queue.
     #[default]
     Expected,
-    /// Everything at once; the upstream queues. A baseline.
+    /// Admits everything immediately; the upstream queues. A baseline.
     PassThrough,
 }
 
-/// Size of the upstream.
+/// Capacity of the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
     /// Memory in tokens.
     pub tokens: u64,
-    /// Most generations in a batch.
+    /// Maximum number of generations in a batch.
     pub max_batch: u32,
-    /// Most requests that wait.
+    /// Maximum number of waiting requests.
     pub max_queue: usize,
 }
 
-/// What the upstream itself reports of its load, late.
+/// Delayed load report of the upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamReport {
     /// Generations in the batch.
     pub running: u32,
-    /// Generations that wait.
+    /// Waiting generations.
     pub waiting: u32,
     /// Memory in use, in tokens.
     pub used_tokens: u64,
 }
 
-/// What becomes of an offer.
+/// Decision on an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmitDecision {
-    /// It may run now; its slot and memory are taken.
+    /// Runs now; its slot and memory are reserved.
     Admit,
-    /// It waits about so long.
+    /// Waits for about this time.
     Queue(Duration),
-    /// It cannot begin in time; come back after so long.
+    /// Cannot begin before its deadline; retry after this time.
     Refuse(Duration),
-    /// It can never fit this upstream.
+    /// Exceeds the memory of this upstream.
     TooLong,
 }
--- a/fireflycroft/src/order.rs
+++ b/fireflycroft/src/order.rs
@@ -1,48 +1,48 @@
 //! Orders to an upstream: load or unload a model, under a fencing number.
 //!
-//! The agent is the door for orders too: it takes none with a number lower
-//! than it has seen, whether or not its upstream looks at numbers. An agent
-//! that was started anew has seen none, so it learns the number of the lease
-//! from the platform first and takes no order until then. A model is not
-//! unloaded while generations run on it.
+//! The agent checks fencing numbers itself, whether or not its upstream does:
+//! it refuses an order with a number lower than the highest it knows. A newly
+//! started agent knows none, so it refuses all orders until it has read the
+//! number of the lease from the platform. A model is not unloaded while
+//! generations run on it.
 
 use crate::code::Code;
 use crate::ids::{Name, RequestId};
 
-/// What an upstream is to do.
+/// Action that an order requests of the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OrderKind {
-    /// Hold the model.
+    /// Load the model.
     Load,
-    /// Give the model up.
+    /// Unload the model.
     Unload,
 }
 
 /// One order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Order {
-    /// Names the order; copies have the same.
+    /// Identifies the order; duplicates share it.
     pub id: RequestId,
     /// Fencing number of the issuer's lease.
     pub fence: u64,
-    /// What to do.
+    /// Requested action.
     pub kind: OrderKind,
     /// The model.
     pub model: Name,
 }
 
-/// What an agent does with an order.
+/// Decision of an agent on an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderDecision {
-    /// Pass it on to the upstream.
+    /// Forward it to the upstream.
     Forward,
-    /// A copy of the one under way: say nothing yet.
+    /// A duplicate of the order in progress: do not answer yet.
     InProgress,
-    /// Answer with this code; it is not passed on.
+    /// Answer with this code without forwarding it.
     Answer(Code),
 }
 
-/// Orders as one agent sees them.
+/// Fencing number and order state of one agent.
 #[derive(Clone, Debug, Default)]
 pub struct Orders {
     highest: Option<u64>,
@@ -51,12 +51,12 @@
 }
 
 impl Orders {
-    /// Learns a fencing number from the platform.
+    /// Raises the highest known fencing number to one read from the platform.
     pub fn observe_fence(&mut self, fence: u64) {
         self.highest = Some(self.highest.map_or(fence, |h| h.max(fence)));
     }
 
-    /// Highest fencing number known; `None` until one was learnt.
+    /// Returns the highest known fencing number; `None` until one is known.
     #[must_use]
     pub const fn highest(&self) -> Option<u64> {
         self.highest
@@ -86,14 +86,14 @@
         OrderDecision::Forward
     }
 
-    /// Notes the upstream's answer; gives the order it was for.
+    /// Records the upstream's answer and returns the order that it settles.
     pub fn settle(&mut self, code: Code) -> Option<Order> {
         let order = self.in_progress.take()?;
         self.last = Some((order.id, code));
         Some(order)
     }
 
-    /// Model that is being loaded or unloaded.
+    /// Returns the model that is being loaded or unloaded.
     #[must_use]
     pub fn model_in_progress(&self) -> Option<&Name> {
         self.in_progress.as_ref().map(|o| &o.model)
--- a/fireflycroft/src/quarantine.rs
+++ b/fireflycroft/src/quarantine.rs
@@ -1,21 +1,23 @@
-//! Content that crashes upstreams: counted by digest, refused from a bound on.
+//! Quarantine of content that crashes upstreams, by digest.
 //!
-//! One crash makes every request that ran there a suspect; a suspect is run
-//! beside no other suspect, so that the next crash tells them apart. At
-//! [`CRASH_LIMIT`] the content is refused. Entries are bounded and expire.
+//! A crash makes every request that ran on the upstream a suspect. Suspects
+//! of different content never run together on an upstream, so that the next crash
+//! separates them. At [`CRASH_LIMIT`] crashes the content is refused. Records are
+//! bounded and expire.
 
 use crate::ids::Digest;
 use crate::time::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Crashes at which content is refused.
+/// Number of crashes at which content is refused.
 pub const CRASH_LIMIT: u8 = 2;
 
-/// Digests kept at once; the oldest goes when more come.
+/// Maximum number of digests; the one with the fewest crashes, then the oldest,
+/// is evicted first.
 pub const MAX_DIGESTS: usize = 4_096;
 
-/// How long a digest is kept after its last crash.
+/// Retention of a digest after its last crash.
 pub const CRASH_RETENTION: Duration = Duration::from_hours(1);
 
 #[derive(Clone, Copy, Debug)]
@@ -31,19 +33,19 @@
 }
 
 impl Quarantine {
-    /// Upstreams that the content crashed, as far as known here.
+    /// Returns the known number of upstreams that the content crashed.
     #[must_use]
     pub fn crashes(&self, content: Digest) -> u8 {
         self.records.get(&content).map_or(0, |e| e.crashes)
     }
 
-    /// Whether the content is refused.
+    /// Returns whether the content is refused.
     #[must_use]
     pub fn is_refused(&self, content: Digest) -> bool {
         self.crashes(content) >= CRASH_LIMIT
     }
 
-    /// Takes a count from a peer or an upstream; true when it is news.
+    /// Records a crash count; returns true if it is higher than the known one.
     pub fn record(&mut self, now: Time, content: Digest, crashes: u8) -> bool {
         if crashes <= self.crashes(content) {
             return false;
@@ -56,13 +58,13 @@
         true
     }
 
-    /// Forgets what has expired.
+    /// Removes expired records.
     pub fn expire(&mut self, now: Time) {
         self.records
             .retain(|_, e| now.since(e.last) < CRASH_RETENTION);
     }
 
-    /// Number of digests that are refused.
+    /// Returns the number of refused digests.
     #[must_use]
     pub fn refused_count(&self) -> usize {
         self.records
--- a/fireflycroft/src/quota.rs
+++ b/fireflycroft/src/quota.rs
@@ -1,14 +1,16 @@
-//! Quotas of workspaces in tokens a minute, without a call a request.
+//! Workspace quotas in tokens per minute, checked locally without a remote call
+//! per request.
 //!
-//! Each entry holds its share of the quota, the whole divided by the entries
-//! alive, as a token bucket of one minute's depth.
+//! Each entry holds its share, the quota divided by the number of live entries,
+//! as a token bucket with a depth of one minute.
 
 use crate::ids::Name;
 use crate::time::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Workspaces whose buckets are kept; full ones are dropped first.
+/// Number of buckets at which those unused for a minute, normally full again,
+/// are dropped.
 pub const MAX_BUCKETS: usize = 65_536;
 
 const MINUTE_SECS: f64 = 60.0;
@@ -26,11 +28,11 @@
 }
 
 impl Quotas {
-    /// Takes `tokens` from the share of a workspace, or says when to come back.
+    /// Takes `tokens` from a workspace's share of the quota.
     ///
     /// # Errors
     ///
-    /// Time until the share holds enough again.
+    /// Returns the time until the bucket holds enough tokens.
     #[allow(clippy::cast_precision_loss)]
     pub fn take(
         &mut self,
@@ -51,7 +53,7 @@
         bucket.level =
             (bucket.level + rate * now.since(bucket.updated_at).as_secs_f64()).min(depth);
         bucket.updated_at = now;
-        // More than a whole minute's share is let through from a full bucket.
+        // A request for more than a minute's share passes if the bucket is full.
         let required = (tokens as f64).min(depth);
         if bucket.level < required {
             return Err(Duration::from_secs_f64((required - bucket.level) / rate));
@@ -60,7 +62,7 @@
         Ok(())
     }
 
-    /// Gives back tokens that were taken and not used.
+    /// Refunds tokens that were taken and not used.
     #[allow(clippy::cast_precision_loss)]
     pub fn refund(&mut self, workspace: &Name, tokens: u64) {
         if let Some(bucket) = self.buckets.get_mut(workspace) {
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Charges tokens that were used, below zero if need be.
+    /// Charges used tokens; the level may become negative.
     #[allow(clippy::cast_precision_loss)]
     pub fn charge(&mut self, workspace: &Name, tokens: u64) {
         if let Some(bucket) = self.buckets.get_mut(workspace) {
--- a/fireflycroft/src/stream.rs
+++ b/fireflycroft/src/stream.rs
@@ -1,9 +1,8 @@
-//! Tokens of one generation, numbered and kept, and the place a reader is at.
+//! Numbered tokens of a generation, and the position of a reader.
 //!
-//! The agent appends to a [`TokenLog`] and cuts [`Chunk`]s from it at any
-//! offset still held. The entry owns a [`Cursor`]: it takes only the next
-//! offset of the one generation it began to deliver, drops what overlaps and
-//! asks again for what is missing.
+//! The agent appends to a [`TokenLog`] and reads [`Chunk`]s from any offset that
+//! it still holds. The entry's [`Cursor`] accepts only the next tokens of the
+//! generation that it began to deliver, drops duplicates and reports gaps.
 
 use crate::ids::GenerationId;
 
@@ -19,33 +18,33 @@
 }
 
 impl Chunk {
-    /// Tokens in the chunk.
+    /// Returns the number of tokens in the chunk.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.lens.len() as u64
     }
 
-    /// Number of the token after the last.
+    /// Returns the number of the token after the last.
     #[must_use]
     pub fn end(&self) -> u64 {
         self.offset + self.count()
     }
 
-    /// Whether the lengths add up to the data.
+    /// Returns whether the lengths add up to the length of the data.
     #[must_use]
     pub fn is_consistent(&self) -> bool {
         let total: u64 = self.lens.iter().map(|len| u64::from(*len)).sum();
         total == self.data.len() as u64
     }
 
-    /// Adds one token at the end.
+    /// Appends one token.
     pub fn push(&mut self, token: &[u8]) {
         self.data.extend_from_slice(token);
         self.lens
             .push(u32::try_from(token.len()).unwrap_or(u32::MAX));
     }
 
-    /// The tokens, in order.
+    /// Iterates over the tokens in order.
     pub fn tokens(&self) -> impl Iterator<Item = &[u8]> {
         let mut rest = self.data.as_slice();
         self.lens.iter().map(move |len| {
@@ -66,7 +65,7 @@
     }
 }
 
-/// Tokens of one generation, kept for readers to come.
+/// Tokens of one generation, kept for readers that attach later.
 #[derive(Clone, Debug, Default)]
 pub struct TokenLog {
     held: Chunk,
@@ -74,19 +73,19 @@
 }
 
 impl TokenLog {
-    /// Number of the token that comes next.
+    /// Returns the number of the next token.
     #[must_use]
     pub fn end(&self) -> u64 {
         self.held.end()
     }
 
-    /// Number of the first token still held.
+    /// Returns the number of the first token still held.
     #[must_use]
     pub fn first(&self) -> u64 {
         self.held.offset
     }
 
-    /// Bytes held.
+    /// Returns the bytes held.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.held.data.len()
@@ -111,7 +110,7 @@
         }
     }
 
-    /// Drops the oldest tokens until at least so many bytes are free.
+    /// Drops the oldest tokens until at least `bytes` bytes are freed.
     pub fn release_bytes(&mut self, bytes: usize) {
         let kept = self.held.data.len().saturating_sub(bytes);
         let at_most = |start: &usize| self.held.data.len() - *start > kept;
@@ -119,9 +118,10 @@
         self.release_below(self.held.offset + count as u64);
     }
 
-    /// Tokens from `offset` on, at most `max_tokens` and about `max_bytes`.
+    /// Returns tokens from `offset` on: at most `max_tokens`, and at most
+    /// `max_bytes` unless the first token alone is longer.
     ///
-    /// `None` when that part is no longer held or not there yet.
+    /// `None` if `offset` is no longer held or lies beyond the end.
     #[must_use]
     pub fn chunk_at(&self, offset: u64, max_tokens: usize, max_bytes: usize) -> Option<Chunk> {
         let skip = usize::try_from(offset.checked_sub(self.held.offset)?).ok()?;
@@ -149,32 +149,32 @@
     }
 }
 
-/// What became of a chunk that arrived.
+/// Outcome of a received chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChunkOutcome {
-    /// These tokens are next; hand them on.
+    /// The next tokens, to be delivered.
     Next(Chunk),
-    /// All of it was delivered before.
+    /// All of it was received before.
     Duplicate,
     /// Tokens from this number on are missing.
     Gap(u64),
     /// It belongs to another generation.
     OtherGeneration,
-    /// Its lengths do not add up.
+    /// Its lengths do not add up to its data.
     Malformed,
 }
 
-/// Place of one reader in the one generation it delivers.
+/// Position of a reader in the generation that it delivers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cursor {
-    /// The generation that is delivered.
+    /// The generation delivered.
     pub generation: GenerationId,
-    /// Number of the token that comes next.
+    /// Number of the next token.
     pub next: u64,
 }
 
 impl Cursor {
-    /// Takes what is next of `chunk` and moves on.
+    /// Returns the new tokens of `chunk` and advances past them.
     pub fn advance(&mut self, generation: GenerationId, mut chunk: Chunk) -> ChunkOutcome {
         if generation != self.generation {
             return ChunkOutcome::OtherGeneration;
--- a/fireflycroft/src/time.rs
+++ b/fireflycroft/src/time.rs
@@ -1,7 +1,7 @@
-//! Monotonic time as the core sees it: an argument, never a clock.
+//! Monotonic time, passed to the core as an argument; the core reads no clock.
 //!
-//! A process gives the microseconds since its own start. Values of two
-//! processes are never compared; what crosses the wire is a duration.
+//! Values count microseconds since the start of the process. Values of two
+//! processes are never compared; messages carry durations only.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -11,13 +11,13 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// Time of `millis` milliseconds after the start.
+    /// Returns the time `millis` milliseconds after the start.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Time passed since `earlier`; zero when `earlier` is later.
+    /// Returns the time since `earlier`; zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -40,13 +40,13 @@
     }
 }
 
-/// Whole microseconds of `span`, at most what a `u64` holds.
+/// Returns the whole microseconds of `span`, saturating at `u64::MAX`.
 #[must_use]
 pub(crate) fn whole_micros(span: Duration) -> u64 {
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Whole milliseconds of `span`, at most what a `u64` holds.
+/// Returns the whole milliseconds of `span`, saturating at `u64::MAX`.
 #[must_use]
 pub fn whole_millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
--- a/fireflycroft/src/work.rs
+++ b/fireflycroft/src/work.rs
@@ -1,69 +1,69 @@
-//! What a caller asks for, and how much of an upstream it may take.
+//! The work of a request and its demand on an upstream.
 
 use crate::ids::{Digest, Name};
 use std::sync::Arc;
 
-/// How urgent a request is.
+/// Priority of a request.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Long work that may wait.
+    /// Long-running work that may wait.
     Batch,
-    /// Somebody waits at a counter.
+    /// A person waits for the answer.
     Interactive,
 }
 
-/// The work itself, opaque to the core.
+/// Work of a request, opaque to the core.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// A generation of a model; `body` is the caller's JSON.
+    /// A generation by a model.
     Generate {
-        /// JSON body as the upstream takes it.
+        /// The caller's JSON body, in the upstream's format.
         body: Arc<[u8]>,
     },
     /// A call to a plain service.
     Call {
         /// HTTP method.
         method: Name,
-        /// Path and query below the service.
+        /// Path and query, relative to the service.
         path: Name,
         /// Value of `Content-Type`; empty for none.
         content_type: Name,
-        /// Body, as it came.
+        /// Unchanged body.
         body: Arc<[u8]>,
     },
 }
 
-/// What is known of a request before it runs.
+/// Properties of a request that are known before it runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Demand {
-    /// Workspace that asks.
+    /// Workspace of the caller.
     pub workspace: Name,
-    /// Model or plain service that is to answer.
+    /// Model or plain service requested.
     pub target: Name,
-    /// How urgent it is.
+    /// Priority.
     pub priority: Priority,
-    /// Tokens of the prompt, as the entry estimates them.
+    /// Prompt tokens, estimated by the entry.
     pub prompt_tokens: u32,
-    /// Most tokens that the caller will take.
+    /// Maximum number of tokens that the caller accepts.
     pub max_tokens: u32,
-    /// Digest of the prompt's head, for prefix affinity.
+    /// Digest of the prompt's beginning, for prefix affinity.
     pub prefix: Digest,
     /// Digest of the whole content, for quarantine.
     pub content: Digest,
-    /// Whether it may be run again.
+    /// Whether it may be run again after a failure.
     pub retryable: bool,
-    /// Upstreams that crashed while running this content.
+    /// Number of upstreams that crashed while running this content.
     pub crashes: u8,
 }
 
-/// Path under which generations are asked for.
+/// Path of generation requests.
 pub const CHAT_PATH: &str = "/v1/chat/completions";
 
 impl Work {
-    /// Bytes that the work holds.
+    /// Returns the length of the body in bytes.
     #[must_use]
     pub fn len(&self) -> usize {
         match self {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Method and path, for rules on repeating.
+    /// Returns the method and path, for the retry rules.
     #[must_use]
     pub fn method_and_path(&self) -> (&str, &str) {
         match self {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether the body is empty.
+    /// Returns whether the body is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
