--- a/fireflycroft/src/agent_reservations.rs
+++ b/fireflycroft/src/agent_reservations.rs
@@ -45,7 +45,7 @@
                 out.push(AgentAction::Send(from, queued(offer, wait)));
             }
             AdmitDecision::Refuse(retry) => {
-                self.refuse(now, from, offer, Code::Overloaded, retry, out)
+                self.refuse(now, from, offer, Code::Overloaded, retry, out);
             }
             AdmitDecision::TooLong => {
                 self.refuse(now, from, offer, Code::PromptTooLong, Duration::ZERO, out);
@@ -226,7 +226,7 @@
         };
         match g.stage {
             Stage::Expired(_) => {
-                out.push(status_message(from, request, id, Standing::NeverStarted))
+                out.push(status_message(from, request, id, Standing::NeverStarted));
             }
             Stage::Running | Stage::Finished(_) => {
                 // A duplicate: the first start already ran it.
--- a/fireflycroft/tests/admit.rs
+++ b/fireflycroft/tests/admit.rs
@@ -92,8 +92,8 @@
         };
         let until = self.now + MAX_WAIT;
         let demand = demand(priority, prompt);
-        let verdict = self.admission.offer(self.now, offer, &demand, until);
-        (offer, verdict)
+        let decision = self.admission.offer(self.now, offer, &demand, until);
+        (offer, decision)
     }
 
     fn produce(&mut self, offer: OfferId, total: u64) {
@@ -105,14 +105,14 @@
 
     /// Offers until one is not admitted; gives the admitted ones.
     fn fill(&mut self, priority: Priority, prompt: u32) -> Vec<OfferId> {
-        let mut taken = Vec::new();
+        let mut admitted = Vec::new();
         loop {
-            let (offer, verdict) = self.offer(priority, prompt);
-            if verdict != AdmitDecision::Admit {
+            let (offer, decision) = self.offer(priority, prompt);
+            if decision != AdmitDecision::Admit {
                 self.admission.release(offer);
-                return taken;
+                return admitted;
             }
-            taken.push(offer);
+            admitted.push(offer);
         }
     }
 }
@@ -136,14 +136,14 @@
 /// Ten prompts would fit at once, but not the answers that they grow.
 fn counts_expected_memory() {
     let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 2_000);
-    let taken = fixture.fill(Priority::Batch, 1_000).len();
-    assert!((2..=3).contains(&taken), "{taken}");
+    let admitted = fixture.fill(Priority::Batch, 1_000).len();
+    assert!((2..=3).contains(&admitted), "{admitted}");
 }
 
 fn short_lengths_admit_more() {
     let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 20);
-    let taken = fixture.fill(Priority::Batch, 1_000).len();
-    assert!((7..=9).contains(&taken), "{taken}");
+    let admitted = fixture.fill(Priority::Batch, 1_000).len();
+    assert!((7..=9).contains(&admitted), "{admitted}");
 }
 
 fn headroom_of_memory() {
@@ -170,13 +170,13 @@
 
 fn batch_keeps_order() {
     let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 500);
-    let taken = fixture.fill(Priority::Batch, 1_500);
-    let (large, verdict) = fixture.offer(Priority::Batch, 2_000);
-    assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
-    let (small, verdict) = fixture.offer(Priority::Batch, 1);
-    assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
+    let admitted = fixture.fill(Priority::Batch, 1_500);
+    let (large, decision) = fixture.offer(Priority::Batch, 2_000);
+    assert!(matches!(decision, AdmitDecision::Queue(_)), "{decision:?}");
+    let (small, decision) = fixture.offer(Priority::Batch, 1);
+    assert!(matches!(decision, AdmitDecision::Queue(_)), "{decision:?}");
     assert_eq!(fixture.admission.next(fixture.now), None);
-    for offer in taken {
+    for offer in admitted {
         fixture.admission.release(offer);
     }
     assert_eq!(fixture.admission.next(fixture.now), Some(large));
@@ -187,8 +187,8 @@
     let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 20);
     let first = fixture.fill(Priority::Interactive, 10);
     fixture.offer(Priority::Batch, 10);
-    let (interactive, verdict) = fixture.offer(Priority::Interactive, 10);
-    assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
+    let (interactive, decision) = fixture.offer(Priority::Interactive, 10);
+    assert!(matches!(decision, AdmitDecision::Queue(_)), "{decision:?}");
     fixture.admission.release(first[0]);
     assert_eq!(fixture.admission.next(fixture.now), Some(interactive));
 }
@@ -200,10 +200,10 @@
     for _ in 0..5 {
         fixture.offer(Priority::Interactive, 1_400);
     }
-    let (_, verdict) = fixture.offer(Priority::Batch, 6_000);
-    assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
-    let (young, verdict) = fixture.offer(Priority::Interactive, 500);
-    assert_eq!(verdict, AdmitDecision::Admit);
+    let (_, decision) = fixture.offer(Priority::Batch, 6_000);
+    assert!(matches!(decision, AdmitDecision::Queue(_)), "{decision:?}");
+    let (young, decision) = fixture.offer(Priority::Interactive, 500);
+    assert_eq!(decision, AdmitDecision::Admit);
     fixture.admission.release(young);
     fixture.now = fixture.now + MAX_WAIT / 2;
     assert!(fixture.offer(Priority::Interactive, 500).1 != AdmitDecision::Admit);
@@ -227,8 +227,8 @@
     let mut fixture = fixture_with_prefill();
     let (interactive, _) = fixture.offer(Priority::Interactive, 10);
     fixture.produce(interactive, 2);
-    let (long, verdict) = fixture.offer(Priority::Batch, 2_000);
-    assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
+    let (long, decision) = fixture.offer(Priority::Batch, 2_000);
+    assert!(matches!(decision, AdmitDecision::Queue(_)), "{decision:?}");
     assert_eq!(fixture.admission.next(fixture.now), None);
     fixture.now = fixture.now + MAX_WAIT / 2;
     assert_eq!(fixture.admission.next(fixture.now), Some(long));
@@ -244,10 +244,10 @@
 /// Two prompts in one step would hold up the others twice as long.
 fn prompts_join_apart() {
     let mut fixture = fixture_with_prefill();
-    let (first, verdict) = fixture.offer(Priority::Batch, 2_000);
-    assert_eq!(verdict, AdmitDecision::Admit);
-    let (second, verdict) = fixture.offer(Priority::Batch, 2_000);
-    assert!(matches!(verdict, AdmitDecision::Queue(_)), "{verdict:?}");
+    let (first, decision) = fixture.offer(Priority::Batch, 2_000);
+    assert_eq!(decision, AdmitDecision::Admit);
+    let (second, decision) = fixture.offer(Priority::Batch, 2_000);
+    assert!(matches!(decision, AdmitDecision::Queue(_)), "{decision:?}");
     assert_eq!(fixture.admission.next(fixture.now), None);
     fixture.now = fixture.now + MAX_WAIT / 2;
     fixture.admission.record_progress(fixture.now, first, 1);
@@ -257,9 +257,9 @@
 /// Entries steer by the load told, so it must not stay what the last offer left.
 fn load_is_fresh() {
     let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 500);
-    let taken = fixture.fill(Priority::Batch, 1_500);
+    let admitted = fixture.fill(Priority::Batch, 1_500);
     assert!(fixture.admission.load().expected_tokens > 5_000);
-    for offer in taken {
+    for offer in admitted {
         fixture.admission.release(offer);
     }
     assert_eq!(fixture.admission.load().expected_tokens, 0);
@@ -277,13 +277,13 @@
 
 fn wait_shrinks() {
     let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 200);
-    let taken = fixture.fill(Priority::Batch, 1_000);
+    let admitted = fixture.fill(Priority::Batch, 1_000);
     let (queued, _) = fixture.offer(Priority::Batch, 1_000);
     let long = fixture.admission.expected_wait(Priority::Batch);
     fixture.admission.release(queued);
     let short = fixture.admission.expected_wait(Priority::Batch);
     assert!(short < long, "{short:?} {long:?}");
-    for offer in taken {
+    for offer in admitted {
         fixture.admission.release(offer);
     }
     assert_eq!(fixture.admission.next(fixture.now), None);
@@ -309,9 +309,9 @@
 
 fn releases() {
     let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 20);
-    let taken = fixture.fill(Priority::Batch, 10);
+    let admitted = fixture.fill(Priority::Batch, 10);
     let (waiting, _) = fixture.offer(Priority::Batch, 10);
-    fixture.admission.release(taken[3]);
+    fixture.admission.release(admitted[3]);
     assert_eq!(fixture.admission.next(fixture.now), Some(waiting));
 }
 
--- a/fireflycroft/tests/order.rs
+++ b/fireflycroft/tests/order.rs
@@ -30,8 +30,8 @@
 
 cases! {
     an_agent_that_knows_no_number_takes_no_order: {
-        let verdict = Orders::default().decide(&load(1, 7), 0);
-        assert_eq!(verdict, OrderDecision::Answer(Code::OrderTooEarly));
+        let decision = Orders::default().decide(&load(1, 7), 0);
+        assert_eq!(decision, OrderDecision::Answer(Code::OrderTooEarly));
     }
 
     the_number_in_force_is_taken: {
--- a/fireflycroft/tests/support/upstream.rs
+++ b/fireflycroft/tests/support/upstream.rs
@@ -92,7 +92,7 @@
             UpstreamMode::Die(n) | UpstreamMode::Break(n) | UpstreamMode::Lose(n)
                 if n > active.sent =>
             {
-                limit = limit.min(n)
+                limit = limit.min(n);
             }
             _ => {}
         }
