--- a/fireflycroft/tests/admit.rs
+++ b/fireflycroft/tests/admit.rs
@@ -1,4 +1,4 @@
-//! Admission at the agent, step by step without a clock.
+//! Tests of the agent's admission control, with simulated time.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -17,7 +17,7 @@
     max_batch: 16,
     max_queue: 8,
 };
-/// Time for one token.
+/// Time of one decoding step.
 const STEP: Duration = Duration::from_millis(20);
 const MAX_WAIT: Duration = Duration::from_secs(10);
 
@@ -43,7 +43,7 @@
     bounds_hold_in_any_order => bounds_hold();
 }
 
-/// An admission with the numbers and times of its offers.
+/// Admission control with simulated time and a counter of offers.
 struct AdmissionFixture {
     admission: Admission,
     now: Time,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// A door that has seen many answers of that length.
+    /// Creates a fixture that has learned many answers of that length.
     fn with_lengths(priority: Priority, length: u64) -> Self {
         let mut fixture = Self::new(AdmitPolicy::Expected);
         for _ in 0..300 {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Offers until one is not admitted; gives the admitted ones.
+    /// Offers requests until one is not admitted; returns the admitted ones.
     fn fill(&mut self, priority: Priority, prompt: u32) -> Vec<OfferId> {
         let mut admitted = Vec::new();
         loop {
@@ -133,7 +133,7 @@
     );
 }
 
-/// Ten prompts would fit at once, but not the answers that they grow.
+/// Ten prompts would fit, but not together with their expected answers.
 fn counts_expected_memory() {
     let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 2_000);
     let admitted = fixture.fill(Priority::Batch, 1_000).len();
@@ -193,8 +193,8 @@
     assert_eq!(fixture.admission.next(fixture.now), Some(interactive));
 }
 
-/// Interactive work past its floor may not take the room that a batch
-/// request has waited for; before that it may.
+/// Interactive requests beyond their slot floor may not take the memory set
+/// aside for an aged batch request; before it is aged they may.
 fn aged_batch_is_kept_room() {
     let mut fixture = AdmissionFixture::with_lengths(Priority::Interactive, 20);
     for _ in 0..5 {
@@ -209,7 +209,7 @@
     assert!(fixture.offer(Priority::Interactive, 500).1 != AdmitDecision::Admit);
 }
 
-/// A door that knows a prompt's token to take a hundredth of a step.
+/// Creates a fixture that has learned a prefill time of 1/100 step per token.
 fn fixture_with_prefill() -> AdmissionFixture {
     let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 20);
     for _ in 0..20 {
@@ -241,7 +241,7 @@
     assert_eq!(fixture.offer(Priority::Batch, 200).1, AdmitDecision::Admit);
 }
 
-/// Two prompts in one step would hold up the others twice as long.
+/// Two prefills in one step would delay the other requests twice as long.
 fn prompts_join_apart() {
     let mut fixture = fixture_with_prefill();
     let (first, decision) = fixture.offer(Priority::Batch, 2_000);
@@ -254,7 +254,7 @@
     assert_eq!(fixture.admission.next(fixture.now), Some(second));
 }
 
-/// Entries steer by the load told, so it must not stay what the last offer left.
+/// Entries route by the reported load, so it must be updated without new offers.
 fn load_is_fresh() {
     let mut fixture = AdmissionFixture::with_lengths(Priority::Batch, 500);
     let admitted = fixture.fill(Priority::Batch, 1_500);
@@ -352,8 +352,8 @@
     ]
 }
 
-/// Prompts held never exceed the memory, nor the batch its bound, nor the
-/// line its own; and nobody is let in twice.
+/// Admitted prompts stay within the memory, and batch and queue within their
+/// bounds; no request is admitted twice.
 fn bounds_hold() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
     let mut runner = TestRunner::new_with_rng(Config::with_cases(200), rng);
--- a/fireflycroft/tests/bounds.rs
+++ b/fireflycroft/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Every table has a limit, and a stated result when it is reached.
+//! Every table has a limit, with a defined result when it is reached.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use support::oracle::Outcome;
 use support::upstream::UpstreamMode;
 
-/// Tokens that an agent sends ahead of what the caller has taken.
+/// Tokens that an agent sends beyond the last acknowledgement.
 const WINDOW: u64 = 2_048;
 
 cases! {
@@ -23,7 +23,7 @@
         assert_eq!(last, Some(Outcome::Failed(Code::Overloaded)));
     }
 
-    /// A caller who takes nothing is not given more than two windows.
+    /// A caller that reads nothing is sent at most two windows.
     caller_who_takes_nothing(world) {
         world.stall_callers(true);
         let call = world.submit(0, Ask { content: GIANT, ..Ask::default() }).unwrap();
@@ -35,7 +35,7 @@
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
     }
 
-    /// None is over its own bound, but all of them together are.
+    /// Each answer is within its own limit, but their total is not.
     whole_answers_held_back_at_once(world) {
         let ask = Ask { content: 4, whole: true, ..Ask::default() };
         let calls: Vec<_> = (0..12).map(|_| world.submit(0, ask).unwrap()).collect();
@@ -52,7 +52,7 @@
         assert_eq!(of(whole) + of(large), calls.len());
     }
 
-    /// The upstream gives nothing: its caller does not wait for ever.
+    /// An upstream without output must not leave its caller waiting for ever.
     upstream_that_hangs(world) {
         for agent in 0..ENGINES {
             world.set_upstream_mode(agent, UpstreamMode::Full);
@@ -65,7 +65,7 @@
         assert_eq!(world.outcome(call), Some(late));
     }
 
-    /// Nobody reads it any more: the engine is not kept for it.
+    /// A generation without readers must not occupy the engine.
     run_that_nobody_reads(world) {
         let call = world.submit(0, Ask { content: GIANT, ..Ask::default() }).unwrap();
         world.advance(100);
@@ -77,7 +77,7 @@
         assert_eq!(world.running(agent), 0);
     }
 
-    /// Nobody withdraws what a dead entry had offered.
+    /// Offers of a dead entry are never withdrawn; they must expire.
     waits_of_a_dead_entry(world) {
         for agent in 0..ENGINES {
             world.set_upstream_mode(agent, UpstreamMode::Full);
@@ -92,7 +92,7 @@
         assert_eq!(world.max_queued(), 0);
     }
 
-    /// More offers within a minute than an agent remembers.
+    /// More offers arrive within a minute than an agent remembers.
     offers_at_the_agents_bound(world) {
         for agent in 0..ENGINES {
             world.set_upstream_mode(agent, UpstreamMode::Full);
--- a/fireflycroft/tests/length.rs
+++ b/fireflycroft/tests/length.rs
@@ -1,4 +1,4 @@
-//! Remaining lengths, against lengths that are known.
+//! Tests of estimated answer lengths against known distributions.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -10,7 +10,7 @@
 
 /// Longest answer in these tests.
 const LIMIT: u64 = 16_384;
-/// Most that a learned probability may be off.
+/// Maximum error of a learned probability.
 const TOLERANCE: f64 = 0.06;
 
 cases! {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Feeds one whole answer, a few tokens at a time.
+/// Records one complete answer, seven tokens at a time.
 fn feed(lengths: &mut AnswerLengths, key: &LengthKey, total: u64) {
     let mut at = 0;
     while at < total {
@@ -61,7 +61,7 @@
     assert!((50.0..5_000.0).contains(&mean), "{mean}");
 }
 
-/// Share of `totals` above `tokens`, and what was learned, at doublings.
+/// Compares learned survival with the share of `totals`, at powers of two.
 fn learns(totals: &[u64], longest: u64) {
     let survival = learned(totals);
     let mut at = 2;
@@ -84,7 +84,7 @@
     assert!((1_400.0..2_600.0).contains(&late), "{late}");
 }
 
-/// Answers that never end must not leave only the short ones to be seen.
+/// Answers that still run must count; otherwise only short ones are observed.
 fn running_answers_count() {
     let mut lengths = AnswerLengths::default();
     for _ in 0..200 {
--- a/fireflycroft/tests/order.rs
+++ b/fireflycroft/tests/order.rs
@@ -1,4 +1,4 @@
-//! Orders at the agent: fencing, copies and busy upstreams.
+//! Tests of orders at the agent: fencing, duplicates and busy upstreams.
 
 use fireflycroft::{Code, Name, Order, OrderDecision, OrderKind, Orders, RequestId};
 
--- a/fireflycroft/tests/point1_tokens.rs
+++ b/fireflycroft/tests/point1_tokens.rs
@@ -1,4 +1,4 @@
-//! Point 1: every token once, in order, of one generation.
+//! Point 1: tokens are delivered exactly once, in order, from one generation.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use support::upstream::UpstreamMode;
 use support::world::World;
 
-/// Tokens of the content that most cases ask for.
+/// Length in tokens of the content requested in most cases.
 const LONG: u64 = 400;
 
 fn long() -> Ask {
@@ -43,7 +43,7 @@
         assert_eq!((world.next(rest), world.runs(first)), (LONG, 1));
     }
 
-    /// A new entry has not heard of the agent yet: the caller may come again.
+    /// A new entry has no record of the agent yet: the caller may retry.
     caller_back_through_an_entry_that_knows_no_agent(world) {
         let first = world.submit(0, long()).unwrap();
         world.advance(100);
@@ -60,7 +60,7 @@
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
 
-    /// The caller lost the last tokens that its entry had sent.
+    /// The caller did not receive the last tokens that its entry sent.
     caller_back_at_an_earlier_token(world) {
         let first = world.submit(0, long()).unwrap();
         world.advance(500);
@@ -70,7 +70,7 @@
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
 
-    /// A caller who resumes and wants the rest all at once gets it numbered.
+    /// A caller that resumes with whole delivery gets correctly numbered tokens.
     whole_rest_is_numbered_from_the_resume_point(world) {
         let first = world.submit(0, whole(Ask::default())).unwrap();
         world.advance(2_000);
@@ -110,14 +110,15 @@
         assert_eq!(world.runs(call), 1);
     }
 
-    /// Given up on mid-stream: no splice, and the caller may come back.
+    /// The entry gives up mid-stream without splicing in another generation; the
+    /// caller may resume.
     agent_link_cut_for_good_then_resumed(world) {
         let call = world.submit(0, long()).unwrap();
         world.advance(200);
         let agent = Proc::Agent(world.agent_of(call).unwrap()).addr();
         world.net.cut(agent, Proc::Entry(0).addr());
         world.advance(9_000);
-        assert_eq!(world.outcome(call), None, "nobody else can go on with it yet");
+        assert_eq!(world.outcome(call), None, "gave up before the long silence");
         world.advance(2_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::OutcomeUnknown)));
         let rest = world.resume(1, call, world.next(call)).unwrap();
@@ -151,7 +152,7 @@
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
 
-    /// What came while the entry was frozen is read before time is counted.
+    /// Messages received while the entry was frozen are read before timeouts fire.
     entry_frozen_past_the_silence(world) {
         for timers_first in [false, true] {
             let call = world.submit(0, long()).unwrap();
@@ -189,7 +190,7 @@
         assert_eq!((world.next(call), world.runs(call)), (50, 1));
     }
 
-    /// Nobody saw any of it, so it starts afresh unseen.
+    /// The caller has received nothing, so it restarts without notice.
     engine_killed_under_a_whole_answer(world) {
         let call = world.submit(0, whole(Ask::default())).unwrap();
         world.advance(5);
@@ -250,7 +251,7 @@
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::AnswerTooLarge)));
     }
 
-    /// One stream is longer than all the bytes that the agent may keep.
+    /// The stream is longer than the agent's byte limit.
     stream_over_the_agents_buffer(world) {
         let call = world.submit(0, Ask { content: HUGE, ..Ask::default() }).unwrap();
         world.advance_until(60_000, |w| {
@@ -260,7 +261,7 @@
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
     }
 
-    /// A reader that does not keep up loses its place, not the agent's memory.
+    /// A slow reader loses its position; the agent stays within its byte limit.
     reader_behind_the_agents_buffer(world) {
         let call = world.submit(0, Ask { content: HUGE, ..Ask::default() }).unwrap();
         world.advance(100);
@@ -272,7 +273,7 @@
         }
     }
 
-    /// An answer that was dropped to make room is not given from its middle.
+    /// An answer dropped by the byte limit must not be resumed from its middle.
     ended_answers_dropped_to_make_room(world) {
         let service = |content| Ask { kind: Kind::Service, content, ..Ask::default() };
         let first = world.submit(0, service(3)).unwrap();
@@ -284,7 +285,7 @@
         assert_eq!(world.outcome(rest), Some(Outcome::Failed(Code::PartGone)));
     }
 
-    /// The head of a running stream was dropped to make room.
+    /// The oldest tokens of a running stream were dropped by the byte limit.
     running_stream_has_lost_its_head(world) {
         let service = Ask { kind: Kind::Service, content: HUGE, ..Ask::default() };
         let first = world.submit(0, service).unwrap();
@@ -296,7 +297,7 @@
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
 
-    /// Nine callers join one keyed generation; the ninth is told to wait.
+    /// Nine callers join one keyed generation; the ninth is refused.
     readers_at_their_bound(world) {
         let ask = Ask { key: Some(1), kind: Kind::Service, ..long() };
         let calls: Vec<_> = (0..9)
--- a/fireflycroft/tests/point2_own_answer.rs
+++ b/fireflycroft/tests/point2_own_answer.rs
@@ -1,4 +1,4 @@
-//! Point 2: each caller gets the answer to their own request and no other.
+//! Point 2: each caller gets the answer to its own request and no other.
 
 mod support;
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Copies of frames come after their call has ended and others run.
+    /// Duplicate frames arrive after their call has ended, while others run.
     frames_copied_into_later_calls(world) {
         world.net.mode = NetworkMode::Duplicating;
         for i in 0..6 {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// An agent's new life numbers its generations from one again.
+    /// An agent's new incarnation numbers its generations from one again.
     ids_reused_after_an_agents_restart(world) {
         let first = world.submit(0, long(0)).unwrap();
         world.advance(200);
@@ -63,8 +63,8 @@
         assert_eq!(world.outcome(other), Some(Outcome::Whole));
     }
 
-    /// A start for the former life's first reservation comes late, while the
-    /// new life holds its own first reservation.
+    /// A start for the former incarnation's first reservation arrives late, while
+    /// the new incarnation holds its own first reservation.
     stale_start_reaches_an_agents_new_life(world) {
         let service = Ask { kind: Kind::Service, ..long(0) };
         let first = world.submit(0, service).unwrap();
@@ -86,7 +86,7 @@
         assert_eq!(world.running(3), 0);
     }
 
-    /// Messages to an agent's former life reach the new one.
+    /// Messages to an agent's former incarnation reach the new one.
     old_messages_reach_an_agents_new_life(world) {
         world.net.mode = NetworkMode::Slow;
         let first = world.submit(0, long(0)).unwrap();
@@ -99,7 +99,7 @@
         assert!(world.outcome(first).is_some());
     }
 
-    /// An entry's new life is sent what was meant for the former one.
+    /// Frames for an entry's former incarnation reach the new one.
     old_frames_reach_an_entrys_new_life(world) {
         world.submit(0, long(0)).unwrap();
         world.advance(200);
@@ -129,7 +129,7 @@
         assert_eq!(world.outcome(thief), UNKNOWN);
     }
 
-    /// What is forgotten is unknown to a stranger, gone for its owner.
+    /// A dropped stream is unknown to other workspaces, and gone for its own.
     workspace_steals_a_forgotten_stream(world) {
         let call = world.submit(0, long(0)).unwrap();
         world.advance(80_000);
@@ -140,7 +140,7 @@
         assert_eq!(world.outcome(owner), Some(Outcome::Failed(Code::PartGone)));
     }
 
-    /// The right generation, but a guessed request id.
+    /// A wrong request id for a known generation, and the reverse.
     workspace_guesses_an_id(world) {
         let call = world.submit(0, long(0)).unwrap();
         world.advance(200);
@@ -164,7 +164,7 @@
         }
     }
 
-    /// A cancel for the former life's first generation comes late.
+    /// A cancel for the former incarnation's first generation arrives late.
     stale_cancel_reaches_an_agents_new_life(world) {
         let service = |content| Ask { kind: Kind::Service, content, ..long(0) };
         let first = world.submit(0, service(5)).unwrap();
@@ -199,7 +199,7 @@
         assert_eq!(world.outcome(b), Some(reused));
     }
 
-    /// A service's answer is never read as an engine's with the same serial.
+    /// A service's answer is never taken for an engine's with the same serial.
     resume_point_names_another_agent(world) {
         let call = world.submit(0, long(0)).unwrap();
         world.submit(1, Ask { kind: Kind::Service, ..long(0) });
--- a/fireflycroft/tests/point3_not_run.rs
+++ b/fireflycroft/tests/point3_not_run.rs
@@ -1,4 +1,4 @@
-//! Point 3: what is said to be not run was not run, and never will be.
+//! Point 3: work reported as not run has not run and never will.
 
 mod support;
 
@@ -30,7 +30,7 @@
 }
 
 cases! {
-    /// Refused on its second way as quarantined: it ran on its first.
+    /// The second attempt is refused as quarantined, but the first one ran.
     quarantined_after_a_start_is_not_called_not_run(world) {
         for agent in 0..ENGINES {
             world.set_upstream_mode(agent, UpstreamMode::Lose(5));
@@ -44,7 +44,7 @@
         assert_eq!(code(world, call), Code::OutcomeUnknown);
     }
 
-    /// The offer lies in a frozen agent's queue when the caller is refused.
+    /// The offer is in a frozen agent's inbox when the caller is refused.
     agent_frozen_before_it_reads_the_offer(world) {
         freeze_engines(world);
         let call = world.submit(0, Ask::default()).unwrap();
@@ -55,7 +55,7 @@
         assert_eq!(world.runs(call), 0);
     }
 
-    /// The start lies in a frozen agent's queue past the hold.
+    /// The start stays in a frozen agent's inbox past the hold.
     agent_frozen_between_receipt_and_start(world) {
         for timers_first in [false, true] {
             let ask = Ask { kind: Kind::Service, ..Ask::default() };
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The same, but the agent thaws in time to say so.
+    /// As above, but the agent thaws in time to report it.
     agent_thaws_and_says_that_it_never_started(world) {
         let ask = Ask { kind: Kind::Service, ..Ask::default() };
         let call = world.submit(0, ask).unwrap();
@@ -85,7 +85,7 @@
         assert_eq!(world.runs(call), 0);
     }
 
-    /// Offers, accepts and starts that take longer than any deadline.
+    /// Offers, accepts and starts are delayed beyond their deadlines.
     dispatch_delayed_past_its_deadline(world) {
         world.net.mode = NetworkMode::Slow;
         let calls: Vec<_> = (0..6)
@@ -95,7 +95,7 @@
         assert!(calls.iter().all(|c| world.outcome(*c).is_some()));
     }
 
-    /// Copies of offers come when the agent has forgotten the first.
+    /// Duplicate offers arrive after the agent has dropped the first.
     offer_copied_after_its_withdrawal_was_forgotten(world) {
         world.net.mode = NetworkMode::Duplicating;
         for i in 0..10 {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The start is lost and nothing is heard: unknown is said as unknown.
+    /// The start and all answers are lost: the outcome is reported as unknown.
     unknown_is_said_as_unknown(world) {
         let ask = Ask { kind: Kind::Service, ..Ask::default() };
         let call = world.submit(0, ask).unwrap();
@@ -141,7 +141,7 @@
         assert_eq!(code(world, call), Code::OutcomeUnknown);
     }
 
-    /// Started, but no answer came: it runs on, so it is unknown.
+    /// Started, but no answer arrives: it still runs, so the outcome is unknown.
     answer_to_the_start_lost(world) {
         let ask = Ask { kind: Kind::Service, ..Ask::default() };
         let call = world.submit(0, ask).unwrap();
@@ -164,7 +164,7 @@
         assert_eq!(world.runs(call), 0);
     }
 
-    /// Two offers are made in all, so one refusal is borne.
+    /// There are two offers in total, so one refusal is tolerated.
     one_upstream_refuses_and_another_serves(world) {
         world.set_upstream_mode(0, UpstreamMode::Refuse);
         for i in 0..9 {
@@ -174,7 +174,7 @@
         }
     }
 
-    /// The upstream died between the reservation and the start.
+    /// The upstream dies between the reservation and the start.
     upstream_dies_before_the_start(world) {
         let ask = Ask { kind: Kind::Service, ..Ask::default() };
         let call = world.submit(0, ask).unwrap();
@@ -184,7 +184,7 @@
         assert_eq!(code(world, call).class(), Class::NotRun);
     }
 
-    /// An agent died with the start in its queue: nobody knows.
+    /// The agent dies with the start in its inbox: the outcome is unknown.
     agent_dies_at_the_start(world) {
         let ask = Ask { kind: Kind::Service, ..Ask::default() };
         let call = world.submit(0, ask).unwrap();
@@ -204,7 +204,7 @@
         assert_eq!(code(world, call), Code::NoUpstream);
     }
 
-    /// The entry's last word of the agent is that it has no work.
+    /// The load last received from the agent says that it refuses new work.
     served_again_when_the_upstream_is_back(world) {
         let ask = Ask { kind: Kind::Service, ..Ask::default() };
         world.crash(3);
@@ -216,7 +216,7 @@
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
     }
 
-    /// Queued behind long jobs until the wait of the rules is over.
+    /// Queued behind long jobs until the configured maximum wait has passed.
     refused_when_its_wait_is_over(world) {
         for agent in 0..ENGINES {
             world.set_upstream_mode(agent, UpstreamMode::Full);
--- a/fireflycroft/tests/point5_leaving.rs
+++ b/fireflycroft/tests/point5_leaving.rs
@@ -1,4 +1,4 @@
-//! Point 5, in the core: an agent that leaves takes no new work.
+//! Point 5, in the core: a leaving agent accepts no new work.
 
 mod support;
 
@@ -19,7 +19,7 @@
 
 const LEAVING: Option<Outcome> = Some(Outcome::Failed(Code::Leaving));
 
-/// Streams that keep the agents from stopping while they leave.
+/// Starts streams that keep leaving agents from stopping.
 fn keep_busy(world: &mut World) {
     for agent in 0..AGENTS {
         world.set_pause(agent, 500);
@@ -46,7 +46,7 @@
 }
 
 cases! {
-    /// No entry has heard that it leaves.
+    /// No entry knows that the agent is leaving.
     stale_entries_offer_to_a_leaving_agent(world) {
         keep_busy(world);
         world.leave(Proc::Agent(3));
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The offer was under way before the leave and comes after it.
+    /// The offer was sent before the leave and arrives after it.
     offer_overtaken_by_the_leave(world) {
         keep_busy(world);
         let call = world.submit(0, plain_service()).unwrap();
@@ -80,7 +80,7 @@
         assert_eq!(world.outcome(call), LEAVING);
     }
 
-    /// Reserved before the leave: it may start within its hold.
+    /// A reservation from before the leave may start within its hold.
     reserved_before_the_leave(world) {
         let call = world.submit(0, plain_service()).unwrap();
         world.advance(1);
@@ -89,7 +89,7 @@
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
     }
 
-    /// The start of a reservation made before comes after the hold.
+    /// The start of a reservation from before the leave arrives after its hold.
     start_delayed_past_the_hold_of_a_leaving_agent(world) {
         let call = world.submit(0, plain_service()).unwrap();
         world.advance(2);
--- a/fireflycroft/tests/point6_stop.rs
+++ b/fireflycroft/tests/point6_stop.rs
@@ -1,4 +1,4 @@
-//! Point 6, in the core: a planned stop cuts nothing that is in progress.
+//! Point 6, in the core: a planned stop interrupts nothing in progress.
 
 mod support;
 
@@ -51,7 +51,7 @@
         assert!(world.life(Proc::Agent(0)) > 0, "it did not stop");
     }
 
-    /// Every process in turn, with calls all the while.
+    /// Every process stops in turn, while calls are submitted.
     rolling_stop_of_the_whole_fleet(world) {
         let procs: Vec<_> = Proc::all().collect();
         let mut calls = Vec::new();
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The whole answer lies at a leaving agent; its entry is frozen.
+    /// A leaving agent holds the complete answer; the entry is frozen.
     agent_stop_waits_for_a_frozen_entry(world) {
         let call = world.submit(0, long()).unwrap();
         world.advance(200);
@@ -82,7 +82,7 @@
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
     }
 
-    /// The entry died; its caller comes back to a leaving agent.
+    /// The entry died; its caller resumes from a leaving agent.
     agent_stop_waits_for_a_caller_to_come_back(world) {
         let call = world.submit(0, long()).unwrap();
         world.advance(200);
@@ -95,7 +95,7 @@
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
 
-    /// A configuration without the workspace cuts nothing that runs.
+    /// A configuration without the workspace interrupts no running stream.
     workspace_removed_under_its_running_stream(world) {
         let call = world.submit(0, Ask { workspace: 2, ..long() }).unwrap();
         world.advance(200);
--- a/fireflycroft/tests/poison.rs
+++ b/fireflycroft/tests/poison.rs
@@ -1,8 +1,8 @@
-//! Content that crashes each upstream that runs it.
+//! Content that crashes every upstream that runs it.
 //!
-//! Sent again by its caller one time after another, through any entries, it
-//! crashes at most `CRASH_LIMIT` upstreams: the count rides on the answer to
-//! its entry and is told to the fleet several times.
+//! Retried by its caller through any entries, it crashes at most `CRASH_LIMIT`
+//! upstreams: the count is part of the answer to the entry and is broadcast to
+//! the fleet several times.
 
 mod support;
 
@@ -17,7 +17,7 @@
 /// Seeds of the lossy network.
 const SEEDS: u64 = 100;
 
-/// Time that a caller takes to send again, in milliseconds.
+/// Delay before the caller's next attempt, in milliseconds.
 const RETRY_DELAY_MS: u64 = 2_500;
 
 fn poison() -> Ask {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Sends it until a final answer each time; `entries` in that order.
+/// Submits the request to each entry in turn, waiting for each outcome.
 fn send_sequentially(world: &mut World, ask: Ask, entries: &[usize]) -> Vec<usize> {
     let mut calls = Vec::new();
     for entry in entries {
@@ -74,7 +74,7 @@
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::Quarantined)));
     }
 
-    /// A neighbour that nobody has seen any of starts afresh.
+    /// A request on the same upstream whose caller has received nothing restarts.
     innocent_neighbour_is_restarted(world) {
         let ask = Ask { content: 5, whole: false, ..Ask::default() };
         let innocent = world.submit(0, Ask { whole: true, content: 4, ..ask }).unwrap();
@@ -86,7 +86,7 @@
         assert_eq!(world.runs(innocent), 2);
     }
 
-    /// Once blamed beside the poison, it may still run.
+    /// One crash makes the content a suspect, which may still run.
     innocent_neighbour_is_not_quarantined_by_one_crash(world) {
         let innocent = Ask { content: 5, ..Ask::default() };
         let call = world.submit(0, innocent).unwrap();
@@ -99,7 +99,7 @@
     }
 }
 
-/// Every fifth message is lost; the news is told again.
+/// Every fifth message is lost; crash counts are retransmitted.
 #[test]
 fn sent_again_over_a_lossy_network() {
     for seed in 0..SEEDS {
--- a/fireflycroft/tests/quota.rs
+++ b/fireflycroft/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas as token buckets, without a clock.
+//! Tests of quotas as token buckets, with simulated time.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -70,7 +70,7 @@
     assert!(quotas.take(at(60_000), &name(), 1, SHARE).is_err());
 }
 
-/// Callers spread over two entries get the whole quota and no more.
+/// Callers on two entries together get exactly one quota.
 fn two_entries_make_one() {
     let mut entries = [Quotas::default(), Quotas::default()];
     let mut taken = 0;
--- a/fireflycroft/tests/support/link.rs
+++ b/fireflycroft/tests/support/link.rs
@@ -1,29 +1,30 @@
-//! A network that delays, repeats, overtakes, loses and cuts.
+//! A simulated network that delays, duplicates, reorders, loses and cuts off
+//! messages.
 
 use super::rng::Rng;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Microseconds of a millisecond.
+/// Microseconds per millisecond.
 pub(crate) const MS: u64 = 1_000;
 
-/// How the network treats messages.
+/// Treatment of messages by the network.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum NetworkMode {
-    /// Every message once, in order, after a millisecond.
+    /// Each message arrives once, in order, after one millisecond.
     #[default]
     Reliable,
-    /// One in five is lost.
+    /// One message in five is lost.
     Lossy,
-    /// One in three comes twice, the copy up to seconds later.
+    /// One message in three is duplicated; the duplicate arrives up to 70 s later.
     Duplicating,
-    /// Each takes up to 400 ms, so they overtake one another.
+    /// Each message takes up to about 400 ms, so that messages are reordered.
     Slow,
-    /// All of it together.
+    /// Loss, duplication and delay combined.
     Combined,
 }
 
-/// The network's state.
+/// State of the network.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Net {
     pub(crate) mode: NetworkMode,
@@ -31,7 +32,7 @@
 }
 
 impl Net {
-    /// Loses everything from one mailbox to the other.
+    /// Drops all messages from one mailbox to the other.
     pub(crate) fn cut(&mut self, from: SocketAddr, to: SocketAddr) {
         self.cuts.insert((from, to));
     }
@@ -48,7 +49,7 @@
         *self = Self::default();
     }
 
-    /// Delays in microseconds after which copies of a message arrive.
+    /// Returns the delays, in microseconds, of each copy of a message that arrives.
     pub(crate) fn delays(&self, rng: &mut Rng, from: SocketAddr, to: SocketAddr) -> Vec<u64> {
         if self.cuts.contains(&(from, to)) {
             return Vec::new();
--- a/fireflycroft/tests/support/platform.rs
+++ b/fireflycroft/tests/support/platform.rs
@@ -1,38 +1,38 @@
-//! A platform for claims, with outages, lost answers and stale reads.
+//! A simulated platform for claims, with outages, lost answers and stale reads.
 
 use super::link::MS;
 use super::rng::Rng;
 use fireflycroft::{ClaimAnswer, ClaimOp, ClaimRecord, Digest};
 use std::collections::BTreeMap;
 
-/// How the platform behaves.
+/// Behaviour of the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum PlatformMode {
     /// Answers in milliseconds.
     #[default]
     Up,
-    /// Answers at once that it is out.
+    /// Answers immediately that it is unavailable.
     Unavailable,
-    /// Takes up to three seconds.
+    /// Takes up to 3 s to apply a call and up to 500 ms more to answer.
     Slow,
-    /// Writes take effect, but every second answer is lost.
+    /// Calls take effect, but half of the answers are lost.
     LosesAnswers,
-    /// Answers are lost, and the effect comes up to five seconds later.
+    /// Answers are lost, and calls take effect up to 5 s later.
     DelayedWrites,
     /// Reads show the state before the last write.
     StaleReads,
-    /// Nothing is answered at all; the client times out.
+    /// Never answers; the client times out.
     Hung,
 }
 
-/// What is to happen on one call, in microseconds from now.
+/// Delays of the effect and the answer of one call, in microseconds.
 pub(crate) struct Plan {
     pub(crate) effect: Option<u64>,
     pub(crate) answer: u64,
     pub(crate) lost: bool,
 }
 
-/// The platform.
+/// Simulated platform.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Platform {
     pub(crate) mode: PlatformMode,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Carries out a call.
+    /// Applies a call.
     pub(crate) fn apply(&mut self, key: Digest, op: ClaimOp) -> ClaimAnswer {
         let stale = self.mode == PlatformMode::StaleReads;
         let records = self.history.entry(key).or_default();
--- a/fireflycroft/tests/support/upstream.rs
+++ b/fireflycroft/tests/support/upstream.rs
@@ -1,24 +1,24 @@
-//! One fake upstream: it emits numbered tokens, ends, breaks and dies.
+//! A fake upstream that emits numbered tokens, ends, breaks and dies.
 
 use super::fleet;
 use fireflycroft::GenerationId;
 use std::collections::BTreeMap;
 
-/// What an upstream does next.
+/// Behaviour of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum UpstreamMode {
-    /// Serves.
+    /// Serves requests.
     #[default]
     Serve,
     /// Refuses each request.
     Refuse,
-    /// Breaks the next stream to reach that token; it may be taken up again.
+    /// Breaks the next stream to reach that token; it can be resumed.
     Break(u64),
-    /// Breaks it for good.
+    /// Breaks the next stream to reach that token; it cannot be resumed.
     Lose(u64),
     /// Dies when a stream reaches that token.
     Die(u64),
-    /// Gives no token: its memory is full.
+    /// Produces no tokens, as with full memory.
     Full,
 }
 
@@ -28,16 +28,16 @@
     pub(crate) run: usize,
     pub(crate) content: u8,
     pub(crate) sent: u64,
-    /// Counts the streams it was read by.
+    /// Number of times its stream was resumed.
     pub(crate) epoch: u64,
-    /// Whether a broken stream may be taken up again.
+    /// Whether a broken stream can be resumed.
     pub(crate) resumable: bool,
 }
 
-/// What a stream does at its next turn.
+/// Next step of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StreamStep {
-    /// Gives so many tokens.
+    /// Emits that number of tokens.
     Emit(u64),
     End,
     Break,
@@ -50,7 +50,7 @@
 pub(crate) struct Upstream {
     pub(crate) up: bool,
     pub(crate) mode: UpstreamMode,
-    /// Least milliseconds between tokens.
+    /// Base pause between bursts of tokens, in milliseconds.
     pub(crate) pause: u64,
     pub(crate) active: BTreeMap<GenerationId, ActiveRun>,
 }
@@ -69,7 +69,7 @@
         );
     }
 
-    /// Decides on the next turn of a stream, at most `burst` tokens.
+    /// Decides on the next step of a stream: at most `burst` tokens.
     pub(crate) fn next_step(&mut self, generation: GenerationId, burst: u64) -> StreamStep {
         let Some(active) = self.active.get_mut(&generation) else {
             return StreamStep::Wait;
--- a/fireflycroft/tests/support/world/messages.rs
+++ b/fireflycroft/tests/support/world/messages.rs
@@ -1,4 +1,4 @@
-//! Messages, membership and configurations between the processes.
+//! Messages, membership and configurations between the simulated processes.
 
 use super::{Due, World};
 use crate::support::fleet::{self, AGENTS, Proc};
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Corrupts a message as the seeded fault demands.
+    /// Corrupts a message according to the injected fault.
     pub(super) fn mutate(&self, mut message: Message) -> Message {
         match (&mut message, self.mutant) {
             (
@@ -96,7 +96,7 @@
         message
     }
 
-    /// An entry hears of every agent.
+    /// Delivers the records of all agents to an entry.
     pub(crate) fn announce_agents(&mut self, entry: usize) {
         for agent in 0..AGENTS {
             self.announce_member(entry, agent, MemberState::Alive);
@@ -114,7 +114,7 @@
         self.entry(entry, EntryEvent::Member(record));
     }
 
-    /// A process reads a configuration.
+    /// Delivers a configuration to a process.
     pub(crate) fn configure(&mut self, proc: Proc, config: &Arc<Config>) {
         match proc {
             Proc::Entry(i) => {
--- a/fireflycroft/tests/support/world/services.rs
+++ b/fireflycroft/tests/support/world/services.rs
@@ -1,4 +1,4 @@
-//! The platform and the upstreams, as the processes meet them.
+//! The simulated platform and upstreams of the processes.
 
 use super::{Due, PlatformCall, RunOrder, World};
 use crate::support::fleet::{self, AGENTS, Ask, Proc};
@@ -55,35 +55,35 @@
         self.upstreams[agent].mode = mode;
     }
 
-    /// Runs of the agent's upstream.
+    /// Returns the number of running generations on the agent's upstream.
     pub(crate) fn running(&self, agent: usize) -> usize {
         self.upstreams[agent].active.len()
     }
 
-    /// Lets an upstream wait longer between tokens.
+    /// Sets the base pause of an upstream between bursts of tokens.
     pub(crate) fn set_pause(&mut self, agent: usize, millis: u64) {
         self.upstreams[agent].pause = millis;
     }
 
-    /// Most bytes of whole answers that any entry holds back.
+    /// Returns the maximum over all entries of the bytes held back.
     pub(crate) fn max_held(&self) -> usize {
         let held = self.entries.iter().map(|e| e.core.held());
         held.max().unwrap_or(0)
     }
 
-    /// Most requests that wait at any agent.
+    /// Returns the maximum over all agents of the waiting requests.
     pub(crate) fn max_queued(&self) -> u32 {
         let queued = self.agents.iter().map(|a| a.core.load().queued);
         queued.max().unwrap_or(0)
     }
 
-    /// Most offers that any agent remembers.
+    /// Returns the maximum over all agents of the offers remembered.
     pub(crate) fn max_offers(&self) -> usize {
         let offers = self.agents.iter().map(|a| a.core.offers());
         offers.max().unwrap_or(0)
     }
 
-    /// Most bytes of answers that any agent keeps.
+    /// Returns the maximum over all agents of the bytes of answers kept.
     pub(crate) fn max_bytes(&self) -> usize {
         let bytes = self.agents.iter().map(|a| a.core.bytes());
         bytes.max().unwrap_or(0)
@@ -121,7 +121,7 @@
         self.push(5 * MS, Due::Emit(agent, generation, 0));
     }
 
-    /// Configuration under which the generation was offered.
+    /// Returns the configuration version under which the generation was offered.
     fn config_at_offer(&self, generation: GenerationId) -> Option<ConfigVersion> {
         let offer = self.offer_of.get(&generation)?;
         self.offered.get(offer).copied()
@@ -211,7 +211,7 @@
         }
     }
 
-    /// The upstream dies with all that it runs, and comes back.
+    /// Crashes the upstream with all its runs; it comes up again later.
     pub(crate) fn crash(&mut self, agent: usize) {
         let upstream = &mut self.upstreams[agent];
         if !std::mem::replace(&mut upstream.up, false) {
@@ -231,7 +231,7 @@
         self.agent(agent, AgentEvent::UpstreamUp);
     }
 
-    /// All agents but one, and no entry, hear that the content crashed upstreams.
+    /// Sends a crash count of the content to all agents but one, and to no entry.
     pub(crate) fn announce_crashes_to_agents(&mut self, except: usize, ask: &Ask, count: u8) {
         let content = ask.digest();
         for to in (0..AGENTS).filter(|a| *a != except).map(Proc::Agent) {
