--- a/fireflycroft/src/admit.rs
+++ b/fireflycroft/src/admit.rs
@@ -193,7 +193,7 @@
     }
 
     /// Admits the next waiting request if it may run now.
-    pub fn next(&mut self, now: Time) -> Option<OfferId> {
+    pub fn admit_next(&mut self, now: Time) -> Option<OfferId> {
         let at = self.first_waiting()?;
         self.refresh_forecast();
         if !self.may_run(now, &self.waiting[at]) {
--- a/fireflycroft/src/agent.rs
+++ b/fireflycroft/src/agent.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AgentLimits {
     /// Lifetime of a reservation that is not started.
-    pub hold: Duration,
+    pub reservation_hold: Duration,
     /// Retention of a refused offer or expired reservation, so that duplicates
     /// of the offer get the same answer.
     pub offer_retention: Duration,
@@ -49,7 +49,7 @@
 impl Default for AgentLimits {
     fn default() -> Self {
         Self {
-            hold: Duration::from_secs(2),
+            reservation_hold: Duration::from_secs(2),
             offer_retention: Duration::from_mins(1),
             finished_retention: Duration::from_mins(1),
             unread_timeout: Duration::from_secs(30),
@@ -200,8 +200,8 @@
     pub(crate) issuer: Option<SocketAddr>,
 }
 
-pub(crate) const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(100);
-pub(crate) const UPSTREAM_DOWN_RETRY_AFTER: Duration = Duration::from_secs(1);
+pub(crate) const SHORT_RETRY_AFTER: Duration = Duration::from_millis(100);
+pub(crate) const LONG_RETRY_AFTER: Duration = Duration::from_secs(1);
 impl Agent {
     /// Creates an agent whose upstream is considered down.
     #[must_use]
@@ -363,7 +363,7 @@
     g.offer.request
 }
 
-pub(crate) const fn queued(offer: OfferId, wait: Duration) -> Message {
+pub(crate) const fn queued_message(offer: OfferId, wait: Duration) -> Message {
     Message::Queued {
         request: offer.request,
         attempt: offer.attempt,
@@ -371,7 +371,7 @@
     }
 }
 
-pub(crate) const fn refused(offer: OfferId, code: Code, retry_after: Duration) -> Message {
+pub(crate) const fn refusal_message(offer: OfferId, code: Code, retry_after: Duration) -> Message {
     Message::Refuse {
         request: offer.request,
         attempt: offer.attempt,
--- a/fireflycroft/src/agent_maintenance.rs
+++ b/fireflycroft/src/agent_maintenance.rs
@@ -1,6 +1,6 @@
 //! Timer-driven work of the agent, and its drain.
 
-use crate::agent::{Agent, AgentAction, LEAVING_RETRY_AFTER, OfferState};
+use crate::agent::{Agent, AgentAction, OfferState, SHORT_RETRY_AFTER};
 use crate::code::Code;
 use crate::generation::{Generation, Stage};
 use crate::ids::GenerationId;
@@ -25,7 +25,7 @@
         for (offer, state) in waiting {
             if let OfferState::Waiting(to, _) = state {
                 self.admission.release(offer);
-                self.refuse(now, to, offer, Code::Leaving, LEAVING_RETRY_AFTER, out);
+                self.refuse(now, to, offer, Code::Leaving, SHORT_RETRY_AFTER, out);
             }
         }
     }
--- a/fireflycroft/src/agent_reservations.rs
+++ b/fireflycroft/src/agent_reservations.rs
@@ -5,8 +5,8 @@
 //! answer. Only a start that names an unexpired reservation runs the work.
 
 use crate::agent::{
-    Agent, AgentAction, LEAVING_RETRY_AFTER, OfferState, UPSTREAM_DOWN_RETRY_AFTER, note, queued,
-    refused, send_actions, status_message,
+    Agent, AgentAction, LONG_RETRY_AFTER, OfferState, SHORT_RETRY_AFTER, note, queued_message,
+    refusal_message, send_actions, status_message,
 };
 use crate::code::Code;
 use crate::generation::{Generation, Stage};
@@ -42,7 +42,7 @@
             AdmitDecision::Admit => self.reserve(now, from, offer, demand, out),
             AdmitDecision::Queue(wait) => {
                 self.offers.insert(offer, OfferState::Waiting(from, demand));
-                out.push(AgentAction::Send(from, queued(offer, wait)));
+                out.push(AgentAction::Send(from, queued_message(offer, wait)));
             }
             AdmitDecision::Refuse(retry) => {
                 self.refuse(now, from, offer, Code::Overloaded, retry, out);
@@ -65,22 +65,22 @@
         let answer = match self.offers.get(&offer) {
             None => return false,
             Some(OfferState::Waiting(_, demand)) => {
-                queued(offer, self.admission.expected_wait(demand.priority))
+                queued_message(offer, self.admission.expected_wait(demand.priority))
             }
-            Some(OfferState::Refused(code, _)) => refused(offer, *code, Duration::ZERO),
-            Some(OfferState::Reserved(serial)) => self.accepted(now, offer, *serial),
+            Some(OfferState::Refused(code, _)) => refusal_message(offer, *code, Duration::ZERO),
+            Some(OfferState::Reserved(serial)) => self.reservation_reply(now, offer, *serial),
         };
         out.push(AgentAction::Send(from, answer));
         true
     }
 
-    pub(crate) fn accepted(&self, now: Time, offer: OfferId, serial: u64) -> Message {
+    pub(crate) fn reservation_reply(&self, now: Time, offer: OfferId, serial: u64) -> Message {
         let stage = self.generations.get(serial).map(|g| g.stage);
         let hold = match stage {
             Some(Stage::Reserved(until)) => until.since(now),
             Some(Stage::Running | Stage::Finished(_)) => Duration::ZERO,
             Some(Stage::Expired(_)) | None => {
-                return refused(offer, Code::ReservationLapsed, Duration::ZERO);
+                return refusal_message(offer, Code::ReservationLapsed, Duration::ZERO);
             }
         };
         Message::Accept {
@@ -97,23 +97,23 @@
         config_differs: bool,
     ) -> Option<(Code, Duration)> {
         if self.leaving {
-            return Some((Code::Leaving, LEAVING_RETRY_AFTER));
+            return Some((Code::Leaving, SHORT_RETRY_AFTER));
         }
         if !self.upstream_up || !self.serves.contains(&demand.target) {
-            return Some((Code::NoUpstream, UPSTREAM_DOWN_RETRY_AFTER));
+            return Some((Code::NoUpstream, LONG_RETRY_AFTER));
         }
         if self.quarantine.is_refused(demand.content) {
             return Some((Code::Quarantined, Duration::ZERO));
         }
         if config_differs {
-            return Some((Code::ConfigBehind, LEAVING_RETRY_AFTER));
+            return Some((Code::ConfigBehind, SHORT_RETRY_AFTER));
         }
         if self.offers.len() >= self.limits.max_offers {
-            return Some((Code::Overloaded, UPSTREAM_DOWN_RETRY_AFTER));
+            return Some((Code::Overloaded, LONG_RETRY_AFTER));
         }
         let suspect = demand.crashes.max(self.quarantine.crashes(demand.content)) > 0;
         if suspect && self.runs_another_suspect(demand.content) {
-            return Some((Code::Overloaded, UPSTREAM_DOWN_RETRY_AFTER));
+            return Some((Code::Overloaded, LONG_RETRY_AFTER));
         }
         None
     }
@@ -139,7 +139,7 @@
         out: &mut Vec<AgentAction>,
     ) {
         self.remember_refusal(now, offer, code);
-        out.push(AgentAction::Send(to, refused(offer, code, retry)));
+        out.push(AgentAction::Send(to, refusal_message(offer, code, retry)));
         out.push(note("offer_refused", offer.request, Some(code)));
     }
 
@@ -157,7 +157,7 @@
             id: self.id_of(serial),
             offer,
             demand,
-            stage: Stage::Reserved(now + self.limits.hold),
+            stage: Stage::Reserved(now + self.limits.reservation_hold),
             log: TokenLog::default(),
             finish: None,
             readers: Vec::new(),
@@ -168,7 +168,10 @@
         };
         self.generations.insert(generation);
         self.offers.insert(offer, OfferState::Reserved(serial));
-        out.push(AgentAction::Send(to, self.accepted(now, offer, serial)));
+        out.push(AgentAction::Send(
+            to,
+            self.reservation_reply(now, offer, serial),
+        ));
     }
 
     pub(crate) fn on_withdraw(&mut self, now: Time, offer: OfferId, out: &mut Vec<AgentAction>) {
@@ -267,7 +270,7 @@
         if self.leaving || !self.upstream_up {
             return;
         }
-        while let Some(offer) = self.admission.next(now) {
+        while let Some(offer) = self.admission.admit_next(now) {
             match self.offers.remove(&offer) {
                 Some(OfferState::Waiting(to, demand)) => self.reserve(now, to, offer, demand, out),
                 _ => self.admission.release(offer),
--- a/fireflycroft/src/generation_store.rs
+++ b/fireflycroft/src/generation_store.rs
@@ -72,10 +72,10 @@
         request: RequestId,
         workspace: Option<&Name>,
     ) -> Standing {
-        let own = |t: &&DroppedGeneration| {
+        let matches_reader = |t: &&DroppedGeneration| {
             t.request == request && workspace.is_none_or(|workspace| t.workspace == *workspace)
         };
-        match self.dropped.get(&serial).filter(own) {
+        match self.dropped.get(&serial).filter(matches_reader) {
             Some(dropped_generation) if dropped_generation.ran => Standing::PartGone,
             Some(_) => Standing::NeverStarted,
             None => Standing::Unknown,
--- a/fireflycroft/src/order.rs
+++ b/fireflycroft/src/order.rs
@@ -47,7 +47,7 @@
 pub struct Orders {
     highest: Option<u64>,
     in_progress: Option<Order>,
-    last: Option<(RequestId, Code)>,
+    last_settled: Option<(RequestId, Code)>,
 }
 
 impl Orders {
@@ -64,7 +64,7 @@
 
     /// Decides on an order while `running` generations use its model.
     pub fn decide(&mut self, order: &Order, running: usize) -> OrderDecision {
-        if let Some((_, code)) = self.last.filter(|(id, _)| *id == order.id) {
+        if let Some((_, code)) = self.last_settled.filter(|(id, _)| *id == order.id) {
             return OrderDecision::Answer(code);
         }
         let Some(highest) = self.highest else {
@@ -89,7 +89,7 @@
     /// Records the upstream's answer and returns the order that it settles.
     pub fn settle(&mut self, code: Code) -> Option<Order> {
         let order = self.in_progress.take()?;
-        self.last = Some((order.id, code));
+        self.last_settled = Some((order.id, code));
         Some(order)
     }
 
--- a/fireflycroft/tests/admit.rs
+++ b/fireflycroft/tests/admit.rs
@@ -175,12 +175,12 @@
     assert!(matches!(decision, AdmitDecision::Queue(_)), "{decision:?}");
     let (small, decision) = fixture.offer(Priority::Batch, 1);
     assert!(matches!(decision, AdmitDecision::Queue(_)), "{decision:?}");
-    assert_eq!(fixture.admission.next(fixture.now), None);
+    assert_eq!(fixture.admission.admit_next(fixture.now), None);
     for offer in admitted {
         fixture.admission.release(offer);
     }
-    assert_eq!(fixture.admission.next(fixture.now), Some(large));
-    assert_eq!(fixture.admission.next(fixture.now), Some(small));
+    assert_eq!(fixture.admission.admit_next(fixture.now), Some(large));
+    assert_eq!(fixture.admission.admit_next(fixture.now), Some(small));
 }
 
 fn interactive_first() {
@@ -190,7 +190,7 @@
     let (interactive, decision) = fixture.offer(Priority::Interactive, 10);
     assert!(matches!(decision, AdmitDecision::Queue(_)), "{decision:?}");
     fixture.admission.release(first[0]);
-    assert_eq!(fixture.admission.next(fixture.now), Some(interactive));
+    assert_eq!(fixture.admission.admit_next(fixture.now), Some(interactive));
 }
 
 /// Interactive requests beyond their slot floor may not take the memory set
@@ -229,9 +229,9 @@
     fixture.produce(interactive, 2);
     let (long, decision) = fixture.offer(Priority::Batch, 2_000);
     assert!(matches!(decision, AdmitDecision::Queue(_)), "{decision:?}");
-    assert_eq!(fixture.admission.next(fixture.now), None);
+    assert_eq!(fixture.admission.admit_next(fixture.now), None);
     fixture.now = fixture.now + MAX_WAIT / 2;
-    assert_eq!(fixture.admission.next(fixture.now), Some(long));
+    assert_eq!(fixture.admission.admit_next(fixture.now), Some(long));
 }
 
 fn short_prompt_joins() {
@@ -248,10 +248,10 @@
     assert_eq!(decision, AdmitDecision::Admit);
     let (second, decision) = fixture.offer(Priority::Batch, 2_000);
     assert!(matches!(decision, AdmitDecision::Queue(_)), "{decision:?}");
-    assert_eq!(fixture.admission.next(fixture.now), None);
+    assert_eq!(fixture.admission.admit_next(fixture.now), None);
     fixture.now = fixture.now + MAX_WAIT / 2;
     fixture.admission.record_progress(fixture.now, first, 1);
-    assert_eq!(fixture.admission.next(fixture.now), Some(second));
+    assert_eq!(fixture.admission.admit_next(fixture.now), Some(second));
 }
 
 /// Entries route by the reported load, so it must be updated without new offers.
@@ -286,7 +286,7 @@
     for offer in admitted {
         fixture.admission.release(offer);
     }
-    assert_eq!(fixture.admission.next(fixture.now), None);
+    assert_eq!(fixture.admission.admit_next(fixture.now), None);
     let (last, _) = fixture.offer(Priority::Batch, 10);
     fixture.admission.release(last);
     assert_eq!(
@@ -312,7 +312,7 @@
     let admitted = fixture.fill(Priority::Batch, 10);
     let (waiting, _) = fixture.offer(Priority::Batch, 10);
     fixture.admission.release(admitted[3]);
-    assert_eq!(fixture.admission.next(fixture.now), Some(waiting));
+    assert_eq!(fixture.admission.admit_next(fixture.now), Some(waiting));
 }
 
 fn passes_through() {
@@ -364,7 +364,7 @@
             let mut queued: Vec<(OfferId, u32)> = Vec::new();
             for op in ops {
                 step(&mut fixture, &mut admitted, &mut queued, op);
-                while let Some(offer) = fixture.admission.next(fixture.now) {
+                while let Some(offer) = fixture.admission.admit_next(fixture.now) {
                     let at = queued.iter().position(|(o, _)| *o == offer);
                     let (offer, prompt) = queued.remove(at.unwrap());
                     admitted.push((offer, prompt, 0));
--- a/fireflycroft/tests/bounds.rs
+++ b/fireflycroft/tests/bounds.rs
@@ -9,7 +9,7 @@
 use support::upstream::UpstreamMode;
 
 /// Tokens that an agent sends beyond the last acknowledgement.
-const WINDOW: u64 = 2_048;
+const WINDOW_TOKENS: u64 = 2_048;
 
 cases! {
     calls_at_the_entrys_bound(world) {
@@ -28,7 +28,7 @@
         world.stall_callers(true);
         let call = world.submit(0, Ask { content: GIANT, ..Ask::default() }).unwrap();
         world.advance(60_000);
-        assert!(world.next(call) <= 2 * WINDOW, "{}", world.next(call));
+        assert!(world.next(call) <= 2 * WINDOW_TOKENS, "{}", world.next(call));
         assert_eq!(world.outcome(call), None);
         world.stall_callers(false);
         world.advance(20_000);
