--- a/fireflycroft/src/agent.rs
+++ b/fireflycroft/src/agent.rs
@@ -1,58 +1,60 @@
-//! The agent: the only door to one upstream.
+//! The agent, through which all requests to one upstream pass.
 //!
-//! It reserves, admits, starts, numbers the tokens and keeps them for readers
-//! to come. Time, messages and what the upstream does come in as
-//! [`AgentEvent`]s; what is to be done comes out as [`AgentAction`]s.
+//! It admits requests, grants reservations, starts generations, numbers their
+//! tokens and stores them for readers that attach later. Time, messages and
+//! upstream events come in as [`AgentEvent`]s; effects go out as
+//! [`AgentAction`]s.
 
 use crate::admit::Admission;
 use crate::code::Code;
+use crate::crash_announcements::CrashAnnouncements;
 use crate::generation::Generation;
+use crate::generation_store::GenerationStore;
 use crate::ids::{GenerationId, Name, Peer, RequestId};
 use crate::message::{ConfigVersion, Envelope, Finish, Load, Message, Standing};
-use crate::news::News;
 use crate::note::Note;
 use crate::offer::{AdmitPolicy, Capacity, OfferId, UpstreamReport};
 use crate::order::{Order, Orders};
 use crate::quarantine::Quarantine;
-use crate::store::Store;
 use crate::time::Time;
 use crate::work::{Demand, Work};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bounds and waits of an agent.
+/// Limits and timeouts of an agent.
 #[derive(Clone, Copy, Debug)]
 pub struct AgentLimits {
-    /// How long a reservation waits for its start.
-    pub hold: Duration,
-    /// How long a settled offer is remembered, so that copies get its answer.
-    pub remember: Duration,
-    /// How long an ended answer is kept for readers.
-    pub keep_finished: Duration,
-    /// How long a generation that nobody reads goes on.
-    pub keep_unread: Duration,
-    /// Silence of the upstream after which a generation is stopped.
-    pub max_stall: Duration,
-    /// Silence after which a reader is dropped.
-    pub reader_silence: Duration,
-    /// Bytes of answers kept in all.
+    /// Lifetime of a reservation that is not started.
+    pub reservation_hold: Duration,
+    /// Retention of a refused offer or expired reservation, so that duplicates
+    /// of the offer get the same answer.
+    pub offer_retention: Duration,
+    /// Retention of a finished answer for readers.
+    pub finished_retention: Duration,
+    /// Time after which a generation without readers is stopped.
+    pub unread_timeout: Duration,
+    /// Time without output of the upstream after which a generation is stopped.
+    pub stall_timeout: Duration,
+    /// Time without messages after which a reader is dropped.
+    pub reader_timeout: Duration,
+    /// Total bytes of answers kept.
     pub max_bytes: usize,
-    /// Offers remembered in all.
+    /// Total offers remembered.
     pub max_offers: usize,
-    /// Times that one broken stream is taken up again.
+    /// Reconnections of one broken upstream stream.
     pub max_resumes: u32,
 }
 
 impl Default for AgentLimits {
     fn default() -> Self {
         Self {
-            hold: Duration::from_secs(2),
-            remember: Duration::from_mins(1),
-            keep_finished: Duration::from_mins(1),
-            keep_unread: Duration::from_secs(30),
-            max_stall: Duration::from_mins(10),
-            reader_silence: Duration::from_secs(5),
+            reservation_hold: Duration::from_secs(2),
+            offer_retention: Duration::from_mins(1),
+            finished_retention: Duration::from_mins(1),
+            unread_timeout: Duration::from_secs(30),
+            stall_timeout: Duration::from_mins(10),
+            reader_timeout: Duration::from_secs(5),
             max_bytes: 64 * 1024 * 1024,
             max_offers: 8_192,
             max_resumes: 3,
@@ -60,45 +62,45 @@
     }
 }
 
-/// What an agent is told at its start.
+/// Initial settings of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentSetup {
     /// The agent itself.
     pub me: Peer,
     /// Models or plain services of its upstream.
     pub serves: Vec<Name>,
-    /// How it admits.
+    /// Admission policy.
     pub policy: AdmitPolicy,
-    /// Size of its upstream.
+    /// Capacity of its upstream.
     pub capacity: Capacity,
-    /// Bounds and waits.
+    /// Limits and timeouts.
     pub limits: AgentLimits,
 }
 
-/// What an agent hears.
+/// Input of an agent.
 #[derive(Clone, Debug)]
 pub enum AgentEvent {
-    /// A message of a process of the fleet.
+    /// A message from another process of the fleet.
     Message(Box<Envelope>),
-    /// The upstream gave tokens.
+    /// The upstream produced tokens.
     Tokens {
         /// The generation.
         generation: GenerationId,
         /// The tokens, in order.
         tokens: Vec<Vec<u8>>,
     },
-    /// The upstream ended the generation in good order.
+    /// The upstream completed the generation.
     Finished {
         /// The generation.
         generation: GenerationId,
-        /// How it ended; total and crashes are set by the agent.
+        /// Result; `total` is set by the agent.
         finish: Finish,
     },
     /// The upstream refused the request, or it could not be sent.
     NotStarted {
         /// The generation.
         generation: GenerationId,
-        /// Why: a code of the class "not run".
+        /// Reason: a code of the class "not run".
         code: Code,
     },
     /// The stream from the upstream broke.
@@ -106,39 +108,39 @@
         /// The generation.
         generation: GenerationId,
     },
-    /// The broken stream cannot be taken up again.
+    /// The broken stream cannot be resumed.
     Lost {
         /// The generation.
         generation: GenerationId,
     },
-    /// The upstream does not answer; all that ran on it is lost.
+    /// The upstream does not answer; its generations are lost.
     UpstreamDown,
     /// The upstream answers.
     UpstreamUp,
-    /// The upstream reports its load, late.
+    /// A delayed load report of the upstream.
     Report(UpstreamReport),
-    /// The agent is to stop, or its upstream is reclaimed.
+    /// The agent is to drain: it stops, or its upstream is reclaimed.
     Leave,
-    /// The agent stays after all.
+    /// The drain is cancelled.
     Stay,
-    /// The upstream now holds these models.
+    /// Models that the upstream holds now.
     Serves(Vec<Name>),
-    /// The platform told the fencing number in force.
+    /// The fencing number in force, from the platform.
     Fence(u64),
-    /// The upstream answered the order that was passed on.
+    /// The upstream's answer to the forwarded order.
     OrderSettled(Code),
-    /// A configuration is in force here.
+    /// A configuration came into force here.
     Config(ConfigVersion),
-    /// Time went on.
+    /// Timer tick.
     Tick,
 }
 
-/// What an agent wants done.
+/// Effect that an agent requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentAction {
     /// Send a message.
     Send(SocketAddr, Message),
-    /// Send a message to every member that is known.
+    /// Send a message to every known member.
     Broadcast(Message),
     /// Run the work on the upstream.
     Run {
@@ -146,12 +148,12 @@
         generation: GenerationId,
         /// The request.
         request: RequestId,
-        /// What it needs.
+        /// Its resource demand.
         demand: Demand,
         /// The work.
         work: Work,
     },
-    /// Take up a broken stream at a token.
+    /// Resume a broken stream at a token.
     Resume {
         /// The generation.
         generation: GenerationId,
@@ -160,21 +162,21 @@
     },
     /// Stop a generation on the upstream.
     Stop(GenerationId),
-    /// Pass an order on to the upstream.
+    /// Forward an order to the upstream.
     Order(Order),
-    /// Ask the sender for its configuration.
+    /// Request the configuration of that process.
     PullConfig(SocketAddr),
-    /// Something to log and count.
+    /// Event to log and count.
     Note(Note),
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Offered {
+pub(crate) enum OfferState {
     /// Waits for admission.
     Waiting(SocketAddr, Demand),
-    /// Became a reservation of that serial number.
+    /// Granted as the reservation with that serial number.
     Reserved(u64),
-    /// Settled: refused with that code since then.
+    /// Refused with that code at that time.
     Refused(Code, Time),
 }
 
@@ -186,22 +188,22 @@
     pub(crate) limits: AgentLimits,
     pub(crate) config: ConfigVersion,
     pub(crate) admission: Admission,
-    pub(crate) offers: BTreeMap<OfferId, Offered>,
-    pub(crate) generations: Store,
+    pub(crate) offers: BTreeMap<OfferId, OfferState>,
+    pub(crate) generations: GenerationStore,
     pub(crate) next_serial: u64,
     pub(crate) quarantine: Quarantine,
-    pub(crate) news: News,
+    pub(crate) crash_announcements: CrashAnnouncements,
     pub(crate) upstream_up: bool,
     pub(crate) leaving: bool,
     pub(crate) orders: Orders,
-    /// Where the answer to the order under way goes.
+    /// Recipient of the answer to the order in progress.
     pub(crate) issuer: Option<SocketAddr>,
 }
 
-pub(crate) const LEAVING_RETRY: Duration = Duration::from_millis(100);
-pub(crate) const DOWN_RETRY: Duration = Duration::from_secs(1);
+pub(crate) const SHORT_RETRY_AFTER: Duration = Duration::from_millis(100);
+pub(crate) const LONG_RETRY_AFTER: Duration = Duration::from_secs(1);
 impl Agent {
-    /// An agent whose upstream is not yet known to answer.
+    /// Creates an agent whose upstream is considered down.
     #[must_use]
     pub fn new(setup: AgentSetup) -> Self {
         Self {
@@ -211,10 +213,10 @@
             config: ConfigVersion(0),
             admission: Admission::new(setup.policy, setup.capacity),
             offers: BTreeMap::new(),
-            generations: Store::default(),
+            generations: GenerationStore::default(),
             next_serial: 1,
             quarantine: Quarantine::default(),
-            news: News::default(),
+            crash_announcements: CrashAnnouncements::default(),
             upstream_up: false,
             leaving: false,
             orders: Orders::default(),
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Takes one event at `now` and adds what is to be done to `out`.
+    /// Handles one event at `now` and appends the resulting actions to `out`.
     pub fn on_event(&mut self, now: Time, event: AgentEvent, out: &mut Vec<AgentAction>) {
         match event {
             AgentEvent::Message(envelope) => self.on_message(now, *envelope, out),
@@ -239,11 +241,11 @@
             AgentEvent::Lost { generation } => self.on_lost(now, generation, out),
             AgentEvent::UpstreamDown => self.on_upstream_down(now, out),
             AgentEvent::UpstreamUp => self.upstream_up = true,
-            AgentEvent::Report(report) => self.admission.report(report),
+            AgentEvent::Report(report) => self.admission.record_report(report),
             AgentEvent::Leave => self.on_leave(now, out),
             AgentEvent::Stay => self.leaving = false,
             AgentEvent::Serves(models) => self.serves = models,
-            AgentEvent::Fence(fence) => self.orders.learn_fence(fence),
+            AgentEvent::Fence(fence) => self.orders.observe_fence(fence),
             AgentEvent::OrderSettled(code) => self.on_order_settled(code, out),
             AgentEvent::Config(version) => self.config = self.config.max(version),
             AgentEvent::Tick => self.on_tick(now, out),
@@ -251,7 +253,7 @@
         self.admit_waiting(now, out);
     }
 
-    /// Load to ride on every message of this agent.
+    /// Returns the load to include in every message of this agent.
     #[must_use]
     pub fn load(&self) -> Load {
         Load {
@@ -260,40 +262,40 @@
         }
     }
 
-    /// Generations that run.
+    /// Returns the number of running generations.
     #[must_use]
     pub fn running(&self) -> usize {
         self.generations.values().filter(|g| g.is_running()).count()
     }
 
-    /// Bytes of answers kept.
+    /// Returns the bytes of answers kept.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.generations.bytes()
     }
 
-    /// Offers remembered.
+    /// Returns the number of offers remembered.
     #[must_use]
     pub fn offers(&self) -> usize {
         self.offers.len()
     }
 
-    /// Whether a planned stop would cut off nothing any more.
+    /// Returns whether a planned stop would interrupt nothing.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        !self.generations.values().any(Generation::is_wanted)
+        !self.generations.values().any(Generation::blocks_shutdown)
     }
 
-    /// Whether the agent takes no new work.
+    /// Returns whether the agent refuses new work.
     #[must_use]
     pub const fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Digests that are refused.
+    /// Returns the number of quarantined digests.
     #[must_use]
     pub fn quarantined(&self) -> usize {
-        self.quarantine.refused()
+        self.quarantine.refused_count()
     }
 
     fn on_message(&mut self, now: Time, envelope: Envelope, out: &mut Vec<AgentAction>) {
@@ -309,9 +311,9 @@
                 max_wait,
             } => {
                 let offer = OfferId { request, attempt };
-                // Either side may be the older one; it catches up before work runs.
-                let differs = envelope.config != self.config;
-                self.on_offer(now, from, offer, demand, max_wait, differs, out);
+                // Either side may lag behind; it must catch up before work runs.
+                let config_differs = envelope.config != self.config;
+                self.on_offer(now, from, offer, demand, max_wait, config_differs, out);
             }
             Message::Withdraw { request, attempt } => {
                 self.on_withdraw(now, OfferId { request, attempt }, out);
@@ -343,7 +345,7 @@
             Message::Cancel { generation } => self.on_cancel(now, generation, out),
             Message::Order(order) => self.on_order(from, order, out),
             Message::Crashes { content, count } => {
-                self.quarantine.learn(now, content, count);
+                self.quarantine.record(now, content, count);
             }
             _ => {}
         }
@@ -357,11 +359,11 @@
     }
 }
 
-pub(crate) fn id_request(g: &Generation) -> RequestId {
+pub(crate) fn request_of(g: &Generation) -> RequestId {
     g.offer.request
 }
 
-pub(crate) const fn queued(offer: OfferId, wait: Duration) -> Message {
+pub(crate) const fn queued_message(offer: OfferId, wait: Duration) -> Message {
     Message::Queued {
         request: offer.request,
         attempt: offer.attempt,
@@ -369,7 +371,7 @@
     }
 }
 
-pub(crate) const fn refused(offer: OfferId, code: Code, retry_after: Duration) -> Message {
+pub(crate) const fn refusal_message(offer: OfferId, code: Code, retry_after: Duration) -> Message {
     Message::Refuse {
         request: offer.request,
         attempt: offer.attempt,
@@ -378,7 +380,7 @@
     }
 }
 
-pub(crate) fn stand(
+pub(crate) fn status_message(
     to: SocketAddr,
     reader: RequestId,
     generation: GenerationId,
@@ -394,7 +396,9 @@
     )
 }
 
-pub(crate) fn sends(messages: Vec<(SocketAddr, Message)>) -> impl Iterator<Item = AgentAction> {
+pub(crate) fn send_actions(
+    messages: Vec<(SocketAddr, Message)>,
+) -> impl Iterator<Item = AgentAction> {
     messages
         .into_iter()
         .map(|(to, message)| AgentAction::Send(to, message))
--- a/fireflycroft/src/attend.rs
+++ b/fireflycroft/src/agent_generations.rs
@@ -1,6 +1,8 @@
-//! The agent's generations: their tokens, their readers and their ends.
+//! Generations on an agent: tokens, readers and ends.
 
-use crate::agent::{Agent, AgentAction, id_request, note, sends, stand, with_count};
+use crate::agent::{
+    Agent, AgentAction, note, request_of, send_actions, status_message, with_count,
+};
 use crate::code::Code;
 use crate::generation::{Generation, Stage};
 use crate::ids::{Digest, GenerationId, Name, RequestId};
@@ -22,18 +24,18 @@
         token: u64,
         out: &mut Vec<AgentAction>,
     ) {
-        self.lapse_if_due(now, id, out);
+        self.expire_if_due(now, id, out);
         let own =
             |g: &&mut Generation| g.offer.request == request && g.demand.workspace == *workspace;
-        // A foreign workspace learns no more than that nothing is known.
-        let standing = self.forgotten(id, request, Some(workspace));
+        // A reader of another workspace only gets `Unknown`.
+        let standing = self.dropped_standing(id, request, Some(workspace));
         let Some(g) = self.find(id).filter(own) else {
-            out.push(stand(from, reader, id, standing));
+            out.push(status_message(from, reader, id, standing));
             return;
         };
         match g.attach(now, reader, from, token) {
-            Ok(()) => out.extend(sends(g.messages(reader, true))),
-            Err(standing) => out.push(stand(from, reader, id, standing)),
+            Ok(()) => out.extend(send_actions(g.messages(reader, true))),
+            Err(standing) => out.push(status_message(from, reader, id, standing)),
         }
     }
 
@@ -47,7 +49,7 @@
     ) {
         if let Some(g) = self.find(id) {
             g.ack(now, reader, next);
-            out.extend(sends(g.messages(reader, false)));
+            out.extend(send_actions(g.messages(reader, false)));
         }
     }
 
@@ -56,10 +58,10 @@
             return;
         };
         match g.stage {
-            Stage::Reserved(_) => self.lapse(now, id.serial, out),
+            Stage::Reserved(_) => self.expire_reservation(now, id.serial, out),
             Stage::Running => self.stop(now, id, Code::Cancelled, out),
-            Stage::Finished(_) => g.taken = true,
-            Stage::Lapsed(_) => {}
+            Stage::Finished(_) => g.end_delivered = true,
+            Stage::Expired(_) => {}
         }
     }
 
@@ -71,7 +73,7 @@
         out: &mut Vec<AgentAction>,
     ) {
         out.push(AgentAction::Stop(id));
-        self.end_with(now, id, code, "stopped", out);
+        self.finish_with_code(now, id, code, "stopped", out);
     }
 
     pub(crate) fn on_tokens(
@@ -84,17 +86,18 @@
         let Some(g) = self.find(id).filter(|g| g.is_running()) else {
             return;
         };
-        g.heard = now;
+        g.last_output = now;
         let before = g.log.bytes();
         for token in tokens {
             g.log.push(token);
         }
         let added = g.log.bytes() - before;
-        out.extend(sends(g.messages_to_all()));
+        out.extend(send_actions(g.messages_to_all()));
         let offer = g.offer;
         let produced = g.log.end();
-        self.generations.grow(added, self.limits.max_bytes);
-        self.admission.progress(now, offer, produced);
+        self.generations
+            .record_added_bytes(added, self.limits.max_bytes);
+        self.admission.record_progress(now, offer, produced);
     }
 
     pub(crate) fn finish(
@@ -112,7 +115,7 @@
             total: g.log.end(),
             ..finish.clone()
         });
-        out.extend(sends(g.messages_to_all()));
+        out.extend(send_actions(g.messages_to_all()));
         let offer = g.offer;
         let total = g.log.end();
         if finish.code == Code::Ok {
@@ -124,7 +127,7 @@
         out.push(with_count(event, total));
     }
 
-    pub(crate) fn end_with(
+    pub(crate) fn finish_with_code(
         &mut self,
         now: Time,
         id: GenerationId,
@@ -151,32 +154,33 @@
         if code == Code::NoUpstream {
             self.upstream_up = false;
         }
-        self.end_with(now, id, code, "not started", out);
+        self.finish_with_code(now, id, code, "not started", out);
     }
 
     pub(crate) fn on_broken(&mut self, now: Time, id: GenerationId, out: &mut Vec<AgentAction>) {
-        let most = self.limits.max_resumes;
+        let max_resumes = self.limits.max_resumes;
         let Some(g) = self.find(id).filter(|g| g.is_running()) else {
             return;
         };
-        if g.resumed >= most {
+        if g.resume_count >= max_resumes {
             self.on_lost(now, id, out);
             return;
         }
-        g.resumed += 1;
+        g.resume_count += 1;
         let from = g.log.end();
         out.push(AgentAction::Resume {
             generation: id,
             from,
         });
-        out.push(note("upstream_stream_broken", id_request(g), None));
+        out.push(note("upstream_stream_broken", request_of(g), None));
     }
 
     pub(crate) fn on_lost(&mut self, now: Time, id: GenerationId, out: &mut Vec<AgentAction>) {
-        self.end_with(now, id, Code::UpstreamFailed, "upstream failed", out);
+        self.finish_with_code(now, id, Code::UpstreamFailed, "upstream failed", out);
     }
 
-    /// Counts a crash for all that ran, tells the fleet and ends them.
+    /// Counts a crash for every running content, broadcasts the counts and ends
+    /// the generations.
     pub(crate) fn on_upstream_down(&mut self, now: Time, out: &mut Vec<AgentAction>) {
         self.upstream_up = false;
         let lost: Vec<(GenerationId, Digest, u8)> = self
@@ -191,9 +195,9 @@
                 .crashes(*content)
                 .max(*known)
                 .saturating_add(1);
-            if self.quarantine.learn(now, *content, count) {
+            if self.quarantine.record(now, *content, count) {
                 let content = *content;
-                self.news.add(now, content, count);
+                self.crash_announcements.add(now, content, count);
                 out.push(AgentAction::Broadcast(Message::Crashes { content, count }));
             }
         }
@@ -210,8 +214,8 @@
         self.generations.get_mut(id.serial)
     }
 
-    /// How a generation stands that is no longer held.
-    pub(crate) fn forgotten(
+    /// Returns the standing of a generation that is no longer held.
+    pub(crate) fn dropped_standing(
         &self,
         id: GenerationId,
         request: RequestId,
--- a/fireflycroft/src/carry_out.rs
+++ b/fireflycroft/src/agent_orders.rs
@@ -1,4 +1,4 @@
-//! Orders at the agent: checked, passed on, answered.
+//! Orders at the agent: checked, forwarded and answered.
 
 use crate::agent::{Agent, AgentAction};
 use crate::code::Code;
@@ -6,22 +6,22 @@
 use crate::ids::{Name, RequestId};
 use crate::message::Message;
 use crate::note::Note;
-use crate::order::{Order, OrderKind, OrderVerdict};
+use crate::order::{Order, OrderDecision, OrderKind};
 use std::net::SocketAddr;
 
 impl Agent {
-    /// Models or plain services that new work may ask for.
+    /// Returns the models or plain services that accept new work.
     #[must_use]
     pub fn serves(&self) -> &[Name] {
         &self.serves
     }
 
     pub(crate) fn on_order(&mut self, from: SocketAddr, order: Order, out: &mut Vec<AgentAction>) {
-        let running = self.using(&order.model);
+        let running = self.active_generations_of(&order.model);
         match self.orders.decide(&order, running) {
-            OrderVerdict::Answer(code) => out.push(self.order_answer(from, order.id, code)),
-            OrderVerdict::UnderWay => self.issuer = Some(from),
-            OrderVerdict::Pass => {
+            OrderDecision::Answer(code) => out.push(self.order_answer(from, order.id, code)),
+            OrderDecision::InProgress => self.issuer = Some(from),
+            OrderDecision::Forward => {
                 self.issuer = Some(from);
                 if order.kind == OrderKind::Unload {
                     self.serves.retain(|model| *model != order.model);
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Generations that hold or may yet take the model.
-    fn using(&self, model: &Name) -> usize {
+    /// Returns the number of generations that use or have reserved the model.
+    fn active_generations_of(&self, model: &Name) -> usize {
         let active = |g: &&Generation| matches!(g.stage, Stage::Reserved(_) | Stage::Running);
         let of_model = |g: &&Generation| g.demand.target == *model;
         self.generations
--- a/fireflycroft/src/reserve.rs
+++ b/fireflycroft/src/agent_reservations.rs
@@ -1,17 +1,18 @@
-//! The agent's way from an offer to a start.
+//! Handling of offers, reservations and starts at the agent.
 //!
-//! An offer becomes a reservation at once or when its turn in the queue comes,
-//! or is refused and remembered, so that a copy gets the same answer. Only a
-//! start that names a live reservation runs it.
+//! An offer becomes a reservation immediately or after waiting in the queue, or
+//! is refused. Refusals are remembered, so that a duplicate offer gets the same
+//! answer. Only a start that names an unexpired reservation runs the work.
 
 use crate::agent::{
-    Agent, AgentAction, DOWN_RETRY, LEAVING_RETRY, Offered, note, queued, refused, sends, stand,
+    Agent, AgentAction, LONG_RETRY_AFTER, OfferState, SHORT_RETRY_AFTER, note, queued_message,
+    refusal_message, send_actions, status_message,
 };
 use crate::code::Code;
 use crate::generation::{Generation, Stage};
 use crate::ids::{Digest, GenerationId, RequestId};
 use crate::message::{Message, Standing};
-use crate::offer::{OfferId, Verdict};
+use crate::offer::{AdmitDecision, OfferId};
 use crate::stream::TokenLog;
 use crate::time::Time;
 use crate::work::{Demand, Work};
@@ -27,31 +28,34 @@
         offer: OfferId,
         demand: Demand,
         max_wait: Duration,
-        differs: bool,
+        config_differs: bool,
         out: &mut Vec<AgentAction>,
     ) {
-        if self.repeat_answer(now, from, offer, out) {
+        if self.answer_duplicate(now, from, offer, out) {
             return;
         }
-        if let Some((code, retry)) = self.reason_to_refuse(&demand, differs) {
+        if let Some((code, retry)) = self.refusal_reason(&demand, config_differs) {
             self.refuse(now, from, offer, code, retry, out);
             return;
         }
         match self.admission.offer(now, offer, &demand, now + max_wait) {
-            Verdict::Admit => self.reserve(now, from, offer, demand, out),
-            Verdict::Queue(wait) => {
-                self.offers.insert(offer, Offered::Waiting(from, demand));
-                out.push(AgentAction::Send(from, queued(offer, wait)));
+            AdmitDecision::Admit => self.reserve(now, from, offer, demand, out),
+            AdmitDecision::Queue(wait) => {
+                self.offers.insert(offer, OfferState::Waiting(from, demand));
+                out.push(AgentAction::Send(from, queued_message(offer, wait)));
             }
-            Verdict::Refuse(retry) => self.refuse(now, from, offer, Code::Overloaded, retry, out),
-            Verdict::TooLong => {
+            AdmitDecision::Refuse(retry) => {
+                self.refuse(now, from, offer, Code::Overloaded, retry, out);
+            }
+            AdmitDecision::TooLong => {
                 self.refuse(now, from, offer, Code::PromptTooLong, Duration::ZERO, out);
             }
         }
     }
 
-    /// Answers a copy of an offer as the first was answered.
-    pub(crate) fn repeat_answer(
+    /// Answers a duplicate of an offer like the first; returns false for a new
+    /// offer.
+    pub(crate) fn answer_duplicate(
         &mut self,
         now: Time,
         from: SocketAddr,
@@ -60,23 +64,23 @@
     ) -> bool {
         let answer = match self.offers.get(&offer) {
             None => return false,
-            Some(Offered::Waiting(_, demand)) => {
-                queued(offer, self.admission.expected_wait(demand.priority))
+            Some(OfferState::Waiting(_, demand)) => {
+                queued_message(offer, self.admission.expected_wait(demand.priority))
             }
-            Some(Offered::Refused(code, _)) => refused(offer, *code, Duration::ZERO),
-            Some(Offered::Reserved(serial)) => self.accepted(now, offer, *serial),
+            Some(OfferState::Refused(code, _)) => refusal_message(offer, *code, Duration::ZERO),
+            Some(OfferState::Reserved(serial)) => self.reservation_reply(now, offer, *serial),
         };
         out.push(AgentAction::Send(from, answer));
         true
     }
 
-    pub(crate) fn accepted(&self, now: Time, offer: OfferId, serial: u64) -> Message {
+    pub(crate) fn reservation_reply(&self, now: Time, offer: OfferId, serial: u64) -> Message {
         let stage = self.generations.get(serial).map(|g| g.stage);
         let hold = match stage {
             Some(Stage::Reserved(until)) => until.since(now),
             Some(Stage::Running | Stage::Finished(_)) => Duration::ZERO,
-            Some(Stage::Lapsed(_)) | None => {
-                return refused(offer, Code::ReservationLapsed, Duration::ZERO);
+            Some(Stage::Expired(_)) | None => {
+                return refusal_message(offer, Code::ReservationLapsed, Duration::ZERO);
             }
         };
         Message::Accept {
@@ -87,29 +91,29 @@
         }
     }
 
-    pub(crate) fn reason_to_refuse(
+    pub(crate) fn refusal_reason(
         &self,
         demand: &Demand,
-        differs: bool,
+        config_differs: bool,
     ) -> Option<(Code, Duration)> {
         if self.leaving {
-            return Some((Code::Leaving, LEAVING_RETRY));
+            return Some((Code::Leaving, SHORT_RETRY_AFTER));
         }
         if !self.upstream_up || !self.serves.contains(&demand.target) {
-            return Some((Code::NoUpstream, DOWN_RETRY));
+            return Some((Code::NoUpstream, LONG_RETRY_AFTER));
         }
         if self.quarantine.is_refused(demand.content) {
             return Some((Code::Quarantined, Duration::ZERO));
         }
-        if differs {
-            return Some((Code::ConfigBehind, LEAVING_RETRY));
+        if config_differs {
+            return Some((Code::ConfigBehind, SHORT_RETRY_AFTER));
         }
         if self.offers.len() >= self.limits.max_offers {
-            return Some((Code::Overloaded, DOWN_RETRY));
+            return Some((Code::Overloaded, LONG_RETRY_AFTER));
         }
         let suspect = demand.crashes.max(self.quarantine.crashes(demand.content)) > 0;
         if suspect && self.runs_another_suspect(demand.content) {
-            return Some((Code::Overloaded, DOWN_RETRY));
+            return Some((Code::Overloaded, LONG_RETRY_AFTER));
         }
         None
     }
@@ -135,7 +139,7 @@
         out: &mut Vec<AgentAction>,
     ) {
         self.remember_refusal(now, offer, code);
-        out.push(AgentAction::Send(to, refused(offer, code, retry)));
+        out.push(AgentAction::Send(to, refusal_message(offer, code, retry)));
         out.push(note("offer_refused", offer.request, Some(code)));
     }
 
@@ -153,48 +157,56 @@
             id: self.id_of(serial),
             offer,
             demand,
-            stage: Stage::Reserved(now + self.limits.hold),
+            stage: Stage::Reserved(now + self.limits.reservation_hold),
             log: TokenLog::default(),
             finish: None,
             readers: Vec::new(),
-            taken: false,
+            end_delivered: false,
             unread_since: None,
-            resumed: 0,
-            heard: now,
+            resume_count: 0,
+            last_output: now,
         };
         self.generations.insert(generation);
-        self.offers.insert(offer, Offered::Reserved(serial));
-        out.push(AgentAction::Send(to, self.accepted(now, offer, serial)));
+        self.offers.insert(offer, OfferState::Reserved(serial));
+        out.push(AgentAction::Send(
+            to,
+            self.reservation_reply(now, offer, serial),
+        ));
     }
 
     pub(crate) fn on_withdraw(&mut self, now: Time, offer: OfferId, out: &mut Vec<AgentAction>) {
         let known = self.offers.get(&offer).cloned();
         match known {
-            Some(Offered::Reserved(serial)) => self.lapse(now, serial, out),
-            Some(Offered::Refused(..)) => return,
-            Some(Offered::Waiting(..)) | None => self.admission.release(offer),
+            Some(OfferState::Reserved(serial)) => self.expire_reservation(now, serial, out),
+            Some(OfferState::Refused(..)) => return,
+            Some(OfferState::Waiting(..)) | None => self.admission.release(offer),
         }
-        // A copy of the offer may still be under way; it must not be taken.
+        // A duplicate of the offer may still arrive and must not be reserved.
         self.remember_refusal(now, offer, Code::Withdrawn);
     }
 
-    /// Keeps a refusal for copies of the offer, within the bound. Beyond it,
-    /// a copy may be reserved afresh; unless started, that lapses.
+    /// Remembers a refusal for duplicates of the offer, up to `max_offers`. Above
+    /// that, a duplicate may get a new reservation, which expires unless started.
     pub(crate) fn remember_refusal(&mut self, now: Time, offer: OfferId, code: Code) {
-        let room = self.offers.len() < self.limits.max_offers;
-        if room || self.offers.contains_key(&offer) {
-            self.offers.insert(offer, Offered::Refused(code, now));
+        let has_capacity = self.offers.len() < self.limits.max_offers;
+        if has_capacity || self.offers.contains_key(&offer) {
+            self.offers.insert(offer, OfferState::Refused(code, now));
         }
     }
 
-    pub(crate) fn lapse(&mut self, now: Time, serial: u64, out: &mut Vec<AgentAction>) {
+    pub(crate) fn expire_reservation(
+        &mut self,
+        now: Time,
+        serial: u64,
+        out: &mut Vec<AgentAction>,
+    ) {
         let Some(g) = self.generations.get_mut(serial) else {
             return;
         };
         if !matches!(g.stage, Stage::Reserved(_)) {
             return;
         }
-        g.stage = Stage::Lapsed(now);
+        g.stage = Stage::Expired(now);
         let offer = g.offer;
         self.admission.release(offer);
         out.push(note("reservation_lapsed", offer.request, None));
@@ -209,24 +221,26 @@
         work: Work,
         out: &mut Vec<AgentAction>,
     ) {
-        self.lapse_if_due(now, id, out);
-        let standing = self.forgotten(id, request, None);
+        self.expire_if_due(now, id, out);
+        let standing = self.dropped_standing(id, request, None);
         let Some(g) = self.find(id).filter(|g| g.offer.request == request) else {
-            out.push(stand(from, request, id, standing));
+            out.push(status_message(from, request, id, standing));
             return;
         };
         match g.stage {
-            Stage::Lapsed(_) => out.push(stand(from, request, id, Standing::NeverStarted)),
+            Stage::Expired(_) => {
+                out.push(status_message(from, request, id, Standing::NeverStarted));
+            }
             Stage::Running | Stage::Finished(_) => {
-                // A copy: the first one started it already.
-                out.extend(sends(g.messages(request, true)));
+                // A duplicate: the first start already ran it.
+                out.extend(send_actions(g.messages(request, true)));
             }
             Stage::Reserved(_) => {
                 g.stage = Stage::Running;
-                g.heard = now;
+                g.last_output = now;
                 let demand = g.demand.clone();
                 if g.attach(now, request, from, 0).is_ok() {
-                    out.extend(sends(g.messages(request, true)));
+                    out.extend(send_actions(g.messages(request, true)));
                 }
                 out.push(AgentAction::Run {
                     generation: id,
@@ -239,11 +253,16 @@
         }
     }
 
-    /// Lets a reservation lapse by the clock, also when no tick came in time.
-    pub(crate) fn lapse_if_due(&mut self, now: Time, id: GenerationId, out: &mut Vec<AgentAction>) {
+    /// Expires a reservation whose time has passed, without waiting for a tick.
+    pub(crate) fn expire_if_due(
+        &mut self,
+        now: Time,
+        id: GenerationId,
+        out: &mut Vec<AgentAction>,
+    ) {
         let stage = self.find(id).map(|g| g.stage);
         if matches!(stage, Some(Stage::Reserved(until)) if until <= now) {
-            self.lapse(now, id.serial, out);
+            self.expire_reservation(now, id.serial, out);
         }
     }
 
@@ -251,9 +270,9 @@
         if self.leaving || !self.upstream_up {
             return;
         }
-        while let Some(offer) = self.admission.next(now) {
+        while let Some(offer) = self.admission.admit_next(now) {
             match self.offers.remove(&offer) {
-                Some(Offered::Waiting(to, demand)) => self.reserve(now, to, offer, demand, out),
+                Some(OfferState::Waiting(to, demand)) => self.reserve(now, to, offer, demand, out),
                 _ => self.admission.release(offer),
             }
         }
--- a/fireflycroft/src/deliver.rs
+++ b/fireflycroft/src/deliver.rs
@@ -1,22 +1,22 @@
-//! Reading a generation and handing it to the caller, once and in order.
+//! Reading of a generation and its in-order, exactly-once delivery to the caller.
 
 use crate::code::{Class, Code};
 use crate::entry::{Call, Entry, Origin, Phase, Reading};
 use crate::entry_io::{Delivery, EntryAction, EntryLimits, Reply, ResumePoint};
-use crate::generation::WINDOW;
+use crate::generation::WINDOW_TOKENS;
 use crate::ids::{CallId, GenerationId, Incarnation, Name, Peer, RequestId};
 use crate::message::{Finish, Message, Standing};
 use crate::note::Note;
 use crate::quarantine::CRASH_LIMIT;
-use crate::stream::{Chunk, Cursor, Taken};
+use crate::stream::{Chunk, ChunkOutcome, Cursor};
 use crate::time::Time;
 use std::time::Duration;
 
-/// Tokens of a whole answer between two acknowledgements.
-const ACK_STEP: u64 = 256;
+/// Tokens between two acknowledgements of an answer that is delivered whole.
+const ACK_INTERVAL_TOKENS: u64 = 256;
 
 impl Entry {
-    /// Goes on with a generation where the caller left it.
+    /// Resumes a generation at the caller's resume point.
     pub(crate) fn begin_resume(
         &mut self,
         now: Time,
@@ -28,7 +28,7 @@
         self.by_request.insert(call.request, id);
         self.calls.insert(id, call);
         let Some(addr) = self.router.addr_of(&point.agent) else {
-            // This entry may yet hear of the agent.
+            // This entry may not have received the agent's record yet.
             let retry = Some(self.limits.min_retry_after);
             self.fail(id, Code::StreamUnknown, retry, out);
             return;
@@ -86,27 +86,27 @@
         let Phase::Reading(reading) = &mut call.phase else {
             return;
         };
-        let taken = reading.cursor.take(generation, chunk);
-        reading.begun |= taken != Taken::Foreign;
-        match taken {
-            Taken::Foreign => {
-                // The fenced generation of an earlier start: nobody wants it.
+        let outcome = reading.cursor.advance(generation, chunk);
+        reading.begun |= outcome != ChunkOutcome::OtherGeneration;
+        match outcome {
+            ChunkOutcome::OtherGeneration => {
+                // Late tokens of a superseded generation.
                 out.push(EntryAction::Send(
                     from.addr,
                     Message::Detach { reader, generation },
                 ));
                 return;
             }
-            Taken::Unsound => return,
-            Taken::Gap(_) => {
+            ChunkOutcome::Malformed => return,
+            ChunkOutcome::Gap(_) => {
                 reading.heard = now;
                 self.send_attach(now, id, out);
                 return;
             }
-            Taken::Old => reading.heard = now,
-            Taken::Next(chunk) => {
+            ChunkOutcome::Duplicate => reading.heard = now,
+            ChunkOutcome::Next(chunk) => {
                 reading.heard = now;
-                self.hand_on(now, id, chunk, out);
+                self.deliver_chunk(now, id, chunk, out);
             }
         }
         if let Some(finish) = finish {
@@ -114,9 +114,9 @@
         }
     }
 
-    fn hand_on(&mut self, now: Time, id: CallId, chunk: Chunk, out: &mut Vec<EntryAction>) {
-        let most = self.limits.max_answer;
-        let most_in_all = self.limits.max_held;
+    fn deliver_chunk(&mut self, now: Time, id: CallId, chunk: Chunk, out: &mut Vec<EntryAction>) {
+        let max_answer = self.limits.max_answer;
+        let max_held = self.limits.max_held;
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -125,7 +125,7 @@
             Delivery::Stream => {
                 if !call.told_begin {
                     call.told_begin = true;
-                    let point = point_of(call, chunk.offset);
+                    let point = resume_point_of(call, chunk.offset);
                     out.extend(point.map(|p| EntryAction::Reply(id, Reply::Begin(p))));
                 }
                 out.push(EntryAction::Reply(id, Reply::Tokens(chunk)));
@@ -136,7 +136,7 @@
                 }
                 self.held += chunk.data.len();
                 ack_held_back(now, call, out);
-                if call.held_back.data.len() > most || self.held > most_in_all {
+                if call.held_back.data.len() > max_answer || self.held > max_held {
                     self.cancel(id, out);
                     self.fail(id, Code::AnswerTooLarge, None, out);
                 }
@@ -155,7 +155,7 @@
             return;
         }
         let content = call.demand.content;
-        if finish.crashes > 0 && self.quarantine.learn(now, content, finish.crashes) {
+        if finish.crashes > 0 && self.quarantine.record(now, content, finish.crashes) {
             let count = finish.crashes;
             out.push(EntryAction::Broadcast(Message::Crashes { content, count }));
         }
@@ -166,27 +166,27 @@
         } else if finish.code == Code::UpstreamFailed {
             self.on_lost(now, id, Code::UpstreamFailed, out);
         } else {
-            self.send_last_ack(id, out);
+            self.send_detach(id, out);
             self.fail(id, finish.code, None, out);
         }
     }
 
     fn complete(&mut self, id: CallId, finish: Finish, out: &mut Vec<EntryAction>) {
-        self.send_last_ack(id, out);
+        self.send_detach(id, out);
         let Some(mut call) = self.remove(id) else {
             return;
         };
-        // Who joined or came back reads what the first one was charged for.
-        if call.is_own() {
+        // The first reader was charged; readers that joined or resumed are not.
+        if call.reads_own_generation() {
             self.quotas.charge(&call.demand.workspace, finish.total);
         }
         out.push(call.measured(finish.code));
         if call.delivery == Delivery::Whole {
-            let whole = std::mem::take(&mut call.held_back);
-            if let Some(point) = point_of(&call, whole.offset) {
+            let answer = std::mem::take(&mut call.held_back);
+            if let Some(point) = resume_point_of(&call, answer.offset) {
                 out.push(EntryAction::Reply(id, Reply::Begin(point)));
             }
-            out.push(EntryAction::Reply(id, Reply::Tokens(whole)));
+            out.push(EntryAction::Reply(id, Reply::Tokens(answer)));
         }
         let note = Note::new("request_done")
             .request(call.request)
@@ -195,7 +195,7 @@
         out.push(EntryAction::Reply(id, Reply::End(finish)));
     }
 
-    fn send_last_ack(&self, id: CallId, out: &mut Vec<EntryAction>) {
+    fn send_detach(&self, id: CallId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
@@ -208,7 +208,7 @@
         }
     }
 
-    /// The agent says that nothing ran: another may be asked.
+    /// Handles the agent's report that nothing ran: another may be tried.
     fn on_not_run(&mut self, now: Time, id: CallId, code: Code, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -227,7 +227,7 @@
                 call.refusal = Some(code);
                 self.offer_next(now, id, out);
             }
-            // The key's reservation is spent: its claim may be replaced.
+            // The key's reservation is used up: its claim may be replaced.
             Origin::Joined(version) => {
                 call.replace = Some(version);
                 call.tried.clear();
@@ -237,15 +237,15 @@
         }
     }
 
-    /// The generation is lost: starts afresh where nobody saw any of it and
-    /// the rules allow, else says so at once.
+    /// Handles a lost generation: restarts it if the caller has received nothing
+    /// of it and the rules allow, otherwise fails the call.
     fn on_lost(&mut self, now: Time, id: CallId, code: Code, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         let crashes = self.quarantine.crashes(call.demand.content);
-        let may = call.may_restart(self.limits.max_starts);
-        if !may || crashes >= CRASH_LIMIT || !self.retries.spend() {
+        let allowed = call.may_restart(self.limits.max_starts);
+        if !allowed || crashes >= CRASH_LIMIT || !self.retries.spend() {
             self.fail(id, code, None, out);
             return;
         }
@@ -313,7 +313,7 @@
         }
     }
 
-    pub(crate) fn on_taken(
+    pub(crate) fn on_delivered(
         &mut self,
         now: Time,
         id: CallId,
@@ -328,7 +328,7 @@
             let next = next.min(reading.cursor.next);
             if next > reading.acked {
                 reading.acked = next;
-                out.push(ack_of(now, request, reading));
+                out.push(ack_action(now, request, reading));
             }
         }
     }
@@ -340,29 +340,30 @@
         };
         let request = call.request;
         let delivery = call.delivery;
-        let patience = call.patience(&limits);
+        let silence_timeout = call.silence_timeout(&limits);
         let Phase::Reading(reading) = &mut call.phase else {
             return;
         };
         if delivery == Delivery::Whole {
             reading.acked = reading.cursor.next;
         }
-        if reading.cursor.next - reading.acked >= WINDOW {
-            // The agent waits for the caller, not the other way round.
+        if reading.cursor.next - reading.acked >= WINDOW_TOKENS {
+            // The window is full: the agent waits for the caller, so its silence
+            // does not count.
             reading.heard = now;
         }
-        if now.since(reading.heard) >= patience {
-            self.on_silence(now, id, out);
+        if now.since(reading.heard) >= silence_timeout {
+            self.on_agent_timeout(now, id, out);
             return;
         }
         if now.since(reading.acked_at) >= limits.ack_every {
-            out.push(ack_of(now, request, reading));
+            out.push(ack_action(now, request, reading));
         }
         let quiet = now.since(reading.heard) >= limits.poll_after;
         if quiet && now.since(reading.polled) >= limits.poll_after {
             reading.polled = now;
-            let unheard = reading.origin == Origin::Own && !reading.begun;
-            if unheard {
+            let start_unconfirmed = reading.origin == Origin::Own && !reading.begun;
+            if start_unconfirmed {
                 self.send_start(id, out);
             } else {
                 self.send_attach(now, id, out);
@@ -370,7 +371,7 @@
         }
     }
 
-    fn on_silence(&mut self, now: Time, id: CallId, out: &mut Vec<EntryAction>) {
+    fn on_agent_timeout(&mut self, now: Time, id: CallId, out: &mut Vec<EntryAction>) {
         let Some(Phase::Reading(reading)) = self.calls.get(&id).map(|c| &c.phase) else {
             return;
         };
@@ -386,11 +387,11 @@
         }
     }
 
-    /// The agent was replaced, and what it held in other lives than `alive`
-    /// is lost; or it is believed dead, and what another can do is given up.
+    /// Handles a replaced agent, whose generations of incarnations other than
+    /// `alive` are lost; or, without `alive`, an agent believed dead.
     ///
-    /// Death is a belief: a paused agent comes back, so what nobody else can
-    /// go on with waits for the long silence.
+    /// An agent believed dead may only be paused and come back. Calls that can
+    /// restart elsewhere are given up; the others wait for the long silence.
     pub(crate) fn on_agent_gone(
         &mut self,
         now: Time,
@@ -399,11 +400,11 @@
         out: &mut Vec<EntryAction>,
     ) {
         let limits = self.limits;
-        // Called dead, it may only be paused; a later life says for sure.
+        // Only a later incarnation confirms that the generation is lost.
         let lost = |call: &Call| match &call.phase {
             Phase::Reading(r) if r.asked.agent == *agent => match alive {
-                Some(life) => r.cursor.generation.incarnation != life,
-                None => call.patience(&limits) == limits.silence,
+                Some(incarnation) => r.cursor.generation.incarnation != incarnation,
+                None => call.silence_timeout(&limits) == limits.silence,
             },
             _ => false,
         };
@@ -414,7 +415,7 @@
             .map(|c| c.id)
             .collect();
         for id in ids {
-            self.on_silence(now, id, out);
+            self.on_agent_timeout(now, id, out);
         }
     }
 
@@ -427,7 +428,7 @@
             Phase::Offered { .. } | Phase::Queued { .. } | Phase::Claiming { .. } => {
                 self.withdraw(id, out);
             }
-            Phase::Reading(_) => self.send_last_ack(id, out),
+            Phase::Reading(_) => self.send_detach(id, out),
         }
         if let Some(call) = self.remove(id) {
             out.push(EntryAction::Note(
@@ -438,21 +439,21 @@
 }
 
 impl Call {
-    /// Whether the generation that is read may be started afresh elsewhere:
-    /// nobody saw any of it and the rules allow.
+    /// Returns whether the generation may restart elsewhere: the caller has
+    /// received nothing of it and the rules allow it.
     fn may_restart(&self, max_starts: u32) -> bool {
         let own = matches!(&self.phase, Phase::Reading(r) if r.origin == Origin::Own);
         let unseen = self.delivered() == 0;
-        own && unseen && self.demand.repeatable && self.starts < max_starts
+        own && unseen && self.demand.retryable && self.starts < max_starts
     }
 
-    fn is_own(&self) -> bool {
+    fn reads_own_generation(&self) -> bool {
         matches!(&self.phase, Phase::Reading(r) if r.origin == Origin::Own)
     }
 
-    /// Silence of the agent after which it is given up. Where nobody else can
-    /// go on, an agent that was only paused is waited for.
-    fn patience(&self, limits: &EntryLimits) -> Duration {
+    /// Returns the silence after which the agent is given up. It is longer where
+    /// no other agent can take over, since this one may only be paused.
+    fn silence_timeout(&self, limits: &EntryLimits) -> Duration {
         let joined =
             matches!(&self.phase, Phase::Reading(r) if matches!(r.origin, Origin::Joined(_)));
         if joined || self.may_restart(limits.max_starts) {
@@ -463,7 +464,7 @@
     }
 }
 
-fn ack_of(now: Time, reader: RequestId, reading: &mut Reading) -> EntryAction {
+fn ack_action(now: Time, reader: RequestId, reading: &mut Reading) -> EntryAction {
     reading.acked_at = now;
     EntryAction::Send(
         reading.asked.addr,
@@ -475,18 +476,18 @@
     )
 }
 
-/// Acknowledges what is held back for the caller, in large steps.
+/// Acknowledges tokens held back for the caller, in large steps.
 fn ack_held_back(now: Time, call: &mut Call, out: &mut Vec<EntryAction>) {
     let request = call.request;
     if let Phase::Reading(reading) = &mut call.phase
-        && reading.cursor.next - reading.acked >= ACK_STEP
+        && reading.cursor.next - reading.acked >= ACK_INTERVAL_TOKENS
     {
         reading.acked = reading.cursor.next;
-        out.push(ack_of(now, request, reading));
+        out.push(ack_action(now, request, reading));
     }
 }
 
-fn point_of(call: &Call, next: u64) -> Option<ResumePoint> {
+fn resume_point_of(call: &Call, next: u64) -> Option<ResumePoint> {
     let Phase::Reading(reading) = &call.phase else {
         return None;
     };
--- a/fireflycroft/src/generation.rs
+++ b/fireflycroft/src/generation.rs
@@ -1,8 +1,8 @@
-//! One reservation on an agent and the generation it becomes.
+//! A reservation on an agent and the generation started from it.
 //!
-//! Its life goes one way: reserved, then either lapsed for good or started,
-//! then finished. Readers are attached to it at a token; each is sent what
-//! it has not yet acknowledged, within a window.
+//! States only advance: reserved, then either expired or running, then
+//! finished. Readers attach at a token offset; each is sent the tokens that
+//! follow, within a window beyond its last acknowledgement.
 
 use crate::code::Code;
 use crate::ids::{GenerationId, Name, RequestId};
@@ -13,31 +13,31 @@
 use crate::work::Demand;
 use std::net::SocketAddr;
 
-/// Most readers of one generation.
+/// Maximum number of readers of one generation.
 pub(crate) const MAX_READERS: usize = 8;
 
-/// Tokens sent to a reader ahead of its acknowledgement.
-pub(crate) const WINDOW: u64 = 2_048;
+/// Tokens sent to a reader beyond its last acknowledgement.
+pub(crate) const WINDOW_TOKENS: u64 = 2_048;
 
-/// Most bytes of tokens in one message.
+/// Maximum bytes of tokens in one message.
 pub(crate) const MAX_CHUNK_BYTES: usize = 64 * 1024;
 
 const MAX_CHUNK_TOKENS: usize = 1_024;
 
-/// Where a generation is in its life.
+/// State of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// May be started until then.
+    /// May be started until that time.
     Reserved(Time),
-    /// Was never started and never will be, as of then.
-    Lapsed(Time),
+    /// Expired or withdrawn at that time; can no longer be started.
+    Expired(Time),
     /// Runs on the upstream.
     Running,
     /// Ended at that time.
     Finished(Time),
 }
 
-/// One entry that reads a generation for one caller.
+/// An entry that reads a generation for one caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Reader {
     /// Request id of the reader's call.
@@ -48,13 +48,13 @@
     pub(crate) next: u64,
     /// First token not acknowledged.
     pub(crate) acked: u64,
-    /// When it was last heard of.
-    pub(crate) heard: Time,
-    /// Whether it was sent the end.
-    pub(crate) told_end: bool,
+    /// Time of its last message.
+    pub(crate) last_received: Time,
+    /// Whether the end was sent to it.
+    pub(crate) end_sent: bool,
 }
 
-/// A reservation and what it becomes.
+/// A reservation and the generation started from it.
 #[derive(Clone, Debug)]
 pub(crate) struct Generation {
     pub(crate) id: GenerationId,
@@ -64,14 +64,15 @@
     pub(crate) log: TokenLog,
     pub(crate) finish: Option<Finish>,
     pub(crate) readers: Vec<Reader>,
-    /// Whether a reader left after it was sent the end.
-    pub(crate) taken: bool,
-    /// Since when nobody reads it.
+    /// Whether a reader detached after the end was sent to it, or the generation
+    /// was cancelled after its end.
+    pub(crate) end_delivered: bool,
+    /// Time since which it has had no readers.
     pub(crate) unread_since: Option<Time>,
-    /// Times that the stream from the upstream was taken up again.
-    pub(crate) resumed: u32,
-    /// When the upstream was last heard of; the start until then.
-    pub(crate) heard: Time,
+    /// Number of times the upstream stream was resumed.
+    pub(crate) resume_count: u32,
+    /// Time of the upstream's last output; the start before the first one.
+    pub(crate) last_output: Time,
 }
 
 impl Generation {
@@ -79,22 +80,24 @@
         self.stage == Stage::Running
     }
 
-    /// Whether to end the agent now would cut somebody off.
+    /// Returns whether stopping the agent now would interrupt a caller.
     ///
-    /// A whole answer waits for its reader, also when that one is silent.
-    pub(crate) fn is_wanted(&self) -> bool {
+    /// A complete answer is kept for its reader, even if the reader is silent.
+    pub(crate) fn blocks_shutdown(&self) -> bool {
         match self.stage {
             Stage::Reserved(_) | Stage::Running => true,
-            Stage::Lapsed(_) => false,
-            Stage::Finished(_) => !self.readers.is_empty() || (self.is_whole() && !self.taken),
+            Stage::Expired(_) => false,
+            Stage::Finished(_) => {
+                !self.readers.is_empty() || (self.is_complete() && !self.end_delivered)
+            }
         }
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.finish.as_ref().is_some_and(|f| f.code == Code::Ok)
     }
 
-    /// Attaches a reader at `from`, or moves the one it has.
+    /// Attaches a reader at `from`, replacing its previous attachment.
     pub(crate) fn attach(
         &mut self,
         now: Time,
@@ -104,7 +107,7 @@
     ) -> Result<(), Standing> {
         match self.stage {
             Stage::Reserved(_) => return Err(Standing::Reserved),
-            Stage::Lapsed(_) => return Err(Standing::NeverStarted),
+            Stage::Expired(_) => return Err(Standing::NeverStarted),
             Stage::Running | Stage::Finished(_) => {}
         }
         if from < self.log.first() || from > self.log.end() {
@@ -120,62 +123,63 @@
             addr,
             next: from,
             acked: from,
-            heard: now,
-            told_end: false,
+            last_received: now,
+            end_sent: false,
         });
         Ok(())
     }
 
-    /// Notes what a reader has handed on.
+    /// Records the tokens that a reader has delivered.
     pub(crate) fn ack(&mut self, now: Time, reader: RequestId, next: u64) {
         let end = self.log.end();
         if let Some(r) = self.readers.iter_mut().find(|r| r.id == reader) {
             r.acked = r.acked.max(next.min(end));
             r.next = r.next.max(r.acked);
-            r.heard = now;
+            r.last_received = now;
         }
     }
 
     pub(crate) fn detach(&mut self, now: Time, reader: RequestId) {
-        let told_end = |r: &Reader| r.id == reader && r.told_end;
-        self.taken |= self.readers.iter().any(told_end);
+        let end_sent = |r: &Reader| r.id == reader && r.end_sent;
+        self.end_delivered |= self.readers.iter().any(end_sent);
         self.readers.retain(|r| r.id != reader);
-        self.note_unread(now);
+        self.record_unread(now);
     }
 
-    /// Drops the readers not heard of since `limit`.
+    /// Drops the readers without a message since `limit`.
     pub(crate) fn drop_silent(&mut self, now: Time, limit: Time) {
-        self.readers.retain(|r| r.heard > limit);
-        self.note_unread(now);
+        self.readers.retain(|r| r.last_received > limit);
+        self.record_unread(now);
     }
 
-    fn note_unread(&mut self, now: Time) {
+    fn record_unread(&mut self, now: Time) {
         if self.readers.is_empty() && self.unread_since.is_none() {
             self.unread_since = Some(now);
         }
     }
 
-    /// Messages that bring one reader up to date within its window.
+    /// Returns the messages that bring one reader up to date within its window.
     ///
-    /// With `answer`, at least one message, so that the reader hears.
+    /// With `always_reply`, there is at least one message, so that the reader
+    /// receives a response.
     pub(crate) fn messages(
         &mut self,
         reader: RequestId,
-        answer: bool,
+        always_reply: bool,
     ) -> Vec<(SocketAddr, Message)> {
         let Some(at) = self.readers.iter().position(|r| r.id == reader) else {
             return Vec::new();
         };
         let mut out = Vec::new();
-        let mut must = answer;
-        while let Some(message) = self.next_message(at, must) {
+        let mut allow_empty = always_reply;
+        while let Some(message) = self.next_message(at, allow_empty) {
             out.push((self.readers[at].addr, message));
-            must = false;
+            allow_empty = false;
         }
         out
     }
 
-    /// Messages that bring all readers up to date.
+    /// Returns the messages that bring all readers up to date.
     pub(crate) fn messages_to_all(&mut self) -> Vec<(SocketAddr, Message)> {
         let ids: Vec<RequestId> = self.readers.iter().map(|r| r.id).collect();
         ids.into_iter()
@@ -183,23 +187,23 @@
             .collect()
     }
 
-    fn next_message(&mut self, at: usize, must: bool) -> Option<Message> {
+    fn next_message(&mut self, at: usize, allow_empty: bool) -> Option<Message> {
         let reader = &mut self.readers[at];
-        let room = (reader.acked + WINDOW).saturating_sub(reader.next);
-        let window = usize::try_from(room)
+        let window_left = (reader.acked + WINDOW_TOKENS).saturating_sub(reader.next);
+        let window = usize::try_from(window_left)
             .unwrap_or(MAX_CHUNK_TOKENS)
             .min(MAX_CHUNK_TOKENS);
-        let chunk = self.log.cut(reader.next, window, MAX_CHUNK_BYTES)?;
+        let chunk = self.log.chunk_at(reader.next, window, MAX_CHUNK_BYTES)?;
         let reaches_end = chunk.end() == self.log.end();
         let finish = self
             .finish
             .clone()
-            .filter(|_| reaches_end && !reader.told_end);
-        if chunk.count() == 0 && finish.is_none() && !must {
+            .filter(|_| reaches_end && !reader.end_sent);
+        if chunk.count() == 0 && finish.is_none() && !allow_empty {
             return None;
         }
         reader.next = chunk.end();
-        reader.told_end |= finish.is_some();
+        reader.end_sent |= finish.is_some();
         Some(Message::Tokens {
             reader: reader.id,
             generation: self.id,
@@ -208,7 +212,7 @@
         })
     }
 
-    /// Result that the generation is said to have, for a finish made here.
+    /// Returns the result of a generation that the agent itself ends.
     pub(crate) fn finish_with(&self, code: Code, reason: &str, crashes: u8) -> Finish {
         Finish {
             total: self.log.end(),
--- a/fireflycroft/src/store.rs
+++ b/fireflycroft/src/generation_store.rs
@@ -1,10 +1,10 @@
-//! Reservations and answers that an agent keeps, within bounds.
+//! Bounded store of an agent's reservations and answers.
 //!
-//! What goes leaves a short trace, so that a claim or a reader that names it
-//! later is still told whether it ran. When the bytes kept are too many,
-//! ended answers that nobody reads go first, then tokens that all readers
-//! have, then the oldest tokens of the largest answers; who asks for those
-//! is told that the part is gone.
+//! Each dropped generation leaves a short record, so that a later start or
+//! reader that names it still learns whether it ran. Above the byte limit,
+//! finished answers without readers are dropped first, then tokens that all
+//! readers have acknowledged, then the oldest tokens of the largest answers;
+//! a reader that requests dropped tokens gets `PartGone`.
 
 use crate::agent::AgentLimits;
 use crate::code::Class;
@@ -14,30 +14,31 @@
 use crate::time::Time;
 use std::collections::BTreeMap;
 
-/// Traces kept at once; the oldest goes when more come.
-const MAX_TRACES: usize = 16_384;
+/// Maximum number of records of dropped generations; above it, the one with the
+/// lowest serial number is removed.
+const MAX_DROPPED: usize = 16_384;
 
-/// This part of the bound is freed at once, not a little at each token.
-const FREED_PART: usize = 8;
+/// 1/8 of the limit is freed at a time, rather than a little at each token.
+const FREED_FRACTION_DIVISOR: usize = 8;
 
-/// What is known of a generation that is no longer kept.
+/// Record of a generation that is no longer held.
 #[derive(Clone, Debug)]
-struct Trace {
+struct DroppedGeneration {
     request: RequestId,
     workspace: Name,
     ran: bool,
 }
 
-/// Generations by serial number, and traces of those that went.
+/// Generations by serial number, and records of dropped ones.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Store {
+pub(crate) struct GenerationStore {
     held: BTreeMap<u64, Generation>,
-    traces: BTreeMap<u64, Trace>,
-    /// Bytes held, or more.
+    dropped: BTreeMap<u64, DroppedGeneration>,
+    /// Upper bound of the bytes held.
     bytes: usize,
 }
 
-impl Store {
+impl GenerationStore {
     pub(crate) fn insert(&mut self, g: Generation) {
         self.held.insert(g.id.serial, g);
     }
@@ -58,85 +59,87 @@
         self.held.values_mut()
     }
 
-    /// Bytes of answers held.
+    /// Returns the bytes of answers held.
     pub(crate) fn bytes(&self) -> usize {
         self.held.values().map(|g| g.log.bytes()).sum()
     }
 
-    /// How a generation stands that is not held; `None` asks for any workspace.
+    /// Returns the standing of a generation that is not held; `None` matches any
+    /// workspace.
     pub(crate) fn standing(
         &self,
         serial: u64,
         request: RequestId,
         workspace: Option<&Name>,
     ) -> Standing {
-        let own = |t: &&Trace| {
+        let matches_reader = |t: &&DroppedGeneration| {
             t.request == request && workspace.is_none_or(|workspace| t.workspace == *workspace)
         };
-        match self.traces.get(&serial).filter(own) {
-            Some(trace) if trace.ran => Standing::PartGone,
+        match self.dropped.get(&serial).filter(matches_reader) {
+            Some(dropped_generation) if dropped_generation.ran => Standing::PartGone,
             Some(_) => Standing::NeverStarted,
             None => Standing::Unknown,
         }
     }
 
-    /// Forgets what lapsed or ended long enough ago.
-    pub(crate) fn forget(&mut self, now: Time, limits: &AgentLimits) {
+    /// Drops expired and finished generations past their retention.
+    pub(crate) fn remove_old(&mut self, now: Time, limits: &AgentLimits) {
         let old = |g: &&Generation| match g.stage {
-            Stage::Lapsed(at) => now.since(at) >= limits.remember,
-            Stage::Finished(at) => now.since(at) >= limits.keep_finished,
+            Stage::Expired(at) => now.since(at) >= limits.offer_retention,
+            Stage::Finished(at) => now.since(at) >= limits.finished_retention,
             Stage::Reserved(_) | Stage::Running => false,
         };
         let serials: Vec<u64> = self.held.values().filter(old).map(serial_of).collect();
         for serial in serials {
-            self.drop(serial);
+            self.drop_generation(serial);
         }
     }
 
-    /// Notes that so many bytes of tokens were added, and keeps the bound.
-    pub(crate) fn grow(&mut self, added: usize, max: usize) {
+    /// Adds to the byte count and enforces the limit.
+    pub(crate) fn record_added_bytes(&mut self, added: usize, max: usize) {
         self.bytes += added;
         if self.bytes > max {
-            self.make_room(max);
+            self.enforce_byte_limit(max);
         }
     }
 
-    fn make_room(&mut self, max: usize) {
+    fn enforce_byte_limit(&mut self, max: usize) {
         self.bytes = self.bytes();
         if self.bytes <= max {
             return;
         }
-        let target = max - max / FREED_PART;
-        self.drop_ended(target);
-        self.release_taken(target);
+        let target = max - max / FREED_FRACTION_DIVISOR;
+        self.drop_finished(target);
+        self.release_acknowledged(target);
         while self.bytes > target && self.release_oldest(target) {}
     }
 
-    /// Drops ended answers that nobody reads, oldest first.
-    fn drop_ended(&mut self, target: usize) {
+    /// Drops finished answers without readers, oldest first.
+    fn drop_finished(&mut self, target: usize) {
         let ended = |g: &&Generation| matches!(g.stage, Stage::Finished(_)) && g.readers.is_empty();
         while self.bytes > target {
             let Some(serial) = self.held.values().find(ended).map(serial_of) else {
                 return;
             };
-            self.drop(serial);
+            self.drop_generation(serial);
         }
     }
 
-    /// Releases tokens that every reader has handed on.
-    fn release_taken(&mut self, target: usize) {
+    /// Releases tokens that every reader has acknowledged.
+    fn release_acknowledged(&mut self, target: usize) {
         for g in self.held.values_mut() {
             if self.bytes <= target {
                 return;
             }
-            let taken = g.readers.iter().map(|r| r.acked).min();
+            let lowest_acked = g.readers.iter().map(|r| r.acked).min();
             let before = g.log.bytes();
-            g.log.release_below(taken.unwrap_or(0));
+            g.log.release_below(lowest_acked.unwrap_or(0));
             self.bytes -= before - g.log.bytes();
         }
     }
 
-    /// Releases the oldest tokens of the largest answer; false if there are none.
+    /// Releases the oldest tokens of the largest answer; returns false if nothing
+    /// was released.
     fn release_oldest(&mut self, target: usize) -> bool {
         let Some(g) = self.held.values_mut().max_by_key(|g| g.log.bytes()) else {
             return false;
@@ -147,19 +150,19 @@
         before > g.log.bytes()
     }
 
-    fn drop(&mut self, serial: u64) {
+    fn drop_generation(&mut self, serial: u64) {
         let Some(g) = self.held.remove(&serial) else {
             return;
         };
         self.bytes = self.bytes.saturating_sub(g.log.bytes());
-        let trace = Trace {
+        let dropped_generation = DroppedGeneration {
             request: g.offer.request,
             ran: has_run(&g),
             workspace: g.demand.workspace,
         };
-        self.traces.insert(serial, trace);
-        if self.traces.len() > MAX_TRACES {
-            self.traces.pop_first();
+        self.dropped.insert(serial, dropped_generation);
+        if self.dropped.len() > MAX_DROPPED {
+            self.dropped.pop_first();
         }
     }
 }
@@ -171,7 +174,7 @@
 fn has_run(g: &Generation) -> bool {
     let refused = |code: crate::code::Code| code.class() == Class::NotRun;
     match g.stage {
-        Stage::Reserved(_) | Stage::Lapsed(_) => false,
+        Stage::Reserved(_) | Stage::Expired(_) => false,
         Stage::Running => true,
         Stage::Finished(_) => !g.finish.as_ref().is_some_and(|f| refused(f.code)),
     }
--- a/fireflycroft/src/length.rs
+++ b/fireflycroft/src/length.rs
@@ -1,50 +1,51 @@
-//! Remaining length of answers, learned from the tokens that pass.
+//! Estimates of the remaining length of answers, from observed tokens.
 //!
-//! A sketch counts, for each of a few geometric spans of lengths, how many
-//! answers entered the span and how many ended in it. Survival is the product
-//! over the spans of those that did not end, the estimator of Kaplan and
-//! Meier, so answers that still run count for as far as they have come. Counts
-//! decay, so that the sketch follows change. Where a sketch has seen little it
-//! leans on the next wider one: workspace, then model and kind, then a prior.
+//! A sketch counts, for each of a few geometric length buckets, how many answers
+//! entered the bucket and how many ended in it. Survival is the product over the
+//! buckets of the share that did not end (the Kaplan-Meier estimator), so running
+//! answers count up to their current length. Counts decay, so that the sketch
+//! follows change. A sketch with few samples is blended with the next wider one:
+//! workspace, then model and priority, then a fixed prior.
 
 use crate::ids::Name;
 use crate::work::{Demand, Priority};
 use std::collections::HashMap;
 
-/// Spans of lengths that a sketch tells apart; four to each doubling.
-pub const SPANS: usize = 60;
+/// Length buckets of a sketch; four per doubling.
+pub const LENGTH_BUCKETS: usize = 60;
 
-/// Sketches of workspaces that are kept; the least seen goes first.
+/// Maximum number of workspace sketches; the one with the fewest answers is
+/// evicted first.
 pub const MAX_SKETCHES: usize = 512;
 
-/// Spans to each doubling of the length.
-const SPANS_PER_DOUBLING: f64 = 4.0;
+/// Buckets per doubling of the length.
+const BUCKETS_PER_DOUBLING: f64 = 4.0;
 
-/// Answers after which an older one counts by a factor of e less.
-const MEMORY: f32 = 500.0;
+/// Answers after which the weight of an older one has decayed by a factor of e.
+const DECAY_ANSWERS: f32 = 500.0;
 
-/// Answers that the wider sketch counts for within the narrower one.
-const LEAN: f32 = 10.0;
+/// Weight of the model's sketch within that of a workspace, in answers.
+const WORKSPACE_PRIOR_ANSWERS: f32 = 10.0;
 
-/// Answers that the prior counts for within a sketch of a model.
-const PRIOR_LEAN: f32 = 3.0;
+/// Weight of the fixed prior within the sketch of a model, in answers.
+const MODEL_PRIOR_ANSWERS: f32 = 3.0;
 
-/// Share of answers that end in each span, before anything was seen.
+/// Share of answers that end in each bucket, before any observation.
 const PRIOR_HAZARD: f32 = 0.08;
 
-/// Whose answers a sketch is of.
+/// Key of a sketch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LengthKey {
-    /// Workspace that asks.
+    /// Workspace of the request.
     pub workspace: Name,
-    /// Model that answers.
+    /// Model that serves the request.
     pub target: Name,
-    /// Kind of the request.
+    /// Priority of the request.
     pub priority: Priority,
 }
 
 impl LengthKey {
-    /// Key of what a request asks.
+    /// Returns the key of a request.
     #[must_use]
     pub fn of(demand: &Demand) -> Self {
         Self {
@@ -55,128 +56,133 @@
     }
 }
 
-/// Answers that entered each span and ended in it.
+/// Decayed counts of answers that entered each bucket and ended in it.
 #[derive(Clone, Copy, Debug)]
 struct Sketch {
-    entered: [f32; SPANS],
-    ended: [f32; SPANS],
+    entered: [f32; LENGTH_BUCKETS],
+    ended: [f32; LENGTH_BUCKETS],
 }
 
 impl Default for Sketch {
     fn default() -> Self {
         Self {
-            entered: [0.0; SPANS],
-            ended: [0.0; SPANS],
+            entered: [0.0; LENGTH_BUCKETS],
+            ended: [0.0; LENGTH_BUCKETS],
         }
     }
 }
 
 impl Sketch {
-    fn enter(&mut self, span: usize) {
-        let kept = 1.0 - 1.0 / MEMORY;
-        self.entered[span] = self.entered[span] * kept + 1.0;
-        self.ended[span] *= kept;
+    fn enter(&mut self, bucket: usize) {
+        let kept = 1.0 - 1.0 / DECAY_ANSWERS;
+        self.entered[bucket] = self.entered[bucket] * kept + 1.0;
+        self.ended[bucket] *= kept;
     }
 
-    fn end(&mut self, span: usize) {
-        self.ended[span] += 1.0;
+    fn end(&mut self, bucket: usize) {
+        self.ended[bucket] += 1.0;
     }
 
-    /// Share of answers that end in each span, leaning on `wider` as on
-    /// `lean` answers.
-    fn hazards(&self, wider: &[f32; SPANS], lean: f32) -> [f32; SPANS] {
+    /// Returns the share of answers that end in each bucket, with `prior` weighted
+    /// as `prior_answers` answers.
+    fn hazards(&self, prior: &[f32; LENGTH_BUCKETS], prior_answers: f32) -> [f32; LENGTH_BUCKETS] {
         std::array::from_fn(|i| {
-            let ended = self.ended[i] + lean * wider[i];
-            (ended / (self.entered[i] + lean)).min(1.0)
+            let ended = self.ended[i] + prior_answers * prior[i];
+            (ended / (self.entered[i] + prior_answers)).min(1.0)
         })
     }
 }
 
-/// Lengths seen on one upstream.
+/// Answer lengths observed on one upstream.
 #[derive(Clone, Debug, Default)]
-pub struct Lengths {
-    narrow: HashMap<LengthKey, Sketch>,
-    wide: HashMap<(Name, Priority), Sketch>,
+pub struct AnswerLengths {
+    by_workspace: HashMap<LengthKey, Sketch>,
+    by_model: HashMap<(Name, Priority), Sketch>,
 }
 
-impl Lengths {
-    /// Notes that an answer came from `before` tokens to `now` tokens.
-    pub fn passed(&mut self, key: &LengthKey, before: u64, now: u64) {
-        let first = if before == 0 { 0 } else { span_of(before) + 1 };
-        let last = span_of(now.max(1));
-        for span in first..=last {
-            self.each(key, |sketch| sketch.enter(span));
+impl AnswerLengths {
+    /// Records that an answer grew from `before` to `now` tokens.
+    pub fn record_progress(&mut self, key: &LengthKey, before: u64, now: u64) {
+        let first = if before == 0 {
+            0
+        } else {
+            bucket_of(before) + 1
+        };
+        let last = bucket_of(now.max(1));
+        for bucket in first..=last {
+            self.update_sketches(key, |sketch| sketch.enter(bucket));
         }
     }
 
-    /// Notes that an answer ended by itself after so many tokens.
-    pub fn ended(&mut self, key: &LengthKey, total: u64) {
-        let span = span_of(total.max(1));
-        self.each(key, |sketch| sketch.end(span));
+    /// Records that an answer completed at `total` tokens.
+    pub fn record_end(&mut self, key: &LengthKey, total: u64) {
+        let bucket = bucket_of(total.max(1));
+        self.update_sketches(key, |sketch| sketch.end(bucket));
     }
 
-    /// How long answers of that key grow.
+    /// Returns the length distribution for that key.
     #[must_use]
     pub fn survival(&self, key: &LengthKey) -> Survival {
-        let mut hazards = [PRIOR_HAZARD; SPANS];
-        if let Some(wide) = self.wide.get(&(key.target.clone(), key.priority)) {
-            hazards = wide.hazards(&hazards, PRIOR_LEAN);
+        let mut hazards = [PRIOR_HAZARD; LENGTH_BUCKETS];
+        if let Some(by_model) = self.by_model.get(&(key.target.clone(), key.priority)) {
+            hazards = by_model.hazards(&hazards, MODEL_PRIOR_ANSWERS);
         }
-        if let Some(narrow) = self.narrow.get(key) {
-            hazards = narrow.hazards(&hazards, LEAN);
+        if let Some(by_workspace) = self.by_workspace.get(key) {
+            hazards = by_workspace.hazards(&hazards, WORKSPACE_PRIOR_ANSWERS);
         }
         Survival::new(&hazards)
     }
 
-    /// Sketches of workspaces that are held.
+    /// Returns the number of workspace sketches.
     #[must_use]
     pub fn sketches(&self) -> usize {
-        self.narrow.len()
+        self.by_workspace.len()
     }
 
-    fn each(&mut self, key: &LengthKey, f: impl Fn(&mut Sketch)) {
-        if !self.narrow.contains_key(key) {
-            self.make_room();
+    fn update_sketches(&mut self, key: &LengthKey, f: impl Fn(&mut Sketch)) {
+        if !self.by_workspace.contains_key(key) {
+            self.evict_least_seen();
         }
-        f(self.narrow.entry(key.clone()).or_default());
-        let wide = (key.target.clone(), key.priority);
-        f(self.wide.entry(wide).or_default());
+        f(self.by_workspace.entry(key.clone()).or_default());
+        let by_model = (key.target.clone(), key.priority);
+        f(self.by_model.entry(by_model).or_default());
     }
 
-    fn make_room(&mut self) {
-        if self.narrow.len() < MAX_SKETCHES {
+    fn evict_least_seen(&mut self) {
+        if self.by_workspace.len() < MAX_SKETCHES {
             return;
         }
         let seen = |s: &Sketch| s.entered[0];
         let least = self
-            .narrow
+            .by_workspace
             .iter()
             .min_by(|(_, a), (_, b)| seen(a).total_cmp(&seen(b)))
             .map(|(key, _)| key.clone());
         if let Some(key) = least {
-            self.narrow.remove(&key);
+            self.by_workspace.remove(&key);
         }
     }
 }
 
-/// Probability that an answer outgrows a length.
+/// Distribution of the length of an answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Survival {
-    /// Logarithm of the probability at the start of each span.
-    logs: [f32; SPANS + 1],
+    /// Log probability of reaching the start of each bucket.
+    logs: [f32; LENGTH_BUCKETS + 1],
 }
 
 impl Survival {
-    fn new(hazards: &[f32; SPANS]) -> Self {
-        const LEAST: f32 = 1e-4;
-        let mut logs = [0.0; SPANS + 1];
-        for i in 0..SPANS {
-            logs[i + 1] = logs[i] + (1.0 - hazards[i]).max(LEAST).ln();
+    fn new(hazards: &[f32; LENGTH_BUCKETS]) -> Self {
+        const MIN_SURVIVAL: f32 = 1e-4;
+        let mut logs = [0.0; LENGTH_BUCKETS + 1];
+        for i in 0..LENGTH_BUCKETS {
+            logs[i + 1] = logs[i] + (1.0 - hazards[i]).max(MIN_SURVIVAL).ln();
         }
         Self { logs }
     }
 
-    /// Probability that an answer of `produced` tokens gets `more` after them.
+    /// Returns the probability that an answer with `produced` tokens produces
+    /// `more` further ones.
     #[must_use]
     pub fn beyond(&self, produced: u64, more: u64) -> f64 {
         let from = self.log_at(produced);
@@ -184,13 +190,14 @@
         f64::from(to - from).exp()
     }
 
-    /// Mean of the tokens to come after `produced`, at most `limit` in all.
+    /// Returns the mean number of tokens after `produced`, with at most `limit` in
+    /// total.
     #[must_use]
     pub fn mean(&self, produced: u64, limit: u64) -> f64 {
         let mut mean = 0.0;
         let mut at = produced;
-        for span in span_of(produced.max(1))..SPANS {
-            let end = start_of(span + 1).min(limit);
+        for bucket in bucket_of(produced.max(1))..LENGTH_BUCKETS {
+            let end = bucket_start(bucket + 1).min(limit);
             if end <= at {
                 continue;
             }
@@ -203,11 +210,12 @@
         mean
     }
 
-    /// Tokens to come after `produced` that a share `q` of answers stays within.
+    /// Returns the quantile `q` of the number of tokens after `produced`, with at
+    /// most `limit` in total.
     #[must_use]
     pub fn quantile(&self, produced: u64, limit: u64, q: f64) -> u64 {
-        let most = limit.saturating_sub(produced);
-        let (mut low, mut high) = (0, most);
+        let max_more = limit.saturating_sub(produced);
+        let (mut low, mut high) = (0, max_more);
         while low < high {
             let middle = low.midpoint(high);
             if self.beyond(produced, middle) <= 1.0 - q {
@@ -219,35 +227,35 @@
         low
     }
 
-    /// Logarithm of the probability to outgrow `tokens`.
+    /// Returns the log probability of reaching `tokens`.
     #[allow(clippy::cast_possible_truncation)]
     fn log_at(&self, tokens: u64) -> f32 {
         if tokens <= 1 {
             return 0.0;
         }
-        let span = span_of(tokens);
-        let start = to_f64(start_of(span));
-        let part = (to_f64(tokens) / start).log2() * SPANS_PER_DOUBLING;
-        let (from, to) = (self.logs[span], self.logs[span + 1]);
+        let bucket = bucket_of(tokens);
+        let start = to_f64(bucket_start(bucket));
+        let part = (to_f64(tokens) / start).log2() * BUCKETS_PER_DOUBLING;
+        let (from, to) = (self.logs[bucket], self.logs[bucket + 1]);
         from + (to - from) * part.clamp(0.0, 1.0) as f32
     }
 }
 
-/// Span in which an answer of so many tokens is.
+/// Returns the bucket of a length.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn span_of(tokens: u64) -> usize {
-    let place = to_f64(tokens.max(1)).log2() * SPANS_PER_DOUBLING;
-    (place as usize).min(SPANS - 1)
+fn bucket_of(tokens: u64) -> usize {
+    let place = to_f64(tokens.max(1)).log2() * BUCKETS_PER_DOUBLING;
+    (place as usize).min(LENGTH_BUCKETS - 1)
 }
 
-/// Tokens at which a span starts.
+/// Returns the first length of a bucket, in tokens.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     clippy::cast_precision_loss
 )]
-fn start_of(span: usize) -> u64 {
-    (span as f64 / SPANS_PER_DOUBLING).exp2().ceil() as u64
+fn bucket_start(bucket: usize) -> u64 {
+    (bucket as f64 / BUCKETS_PER_DOUBLING).exp2().ceil() as u64
 }
 
 #[allow(clippy::cast_precision_loss)]
--- a/fireflycroft/src/quota.rs
+++ b/fireflycroft/src/quota.rs
@@ -1,14 +1,16 @@
-//! Quotas of workspaces in tokens a minute, without a call a request.
+//! Workspace quotas in tokens per minute, checked locally without a remote call
+//! per request.
 //!
-//! Each entry holds its share of the quota, the whole divided by the entries
-//! alive, as a token bucket of one minute's depth.
+//! Each entry holds its share, the quota divided by the number of live entries,
+//! as a token bucket with a depth of one minute.
 
 use crate::ids::Name;
 use crate::time::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Workspaces whose buckets are kept; full ones are dropped first.
+/// Number of buckets at which those unused for a minute, normally full again,
+/// are dropped.
 pub const MAX_BUCKETS: usize = 65_536;
 
 const MINUTE_SECS: f64 = 60.0;
@@ -16,7 +18,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     level: f64,
-    at: Time,
+    updated_at: Time,
 }
 
 /// Token buckets of the workspaces that have a quota.
@@ -26,11 +28,11 @@
 }
 
 impl Quotas {
-    /// Takes `tokens` from the share of a workspace, or says when to come back.
+    /// Takes `tokens` from a workspace's share of the quota.
     ///
     /// # Errors
     ///
-    /// Time until the share holds enough again.
+    /// Returns the time until the bucket holds enough tokens.
     #[allow(clippy::cast_precision_loss)]
     pub fn take(
         &mut self,
@@ -46,28 +48,29 @@
         }
         let bucket = self.buckets.entry(workspace.clone()).or_insert(Bucket {
             level: depth,
-            at: now,
+            updated_at: now,
         });
-        bucket.level = (bucket.level + rate * now.since(bucket.at).as_secs_f64()).min(depth);
-        bucket.at = now;
-        // More than a whole minute's share is let through from a full bucket.
-        let asked = (tokens as f64).min(depth);
-        if bucket.level < asked {
-            return Err(Duration::from_secs_f64((asked - bucket.level) / rate));
+        bucket.level =
+            (bucket.level + rate * now.since(bucket.updated_at).as_secs_f64()).min(depth);
+        bucket.updated_at = now;
+        // A request for more than a minute's share passes if the bucket is full.
+        let required = (tokens as f64).min(depth);
+        if bucket.level < required {
+            return Err(Duration::from_secs_f64((required - bucket.level) / rate));
         }
         bucket.level -= tokens as f64;
         Ok(())
     }
 
-    /// Gives back tokens that were taken and not used.
+    /// Refunds tokens that were taken and not used.
     #[allow(clippy::cast_precision_loss)]
-    pub fn give_back(&mut self, workspace: &Name, tokens: u64) {
+    pub fn refund(&mut self, workspace: &Name, tokens: u64) {
         if let Some(bucket) = self.buckets.get_mut(workspace) {
             bucket.level += tokens as f64;
         }
     }
 
-    /// Charges tokens that were used, below zero if need be.
+    /// Charges used tokens; the level may become negative.
     #[allow(clippy::cast_precision_loss)]
     pub fn charge(&mut self, workspace: &Name, tokens: u64) {
         if let Some(bucket) = self.buckets.get_mut(workspace) {
@@ -77,6 +80,6 @@
 
     fn drop_full(&mut self, now: Time) {
         self.buckets
-            .retain(|_, b| now.since(b.at).as_secs_f64() < MINUTE_SECS);
+            .retain(|_, b| now.since(b.updated_at).as_secs_f64() < MINUTE_SECS);
     }
 }
--- a/fireflycroft/tests/bounds.rs
+++ b/fireflycroft/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Every table has a limit, and a stated result when it is reached.
+//! Every table has a limit, with a defined result when it is reached.
 
 mod support;
 
@@ -6,10 +6,10 @@
 use support::cases;
 use support::fleet::{AGENTS, Ask, ENGINES, GIANT, MAX_CALLS, MAX_HELD, MAX_OFFERS, Proc};
 use support::oracle::Outcome;
-use support::upstream::Mood;
+use support::upstream::UpstreamMode;
 
-/// Tokens that an agent sends ahead of what the caller has taken.
-const WINDOW: u64 = 2_048;
+/// Tokens that an agent sends beyond the last acknowledgement.
+const WINDOW_TOKENS: u64 = 2_048;
 
 cases! {
     calls_at_the_entrys_bound(world) {
@@ -23,25 +23,25 @@
         assert_eq!(last, Some(Outcome::Failed(Code::Overloaded)));
     }
 
-    /// A caller who takes nothing is not given more than two windows.
+    /// A caller that reads nothing is sent at most two windows.
     caller_who_takes_nothing(world) {
         world.stall_callers(true);
         let call = world.submit(0, Ask { content: GIANT, ..Ask::default() }).unwrap();
         world.advance(60_000);
-        assert!(world.next(call) <= 2 * WINDOW, "{}", world.next(call));
+        assert!(world.next(call) <= 2 * WINDOW_TOKENS, "{}", world.next(call));
         assert_eq!(world.outcome(call), None);
         world.stall_callers(false);
         world.advance(20_000);
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
     }
 
-    /// None is over its own bound, but all of them together are.
+    /// Each answer is within its own limit, but their total is not.
     whole_answers_held_back_at_once(world) {
         let ask = Ask { content: 4, whole: true, ..Ask::default() };
         let calls: Vec<_> = (0..12).map(|_| world.submit(0, ask).unwrap()).collect();
         for _ in 0..100 {
             world.advance(50);
-            assert!(world.most_held() <= MAX_HELD, "{}", world.most_held());
+            assert!(world.max_held() <= MAX_HELD, "{}", world.max_held());
         }
         let of = |outcome| {
             let same = calls.iter().filter(|c| world.outcome(**c) == Some(outcome));
@@ -52,10 +52,10 @@
         assert_eq!(of(whole) + of(large), calls.len());
     }
 
-    /// The upstream gives nothing: its caller does not wait for ever.
+    /// An upstream without output must not leave its caller waiting for ever.
     upstream_that_hangs(world) {
         for agent in 0..ENGINES {
-            world.set_mood(agent, Mood::Full);
+            world.set_upstream_mode(agent, UpstreamMode::Full);
         }
         let call = world.submit(0, Ask { content: 5, ..Ask::default() }).unwrap();
         world.advance(59_000);
@@ -65,7 +65,7 @@
         assert_eq!(world.outcome(call), Some(late));
     }
 
-    /// Nobody reads it any more: the engine is not kept for it.
+    /// A generation without readers must not occupy the engine.
     run_that_nobody_reads(world) {
         let call = world.submit(0, Ask { content: GIANT, ..Ask::default() }).unwrap();
         world.advance(100);
@@ -77,30 +77,30 @@
         assert_eq!(world.running(agent), 0);
     }
 
-    /// Nobody withdraws what a dead entry had offered.
+    /// Offers of a dead entry are never withdrawn; they must expire.
     waits_of_a_dead_entry(world) {
         for agent in 0..ENGINES {
-            world.set_mood(agent, Mood::Full);
+            world.set_upstream_mode(agent, UpstreamMode::Full);
         }
         for _ in 0..20 {
             world.submit(0, Ask { content: 5, ..Ask::default() });
         }
         world.advance(100);
-        assert!(world.most_queued() > 0);
+        assert!(world.max_queued() > 0);
         world.kill(Proc::Entry(0));
         world.advance(2_500);
-        assert_eq!(world.most_queued(), 0);
+        assert_eq!(world.max_queued(), 0);
     }
 
-    /// More offers within a minute than an agent remembers.
+    /// More offers arrive within a minute than an agent remembers.
     offers_at_the_agents_bound(world) {
         for agent in 0..ENGINES {
-            world.set_mood(agent, Mood::Full);
+            world.set_upstream_mode(agent, UpstreamMode::Full);
         }
         for i in 0..1_200 {
             world.submit(i % 3, Ask { interactive: i % 2 == 0, ..Ask::default() });
             world.advance(20);
-            assert!(world.most_offers() <= MAX_OFFERS, "{}", world.most_offers());
+            assert!(world.max_offers() <= MAX_OFFERS, "{}", world.max_offers());
         }
     }
 
@@ -115,6 +115,6 @@
             }
             world.advance(2);
         }
-        assert!(world.most_offers() <= MAX_OFFERS, "{}", world.most_offers());
+        assert!(world.max_offers() <= MAX_OFFERS, "{}", world.max_offers());
     }
 }
--- a/fireflycroft/tests/length.rs
+++ b/fireflycroft/tests/length.rs
@@ -1,16 +1,16 @@
-//! Remaining lengths, against lengths that are known.
+//! Tests of estimated answer lengths against known distributions.
 
 #[macro_use]
 #[path = "support/cases.rs"]
 mod cases;
 
-use fireflycroft::{LengthKey, Lengths, MAX_SKETCHES, Name, Priority, Survival};
+use fireflycroft::{AnswerLengths, LengthKey, MAX_SKETCHES, Name, Priority, Survival};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 /// Longest answer in these tests.
 const LIMIT: u64 = 16_384;
-/// Most that a learned probability may be off.
+/// Maximum error of a learned probability.
 const TOLERANCE: f64 = 0.06;
 
 cases! {
@@ -35,19 +35,19 @@
     }
 }
 
-/// Feeds one whole answer, a few tokens at a time.
-fn feed(lengths: &mut Lengths, key: &LengthKey, total: u64) {
+/// Records one complete answer, seven tokens at a time.
+fn feed(lengths: &mut AnswerLengths, key: &LengthKey, total: u64) {
     let mut at = 0;
     while at < total {
         let next = (at + 7).min(total);
-        lengths.passed(key, at, next);
+        lengths.record_progress(key, at, next);
         at = next;
     }
-    lengths.ended(key, total);
+    lengths.record_end(key, total);
 }
 
 fn learned(totals: &[u64]) -> Survival {
-    let mut lengths = Lengths::default();
+    let mut lengths = AnswerLengths::default();
     for total in totals {
         feed(&mut lengths, &key("a"), *total);
     }
@@ -55,13 +55,13 @@
 }
 
 fn prior_is_a_distribution() {
-    let survival = Lengths::default().survival(&key("a"));
+    let survival = AnswerLengths::default().survival(&key("a"));
     assert!((survival.beyond(0, 0) - 1.0).abs() < 1e-6);
     let mean = survival.mean(0, LIMIT);
     assert!((50.0..5_000.0).contains(&mean), "{mean}");
 }
 
-/// Share of `totals` above `tokens`, and what was learned, at doublings.
+/// Compares learned survival with the share of `totals`, at powers of two.
 fn learns(totals: &[u64], longest: u64) {
     let survival = learned(totals);
     let mut at = 2;
@@ -84,19 +84,19 @@
     assert!((1_400.0..2_600.0).contains(&late), "{late}");
 }
 
-/// Answers that never end must not leave only the short ones to be seen.
+/// Answers that still run must count; otherwise only short ones are observed.
 fn running_answers_count() {
-    let mut lengths = Lengths::default();
+    let mut lengths = AnswerLengths::default();
     for _ in 0..200 {
         feed(&mut lengths, &key("a"), 30);
-        lengths.passed(&key("a"), 0, 1_000);
+        lengths.record_progress(&key("a"), 0, 1_000);
     }
     let beyond = lengths.survival(&key("a")).beyond(0, 900);
     assert!((beyond - 0.5).abs() < TOLERANCE, "{beyond}");
 }
 
 fn new_workspace_leans_on_model() {
-    let mut lengths = Lengths::default();
+    let mut lengths = AnswerLengths::default();
     for _ in 0..300 {
         feed(&mut lengths, &key("old"), 500);
     }
@@ -110,7 +110,7 @@
 }
 
 fn old_lengths_fade_away() {
-    let mut lengths = Lengths::default();
+    let mut lengths = AnswerLengths::default();
     for total in [vec![2_000; 1_000], vec![50; 3_000]].concat() {
         feed(&mut lengths, &key("a"), total);
     }
@@ -119,7 +119,7 @@
 }
 
 fn sketches_stay_bounded() {
-    let mut lengths = Lengths::default();
+    let mut lengths = AnswerLengths::default();
     for i in 0..2 * MAX_SKETCHES {
         feed(&mut lengths, &key(&format!("w{i}")), 10);
     }
--- a/fireflycroft/tests/point1_tokens.rs
+++ b/fireflycroft/tests/point1_tokens.rs
@@ -1,17 +1,17 @@
-//! Point 1: every token once, in order, of one generation.
+//! Point 1: tokens are delivered exactly once, in order, from one generation.
 
 mod support;
 
 use fireflycroft::Code;
 use support::cases;
 use support::fleet::{Ask, ENGINES, HUGE, Kind, MAX_BYTES, Proc};
-use support::link::Weather;
+use support::link::NetworkMode;
 use support::oracle::Outcome;
 use support::scenario;
-use support::upstream::Mood;
+use support::upstream::UpstreamMode;
 use support::world::World;
 
-/// Tokens of the content that most cases ask for.
+/// Length in tokens of the content requested in most cases.
 const LONG: u64 = 400;
 
 fn long() -> Ask {
@@ -25,9 +25,9 @@
     Ask { whole: true, ..ask }
 }
 
-fn set_moods(world: &mut World, mood: Mood) {
+fn set_upstream_modes(world: &mut World, mode: UpstreamMode) {
     for agent in 0..ENGINES {
-        world.set_mood(agent, mood);
+        world.set_upstream_mode(agent, mode);
     }
 }
 
@@ -43,7 +43,7 @@
         assert_eq!((world.next(rest), world.runs(first)), (LONG, 1));
     }
 
-    /// A new entry has not heard of the agent yet: the caller may come again.
+    /// A new entry has no record of the agent yet: the caller may retry.
     caller_back_through_an_entry_that_knows_no_agent(world) {
         let first = world.submit(0, long()).unwrap();
         world.advance(100);
@@ -54,13 +54,13 @@
         world.advance(10);
         assert_eq!(world.outcome(early), Some(Outcome::Failed(Code::StreamUnknown)));
         assert!(world.retry_after(early).is_some());
-        world.introduce(1);
+        world.announce_agents(1);
         let rest = world.resume(1, first, next).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
 
-    /// The caller lost the last tokens that its entry had sent.
+    /// The caller did not receive the last tokens that its entry sent.
     caller_back_at_an_earlier_token(world) {
         let first = world.submit(0, long()).unwrap();
         world.advance(500);
@@ -70,7 +70,7 @@
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
 
-    /// A caller who resumes and wants the rest all at once gets it numbered.
+    /// A caller that resumes with whole delivery gets correctly numbered tokens.
     whole_rest_is_numbered_from_the_resume_point(world) {
         let first = world.submit(0, whole(Ask::default())).unwrap();
         world.advance(2_000);
@@ -110,14 +110,15 @@
         assert_eq!(world.runs(call), 1);
     }
 
-    /// Given up on mid-stream: no splice, and the caller may come back.
+    /// The entry gives up mid-stream without splicing in another generation; the
+    /// caller may resume.
     agent_link_cut_for_good_then_resumed(world) {
         let call = world.submit(0, long()).unwrap();
         world.advance(200);
         let agent = Proc::Agent(world.agent_of(call).unwrap()).addr();
         world.net.cut(agent, Proc::Entry(0).addr());
         world.advance(9_000);
-        assert_eq!(world.outcome(call), None, "nobody else can go on with it yet");
+        assert_eq!(world.outcome(call), None, "gave up before the long silence");
         world.advance(2_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::OutcomeUnknown)));
         let rest = world.resume(1, call, world.next(call)).unwrap();
@@ -151,7 +152,7 @@
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
 
-    /// What came while the entry was frozen is read before time is counted.
+    /// Messages received while the entry was frozen are read before timeouts fire.
     entry_frozen_past_the_silence(world) {
         for timers_first in [false, true] {
             let call = world.submit(0, long()).unwrap();
@@ -167,14 +168,14 @@
     engine_killed_after_no_token(world) {
         let call = world.submit(0, long()).unwrap();
         world.advance(5);
-        world.set_mood(world.agent_of(call).unwrap(), Mood::Die(0));
+        world.set_upstream_mode(world.agent_of(call).unwrap(), UpstreamMode::Die(0));
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
         assert_eq!(world.runs(call), 2);
     }
 
     engine_killed_after_one_token(world) {
-        set_moods(world, Mood::Die(1));
+        set_upstream_modes(world, UpstreamMode::Die(1));
         let call = world.submit(0, long()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::UpstreamFailed)));
@@ -182,25 +183,25 @@
     }
 
     engine_killed_after_many_tokens(world) {
-        set_moods(world, Mood::Die(50));
+        set_upstream_modes(world, UpstreamMode::Die(50));
         let call = world.submit(0, long()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::UpstreamFailed)));
         assert_eq!((world.next(call), world.runs(call)), (50, 1));
     }
 
-    /// Nobody saw any of it, so it starts afresh unseen.
+    /// The caller has received nothing, so it restarts without notice.
     engine_killed_under_a_whole_answer(world) {
         let call = world.submit(0, whole(Ask::default())).unwrap();
         world.advance(5);
-        world.set_mood(world.agent_of(call).unwrap(), Mood::Die(5));
+        world.set_upstream_mode(world.agent_of(call).unwrap(), UpstreamMode::Die(5));
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
         assert_eq!(world.runs(call), 2);
     }
 
     engine_stream_broken_and_taken_up(world) {
-        set_moods(world, Mood::Break(50));
+        set_upstream_modes(world, UpstreamMode::Break(50));
         let call = world.submit(0, long()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
@@ -208,7 +209,7 @@
     }
 
     engine_stream_broken_for_good(world) {
-        set_moods(world, Mood::Lose(50));
+        set_upstream_modes(world, UpstreamMode::Lose(50));
         let call = world.submit(0, long()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::UpstreamFailed)));
@@ -225,7 +226,7 @@
     frames_lost_copied_and_overtaken(world) {
         let call = world.submit(0, long()).unwrap();
         world.advance(20);
-        world.net.weather = Weather::Storm;
+        world.net.mode = NetworkMode::Combined;
         world.advance(20_000);
         world.net.heal();
         world.advance(5_000);
@@ -250,17 +251,17 @@
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::AnswerTooLarge)));
     }
 
-    /// One stream is longer than all the bytes that the agent may keep.
+    /// The stream is longer than the agent's byte limit.
     stream_over_the_agents_buffer(world) {
         let call = world.submit(0, Ask { content: HUGE, ..Ask::default() }).unwrap();
         world.advance_until(60_000, |w| {
-            assert!(w.most_bytes() <= MAX_BYTES, "{}", w.most_bytes());
+            assert!(w.max_bytes() <= MAX_BYTES, "{}", w.max_bytes());
             w.outcome(call).is_some()
         });
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
     }
 
-    /// A reader that does not keep up loses its place, not the agent's memory.
+    /// A slow reader loses its position; the agent stays within its byte limit.
     reader_behind_the_agents_buffer(world) {
         let call = world.submit(0, Ask { content: HUGE, ..Ask::default() }).unwrap();
         world.advance(100);
@@ -268,11 +269,11 @@
         world.net.cut(Proc::Entry(0).addr(), agent);
         for _ in 0..100 {
             world.advance(100);
-            assert!(world.most_bytes() <= MAX_BYTES, "{}", world.most_bytes());
+            assert!(world.max_bytes() <= MAX_BYTES, "{}", world.max_bytes());
         }
     }
 
-    /// An answer that was dropped to make room is not given from its middle.
+    /// An answer dropped by the byte limit must not be resumed from its middle.
     ended_answers_dropped_to_make_room(world) {
         let service = |content| Ask { kind: Kind::Service, content, ..Ask::default() };
         let first = world.submit(0, service(3)).unwrap();
@@ -284,7 +285,7 @@
         assert_eq!(world.outcome(rest), Some(Outcome::Failed(Code::PartGone)));
     }
 
-    /// The head of a running stream was dropped to make room.
+    /// The oldest tokens of a running stream were dropped by the byte limit.
     running_stream_has_lost_its_head(world) {
         let service = Ask { kind: Kind::Service, content: HUGE, ..Ask::default() };
         let first = world.submit(0, service).unwrap();
@@ -296,7 +297,7 @@
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
 
-    /// Nine callers join one keyed generation; the ninth is told to wait.
+    /// Nine callers join one keyed generation; the ninth is refused.
     readers_at_their_bound(world) {
         let ask = Ask { key: Some(1), kind: Kind::Service, ..long() };
         let calls: Vec<_> = (0..9)
--- a/fireflycroft/tests/point5_leaving.rs
+++ b/fireflycroft/tests/point5_leaving.rs
@@ -1,16 +1,16 @@
-//! Point 5, in the core: an agent that leaves takes no new work.
+//! Point 5, in the core: a leaving agent accepts no new work.
 
 mod support;
 
 use fireflycroft::Code;
 use support::cases;
 use support::fleet::{AGENTS, Ask, ENGINES, Kind, Proc};
-use support::link::Weather;
+use support::link::NetworkMode;
 use support::oracle::Outcome;
-use support::upstream::Mood;
+use support::upstream::UpstreamMode;
 use support::world::World;
 
-fn filing() -> Ask {
+fn plain_service() -> Ask {
     Ask {
         kind: Kind::Service,
         ..Ask::default()
@@ -19,7 +19,7 @@
 
 const LEAVING: Option<Outcome> = Some(Outcome::Failed(Code::Leaving));
 
-/// Streams that keep the agents from stopping while they leave.
+/// Starts streams that keep leaving agents from stopping.
 fn keep_busy(world: &mut World) {
     for agent in 0..AGENTS {
         world.set_pause(agent, 500);
@@ -46,11 +46,11 @@
 }
 
 cases! {
-    /// No entry has heard that it leaves.
+    /// No entry knows that the agent is leaving.
     stale_entries_offer_to_a_leaving_agent(world) {
         keep_busy(world);
         world.leave(Proc::Agent(3));
-        let calls = [0, 1, 2].map(|entry| world.submit(entry, filing()).unwrap());
+        let calls = [0, 1, 2].map(|entry| world.submit(entry, plain_service()).unwrap());
         world.advance(50);
         for call in calls {
             assert_eq!(world.outcome(call), LEAVING);
@@ -71,27 +71,27 @@
         }
     }
 
-    /// The offer was under way before the leave and comes after it.
+    /// The offer was sent before the leave and arrives after it.
     offer_overtaken_by_the_leave(world) {
         keep_busy(world);
-        let call = world.submit(0, filing()).unwrap();
+        let call = world.submit(0, plain_service()).unwrap();
         world.leave(Proc::Agent(3));
         world.advance(100);
         assert_eq!(world.outcome(call), LEAVING);
     }
 
-    /// Reserved before the leave: it may start within its hold.
+    /// A reservation from before the leave may start within its hold.
     reserved_before_the_leave(world) {
-        let call = world.submit(0, filing()).unwrap();
+        let call = world.submit(0, plain_service()).unwrap();
         world.advance(1);
         world.leave(Proc::Agent(3));
         world.advance(5_000);
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
     }
 
-    /// The start of a reservation made before comes after the hold.
+    /// The start of a reservation from before the leave arrives after its hold.
     start_delayed_past_the_hold_of_a_leaving_agent(world) {
-        let call = world.submit(0, filing()).unwrap();
+        let call = world.submit(0, plain_service()).unwrap();
         world.advance(2);
         world.leave(Proc::Agent(3));
         world.freeze(Proc::Agent(3));
@@ -103,7 +103,7 @@
 
     waiting_requests_move_on_at_the_leave(world) {
         for agent in 0..ENGINES {
-            world.set_mood(agent, Mood::Full);
+            world.set_upstream_mode(agent, UpstreamMode::Full);
         }
         let ask = Ask { interactive: false, ..Ask::default() };
         let calls: Vec<_> = (0..12).map(|i| world.submit(i % 3, ask).unwrap()).collect();
@@ -111,7 +111,7 @@
         world.leave(Proc::Agent(0));
         world.advance(100);
         for agent in 0..ENGINES {
-            world.set_mood(agent, Mood::Good);
+            world.set_upstream_mode(agent, UpstreamMode::Serve);
         }
         world.advance(10_000);
         let whole = calls.iter().filter(|c| world.outcome(**c) == Some(Outcome::Whole));
@@ -119,7 +119,7 @@
     }
 
     copies_of_old_offers_reach_a_leaving_agent(world) {
-        world.net.weather = Weather::Copies;
+        world.net.mode = NetworkMode::Duplicating;
         for i in 0..6 {
             world.submit(i % 3, Ask::default());
         }
@@ -131,15 +131,15 @@
     }
 
     agent_stays_after_all(world) {
-        let first = world.submit(0, Ask { content: 5, ..filing() }).unwrap();
+        let first = world.submit(0, Ask { content: 5, ..plain_service() }).unwrap();
         world.advance(50);
         world.leave(Proc::Agent(3));
-        let refused = world.submit(0, filing()).unwrap();
+        let refused = world.submit(0, plain_service()).unwrap();
         world.advance(50);
         assert_eq!(world.outcome(refused), LEAVING);
         world.stay(3);
         world.advance(1_200);
-        let call = world.submit(0, filing()).unwrap();
+        let call = world.submit(0, plain_service()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(first), Some(Outcome::Whole));
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
--- a/fireflycroft/tests/poison.rs
+++ b/fireflycroft/tests/poison.rs
@@ -1,15 +1,15 @@
-//! Content that crashes each upstream that runs it.
+//! Content that crashes every upstream that runs it.
 //!
-//! Sent again by its caller one time after another, through any entries, it
-//! crashes at most `CRASH_LIMIT` upstreams: the count rides on the answer to
-//! its entry and is told to the fleet several times.
+//! Retried by its caller through any entries, it crashes at most `CRASH_LIMIT`
+//! upstreams: the count is part of the answer to the entry and is broadcast to
+//! the fleet several times.
 
 mod support;
 
 use fireflycroft::{CRASH_LIMIT, Code};
 use support::cases;
 use support::fleet::{Ask, POISON};
-use support::link::Weather;
+use support::link::NetworkMode;
 use support::mutant::Mutant;
 use support::oracle::Outcome;
 use support::world::World;
@@ -17,8 +17,8 @@
 /// Seeds of the lossy network.
 const SEEDS: u64 = 100;
 
-/// Time that a caller takes to send again, in milliseconds.
-const PAUSE: u64 = 2_500;
+/// Delay before the caller's next attempt, in milliseconds.
+const RETRY_DELAY_MS: u64 = 2_500;
 
 fn poison() -> Ask {
     Ask {
@@ -27,8 +27,8 @@
     }
 }
 
-/// Sends it until a final answer each time; `entries` in that order.
-fn send_one_after_another(world: &mut World, ask: Ask, entries: &[usize]) -> Vec<usize> {
+/// Submits the request to each entry in turn, waiting for each outcome.
+fn send_sequentially(world: &mut World, ask: Ask, entries: &[usize]) -> Vec<usize> {
     let mut calls = Vec::new();
     for entry in entries {
         let Some(call) = world.submit(*entry, ask) else {
@@ -46,7 +46,7 @@
 
 cases! {
     sent_again_through_every_entry(world) {
-        let calls = send_one_after_another(world, poison(), &[0, 1, 2, 0, 1, 2]);
+        let calls = send_sequentially(world, poison(), &[0, 1, 2, 0, 1, 2]);
         assert!(crashes(world) <= u32::from(CRASH_LIMIT), "{}", crashes(world));
         let last = world.outcome(calls[5]);
         assert_eq!(last, Some(Outcome::Failed(Code::Quarantined)));
@@ -54,27 +54,27 @@
 
     sent_again_as_a_whole_answer(world) {
         let ask = Ask { whole: true, ..poison() };
-        send_one_after_another(world, ask, &[2, 0, 1, 1]);
+        send_sequentially(world, ask, &[2, 0, 1, 1]);
         assert!(crashes(world) <= u32::from(CRASH_LIMIT), "{}", crashes(world));
     }
 
     sent_again_through_an_entry_that_died(world) {
-        send_one_after_another(world, poison(), &[0]);
+        send_sequentially(world, poison(), &[0]);
         world.advance(100);
         world.kill(support::fleet::Proc::Entry(1));
         world.advance(4_000);
-        send_one_after_another(world, poison(), &[1, 2, 1]);
+        send_sequentially(world, poison(), &[1, 2, 1]);
         assert!(crashes(world) <= u32::from(CRASH_LIMIT), "{}", crashes(world));
     }
 
     quarantined_request_gets_its_answer_at_once(world) {
-        send_one_after_another(world, poison(), &[0, 1, 2]);
+        send_sequentially(world, poison(), &[0, 1, 2]);
         world.advance(100);
         let call = world.submit(1, poison()).unwrap();
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::Quarantined)));
     }
 
-    /// A neighbour that nobody has seen any of starts afresh.
+    /// A request on the same upstream whose caller has received nothing restarts.
     innocent_neighbour_is_restarted(world) {
         let ask = Ask { content: 5, whole: false, ..Ask::default() };
         let innocent = world.submit(0, Ask { whole: true, content: 4, ..ask }).unwrap();
@@ -86,7 +86,7 @@
         assert_eq!(world.runs(innocent), 2);
     }
 
-    /// Once blamed beside the poison, it may still run.
+    /// One crash makes the content a suspect, which may still run.
     innocent_neighbour_is_not_quarantined_by_one_crash(world) {
         let innocent = Ask { content: 5, ..Ask::default() };
         let call = world.submit(0, innocent).unwrap();
@@ -99,15 +99,15 @@
     }
 }
 
-/// Every fifth message is lost; the news is told again.
+/// Every fifth message is lost; crash counts are retransmitted.
 #[test]
 fn sent_again_over_a_lossy_network() {
     for seed in 0..SEEDS {
         let mut world = World::new(seed, Mutant::None);
-        world.net.weather = Weather::Lossy;
+        world.net.mode = NetworkMode::Lossy;
         for entry in [0, 1, 2, 0, 1, 2] {
-            send_one_after_another(&mut world, poison(), &[entry]);
-            world.advance(PAUSE);
+            send_sequentially(&mut world, poison(), &[entry]);
+            world.advance(RETRY_DELAY_MS);
         }
         assert!(crashes(&world) <= u32::from(CRASH_LIMIT), "seed {seed}");
         world.settle();
--- a/fireflycroft/tests/support/link.rs
+++ b/fireflycroft/tests/support/link.rs
@@ -1,70 +1,71 @@
-//! A network that delays, repeats, overtakes, loses and cuts.
+//! A simulated network that delays, duplicates, reorders, loses and cuts off
+//! messages.
 
 use super::rng::Rng;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Microseconds of a millisecond.
+/// Microseconds per millisecond.
 pub(crate) const MS: u64 = 1_000;
 
-/// How the network treats messages.
+/// Treatment of messages by the network.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Weather {
-    /// Every message once, in order, after a millisecond.
+pub(crate) enum NetworkMode {
+    /// Each message arrives once, in order, after one millisecond.
     #[default]
-    Calm,
-    /// One in five is lost.
+    Reliable,
+    /// One message in five is lost.
     Lossy,
-    /// One in three comes twice, the copy up to seconds later.
-    Copies,
-    /// Each takes up to 400 ms, so they overtake one another.
+    /// One message in three is duplicated; the duplicate arrives up to 70 s later.
+    Duplicating,
+    /// Each message takes up to about 400 ms, so that messages are reordered.
     Slow,
-    /// All of it together.
-    Storm,
+    /// Loss, duplication and delay combined.
+    Combined,
 }
 
-/// The network's state.
+/// State of the network.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Net {
-    pub(crate) weather: Weather,
+    pub(crate) mode: NetworkMode,
     cuts: BTreeSet<(SocketAddr, SocketAddr)>,
 }
 
 impl Net {
-    /// Loses everything from one mailbox to the other.
+    /// Drops all messages from one mailbox to the other.
     pub(crate) fn cut(&mut self, from: SocketAddr, to: SocketAddr) {
         self.cuts.insert((from, to));
     }
 
-    pub(crate) fn join(&mut self, from: SocketAddr, to: SocketAddr) {
+    pub(crate) fn reconnect(&mut self, from: SocketAddr, to: SocketAddr) {
         self.cuts.remove(&(from, to));
     }
 
-    pub(crate) fn is_calm(&self) -> bool {
-        self.weather == Weather::Calm && self.cuts.is_empty()
+    pub(crate) fn is_reliable(&self) -> bool {
+        self.mode == NetworkMode::Reliable && self.cuts.is_empty()
     }
 
     pub(crate) fn heal(&mut self) {
         *self = Self::default();
     }
 
-    /// Delays in microseconds after which copies of a message arrive.
+    /// Returns the delays, in microseconds, of each copy of a message that arrives.
     pub(crate) fn delays(&self, rng: &mut Rng, from: SocketAddr, to: SocketAddr) -> Vec<u64> {
         if self.cuts.contains(&(from, to)) {
             return Vec::new();
         }
-        let storm = self.weather == Weather::Storm;
-        if (storm || self.weather == Weather::Lossy) && rng.per_mille(200) {
+        let combined = self.mode == NetworkMode::Combined;
+        if (combined || self.mode == NetworkMode::Lossy) && rng.per_mille(200) {
             return Vec::new();
         }
-        let spread = if storm || self.weather == Weather::Slow {
+        let spread = if combined || self.mode == NetworkMode::Slow {
             400
         } else {
             0
         };
         let first = MS + rng.below(spread * MS + 1);
         let mut delays = vec![first];
-        if (storm || self.weather == Weather::Copies) && rng.per_mille(333) {
+        if (combined || self.mode == NetworkMode::Duplicating) && rng.per_mille(333) {
             let late = [5, 500, 5_000, 70_000][usize::try_from(rng.below(4)).unwrap()];
             delays.push(first + rng.below(late * MS));
         }
--- a/fireflycroft/tests/support/platform.rs
+++ b/fireflycroft/tests/support/platform.rs
@@ -1,38 +1,38 @@
-//! A platform for claims, with outages, lost answers and stale reads.
+//! A simulated platform for claims, with outages, lost answers and stale reads.
 
 use super::link::MS;
 use super::rng::Rng;
 use fireflycroft::{ClaimAnswer, ClaimOp, ClaimRecord, Digest};
 use std::collections::BTreeMap;
 
-/// How the platform behaves.
+/// Behaviour of the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum PlatformMode {
     /// Answers in milliseconds.
     #[default]
     Up,
-    /// Answers at once that it is out.
-    Out,
-    /// Takes up to three seconds.
+    /// Answers immediately that it is unavailable.
+    Unavailable,
+    /// Takes up to 3 s to apply a call and up to 500 ms more to answer.
     Slow,
-    /// Writes take effect, but every second answer is lost.
-    Deaf,
-    /// Answers are lost, and the effect comes up to five seconds later.
-    Late,
+    /// Calls take effect, but half of the answers are lost.
+    LosesAnswers,
+    /// Answers are lost, and calls take effect up to 5 s later.
+    DelayedWrites,
     /// Reads show the state before the last write.
-    Stale,
-    /// Nothing is answered at all; the client times out.
+    StaleReads,
+    /// Never answers; the client times out.
     Hung,
 }
 
-/// What is to happen on one call, in microseconds from now.
+/// Delays of the effect and the answer of one call, in microseconds.
 pub(crate) struct Plan {
     pub(crate) effect: Option<u64>,
     pub(crate) answer: u64,
     pub(crate) lost: bool,
 }
 
-/// The platform.
+/// Simulated platform.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Platform {
     pub(crate) mode: PlatformMode,
@@ -43,14 +43,14 @@
     pub(crate) fn plan(&self, rng: &mut Rng) -> Plan {
         let quick = 2 * MS + rng.below(8 * MS);
         let (effect, answer, lost) = match self.mode {
-            PlatformMode::Up | PlatformMode::Stale => (Some(quick), quick, false),
-            PlatformMode::Out => (None, MS, false),
+            PlatformMode::Up | PlatformMode::StaleReads => (Some(quick), quick, false),
+            PlatformMode::Unavailable => (None, MS, false),
             PlatformMode::Slow => {
                 let at = rng.below(3_000 * MS);
                 (Some(at), at + rng.below(500 * MS), false)
             }
-            PlatformMode::Deaf => (Some(quick), quick + 100 * MS, rng.per_mille(500)),
-            PlatformMode::Late => (Some(rng.below(5_000 * MS)), 200 * MS, true),
+            PlatformMode::LosesAnswers => (Some(quick), quick + 100 * MS, rng.per_mille(500)),
+            PlatformMode::DelayedWrites => (Some(rng.below(5_000 * MS)), 200 * MS, true),
             PlatformMode::Hung => (None, 1_000 * MS, true),
         };
         Plan {
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Carries out a call.
+    /// Applies a call.
     pub(crate) fn apply(&mut self, key: Digest, op: ClaimOp) -> ClaimAnswer {
-        let stale = self.mode == PlatformMode::Stale;
+        let stale = self.mode == PlatformMode::StaleReads;
         let records = self.history.entry(key).or_default();
         let version = records.len() as u64;
         match op {
--- a/fireflycroft/tests/support/upstream.rs
+++ b/fireflycroft/tests/support/upstream.rs
@@ -1,44 +1,44 @@
-//! One fake upstream: it emits numbered tokens, ends, breaks and dies.
+//! A fake upstream that emits numbered tokens, ends, breaks and dies.
 
 use super::fleet;
 use fireflycroft::GenerationId;
 use std::collections::BTreeMap;
 
-/// What an upstream does next.
+/// Behaviour of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Mood {
-    /// Serves.
+pub(crate) enum UpstreamMode {
+    /// Serves requests.
     #[default]
-    Good,
+    Serve,
     /// Refuses each request.
     Refuse,
-    /// Breaks the next stream to reach that token; it may be taken up again.
+    /// Breaks the next stream to reach that token; it can be resumed.
     Break(u64),
-    /// Breaks it for good.
+    /// Breaks the next stream to reach that token; it cannot be resumed.
     Lose(u64),
     /// Dies when a stream reaches that token.
     Die(u64),
-    /// Gives no token: its memory is full.
+    /// Produces no tokens, as with full memory.
     Full,
 }
 
 /// A run on the upstream.
 #[derive(Clone, Debug)]
-pub(crate) struct Live {
+pub(crate) struct ActiveRun {
     pub(crate) run: usize,
     pub(crate) content: u8,
     pub(crate) sent: u64,
-    /// Counts the streams it was read by.
+    /// Number of times its stream was resumed.
     pub(crate) epoch: u64,
-    /// Whether a broken stream may be taken up again.
+    /// Whether a broken stream can be resumed.
     pub(crate) resumable: bool,
 }
 
-/// What a stream does at its next turn.
+/// Next step of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Turn {
-    /// Gives so many tokens.
-    Give(u64),
+pub(crate) enum StreamStep {
+    /// Emits that number of tokens.
+    Emit(u64),
     End,
     Break,
     Die,
@@ -49,17 +49,17 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Upstream {
     pub(crate) up: bool,
-    pub(crate) mood: Mood,
-    /// Least milliseconds between tokens.
+    pub(crate) mode: UpstreamMode,
+    /// Base pause between bursts of tokens, in milliseconds.
     pub(crate) pause: u64,
-    pub(crate) live: BTreeMap<GenerationId, Live>,
+    pub(crate) active: BTreeMap<GenerationId, ActiveRun>,
 }
 
 impl Upstream {
     pub(crate) fn begin(&mut self, generation: GenerationId, run: usize, content: u8) {
-        self.live.insert(
+        self.active.insert(
             generation,
-            Live {
+            ActiveRun {
                 run,
                 content,
                 sent: 0,
@@ -69,35 +69,39 @@
         );
     }
 
-    /// Decides on the next turn of a stream, at most `burst` tokens.
-    pub(crate) fn turn(&mut self, generation: GenerationId, burst: u64) -> Turn {
-        let Some(live) = self.live.get_mut(&generation) else {
-            return Turn::Wait;
+    /// Decides on the next step of a stream: at most `burst` tokens.
+    pub(crate) fn next_step(&mut self, generation: GenerationId, burst: u64) -> StreamStep {
+        let Some(active) = self.active.get_mut(&generation) else {
+            return StreamStep::Wait;
         };
-        if live.content == fleet::POISON && live.sent >= 2 {
-            return Turn::Die;
+        if active.content == fleet::POISON && active.sent >= 2 {
+            return StreamStep::Die;
         }
-        let mut limit = fleet::length(live.content);
-        match self.mood {
-            Mood::Full => return Turn::Wait,
-            Mood::Die(n) if live.sent == n => {
-                self.mood = Mood::Good;
-                return Turn::Die;
+        let mut limit = fleet::length(active.content);
+        match self.mode {
+            UpstreamMode::Full => return StreamStep::Wait,
+            UpstreamMode::Die(n) if active.sent == n => {
+                self.mode = UpstreamMode::Serve;
+                return StreamStep::Die;
             }
-            Mood::Break(n) | Mood::Lose(n) if live.sent == n => {
-                live.resumable = matches!(self.mood, Mood::Break(_));
-                self.mood = Mood::Good;
-                return Turn::Break;
+            UpstreamMode::Break(n) | UpstreamMode::Lose(n) if active.sent == n => {
+                active.resumable = matches!(self.mode, UpstreamMode::Break(_));
+                self.mode = UpstreamMode::Serve;
+                return StreamStep::Break;
+            }
+            UpstreamMode::Die(n) | UpstreamMode::Break(n) | UpstreamMode::Lose(n)
+                if n > active.sent =>
+            {
+                limit = limit.min(n);
             }
-            Mood::Die(n) | Mood::Break(n) | Mood::Lose(n) if n > live.sent => limit = limit.min(n),
             _ => {}
         }
-        if live.sent >= fleet::length(live.content) {
-            return Turn::End;
+        if active.sent >= fleet::length(active.content) {
+            return StreamStep::End;
         }
-        if live.content == fleet::POISON {
+        if active.content == fleet::POISON {
             limit = limit.min(2);
         }
-        Turn::Give(burst.min(limit - live.sent))
+        StreamStep::Emit(burst.min(limit - active.sent))
     }
 }
--- a/fireflycroft/tests/support/world.rs
+++ b/fireflycroft/tests/support/world.rs
@@ -12,7 +12,7 @@
 use super::oracle::{Fault, Oracle};
 use super::platform::{Platform, PlatformMode};
 use super::rng::Rng;
-use super::upstream::{Mood, Upstream};
+use super::upstream::{Upstream, UpstreamMode};
 use fireflycroft::{
     ActiveConfig, Agent, AgentEvent, CallId, ClaimOp, ConfigVersion, Demand, Digest, Entry,
     EntryEvent, Envelope, GenerationId, MemberState, RequestId, Time, Work,
@@ -170,7 +170,7 @@
             world.configure(proc, &fleet::config(1, false));
         }
         for entry in 0..ENTRIES {
-            world.introduce(entry);
+            world.announce_agents(entry);
         }
         world.push(0, Due::Tick);
         world
@@ -214,15 +214,15 @@
     fn trouble(&mut self, op: &Op) {
         self.troubled = self.now;
         match *op {
-            Op::Weather(weather) => self.net.weather = weather,
+            Op::NetworkMode(mode) => self.net.mode = mode,
             Op::Cut(from, to) => self.net.cut(from.addr(), to.addr()),
-            Op::Join(from, to) => self.net.join(from.addr(), to.addr()),
+            Op::Join(from, to) => self.net.reconnect(from.addr(), to.addr()),
             Op::Kill(proc) => self.kill(proc),
             Op::Freeze(proc) => self.freeze(proc),
             Op::Thaw(proc) => self.thaw(proc),
             Op::Leave(proc) => self.leave(proc),
             Op::Stay(agent) => self.stay(agent),
-            Op::Upstream(agent, mood) => self.set_mood(agent, mood),
+            Op::Upstream(agent, mood) => self.set_upstream_mode(agent, mood),
             Op::Crash(agent) => self.crash(agent),
             Op::Platform(mode) => self.platform.mode = mode,
             Op::Config { to, version, other } => {
@@ -233,7 +233,7 @@
                 entry,
                 agent,
                 state,
-            } => self.tell_member(entry, agent, state),
+            } => self.announce_member(entry, agent, state),
             _ => {}
         }
     }
@@ -282,7 +282,7 @@
                     self.agent(i, event);
                 }
             }
-            Due::Claim(call) => self.claim_effect(call),
+            Due::Claim(call) => self.apply_claim(call),
             Due::Begin(agent, life, order) => {
                 if self.agents[agent].life == life && self.agents[agent].alive {
                     self.begin(agent, *order);
@@ -291,8 +291,8 @@
             Due::Emit(agent, generation, epoch) => self.emit(agent, generation, epoch),
             Due::Reattach(agent, generation) => self.reattach(agent, generation),
             Due::UpstreamUp(agent) => self.upstream_up(agent),
-            Due::Config { to, life, from } => self.give_config(to, life, from),
-            Due::Member(entry, agent, state) => self.tell_member(entry, agent, state),
+            Due::Config { to, life, from } => self.deliver_config(to, life, from),
+            Due::Member(entry, agent, state) => self.announce_member(entry, agent, state),
         }
     }
 
@@ -316,7 +316,7 @@
         self.net.heal();
         self.platform.mode = PlatformMode::Up;
         for agent in 0..AGENTS {
-            self.set_mood(agent, Mood::Good);
+            self.set_upstream_mode(agent, UpstreamMode::Serve);
             self.set_pause(agent, 0);
         }
         for proc in Proc::all() {
@@ -327,7 +327,7 @@
             self.configure(proc, &fleet::config(self.head, false));
         }
         for entry in 0..ENTRIES {
-            self.introduce(entry);
+            self.announce_agents(entry);
         }
     }
 
--- a/fireflycroft/tests/support/world/services.rs
+++ b/fireflycroft/tests/support/world/services.rs
@@ -1,11 +1,11 @@
-//! The platform and the upstreams, as the processes meet them.
+//! The simulated platform and upstreams of the processes.
 
 use super::{Due, PlatformCall, RunOrder, World};
 use crate::support::fleet::{self, AGENTS, Ask, Proc};
 use crate::support::link::MS;
 use crate::support::mutant::Mutant;
 use crate::support::oracle::{RunStart, token};
-use crate::support::upstream::{Mood, Turn};
+use crate::support::upstream::{StreamStep, UpstreamMode};
 use fireflycroft::{
     AgentEvent, CallId, ClaimAnswer, ClaimOp, Code, ConfigVersion, Digest, EntryEvent, Finish,
     GenerationId, Message, Name,
@@ -38,7 +38,7 @@
         self.push(plan.answer, Due::Entry(entry, life, event));
     }
 
-    pub(super) fn claim_effect(&mut self, call: PlatformCall) {
+    pub(super) fn apply_claim(&mut self, call: PlatformCall) {
         let is_write = !matches!(call.op, ClaimOp::Read);
         let mut answer = self.platform.apply(call.key, call.op);
         if self.mutant == Mutant::EveryClaimWon && is_write {
@@ -51,40 +51,40 @@
         }
     }
 
-    pub(crate) fn set_mood(&mut self, agent: usize, mood: Mood) {
-        self.upstreams[agent].mood = mood;
+    pub(crate) fn set_upstream_mode(&mut self, agent: usize, mode: UpstreamMode) {
+        self.upstreams[agent].mode = mode;
     }
 
-    /// Runs of the agent's upstream.
+    /// Returns the number of running generations on the agent's upstream.
     pub(crate) fn running(&self, agent: usize) -> usize {
-        self.upstreams[agent].live.len()
+        self.upstreams[agent].active.len()
     }
 
-    /// Lets an upstream wait longer between tokens.
+    /// Sets the base pause of an upstream between bursts of tokens.
     pub(crate) fn set_pause(&mut self, agent: usize, millis: u64) {
         self.upstreams[agent].pause = millis;
     }
 
-    /// Most bytes of whole answers that any entry holds back.
-    pub(crate) fn most_held(&self) -> usize {
+    /// Returns the maximum over all entries of the bytes held back.
+    pub(crate) fn max_held(&self) -> usize {
         let held = self.entries.iter().map(|e| e.core.held());
         held.max().unwrap_or(0)
     }
 
-    /// Most requests that wait at any agent.
-    pub(crate) fn most_queued(&self) -> u32 {
+    /// Returns the maximum over all agents of the waiting requests.
+    pub(crate) fn max_queued(&self) -> u32 {
         let queued = self.agents.iter().map(|a| a.core.load().queued);
         queued.max().unwrap_or(0)
     }
 
-    /// Most offers that any agent remembers.
-    pub(crate) fn most_offers(&self) -> usize {
+    /// Returns the maximum over all agents of the offers remembered.
+    pub(crate) fn max_offers(&self) -> usize {
         let offers = self.agents.iter().map(|a| a.core.offers());
         offers.max().unwrap_or(0)
     }
 
-    /// Most bytes of answers that any agent keeps.
-    pub(crate) fn most_bytes(&self) -> usize {
+    /// Returns the maximum over all agents of the bytes of answers kept.
+    pub(crate) fn max_bytes(&self) -> usize {
         let bytes = self.agents.iter().map(|a| a.core.bytes());
         bytes.max().unwrap_or(0)
     }
@@ -94,7 +94,7 @@
         let generation = order.generation;
         let refusal = if !self.upstreams[agent].up {
             Some(Code::NoUpstream)
-        } else if self.upstreams[agent].mood == Mood::Refuse {
+        } else if self.upstreams[agent].mode == UpstreamMode::Refuse {
             Some(Code::Overloaded)
         } else {
             None
@@ -113,7 +113,7 @@
             content,
         });
         self.check_leaving(agent, run, generation);
-        if let Some(offered) = self.offered_under(generation) {
+        if let Some(offered) = self.config_at_offer(generation) {
             let own = self.agents[agent].config.version();
             self.oracle.began_behind(run, own, offered);
         }
@@ -121,8 +121,8 @@
         self.push(5 * MS, Due::Emit(agent, generation, 0));
     }
 
-    /// Configuration under which the generation was offered.
-    fn offered_under(&self, generation: GenerationId) -> Option<ConfigVersion> {
+    /// Returns the configuration version under which the generation was offered.
+    fn config_at_offer(&self, generation: GenerationId) -> Option<ConfigVersion> {
         let offer = self.offer_of.get(&generation)?;
         self.offered.get(offer).copied()
     }
@@ -133,51 +133,56 @@
             return;
         };
         let offer = self.offer_of.get(&generation);
-        let late = offer.is_some_and(|(request, attempt)| {
+        let offered_after_leave = offer.is_some_and(|(request, attempt)| {
             let offer = (agent, node.life, *request, *attempt);
             self.too_late.contains(&offer)
         });
         // The upstream takes a millisecond to begin.
         let since = (self.now - leaving).saturating_sub(MS);
-        self.oracle.began_leaving(run, late, since);
+        self.oracle.began_leaving(run, offered_after_leave, since);
     }
 
     pub(super) fn emit(&mut self, agent: usize, generation: GenerationId, epoch: u64) {
-        let current = self.upstreams[agent].live.get(&generation).map(|l| l.epoch);
+        let current = self.upstreams[agent]
+            .active
+            .get(&generation)
+            .map(|l| l.epoch);
         if current != Some(epoch) {
             return;
         }
         let burst = 1 + self.rng.below(8);
         let pause = self.upstreams[agent].pause + self.rng.below(40);
         let pause = pause.max(2) * MS;
-        match self.upstreams[agent].turn(generation, burst) {
-            Turn::Give(count) => {
-                self.give_tokens(agent, generation, count);
+        match self.upstreams[agent].next_step(generation, burst) {
+            StreamStep::Emit(count) => {
+                self.emit_tokens(agent, generation, count);
                 self.push(pause, Due::Emit(agent, generation, epoch));
             }
-            Turn::Wait => self.push(200 * MS, Due::Emit(agent, generation, epoch)),
-            Turn::Break => self.agent(agent, AgentEvent::Broken { generation }),
-            Turn::Die => self.crash(agent),
-            Turn::End => self.end(agent, generation),
+            StreamStep::Wait => self.push(200 * MS, Due::Emit(agent, generation, epoch)),
+            StreamStep::Break => self.agent(agent, AgentEvent::Broken { generation }),
+            StreamStep::Die => self.crash(agent),
+            StreamStep::End => self.end(agent, generation),
         }
     }
 
-    pub(super) fn give_tokens(&mut self, agent: usize, generation: GenerationId, count: u64) {
-        let Some(live) = self.upstreams[agent].live.get_mut(&generation) else {
+    pub(super) fn emit_tokens(&mut self, agent: usize, generation: GenerationId, count: u64) {
+        let Some(active) = self.upstreams[agent].active.get_mut(&generation) else {
             return;
         };
-        let numbers = live.sent..live.sent + count;
-        let tokens = numbers.map(|n| token(live.run, n, live.content)).collect();
-        live.sent += count;
-        self.oracle.runs[live.run].emitted = live.sent;
+        let numbers = active.sent..active.sent + count;
+        let tokens = numbers
+            .map(|n| token(active.run, n, active.content))
+            .collect();
+        active.sent += count;
+        self.oracle.runs[active.run].emitted = active.sent;
         self.agent(agent, AgentEvent::Tokens { generation, tokens });
     }
 
     pub(super) fn end(&mut self, agent: usize, generation: GenerationId) {
-        let Some(live) = self.upstreams[agent].live.remove(&generation) else {
+        let Some(active) = self.upstreams[agent].active.remove(&generation) else {
             return;
         };
-        self.oracle.runs[live.run].ended = true;
+        self.oracle.runs[active.run].ended = true;
         let finish = Finish {
             total: 0,
             code: Code::Ok,
@@ -192,29 +197,29 @@
     }
 
     pub(super) fn reattach(&mut self, agent: usize, generation: GenerationId) {
-        let live = self.upstreams[agent].live.get_mut(&generation);
-        match live {
-            Some(live) if live.resumable => {
-                live.epoch += 1;
-                let epoch = live.epoch;
+        let active = self.upstreams[agent].active.get_mut(&generation);
+        match active {
+            Some(active) if active.resumable => {
+                active.epoch += 1;
+                let epoch = active.epoch;
                 self.push(MS, Due::Emit(agent, generation, epoch));
             }
             _ => {
-                self.upstreams[agent].live.remove(&generation);
+                self.upstreams[agent].active.remove(&generation);
                 self.agent(agent, AgentEvent::Lost { generation });
             }
         }
     }
 
-    /// The upstream dies with all that it runs, and comes back.
+    /// Crashes the upstream with all its runs; it comes up again later.
     pub(crate) fn crash(&mut self, agent: usize) {
         let upstream = &mut self.upstreams[agent];
         if !std::mem::replace(&mut upstream.up, false) {
             return;
         }
-        let lost = std::mem::take(&mut upstream.live);
-        for live in lost.values() {
-            *self.oracle.crashes.entry(live.content).or_default() += 1;
+        let lost = std::mem::take(&mut upstream.active);
+        for active in lost.values() {
+            *self.oracle.crashes.entry(active.content).or_default() += 1;
         }
         self.agent(agent, AgentEvent::UpstreamDown);
         let delay = (300 + self.rng.below(1_500)) * MS;
@@ -226,10 +231,10 @@
         self.agent(agent, AgentEvent::UpstreamUp);
     }
 
-    /// All agents but one, and no entry, hear that the content crashed upstreams.
-    pub(crate) fn tell_agents_of_crashes(&mut self, but: usize, ask: &Ask, count: u8) {
+    /// Sends a crash count of the content to all agents but one, and to no entry.
+    pub(crate) fn announce_crashes_to_agents(&mut self, except: usize, ask: &Ask, count: u8) {
         let content = ask.digest();
-        for to in (0..AGENTS).filter(|a| *a != but).map(Proc::Agent) {
+        for to in (0..AGENTS).filter(|a| *a != except).map(Proc::Agent) {
             self.send(
                 Proc::Entry(0),
                 to.addr(),
