--- a/fireflycroft/src/agent.rs
+++ b/fireflycroft/src/agent.rs
@@ -8,9 +8,9 @@
 use crate::code::Code;
 use crate::generation::Generation;
 use crate::ids::{GenerationId, Name, Peer, RequestId};
+use crate::log_event::LogEvent;
 use crate::message::{ConfigVersion, Envelope, Finish, Load, Message, Standing};
 use crate::news::News;
-use crate::note::Note;
 use crate::offer::{AdmitPolicy, Capacity, OfferId, UpstreamReport};
 use crate::order::{Order, Orders};
 use crate::quarantine::Quarantine;
@@ -165,7 +165,7 @@
     /// Ask the sender for its configuration.
     PullConfig(SocketAddr),
     /// Something to log and count.
-    Note(Note),
+    LogEvent(LogEvent),
 }
 
 #[derive(Clone, Debug)]
@@ -401,14 +401,14 @@
 }
 
 pub(crate) fn note(event: &'static str, request: RequestId, code: Option<Code>) -> AgentAction {
-    let mut note = Note::new(event).request(request);
+    let mut note = LogEvent::new(event).request(request);
     note.code = code;
-    AgentAction::Note(note)
+    AgentAction::LogEvent(note)
 }
 
 pub(crate) fn with_count(action: AgentAction, count: u64) -> AgentAction {
     match action {
-        AgentAction::Note(note) => AgentAction::Note(note.count(count)),
+        AgentAction::LogEvent(note) => AgentAction::LogEvent(note.count(count)),
         other => other,
     }
 }
--- a/fireflycroft/src/attend.rs
+++ b/fireflycroft/src/attend.rs
@@ -4,8 +4,8 @@
 use crate::code::Code;
 use crate::generation::{Generation, Stage};
 use crate::ids::{Digest, GenerationId, Name, RequestId};
+use crate::log_event::LogEvent;
 use crate::message::{Finish, Message, Standing};
-use crate::note::Note;
 use crate::time::Time;
 use std::net::SocketAddr;
 
@@ -200,7 +200,7 @@
         for (id, _, _) in lost {
             self.on_lost(now, id, out);
         }
-        out.push(AgentAction::Note(Note::new("upstream_down")));
+        out.push(AgentAction::LogEvent(LogEvent::new("upstream_down")));
     }
 
     pub(crate) fn find(&mut self, id: GenerationId) -> Option<&mut Generation> {
--- a/fireflycroft/src/carry_out.rs
+++ b/fireflycroft/src/carry_out.rs
@@ -4,8 +4,8 @@
 use crate::code::Code;
 use crate::generation::{Generation, Stage};
 use crate::ids::{Name, RequestId};
+use crate::log_event::LogEvent;
 use crate::message::Message;
-use crate::note::Note;
 use crate::order::{Order, OrderKind, OrderVerdict};
 use std::net::SocketAddr;
 
@@ -26,8 +26,8 @@
                 if order.kind == OrderKind::Unload {
                     self.serves.retain(|model| *model != order.model);
                 }
-                out.push(AgentAction::Note(
-                    Note::new("order_passed").request(order.id),
+                out.push(AgentAction::LogEvent(
+                    LogEvent::new("order_passed").request(order.id),
                 ));
                 out.push(AgentAction::Order(order));
             }
@@ -38,8 +38,8 @@
         let Some(order) = self.orders.settle(code) else {
             return;
         };
-        let note = Note::new("order_settled").request(order.id).code(code);
-        out.push(AgentAction::Note(note));
+        let note = LogEvent::new("order_settled").request(order.id).code(code);
+        out.push(AgentAction::LogEvent(note));
         if let Some(issuer) = self.issuer.take() {
             out.push(self.order_answer(issuer, order.id, code));
         }
--- a/fireflycroft/src/catch_up.rs
+++ b/fireflycroft/src/catch_up.rs
@@ -9,7 +9,7 @@
 use crate::entry::{Call, Entry, Phase};
 use crate::entry_io::EntryAction;
 use crate::ids::CallId;
-use crate::note::Note;
+use crate::log_event::LogEvent;
 use crate::time::Time;
 
 impl Entry {
@@ -27,8 +27,8 @@
         call.tried.pop();
         call.offers = call.offers.saturating_sub(1);
         if call.behind_since.is_none() {
-            let note = Note::new("config_awaited").request(call.request);
-            out.push(EntryAction::Note(note));
+            let note = LogEvent::new("config_awaited").request(call.request);
+            out.push(EntryAction::LogEvent(note));
         }
         let since = *call.behind_since.get_or_insert(now);
         call.phase = Phase::Behind { again: now + retry };
--- a/fireflycroft/src/deliver.rs
+++ b/fireflycroft/src/deliver.rs
@@ -5,8 +5,8 @@
 use crate::entry_io::{Delivery, EntryAction, EntryLimits, Reply, ResumePoint};
 use crate::generation::WINDOW;
 use crate::ids::{CallId, GenerationId, Incarnation, Name, Peer, RequestId};
+use crate::log_event::LogEvent;
 use crate::message::{Finish, Message, Standing};
-use crate::note::Note;
 use crate::quarantine::CRASH_LIMIT;
 use crate::stream::{Chunk, Cursor, Taken};
 use crate::time::Time;
@@ -188,10 +188,10 @@
             }
             out.push(EntryAction::Reply(id, Reply::Tokens(whole)));
         }
-        let note = Note::new("request_done")
+        let note = LogEvent::new("request_done")
             .request(call.request)
             .code(Code::Ok);
-        out.push(EntryAction::Note(note.count(finish.total)));
+        out.push(EntryAction::LogEvent(note.count(finish.total)));
         out.push(EntryAction::Reply(id, Reply::End(finish)));
     }
 
@@ -257,8 +257,8 @@
         self.held -= call.held_back.data.len();
         call.held_back = Chunk::default();
         call.offers = 0;
-        out.push(EntryAction::Note(
-            Note::new("restarted").request(call.request),
+        out.push(EntryAction::LogEvent(
+            LogEvent::new("restarted").request(call.request),
         ));
         self.offer_next(now, id, out);
     }
@@ -377,7 +377,9 @@
         let agent = reading.asked.agent.clone();
         let joined = matches!(reading.origin, Origin::Joined(_));
         self.router.avoid(now, &agent, self.limits.avoid);
-        out.push(EntryAction::Note(Note::new("agent_silent").peer(&agent)));
+        out.push(EntryAction::LogEvent(
+            LogEvent::new("agent_silent").peer(&agent),
+        ));
         if joined {
             let retry = Some(self.limits.min_retry_after);
             self.fail(id, Code::ClaimUnresolved, retry, out);
@@ -430,8 +432,8 @@
             Phase::Reading(_) => self.send_last_ack(id, out),
         }
         if let Some(call) = self.remove(id) {
-            out.push(EntryAction::Note(
-                Note::new("caller_gone").request(call.request),
+            out.push(EntryAction::LogEvent(
+                LogEvent::new("caller_gone").request(call.request),
             ));
         }
     }
--- a/fireflycroft/src/dispatch.rs
+++ b/fireflycroft/src/dispatch.rs
@@ -8,8 +8,8 @@
 use crate::entry::{Asked, Call, Entry, Origin, Phase, Reading};
 use crate::entry_io::EntryAction;
 use crate::ids::{CallId, GenerationId, Name, Peer, RequestId};
+use crate::log_event::LogEvent;
 use crate::message::Message;
-use crate::note::Note;
 use crate::stream::{Chunk, Cursor};
 use crate::time::Time;
 use std::time::Duration;
@@ -71,10 +71,10 @@
             sent: now,
         };
         out.push(EntryAction::Send(peer.addr, offer_of(now, call)));
-        let note = Note::new("offer_sent")
+        let note = LogEvent::new("offer_sent")
             .request(call.request)
             .peer(&peer.name);
-        out.push(EntryAction::Note(note.count(u64::from(call.attempt))));
+        out.push(EntryAction::LogEvent(note.count(u64::from(call.attempt))));
     }
 
     /// No agent is left to ask: says why and when to come back.
@@ -294,10 +294,10 @@
             generation: record.generation,
             next: 0,
         };
-        let note = Note::new("claim_joined")
+        let note = LogEvent::new("claim_joined")
             .request(call.request)
             .peer(&record.agent);
-        out.push(EntryAction::Note(note));
+        out.push(EntryAction::LogEvent(note));
         self.read(
             now,
             id,
@@ -444,7 +444,9 @@
     /// Takes a request from one agent's queue to an agent that has room.
     fn move_queued(&mut self, now: Time, id: CallId, agent: Name, out: &mut Vec<EntryAction>) {
         self.withdraw(id, out);
-        out.push(EntryAction::Note(Note::new("offer_moved").peer(&agent)));
+        out.push(EntryAction::LogEvent(
+            LogEvent::new("offer_moved").peer(&agent),
+        ));
         if let Some(call) = self.calls.get_mut(&id) {
             call.offers = 0;
             call.tried = vec![agent];
@@ -456,7 +458,9 @@
     fn give_up_agent(&mut self, now: Time, id: CallId, agent: &Name, out: &mut Vec<EntryAction>) {
         self.withdraw(id, out);
         self.router.avoid(now, agent, self.limits.avoid);
-        out.push(EntryAction::Note(Note::new("agent_silent").peer(agent)));
+        out.push(EntryAction::LogEvent(
+            LogEvent::new("agent_silent").peer(agent),
+        ));
         self.offer_next(now, id, out);
     }
 
--- a/fireflycroft/src/entry.rs
+++ b/fireflycroft/src/entry.rs
@@ -12,9 +12,9 @@
 use crate::config::{Adopted, Config, InForce};
 use crate::entry_io::{Delivery, EntryAction, EntryEvent, EntryLimits, EntrySetup, Reply};
 use crate::ids::{CallId, Digest, GenerationId, IdSource, Name, RequestId};
+use crate::log_event::LogEvent;
 use crate::member_record::{MemberRecord, MemberState};
 use crate::message::{ConfigVersion, Envelope, Load, Message};
-use crate::note::Note;
 use crate::quarantine::Quarantine;
 use crate::quota::Quotas;
 use crate::retry::RetryBudget;
@@ -291,7 +291,7 @@
             Adopted::Conflict => "config_conflict",
             Adopted::Same | Adopted::Older => return,
         };
-        out.push(EntryAction::Note(Note::new(event).count(version)));
+        out.push(EntryAction::LogEvent(LogEvent::new(event).count(version)));
         self.on_caught_up(now, out);
     }
 
@@ -388,8 +388,10 @@
             },
         ));
         out.push(call.measured(code));
-        let note = Note::new("request_failed").request(call.request).code(code);
-        out.push(EntryAction::Note(note.count(delivered)));
+        let note = LogEvent::new("request_failed")
+            .request(call.request)
+            .code(code);
+        out.push(EntryAction::LogEvent(note.count(delivered)));
     }
 
     pub(crate) fn remove(&mut self, id: CallId) -> Option<Call> {
--- a/fireflycroft/src/entry_io.rs
+++ b/fireflycroft/src/entry_io.rs
@@ -5,9 +5,9 @@
 use crate::code::Code;
 use crate::config::Config;
 use crate::ids::{CallId, Digest, GenerationId, Name, RequestId};
+use crate::log_event::LogEvent;
 use crate::member_record::MemberRecord;
 use crate::message::{Envelope, Finish, Message};
-use crate::note::Note;
 use crate::route::RoutePolicy;
 use crate::stream::Chunk;
 use crate::work::{Priority, Work};
@@ -205,5 +205,5 @@
     /// Count a request that has ended.
     Measured(Measured),
     /// Something to log and count.
-    Note(Note),
+    LogEvent(LogEvent),
 }
--- a/fireflycroft/src/farewell.rs
+++ b/fireflycroft/src/farewell.rs
@@ -5,10 +5,10 @@
 //! again those that did not answer.
 
 use crate::ids::Role;
+use crate::log_event::LogEvent;
 use crate::member::Members;
 use crate::member_record::{MemberAction, MemberState};
 use crate::message::Message;
-use crate::note::Note;
 use crate::roster::{MemberIx, OWN};
 use crate::time::Time;
 use std::collections::VecDeque;
@@ -66,7 +66,7 @@
             return;
         }
         self.restate(now, |own| own.state = MemberState::Leaving, out);
-        out.push(MemberAction::Note(Note::new("member_leaves")));
+        out.push(MemberAction::LogEvent(LogEvent::new("member_leaves")));
         self.farewell = Farewell {
             nonce: self.draw_nonce(),
             untold: self.all_untold(now),
--- a/fireflycroft/src/note.rs
+++ b/fireflycroft/src/log_event.rs
@@ -5,7 +5,7 @@
 
 /// One thing that happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Note {
+pub struct LogEvent {
     /// Name of the event, such as `offer_refused`.
     pub event: &'static str,
     /// Request concerned.
@@ -18,7 +18,7 @@
     pub count: u64,
 }
 
-impl Note {
+impl LogEvent {
     /// Note of an event.
     #[must_use]
     pub const fn new(event: &'static str) -> Self {
--- a/fireflycroft/src/member.rs
+++ b/fireflycroft/src/member.rs
@@ -15,9 +15,9 @@
 use crate::farewell::Farewell;
 use crate::gossip::{Gossip, Payload};
 use crate::ids::{IdSource, Name, Peer, Role};
+use crate::log_event::LogEvent;
 use crate::member_record::{MemberAction, MemberEvent, MemberRecord, MemberSetup, MemberState, Vm};
 use crate::message::Message;
-use crate::note::Note;
 use crate::ping::Relays;
 use crate::probe::Prober;
 use crate::reconcile::Reconciler;
@@ -289,8 +289,8 @@
         }
         let name = record.peer.name.clone();
         let Some(ix) = self.roster.insert(now, record) else {
-            let note = Note::new("members_full").peer(&name);
-            out.push(MemberAction::Note(note));
+            let note = LogEvent::new("members_full").peer(&name);
+            out.push(MemberAction::LogEvent(note));
             return None;
         };
         self.prober.enter(ix, |bound| self.ids.draw_below(bound));
@@ -336,8 +336,10 @@
             MemberState::Leaving => "member_leaving",
             MemberState::Dead => "member_dead",
         };
-        let note = Note::new(event).peer(&record.peer.name).count(record.turn);
-        out.push(MemberAction::Note(note));
+        let note = LogEvent::new(event)
+            .peer(&record.peer.name)
+            .count(record.turn);
+        out.push(MemberAction::LogEvent(note));
         out.push(MemberAction::Changed(record));
         self.count_entries(out);
     }
@@ -371,8 +373,8 @@
             return;
         }
         self.replaced = true;
-        let note = Note::new("member_replaced").peer(&by.name);
-        out.push(MemberAction::Note(note));
+        let note = LogEvent::new("member_replaced").peer(&by.name);
+        out.push(MemberAction::LogEvent(note));
     }
 
     /// Forgets those who have been dead for long.
--- a/fireflycroft/src/member_record.rs
+++ b/fireflycroft/src/member_record.rs
@@ -1,8 +1,8 @@
 //! Records of members, and what goes into membership and comes out.
 
 use crate::ids::{Name, Peer};
+use crate::log_event::LogEvent;
 use crate::message::Message;
-use crate::note::Note;
 use std::net::SocketAddr;
 
 /// State of one member, worse ones later.
@@ -86,5 +86,5 @@
     /// Number of entries that take requests, this process counted.
     Entries(u32),
     /// Something to log and count.
-    Note(Note),
+    LogEvent(LogEvent),
 }
--- a/fireflycroft/src/merge.rs
+++ b/fireflycroft/src/merge.rs
@@ -5,9 +5,9 @@
 //! Leaving is kept for the rest of a life; bad news by hearsay is checked.
 
 use crate::ids::Peer;
+use crate::log_event::LogEvent;
 use crate::member::{Members, SUSPECT_SPAN};
 use crate::member_record::{MemberAction, MemberRecord, MemberState};
-use crate::note::Note;
 use crate::probe::ProbeKind;
 use crate::roster::{MemberIx, OWN};
 use crate::time::Time;
@@ -231,7 +231,9 @@
         if (record.turn, record.state) > (own.turn, own.state) {
             let turn = record.turn;
             self.restate(now, |own| own.turn = own.turn.max(turn), out);
-            out.push(MemberAction::Note(Note::new("member_refuted").count(turn)));
+            out.push(MemberAction::LogEvent(
+                LogEvent::new("member_refuted").count(turn),
+            ));
         }
         Learned::Older
     }
--- a/fireflycroft/src/probe.rs
+++ b/fireflycroft/src/probe.rs
@@ -7,10 +7,10 @@
 //! then, so that the halves of a divided fleet find each other again.
 
 use crate::allowance::Allowance;
+use crate::log_event::LogEvent;
 use crate::member::{GRACE, Members, SUSPECT_SPAN};
 use crate::member_record::{MemberAction, MemberState};
 use crate::message::Message;
-use crate::note::Note;
 use crate::ping::doubts;
 use crate::roster::{MemberIx, OWN};
 use crate::time::Time;
@@ -148,7 +148,7 @@
 
     /// After a pause others are heard before any of them is doubted.
     pub(crate) fn on_pause(&mut self, now: Time, out: &mut Vec<MemberAction>) {
-        out.push(MemberAction::Note(Note::new("member_paused")));
+        out.push(MemberAction::LogEvent(LogEvent::new("member_paused")));
         self.grace_until = now + GRACE;
         self.prober.probes.clear();
         self.prober.waiting.clear();
--- a/fireflycroft/src/submit.rs
+++ b/fireflycroft/src/submit.rs
@@ -7,7 +7,7 @@
 use crate::entry_io::{EntryAction, Reply, Submission};
 use crate::ids::{CallId, Digest, Name};
 use crate::inventory::WithoutKey;
-use crate::note::Note;
+use crate::log_event::LogEvent;
 use crate::stream::Chunk;
 use crate::time::Time;
 use crate::work::{Demand, Priority, Work};
@@ -77,8 +77,8 @@
                     },
                 ));
                 out.push(self.measured_refusal(&submission, refusal.code));
-                out.push(EntryAction::Note(
-                    Note::new("request_refused").code(refusal.code),
+                out.push(EntryAction::LogEvent(
+                    LogEvent::new("request_refused").code(refusal.code),
                 ));
             }
         }
--- a/fireflycroft/src/tidy.rs
+++ b/fireflycroft/src/tidy.rs
@@ -4,7 +4,7 @@
 use crate::code::Code;
 use crate::generation::{Generation, Stage};
 use crate::ids::GenerationId;
-use crate::note::Note;
+use crate::log_event::LogEvent;
 use crate::offer::OfferId;
 use crate::time::Time;
 
@@ -14,7 +14,7 @@
             return;
         }
         self.leaving = true;
-        out.push(AgentAction::Note(Note::new("agent_leaving")));
+        out.push(AgentAction::LogEvent(LogEvent::new("agent_leaving")));
         let is_waiting = |o: &Offered| matches!(o, Offered::Waiting(..));
         let waiting: Vec<(OfferId, Offered)> = self
             .offers
--- a/fireflycroft/tests/member.rs
+++ b/fireflycroft/tests/member.rs
@@ -553,7 +553,7 @@
     alone.out.clear();
     alone.tell(numbered(MAX_MEMBERS, Alive));
     assert!(alone.members.get("numbered-4096").is_none());
-    let full = |action: &MemberAction| matches!(action, MemberAction::Note(note) if note.event == "members_full");
+    let full = |action: &MemberAction| matches!(action, MemberAction::LogEvent(note) if note.event == "members_full");
     assert!(alone.out.iter().any(full));
     alone.tell(record(51, 1, Dead));
     alone.tell(numbered(MAX_MEMBERS, Alive));
--- a/fireflycroft/tests/members/fleet.rs
+++ b/fireflycroft/tests/members/fleet.rs
@@ -365,7 +365,7 @@
                 MemberAction::Send(to, message) => self.send(ix, to, message),
                 MemberAction::Changed(record) => self.note(ix, record),
                 MemberAction::Entries(count) => self.nodes[ix.0].entries = count,
-                MemberAction::Note(_) => {}
+                MemberAction::LogEvent(_) => {}
             }
         }
     }
--- a/fireflycroft/tests/support/world/processes.rs
+++ b/fireflycroft/tests/support/world/processes.rs
@@ -42,7 +42,7 @@
             EntryAction::Send(_, Message::Offer { request, .. }) => Some(*request),
             EntryAction::Send(_, Message::Attach { reader, .. }) => Some(*reader),
             // Held for a configuration: no message yet.
-            EntryAction::Note(note) => note.request,
+            EntryAction::LogEvent(note) => note.request,
             _ => None,
         });
         if let Some(request) = request {
@@ -64,7 +64,7 @@
             }
             EntryAction::Claim(call, key, op) => self.claim(i, call, key, op),
             EntryAction::PullConfig(addr) => self.pull_config(from, addr),
-            EntryAction::Measured(_) | EntryAction::Note(_) => {}
+            EntryAction::Measured(_) | EntryAction::LogEvent(_) => {}
         }
     }
 
@@ -147,7 +147,7 @@
             }
             AgentAction::PullConfig(addr) => self.pull_config(from, addr),
             // No orders are given in this world.
-            AgentAction::Order(_) | AgentAction::Note(_) => {}
+            AgentAction::Order(_) | AgentAction::LogEvent(_) => {}
         }
     }
 
--- a/fireflyd/src/agent.rs
+++ b/fireflyd/src/agent.rs
@@ -269,7 +269,7 @@
                 tokio::spawn(async move { runner.carry_out(&order, &tx).await });
             }
             AgentAction::PullConfig(from) => self.feed.pull(from, &mut self.node.outbox),
-            AgentAction::Note(note) => self.node.note(&note),
+            AgentAction::LogEvent(note) => self.node.note(&note),
         }
     }
 
--- a/fireflyd/src/entry.rs
+++ b/fireflyd/src/entry.rs
@@ -312,7 +312,7 @@
             }
             EntryAction::PullConfig(from) => self.feed.pull(from, &mut self.node.outbox),
             EntryAction::Measured(measured) => count(&self.node.metrics, &measured),
-            EntryAction::Note(note) => self.node.note(&note),
+            EntryAction::LogEvent(note) => self.node.note(&note),
         }
     }
 
--- a/fireflyd/src/fleet.rs
+++ b/fireflyd/src/fleet.rs
@@ -163,7 +163,7 @@
                 MemberAction::Changed(record) if record.peer.name == own => news.leave = true,
                 MemberAction::Changed(record) => news.changed.push(record),
                 MemberAction::Entries(entries) => self.entries = entries.max(1),
-                MemberAction::Note(note) => {
+                MemberAction::LogEvent(note) => {
                     let peer = note.peer.as_deref().unwrap_or("-");
                     log::info!(event = note.event, peer = peer, count = note.count; "");
                 }
--- a/fireflyd/src/journal.rs
+++ b/fireflyd/src/journal.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use fireflycroft::{Name, Note, RequestId};
+use fireflycroft::{LogEvent, Name, RequestId};
 use serde_json::{Value, json};
 
 /// Notes kept at once; the oldest goes when more come.
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct Journal {
     node: Name,
-    notes: Arc<Mutex<VecDeque<(u64, Note)>>>,
+    notes: Arc<Mutex<VecDeque<(u64, LogEvent)>>>,
 }
 
 impl Journal {
@@ -28,7 +28,7 @@
     }
 
     /// Keeps a note that concerns a request.
-    pub fn add(&self, note: &Note) {
+    pub fn add(&self, note: &LogEvent) {
         if note.request.is_none() {
             return;
         }
@@ -52,7 +52,7 @@
         Value::Array(rows.collect())
     }
 
-    fn row(&self, at: u64, note: &Note) -> Value {
+    fn row(&self, at: u64, note: &LogEvent) -> Value {
         json!({
             "at_ms": at,
             "node": self.node,
--- a/fireflyd/src/leader.rs
+++ b/fireflyd/src/leader.rs
@@ -5,8 +5,8 @@
 
 use fireflycroft::{Code, MemberState};
 use fireflycroft::{
-    Config, EngineView, IdSource, Lease, LeaseAnswer, LeaseCall, LeaseOp, LeaseSpans, Message,
-    Name, Note, PlaceLimits, Placer, RequestId, Router, Time,
+    Config, EngineView, IdSource, Lease, LeaseAnswer, LeaseCall, LeaseOp, LeaseSpans, LogEvent,
+    Message, Name, PlaceLimits, Placer, RequestId, Router, Time,
 };
 
 use crate::outbox::Outbox;
@@ -55,13 +55,13 @@
         &mut self,
         now: Time,
         candidate: bool,
-    ) -> (Option<(LeaseCall, LeaseOp)>, Option<Note>) {
+    ) -> (Option<(LeaseCall, LeaseOp)>, Option<LogEvent>) {
         let asked = self.lease.on_tick(now, candidate);
         let held = self.lease.held(now);
         let before = std::mem::replace(&mut self.held, held);
         let note = match (before, held) {
-            (None, Some(fence)) => Some(Note::new("lease_taken").count(fence)),
-            (Some(fence), None) => Some(Note::new("lease_lost").count(fence)),
+            (None, Some(fence)) => Some(LogEvent::new("lease_taken").count(fence)),
+            (Some(fence), None) => Some(LogEvent::new("lease_lost").count(fence)),
             _ => None,
         };
         (asked, note)
--- a/fireflyd/src/node.rs
+++ b/fireflyd/src/node.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use fireflycroft::{Incarnation, MemberSetup, MemberState, Message, Name, Note, Peer, Role, Time};
+use fireflycroft::{
+    Incarnation, LogEvent, MemberSetup, MemberState, Message, Name, Peer, Role, Time,
+};
 use fireflycroft_wire::{Header, decode_all};
 
 use crate::fleet::Fleet;
@@ -132,7 +134,7 @@
     }
 
     /// Logs a note and counts what it stands for.
-    pub fn note(&self, note: &Note) {
+    pub fn note(&self, note: &LogEvent) {
         count(&self.metrics, note);
         self.journal.add(note);
         let code = note.code.map_or(0, fireflycroft::Code::number);
@@ -148,7 +150,7 @@
     }
 }
 
-fn count(metrics: &Metrics, note: &Note) {
+fn count(metrics: &Metrics, note: &LogEvent) {
     match note.event {
         "offer_sent" => metrics.offers_sent.inc(),
         "restarted" => metrics.restarts.inc(),
