--- a/fireflycroft/src/deliver.rs
+++ b/fireflycroft/src/deliver.rs
@@ -33,7 +33,7 @@
             self.fail(id, Code::StreamUnknown, retry, out);
             return;
         };
-        let asked = crate::entry::Asked {
+        let assigned = crate::entry::AssignedAgent {
             agent: point.agent,
             addr,
         };
@@ -41,7 +41,7 @@
             generation: point.generation,
             next: point.next,
         };
-        self.read(now, id, asked, Origin::Resumed, point.request, cursor);
+        self.read(now, id, assigned, Origin::Resumed, point.request, cursor);
         self.send_attach(now, id, out);
     }
 
@@ -60,7 +60,7 @@
             workspace: call.demand.workspace.clone(),
             from: reading.cursor.next,
         };
-        out.push(EntryAction::Send(reading.asked.addr, message));
+        out.push(EntryAction::Send(reading.assigned.addr, message));
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -74,7 +74,9 @@
         finish: Option<Finish>,
         out: &mut Vec<EntryAction>,
     ) {
-        let call = self.call_of(reader).and_then(|id| self.calls.get_mut(&id));
+        let call = self
+            .call_by_request(reader)
+            .and_then(|id| self.calls.get_mut(&id));
         let Some(call) = call else {
             out.push(EntryAction::Send(
                 from.addr,
@@ -87,7 +89,7 @@
             return;
         };
         let taken = reading.cursor.take(generation, chunk);
-        reading.begun |= taken != Taken::Foreign;
+        reading.frame_received |= taken != Taken::Foreign;
         match taken {
             Taken::Foreign => {
                 // The fenced generation of an earlier start: nobody wants it.
@@ -99,13 +101,13 @@
             }
             Taken::Unsound => return,
             Taken::Gap(_) => {
-                reading.heard = now;
+                reading.last_received = now;
                 self.send_attach(now, id, out);
                 return;
             }
-            Taken::Old => reading.heard = now,
+            Taken::Old => reading.last_received = now,
             Taken::Next(chunk) => {
-                reading.heard = now;
+                reading.last_received = now;
                 self.hand_on(now, id, chunk, out);
             }
         }
@@ -115,16 +117,16 @@
     }
 
     fn hand_on(&mut self, now: Time, id: CallId, chunk: Chunk, out: &mut Vec<EntryAction>) {
-        let most = self.limits.max_answer;
-        let most_in_all = self.limits.max_held;
+        let most = self.limits.max_answer_bytes;
+        let most_in_all = self.limits.max_buffered;
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         call.pace.note(now, call.received, chunk.count(), call.goal);
         match call.delivery {
             Delivery::Stream => {
-                if !call.told_begin {
-                    call.told_begin = true;
+                if !call.begin_sent {
+                    call.begin_sent = true;
                     let point = point_of(call, chunk.offset);
                     out.extend(point.map(|p| EntryAction::Reply(id, Reply::Begin(p))));
                 }
@@ -132,11 +134,11 @@
             }
             Delivery::Whole => {
                 for token in chunk.tokens() {
-                    call.held_back.push(token);
+                    call.buffered.push(token);
                 }
-                self.held += chunk.data.len();
-                ack_held_back(now, call, out);
-                if call.held_back.data.len() > most || self.held > most_in_all {
+                self.buffered_bytes += chunk.data.len();
+                ack_buffered(now, call, out);
+                if call.buffered.data.len() > most || self.buffered_bytes > most_in_all {
                     self.cancel(id, out);
                     self.fail(id, Code::AnswerTooLarge, None, out);
                 }
@@ -182,7 +184,7 @@
         }
         out.push(call.measured(finish.code));
         if call.delivery == Delivery::Whole {
-            let whole = std::mem::take(&mut call.held_back);
+            let whole = std::mem::take(&mut call.buffered);
             if let Some(point) = point_of(&call, whole.offset) {
                 out.push(EntryAction::Reply(id, Reply::Begin(point)));
             }
@@ -204,7 +206,7 @@
                 reader: call.request,
                 generation: reading.cursor.generation,
             };
-            out.push(EntryAction::Send(reading.asked.addr, message));
+            out.push(EntryAction::Send(reading.assigned.addr, message));
         }
     }
 
@@ -254,8 +256,8 @@
             return;
         };
         call.demand.crashes = crashes;
-        self.held -= call.held_back.data.len();
-        call.held_back = Chunk::default();
+        self.buffered_bytes -= call.buffered.data.len();
+        call.buffered = Chunk::default();
         call.offers = 0;
         out.push(EntryAction::LogEvent(
             LogEvent::new("restarted").request(call.request),
@@ -267,7 +269,7 @@
         if let Some(Phase::Reading(reading)) = self.calls.get(&id).map(|c| &c.phase) {
             let generation = reading.cursor.generation;
             out.push(EntryAction::Send(
-                reading.asked.addr,
+                reading.assigned.addr,
                 Message::Cancel { generation },
             ));
         }
@@ -281,7 +283,9 @@
         standing: Standing,
         out: &mut Vec<EntryAction>,
     ) {
-        let call = self.call_of(reader).and_then(|id| self.calls.get_mut(&id));
+        let call = self
+            .call_by_request(reader)
+            .and_then(|id| self.calls.get_mut(&id));
         let Some(call) = call else {
             return;
         };
@@ -292,7 +296,7 @@
         if reading.cursor.generation != generation {
             return;
         }
-        reading.heard = now;
+        reading.last_received = now;
         let origin = reading.origin;
         let retry = Some(self.limits.min_retry_after);
         match (standing, origin) {
@@ -349,19 +353,19 @@
         }
         if reading.cursor.next - reading.acked >= WINDOW {
             // The agent waits for the caller, not the other way round.
-            reading.heard = now;
+            reading.last_received = now;
         }
-        if now.since(reading.heard) >= patience {
+        if now.since(reading.last_received) >= patience {
             self.on_silence(now, id, out);
             return;
         }
-        if now.since(reading.acked_at) >= limits.ack_every {
+        if now.since(reading.acked_at) >= limits.ack_interval {
             out.push(ack_of(now, request, reading));
         }
-        let quiet = now.since(reading.heard) >= limits.poll_after;
+        let quiet = now.since(reading.last_received) >= limits.poll_after;
         if quiet && now.since(reading.polled) >= limits.poll_after {
             reading.polled = now;
-            let unheard = reading.origin == Origin::Own && !reading.begun;
+            let unheard = reading.origin == Origin::Own && !reading.frame_received;
             if unheard {
                 self.send_start(id, out);
             } else {
@@ -374,9 +378,9 @@
         let Some(Phase::Reading(reading)) = self.calls.get(&id).map(|c| &c.phase) else {
             return;
         };
-        let agent = reading.asked.agent.clone();
+        let agent = reading.assigned.agent.clone();
         let joined = matches!(reading.origin, Origin::Joined(_));
-        self.router.avoid(now, &agent, self.limits.avoid);
+        self.router.avoid(now, &agent, self.limits.avoid_for);
         out.push(EntryAction::LogEvent(
             LogEvent::new("agent_silent").peer(&agent),
         ));
@@ -403,9 +407,9 @@
         let limits = self.limits;
         // Called dead, it may only be paused; a later life says for sure.
         let lost = |call: &Call| match &call.phase {
-            Phase::Reading(r) if r.asked.agent == *agent => match alive {
+            Phase::Reading(r) if r.assigned.agent == *agent => match alive {
                 Some(life) => r.cursor.generation.incarnation != life,
-                None => call.patience(&limits) == limits.silence,
+                None => call.patience(&limits) == limits.silence_timeout,
             },
             _ => false,
         };
@@ -425,7 +429,7 @@
             return;
         };
         match &call.phase {
-            Phase::New | Phase::Behind { .. } => {}
+            Phase::New | Phase::AwaitingConfig { .. } => {}
             Phase::Offered { .. } | Phase::Queued { .. } | Phase::Claiming { .. } => {
                 self.withdraw(id, out);
             }
@@ -458,9 +462,9 @@
         let joined =
             matches!(&self.phase, Phase::Reading(r) if matches!(r.origin, Origin::Joined(_)));
         if joined || self.may_restart(limits.max_starts) {
-            limits.silence
+            limits.silence_timeout
         } else {
-            limits.long_silence
+            limits.long_silence_timeout
         }
     }
 }
@@ -468,7 +472,7 @@
 fn ack_of(now: Time, reader: RequestId, reading: &mut Reading) -> EntryAction {
     reading.acked_at = now;
     EntryAction::Send(
-        reading.asked.addr,
+        reading.assigned.addr,
         Message::Ack {
             reader,
             generation: reading.cursor.generation,
@@ -478,7 +482,7 @@
 }
 
 /// Acknowledges what is held back for the caller, in large steps.
-fn ack_held_back(now: Time, call: &mut Call, out: &mut Vec<EntryAction>) {
+fn ack_buffered(now: Time, call: &mut Call, out: &mut Vec<EntryAction>) {
     let request = call.request;
     if let Phase::Reading(reading) = &mut call.phase
         && reading.cursor.next - reading.acked >= ACK_STEP
@@ -495,7 +499,7 @@
     Some(ResumePoint {
         request: reading.request,
         generation: reading.cursor.generation,
-        agent: reading.asked.agent.clone(),
+        agent: reading.assigned.agent.clone(),
         next,
     })
 }
--- a/fireflycroft/src/dispatch.rs
+++ b/fireflycroft/src/dispatch.rs
@@ -5,7 +5,7 @@
 
 use crate::claim::{ClaimAnswer, ClaimNext, ClaimRecord, ClaimRun};
 use crate::code::Code;
-use crate::entry::{Asked, Call, Entry, Origin, Phase, Reading};
+use crate::entry::{AssignedAgent, Call, Entry, Origin, Phase, Reading};
 use crate::entry_io::EntryAction;
 use crate::ids::{CallId, GenerationId, Name, Peer, RequestId};
 use crate::log_event::LogEvent;
@@ -31,11 +31,11 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        if let Some(asked) = call.asked() {
-            self.router.note_done(&asked.agent.clone());
+        if let Some(assigned) = call.assigned() {
+            self.router.record_done(&assigned.agent.clone());
             call.phase = Phase::New;
         }
-        let checked = self.config.get().map_or(Ok(()), |c| call.check_again(c));
+        let checked = self.config.get().map_or(Ok(()), |c| call.recheck(c));
         if let Err(code) = checked {
             self.fail(id, code, None, out);
             return;
@@ -59,12 +59,12 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        self.router.note_sent(&peer.name, &call.demand);
+        self.router.record_sent(&peer.name, &call.demand);
         call.attempt += 1;
         call.offers += 1;
         call.tried.push(peer.name.clone());
         call.phase = Phase::Offered {
-            asked: Asked {
+            assigned: AssignedAgent {
                 agent: peer.name.clone(),
                 addr: peer.addr,
             },
@@ -103,15 +103,15 @@
         let until = call.received + call.max_wait + QUEUE_SLACK;
         call.retry_after = Some(wait);
         match &mut call.phase {
-            Phase::Offered { asked, .. } => {
-                let asked = asked.clone();
+            Phase::Offered { assigned, .. } => {
+                let assigned = assigned.clone();
                 call.phase = Phase::Queued {
-                    asked,
-                    heard: now,
+                    assigned,
+                    last_received: now,
                     until,
                 };
             }
-            Phase::Queued { heard, .. } => *heard = now,
+            Phase::Queued { last_received, .. } => *last_received = now,
             _ => {}
         }
     }
@@ -127,7 +127,7 @@
         hold: Duration,
         out: &mut Vec<EntryAction>,
     ) {
-        let wait = self.limits.claim_wait;
+        let wait = self.limits.claim_timeout;
         let waiting =
             |call: &&mut Call| matches!(call.phase, Phase::Offered { .. } | Phase::Queued { .. });
         let config = self.config.get().cloned();
@@ -136,7 +136,7 @@
             return;
         };
         let id = call.id;
-        if let Err(code) = config.map_or(Ok(()), |c| call.check_again(&c)) {
+        if let Err(code) = config.map_or(Ok(()), |c| call.recheck(&c)) {
             self.withdraw(id, out);
             self.fail(id, code, None, out);
             return;
@@ -144,12 +144,12 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let asked = Asked {
+        let assigned = AssignedAgent {
             agent: from.name.clone(),
             addr: from.addr,
         };
         let Some(key) = call.claim_key else {
-            self.start(now, request, asked, generation, out);
+            self.start(now, request, assigned, generation, out);
             return;
         };
         let record = ClaimRecord {
@@ -162,7 +162,7 @@
         let run = ClaimRun::new(record, call.replace, now + wait.min(hold));
         let op = run.first();
         call.phase = Phase::Claiming {
-            asked,
+            assigned,
             generation,
             run,
         };
@@ -179,7 +179,9 @@
         generation: GenerationId,
         out: &mut Vec<EntryAction>,
     ) {
-        let call = self.call_of(request).and_then(|id| self.calls.get(&id));
+        let call = self
+            .call_by_request(request)
+            .and_then(|id| self.calls.get(&id));
         let in_use = call.is_some_and(|c| match &c.phase {
             Phase::Claiming {
                 generation: own, ..
@@ -212,7 +214,7 @@
         }
         let id = call.id;
         if code == Code::ConfigBehind {
-            self.hold_for_config(now, id, out);
+            self.await_config(now, id, out);
             return;
         }
         if takes_no_work(code) {
@@ -244,7 +246,7 @@
         };
         let (
             Phase::Claiming {
-                asked,
+                assigned,
                 generation,
                 run,
             },
@@ -254,10 +256,10 @@
             return;
         };
         let next = run.on_answer(now, answer);
-        let (asked, generation, request) = (asked.clone(), *generation, call.request);
+        let (assigned, generation, request) = (assigned.clone(), *generation, call.request);
         match next {
             ClaimNext::Ask(op) => out.push(EntryAction::Claim(id, key, op)),
-            ClaimNext::Won => self.start(now, request, asked, generation, out),
+            ClaimNext::Won => self.start(now, request, assigned, generation, out),
             ClaimNext::Other(record, version) => {
                 self.withdraw(id, out);
                 self.join(now, id, &record, version, out);
@@ -286,7 +288,7 @@
             self.fail(id, Code::IdempotencyKeyReused, None, out);
             return;
         }
-        let asked = Asked {
+        let assigned = AssignedAgent {
             agent: record.agent.clone(),
             addr: record.addr,
         };
@@ -301,7 +303,7 @@
         self.read(
             now,
             id,
-            asked,
+            assigned,
             Origin::Joined(version),
             record.request,
             cursor,
@@ -313,18 +315,18 @@
         &mut self,
         now: Time,
         request: RequestId,
-        asked: Asked,
+        assigned: AssignedAgent,
         generation: GenerationId,
         out: &mut Vec<EntryAction>,
     ) {
-        let Some(id) = self.call_of(request) else {
+        let Some(id) = self.call_by_request(request) else {
             return;
         };
         let cursor = Cursor {
             generation,
             next: 0,
         };
-        self.read(now, id, asked, Origin::Own, request, cursor);
+        self.read(now, id, assigned, Origin::Own, request, cursor);
         if let Some(call) = self.calls.get_mut(&id) {
             call.starts += 1;
         }
@@ -341,7 +343,7 @@
                 generation: reading.cursor.generation,
                 work: call.work.clone(),
             };
-            out.push(EntryAction::Send(reading.asked.addr, message));
+            out.push(EntryAction::Send(reading.assigned.addr, message));
         }
     }
 
@@ -349,7 +351,7 @@
         &mut self,
         now: Time,
         id: CallId,
-        asked: Asked,
+        assigned: AssignedAgent,
         origin: Origin,
         request: RequestId,
         cursor: Cursor,
@@ -357,25 +359,27 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let same = call.asked().is_some_and(|old| old.agent == asked.agent);
+        let same = call
+            .assigned()
+            .is_some_and(|old| old.agent == assigned.agent);
         if !same {
-            if let Some(old) = call.asked() {
-                self.router.note_done(&old.agent.clone());
+            if let Some(old) = call.assigned() {
+                self.router.record_done(&old.agent.clone());
             }
-            self.router.note_sent(&asked.agent, &call.demand);
+            self.router.record_sent(&assigned.agent, &call.demand);
         }
-        self.held -= call.held_back.data.len();
-        call.held_back = Chunk {
+        self.buffered_bytes -= call.buffered.data.len();
+        call.buffered = Chunk {
             offset: cursor.next,
             ..Chunk::default()
         };
         call.phase = Phase::Reading(Reading {
-            asked,
+            assigned,
             origin,
             request,
             cursor,
-            heard: now,
-            begun: false,
+            last_received: now,
+            frame_received: false,
             polled: now,
             acked_at: now,
             acked: cursor.next,
@@ -387,9 +391,9 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let (Phase::Offered { asked, .. }
-        | Phase::Queued { asked, .. }
-        | Phase::Claiming { asked, .. }) = &call.phase
+        let (Phase::Offered { assigned, .. }
+        | Phase::Queued { assigned, .. }
+        | Phase::Claiming { assigned, .. }) = &call.phase
         else {
             return;
         };
@@ -397,7 +401,7 @@
             request: call.request,
             attempt: call.attempt,
         };
-        out.push(EntryAction::Send(asked.addr, message));
+        out.push(EntryAction::Send(assigned.addr, message));
     }
 
     pub(crate) fn tick_call(&mut self, now: Time, id: CallId, out: &mut Vec<EntryAction>) {
@@ -407,25 +411,25 @@
         };
         match &mut call.phase {
             Phase::New => {}
-            Phase::Behind { .. } => self.tick_behind(now, id, out),
-            Phase::Offered { asked, sent } => {
-                if now.since(*sent) >= limits.offer_wait {
-                    let agent = asked.agent.clone();
+            Phase::AwaitingConfig { .. } => self.tick_awaiting_config(now, id, out),
+            Phase::Offered { assigned, sent } => {
+                if now.since(*sent) >= limits.offer_timeout {
+                    let agent = assigned.agent.clone();
                     self.give_up_agent(now, id, &agent, out);
                 }
             }
             Phase::Queued {
-                asked,
-                heard,
+                assigned,
+                last_received,
                 until,
             } => {
-                let agent = asked.agent.clone();
-                let addr = asked.addr;
-                if now >= *until || now.since(*heard) >= limits.silence {
+                let agent = assigned.agent.clone();
+                let addr = assigned.addr;
+                if now >= *until || now.since(*last_received) >= limits.silence_timeout {
                     self.give_up_agent(now, id, &agent, out);
-                } else if self.router.has_freer(now, &call.demand, &agent) {
+                } else if self.router.has_free_alternative(now, &call.demand, &agent) {
                     self.move_queued(now, id, agent, out);
-                } else if now.since(*heard) >= limits.poll_after {
+                } else if now.since(*last_received) >= limits.poll_after {
                     let offer = offer_of(now, call);
                     out.push(EntryAction::Send(addr, offer));
                 }
@@ -457,7 +461,7 @@
     /// Leaves a silent agent, before any start, for another.
     fn give_up_agent(&mut self, now: Time, id: CallId, agent: &Name, out: &mut Vec<EntryAction>) {
         self.withdraw(id, out);
-        self.router.avoid(now, agent, self.limits.avoid);
+        self.router.avoid(now, agent, self.limits.avoid_for);
         out.push(EntryAction::LogEvent(
             LogEvent::new("agent_silent").peer(agent),
         ));
@@ -465,7 +469,7 @@
     }
 
     fn current(&mut self, request: RequestId, attempt: u32) -> Option<&mut Call> {
-        let id = self.call_of(request)?;
+        let id = self.call_by_request(request)?;
         self.calls.get_mut(&id).filter(|c| c.attempt == attempt)
     }
 }
--- a/fireflycroft/src/entry.rs
+++ b/fireflycroft/src/entry.rs
@@ -29,7 +29,7 @@
 
 /// Where an offer was made.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct AssignedAgent {
     pub(crate) agent: Name,
     pub(crate) addr: SocketAddr,
 }
@@ -48,14 +48,14 @@
 /// A generation that is read.
 #[derive(Clone, Debug)]
 pub(crate) struct Reading {
-    pub(crate) asked: Asked,
+    pub(crate) assigned: AssignedAgent,
     pub(crate) origin: Origin,
     pub(crate) request: RequestId,
     pub(crate) cursor: Cursor,
     /// When a frame of it came last; the start until then.
-    pub(crate) heard: Time,
+    pub(crate) last_received: Time,
     /// Whether any frame came.
-    pub(crate) begun: bool,
+    pub(crate) frame_received: bool,
     pub(crate) polled: Time,
     pub(crate) acked_at: Time,
     pub(crate) acked: u64,
@@ -67,18 +67,18 @@
     /// No agent was asked yet.
     New,
     /// Waits until both sides hold one configuration; asked again then.
-    Behind { again: Time },
+    AwaitingConfig { retry_at: Time },
     /// An offer is out.
-    Offered { asked: Asked, sent: Time },
+    Offered { assigned: AssignedAgent, sent: Time },
     /// The agent has it in its queue.
     Queued {
-        asked: Asked,
-        heard: Time,
+        assigned: AssignedAgent,
+        last_received: Time,
         until: Time,
     },
     /// Reserved; the key is being claimed.
     Claiming {
-        asked: Asked,
+        assigned: AssignedAgent,
         generation: GenerationId,
         run: ClaimRun,
     },
@@ -93,7 +93,7 @@
     pub(crate) request: RequestId,
     pub(crate) key_digest: [u8; 32],
     /// Configuration by which it was checked.
-    pub(crate) checked: ConfigVersion,
+    pub(crate) checked_version: ConfigVersion,
     pub(crate) demand: Demand,
     pub(crate) work: Work,
     pub(crate) delivery: Delivery,
@@ -111,14 +111,14 @@
     /// Worst reason that a refusing agent gave.
     pub(crate) refusal: Option<Code>,
     /// Since when it waits for a configuration, the first time.
-    pub(crate) behind_since: Option<Time>,
+    pub(crate) awaiting_config_since: Option<Time>,
     pub(crate) received: Time,
     pub(crate) brand: Name,
     pub(crate) goal: Option<Goal>,
     pub(crate) pace: Pace,
     /// Whether the caller was told which generation it is given.
-    pub(crate) told_begin: bool,
-    pub(crate) held_back: Chunk,
+    pub(crate) begin_sent: bool,
+    pub(crate) buffered: Chunk,
     pub(crate) max_wait: Duration,
     /// Tokens charged to the quota beforehand.
     pub(crate) charged: u64,
@@ -134,14 +134,14 @@
     pub(crate) calls: BTreeMap<CallId, Call>,
     pub(crate) by_request: HashMap<RequestId, CallId>,
     /// Bytes of whole answers held back.
-    pub(crate) held: usize,
+    pub(crate) buffered_bytes: usize,
     pub(crate) quarantine: Quarantine,
     pub(crate) quotas: Quotas,
     pub(crate) retries: RetryBudget,
     pub(crate) entries: u32,
     pub(crate) leaving: bool,
     /// Time of the last tick.
-    pub(crate) ticked: Option<Time>,
+    pub(crate) last_tick: Option<Time>,
 }
 
 impl Entry {
@@ -155,13 +155,13 @@
             router: Router::new(setup.policy, setup.data_centre),
             calls: BTreeMap::new(),
             by_request: HashMap::new(),
-            held: 0,
+            buffered_bytes: 0,
             quarantine: Quarantine::default(),
             quotas: Quotas::default(),
             retries: RetryBudget::default(),
             entries: 1,
             leaving: false,
-            ticked: None,
+            last_tick: None,
         }
     }
 
@@ -170,12 +170,12 @@
         match event {
             EntryEvent::Submit(id, submission) => self.on_submit(now, id, *submission, out),
             EntryEvent::CallerGone(id) => self.on_caller_gone(id, out),
-            EntryEvent::Taken(id, next) => self.on_taken(now, id, next, out),
+            EntryEvent::Consumed(id, next) => self.on_taken(now, id, next, out),
             EntryEvent::Message(envelope) => self.on_message(now, *envelope, out),
             EntryEvent::Claim(id, answer) => self.on_claim(now, id, answer, out),
             EntryEvent::Config(config) => self.on_config(now, &config, out),
             EntryEvent::Member(record) => self.on_member(now, &record, out),
-            EntryEvent::Entries(count) => self.entries = count.max(1),
+            EntryEvent::EntryCount(count) => self.entries = count.max(1),
             EntryEvent::Leave => self.leaving = true,
             EntryEvent::Tick => self.on_tick(now, out),
         }
@@ -213,8 +213,8 @@
 
     /// Bytes of whole answers held back.
     #[must_use]
-    pub const fn held(&self) -> usize {
-        self.held
+    pub const fn buffered_bytes(&self) -> usize {
+        self.buffered_bytes
     }
 
     /// Whether a planned stop would cut off nothing any more.
@@ -246,7 +246,7 @@
             out.push(EntryAction::PullConfig(from.addr));
         }
         if let Some(load) = load {
-            self.router.note_load(now, &from.name, load);
+            self.router.record_load(now, &from.name, load);
         }
         match body {
             Message::Queued {
@@ -292,7 +292,7 @@
             Adopted::Same | Adopted::Older => return,
         };
         out.push(EntryAction::LogEvent(LogEvent::new(event).count(version)));
-        self.on_caught_up(now, out);
+        self.retry_awaiting_config(now, out);
     }
 
     fn on_member(&mut self, now: Time, record: &MemberRecord, out: &mut Vec<EntryAction>) {
@@ -303,7 +303,7 @@
             .router
             .by_name(&record.peer.name)
             .map(|a| a.peer.incarnation);
-        self.router.learn(record);
+        self.router.upsert(record);
         let dead = record.state == MemberState::Dead;
         let replaced = before.is_some_and(|old| old != record.peer.incarnation);
         if replaced || dead {
@@ -313,12 +313,12 @@
     }
 
     fn on_tick(&mut self, now: Time, out: &mut Vec<EntryAction>) {
-        let gap = self.ticked.map_or(Duration::ZERO, |t| now.since(t));
-        self.ticked = Some(now);
-        if gap >= self.limits.pause {
-            self.on_paused(now);
+        let gap = self.last_tick.map_or(Duration::ZERO, |t| now.since(t));
+        self.last_tick = Some(now);
+        if gap >= self.limits.pause_threshold {
+            self.reset_silence_timers(now);
         }
-        self.doubt_leaving(now);
+        self.expire_leaving_reports(now);
         let ids: Vec<CallId> = self.calls.keys().copied().collect();
         for id in ids {
             self.tick_call(now, id, out);
@@ -328,9 +328,9 @@
 
     /// Agents that took no work a while ago may be asked again: one whose
     /// upstream came back says so only when it is spoken to.
-    fn doubt_leaving(&mut self, now: Time) {
-        let span = self.limits.believe_leaving;
-        let old = |a: &&AgentView| a.load.leaving && now.since(a.load_at) >= span;
+    fn expire_leaving_reports(&mut self, now: Time) {
+        let span = self.limits.leaving_report_ttl;
+        let old = |a: &&AgentView| a.load.leaving && now.since(a.load_received) >= span;
         let agents: Vec<(Name, Load)> = self
             .router
             .agents()
@@ -339,19 +339,20 @@
             .collect();
         for (name, load) in agents {
             let leaving = false;
-            self.router.note_load(now, &name, Load { leaving, ..load });
+            self.router
+                .record_load(now, &name, Load { leaving, ..load });
         }
     }
 
     /// This process was paused: what came meanwhile waits to be read, so the
     /// silence of the others counts from now on.
-    fn on_paused(&mut self, now: Time) {
+    fn reset_silence_timers(&mut self, now: Time) {
         for call in self.calls.values_mut() {
             match &mut call.phase {
                 Phase::Offered { sent, .. } => *sent = now,
-                Phase::Queued { heard, .. } => *heard = now,
-                Phase::Reading(reading) => reading.heard = now,
-                Phase::New | Phase::Behind { .. } | Phase::Claiming { .. } => {}
+                Phase::Queued { last_received, .. } => *last_received = now,
+                Phase::Reading(reading) => reading.last_received = now,
+                Phase::New | Phase::AwaitingConfig { .. } | Phase::Claiming { .. } => {}
             }
         }
     }
@@ -397,14 +398,14 @@
     pub(crate) fn remove(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         self.by_request.remove(&call.request);
-        self.held -= call.held_back.data.len();
-        if let Some(asked) = call.asked() {
-            self.router.note_done(&asked.agent);
+        self.buffered_bytes -= call.buffered.data.len();
+        if let Some(assigned) = call.assigned() {
+            self.router.record_done(&assigned.agent);
         }
         Some(call)
     }
 
-    pub(crate) fn call_of(&self, request: RequestId) -> Option<CallId> {
+    pub(crate) fn call_by_request(&self, request: RequestId) -> Option<CallId> {
         self.by_request.get(&request).copied()
     }
 }
@@ -420,13 +421,13 @@
         })
     }
 
-    pub(crate) const fn asked(&self) -> Option<&Asked> {
+    pub(crate) const fn assigned(&self) -> Option<&AssignedAgent> {
         match &self.phase {
-            Phase::New | Phase::Behind { .. } => None,
-            Phase::Offered { asked, .. }
-            | Phase::Queued { asked, .. }
-            | Phase::Claiming { asked, .. } => Some(asked),
-            Phase::Reading(reading) => Some(&reading.asked),
+            Phase::New | Phase::AwaitingConfig { .. } => None,
+            Phase::Offered { assigned, .. }
+            | Phase::Queued { assigned, .. }
+            | Phase::Claiming { assigned, .. } => Some(assigned),
+            Phase::Reading(reading) => Some(&reading.assigned),
         }
     }
 
--- a/fireflycroft/src/entry_io.rs
+++ b/fireflycroft/src/entry_io.rs
@@ -19,37 +19,37 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EntryLimits {
     /// Wait for an answer to an offer before another agent is asked.
-    pub offer_wait: Duration,
+    pub offer_timeout: Duration,
     /// Agents asked for one request before it is refused.
     pub max_offers: usize,
     /// Silence of an agent after which a poll is sent.
     pub poll_after: Duration,
     /// Silence of an agent after which it is given up.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// Silence after which it is given up where nobody else can go on.
-    pub long_silence: Duration,
+    pub long_silence_timeout: Duration,
     /// Time between acknowledgements that also say the reader is there.
-    pub ack_every: Duration,
+    pub ack_interval: Duration,
     /// Time between two ticks from which on this process was paused.
-    pub pause: Duration,
+    pub pause_threshold: Duration,
     /// Starts of one repeatable request in all.
     pub max_starts: u32,
     /// Longest hold of a request until both sides have one configuration.
-    pub config_wait: Duration,
+    pub config_timeout: Duration,
     /// Time between two looks whether they have.
-    pub config_retry: Duration,
+    pub config_retry_interval: Duration,
     /// Time that a claim may take.
-    pub claim_wait: Duration,
+    pub claim_timeout: Duration,
     /// How long an agent is left out after it was given up.
-    pub avoid: Duration,
+    pub avoid_for: Duration,
     /// Bytes of a whole answer held back.
-    pub max_answer: usize,
+    pub max_answer_bytes: usize,
     /// Bytes of whole answers held back in all.
-    pub max_held: usize,
+    pub max_buffered: usize,
     /// Calls at once.
     pub max_calls: usize,
     /// How long an agent's word that it takes no work is believed.
-    pub believe_leaving: Duration,
+    pub leaving_report_ttl: Duration,
     /// What a refused caller waits at least.
     pub min_retry_after: Duration,
 }
@@ -57,22 +57,22 @@
 impl Default for EntryLimits {
     fn default() -> Self {
         Self {
-            offer_wait: Duration::from_millis(300),
+            offer_timeout: Duration::from_millis(300),
             max_offers: 4,
             poll_after: Duration::from_millis(500),
-            silence: Duration::from_secs(3),
-            long_silence: Duration::from_secs(10),
-            ack_every: Duration::from_secs(1),
-            pause: Duration::from_secs(1),
+            silence_timeout: Duration::from_secs(3),
+            long_silence_timeout: Duration::from_secs(10),
+            ack_interval: Duration::from_secs(1),
+            pause_threshold: Duration::from_secs(1),
             max_starts: 3,
-            config_wait: Duration::from_secs(2),
-            config_retry: Duration::from_millis(50),
-            claim_wait: Duration::from_millis(1_500),
-            avoid: Duration::from_secs(2),
-            max_answer: 8 * 1024 * 1024,
-            max_held: 256 * 1024 * 1024,
+            config_timeout: Duration::from_secs(2),
+            config_retry_interval: Duration::from_millis(50),
+            claim_timeout: Duration::from_millis(1_500),
+            avoid_for: Duration::from_secs(2),
+            max_answer_bytes: 8 * 1024 * 1024,
+            max_buffered: 256 * 1024 * 1024,
             max_calls: 4_096,
-            believe_leaving: Duration::from_secs(1),
+            leaving_report_ttl: Duration::from_secs(1),
             min_retry_after: Duration::from_secs(1),
         }
     }
@@ -126,7 +126,7 @@
     /// `Idempotency-Key`, when there is one.
     pub idempotency_key: Option<Name>,
     /// Whether it is run once at most even where no rule says so.
-    pub never_repeat: bool,
+    pub never_retry: bool,
     /// Place to go on from, when the caller comes back.
     pub resume: Option<ResumePoint>,
 }
@@ -152,7 +152,7 @@
     /// The caller went away.
     CallerGone(CallId),
     /// The caller took all tokens below that number.
-    Taken(CallId, u64),
+    Consumed(CallId, u64),
     /// A message of a process of the fleet.
     Message(Box<Envelope>),
     /// The platform's answer on a call's claim.
@@ -162,7 +162,7 @@
     /// What membership says of an agent or entry.
     Member(MemberRecord),
     /// Number of entries alive, for shares of quotas.
-    Entries(u32),
+    EntryCount(u32),
     /// The entry is to stop.
     Leave,
     /// Time went on.
--- a/fireflycroft/src/route.rs
+++ b/fireflycroft/src/route.rs
@@ -43,7 +43,7 @@
     /// Load that it told last.
     pub load: Load,
     /// When it told it.
-    pub load_at: Time,
+    pub load_received: Time,
     /// Requests of this entry under way there.
     pub outstanding: u32,
     /// Requests sent there since it told its load.
@@ -61,34 +61,34 @@
     policy: RoutePolicy,
     data_centre: Name,
     agents: Vec<AgentView>,
-    turn: usize,
+    round_robin_turn: usize,
 }
 
 const SUSPECT_PENALTY: f64 = 1_000.0;
 const SLOW_PENALTY: f64 = 2.0;
-const FAR_PENALTY: f64 = 0.01;
+const REMOTE_PENALTY: f64 = 0.01;
 
 /// Share of its batch up to which interactive work gathers at an agent, one in
 /// so many.
-const HEAD_SHARE: u32 = 2;
+const GATHER_BATCH_DIVISOR: u32 = 2;
 
 /// Batch that costs as much as the whole memory.
-const FULL_BATCH: f64 = 64.0;
+const UNIT_COST_BATCH: f64 = 64.0;
 
 /// Prompt that costs as much as the whole memory where all interactive work is.
-const LONG_PROMPT: f64 = 500.0;
+const UNIT_COST_PROMPT_TOKENS: f64 = 500.0;
 
 /// Steps of wait that cost as much as the whole memory.
-const FULL_WAIT_STEPS: f64 = 256.0;
+const UNIT_COST_WAIT_STEPS: f64 = 256.0;
 
 /// Step that waits are measured by before any was told.
-const LEAST_STEP: Duration = Duration::from_millis(1);
+const MIN_STEP: Duration = Duration::from_millis(1);
 
 /// Steps of the peers that make a slow agent, in tenths.
-const SLOW_TENTHS: u32 = 25;
+const SLOW_STEP_TENTHS: u32 = 25;
 
 /// Weight of one request in an agent's share of the interactive work.
-const SHARE_WEIGHT: f64 = 0.02;
+const INTERACTIVE_SHARE_WEIGHT: f64 = 0.02;
 
 impl Router {
     /// An empty table of an entry in `data_centre`.
@@ -98,12 +98,12 @@
             policy,
             data_centre,
             agents: Vec::new(),
-            turn: 0,
+            round_robin_turn: 0,
         }
     }
 
     /// Takes what membership says of one agent.
-    pub fn learn(&mut self, record: &MemberRecord) {
+    pub fn upsert(&mut self, record: &MemberRecord) {
         if let Some(agent) = self
             .agents
             .iter_mut()
@@ -125,7 +125,7 @@
             state: record.state,
             serves: record.serves.clone(),
             load: Load::default(),
-            load_at: Time::default(),
+            load_received: Time::default(),
             outstanding: 0,
             sent_since: 0,
             sent_tokens: 0,
@@ -135,19 +135,19 @@
     }
 
     /// Takes the load that an agent told.
-    pub fn note_load(&mut self, now: Time, name: &Name, load: Load) {
+    pub fn record_load(&mut self, now: Time, name: &Name, load: Load) {
         if let Some(agent) = self.by_name_mut(name) {
             agent.load = load;
-            agent.load_at = now;
+            agent.load_received = now;
             agent.sent_since = 0;
             agent.sent_tokens = 0;
         }
     }
 
     /// Notes that a request was sent to the agent.
-    pub fn note_sent(&mut self, name: &Name, demand: &Demand) {
+    pub fn record_sent(&mut self, name: &Name, demand: &Demand) {
         if demand.priority == Priority::Interactive {
-            self.share_interactive(name);
+            self.update_interactive_shares(name);
         }
         if let Some(agent) = self.by_name_mut(name) {
             agent.outstanding += 1;
@@ -156,17 +156,17 @@
         }
     }
 
-    fn share_interactive(&mut self, name: &Name) {
+    fn update_interactive_shares(&mut self, name: &Name) {
         for agent in &mut self.agents {
-            agent.interactive_share *= 1.0 - SHARE_WEIGHT;
+            agent.interactive_share *= 1.0 - INTERACTIVE_SHARE_WEIGHT;
             if agent.peer.name == *name {
-                agent.interactive_share += SHARE_WEIGHT;
+                agent.interactive_share += INTERACTIVE_SHARE_WEIGHT;
             }
         }
     }
 
     /// Notes that a request at the agent has ended.
-    pub fn note_done(&mut self, name: &Name) {
+    pub fn record_done(&mut self, name: &Name) {
         if let Some(agent) = self.by_name_mut(name) {
             agent.outstanding = agent.outstanding.saturating_sub(1);
         }
@@ -218,31 +218,31 @@
         tried: &[Name],
         ids: &mut IdSource,
     ) -> Option<AgentIx> {
-        let open: Vec<usize> = (0..self.agents.len())
-            .filter(|i| self.is_open(now, *i, demand, tried))
+        let candidates: Vec<usize> = (0..self.agents.len())
+            .filter(|i| self.is_candidate(now, *i, demand, tried))
             .collect();
-        let at = match self.policy {
-            RoutePolicy::RoundRobin => self.next_in_turn(&open),
-            RoutePolicy::LeastOutstanding => {
-                open.into_iter().min_by_key(|i| self.agents[*i].outstanding)
-            }
-            RoutePolicy::TwoChoices => self.less_loaded_of_two(&open, ids),
-            RoutePolicy::Expected => self.expected(&open, demand, ids),
+        let chosen = match self.policy {
+            RoutePolicy::RoundRobin => self.round_robin(&candidates),
+            RoutePolicy::LeastOutstanding => candidates
+                .into_iter()
+                .min_by_key(|i| self.agents[*i].outstanding),
+            RoutePolicy::TwoChoices => self.two_choices(&candidates, ids),
+            RoutePolicy::Expected => self.expected_cost(&candidates, demand, ids),
         };
-        at.map(AgentIx)
+        chosen.map(AgentIx)
     }
 
     /// Whether another agent has room now where `at` has none.
     #[must_use]
-    pub fn has_freer(&self, now: Time, demand: &Demand, at: &Name) -> bool {
+    pub fn has_free_alternative(&self, now: Time, demand: &Demand, current: &Name) -> bool {
         if self.policy != RoutePolicy::Expected {
             return false;
         }
-        let here = self.by_name(at).map(|a| wait_at(a, demand.priority));
-        let open: Vec<usize> = (0..self.agents.len())
-            .filter(|i| self.is_open(now, *i, demand, std::slice::from_ref(at)))
+        let current_wait = self.by_name(current).map(|a| wait_at(a, demand.priority));
+        let candidates: Vec<usize> = (0..self.agents.len())
+            .filter(|i| self.is_candidate(now, *i, demand, std::slice::from_ref(current)))
             .collect();
-        let step = self.median_step(&open);
+        let step = self.median_step(&candidates);
         let is_free = |i: &usize| {
             let agent = &self.agents[*i];
             agent.state == MemberState::Alive
@@ -250,10 +250,10 @@
                 && wait_at(agent, demand.priority).is_zero()
                 && !is_slow(agent, step)
         };
-        here.is_some_and(|wait| !wait.is_zero()) && open.iter().any(is_free)
+        current_wait.is_some_and(|wait| !wait.is_zero()) && candidates.iter().any(is_free)
     }
 
-    fn is_open(&self, now: Time, i: usize, demand: &Demand, tried: &[Name]) -> bool {
+    fn is_candidate(&self, now: Time, i: usize, demand: &Demand, tried: &[Name]) -> bool {
         let agent = &self.agents[i];
         is_usable(agent)
             && agent.avoid_until <= now
@@ -261,17 +261,17 @@
             && !tried.contains(&agent.peer.name)
     }
 
-    fn next_in_turn(&mut self, open: &[usize]) -> Option<usize> {
-        if open.is_empty() {
+    fn round_robin(&mut self, candidates: &[usize]) -> Option<usize> {
+        if candidates.is_empty() {
             return None;
         }
-        self.turn = self.turn.wrapping_add(1);
-        Some(open[self.turn % open.len()])
+        self.round_robin_turn = self.round_robin_turn.wrapping_add(1);
+        Some(candidates[self.round_robin_turn % candidates.len()])
     }
 
-    fn less_loaded_of_two(&self, open: &[usize], ids: &mut IdSource) -> Option<usize> {
-        let first = *open.get(ids.draw_below(open.len()))?;
-        let second = *open.get(ids.draw_below(open.len()))?;
+    fn two_choices(&self, candidates: &[usize], ids: &mut IdSource) -> Option<usize> {
+        let first = *candidates.get(ids.draw_below(candidates.len()))?;
+        let second = *candidates.get(ids.draw_below(candidates.len()))?;
         let load = |i: usize| self.agents[i].load.running + self.agents[i].load.queued;
         Some(if load(second) < load(first) {
             second
@@ -282,46 +282,65 @@
 
     /// An agent for interactive work where little batch work is, one for batch
     /// work where little interactive work is.
-    fn expected(&self, open: &[usize], demand: &Demand, ids: &mut IdSource) -> Option<usize> {
-        let step = self.median_step(open);
+    fn expected_cost(
+        &self,
+        candidates: &[usize],
+        demand: &Demand,
+        ids: &mut IdSource,
+    ) -> Option<usize> {
+        let step = self.median_step(candidates);
         if demand.priority == Priority::Interactive
-            && let Some(head) = self.head_with_room(open, demand, step)
+            && let Some(gathering) = self.gathering_agent(candidates, demand, step)
         {
-            return Some(head);
+            return Some(gathering);
         }
-        self.cheapest(open, demand, step, ids)
+        self.cheapest(candidates, demand, step, ids)
     }
 
     /// First agent, in an order that all entries share, with room for more.
     ///
     /// Interactive work so gathers on few agents, whose prefix caches it warms,
     /// and goes on to the next one when these are filled to a bound.
-    fn head_with_room(&self, open: &[usize], demand: &Demand, step: Duration) -> Option<usize> {
-        let has_room = |i: &&usize| {
+    fn gathering_agent(
+        &self,
+        candidates: &[usize],
+        demand: &Demand,
+        step: Duration,
+    ) -> Option<usize> {
+        let has_capacity = |i: &&usize| {
             let agent = &self.agents[**i];
             let batch = agent.load.running + agent.load.queued + agent.sent_since;
             agent.state == MemberState::Alive
-                && batch < agent.load.max_batch / HEAD_SHARE
+                && batch < agent.load.max_batch / GATHER_BATCH_DIVISOR
                 && agent.load.wait_interactive.is_zero()
                 && !is_slow(agent, step)
         };
         let order = |i: &&usize| rendezvous(&demand.target, &self.agents[**i].peer.name);
-        open.iter().filter(has_room).max_by_key(order).copied()
+        candidates
+            .iter()
+            .filter(has_capacity)
+            .max_by_key(order)
+            .copied()
     }
 
     /// Least cost; equal costs are drawn for, so that entries do not herd.
     fn cheapest(
         &self,
-        open: &[usize],
+        candidates: &[usize],
         demand: &Demand,
         step: Duration,
         ids: &mut IdSource,
     ) -> Option<usize> {
-        if open.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        let shift = ids.draw_below(open.len());
-        let turned = open.iter().cycle().skip(shift).take(open.len()).copied();
+        let shift = ids.draw_below(candidates.len());
+        let turned = candidates
+            .iter()
+            .cycle()
+            .skip(shift)
+            .take(candidates.len())
+            .copied();
         let cost = |i: &usize| self.cost(*i, demand, step);
         turned.min_by(|a, b| cost(a).total_cmp(&cost(b)))
     }
@@ -333,15 +352,17 @@
         let agent = &self.agents[i];
         let load = &agent.load;
         let wait = wait_at(agent, demand.priority);
-        let full_wait = step.max(LEAST_STEP).mul_f64(FULL_WAIT_STEPS);
-        let wait = wait.as_secs_f64() / full_wait.as_secs_f64();
+        let unit_cost_wait = step.max(MIN_STEP).mul_f64(UNIT_COST_WAIT_STEPS);
+        let wait = wait.as_secs_f64() / unit_cost_wait.as_secs_f64();
         let capacity = load.capacity_tokens.max(1) as f64;
         let memory = (load.expected_tokens + agent.sent_tokens) as f64 / capacity;
-        let batch = f64::from(load.running + load.queued + agent.sent_since) / FULL_BATCH;
-        let busy = match demand.priority {
+        let batch = f64::from(load.running + load.queued + agent.sent_since) / UNIT_COST_BATCH;
+        let occupancy = match demand.priority {
             Priority::Interactive => memory + batch,
             Priority::Batch => {
-                memory + agent.interactive_share * f64::from(demand.prompt_tokens) / LONG_PROMPT
+                memory
+                    + agent.interactive_share * f64::from(demand.prompt_tokens)
+                        / UNIT_COST_PROMPT_TOKENS
             }
         };
         let slow = if is_slow(agent, step) {
@@ -354,18 +375,18 @@
         } else {
             0.0
         };
-        let far = if agent.data_centre == self.data_centre {
+        let remote = if agent.data_centre == self.data_centre {
             0.0
         } else {
-            FAR_PENALTY
+            REMOTE_PENALTY
         };
-        wait + busy + slow + suspect + far
+        wait + occupancy + slow + suspect + remote
     }
 
     /// Median of the steps that the agents told, zero when none did.
-    fn median_step(&self, open: &[usize]) -> Duration {
-        let told = open.iter().map(|i| self.agents[*i].load.step);
-        let mut steps: Vec<Duration> = told.filter(|s| !s.is_zero()).collect();
+    fn median_step(&self, candidates: &[usize]) -> Duration {
+        let reported = candidates.iter().map(|i| self.agents[*i].load.step);
+        let mut steps: Vec<Duration> = reported.filter(|s| !s.is_zero()).collect();
         steps.sort_unstable();
         steps.get(steps.len() / 2).copied().unwrap_or_default()
     }
@@ -385,7 +406,7 @@
 
 /// Whether an agent at work is slow by the figures of its peers.
 fn is_slow(agent: &AgentView, median: Duration) -> bool {
-    agent.load.running > 0 && agent.load.step * 10 > median * SLOW_TENTHS && !median.is_zero()
+    agent.load.running > 0 && agent.load.step * 10 > median * SLOW_STEP_TENTHS && !median.is_zero()
 }
 
 /// Place of an agent in the order of a target, the same at all entries.
--- a/fireflycroft/src/submit.rs
+++ b/fireflycroft/src/submit.rs
@@ -62,7 +62,7 @@
                 let call = self.new_call(now, id, submission, checked);
                 match resume {
                     Some(point) => self.begin_resume(now, call, point, out),
-                    None if self.config.is_behind() => self.begin_behind(now, call, out),
+                    None if self.config.is_behind() => self.begin_awaiting_config(now, call, out),
                     None => self.begin_offers(now, call, out),
                 }
             }
@@ -201,14 +201,14 @@
             id,
             request: self.ids.draw(),
             key_digest: submission.key_digest,
-            checked: self.config.version(),
+            checked_version: self.config.version(),
             demand: checked.demand,
             work: submission.work,
             delivery: submission.delivery,
             claim_key: checked.claim_key,
             replace: None,
             phase: Phase::New,
-            behind_since: None,
+            awaiting_config_since: None,
             attempt: 0,
             starts: 0,
             tried: Vec::new(),
@@ -216,8 +216,8 @@
             retry_after: None,
             refusal: None,
             received: now,
-            told_begin: false,
-            held_back: Chunk::default(),
+            begin_sent: false,
+            buffered: Chunk::default(),
             max_wait: checked.max_wait,
             charged: checked.charged,
             brand: checked.brand,
@@ -230,11 +230,11 @@
 impl Call {
     /// Checks again by a later configuration than it was checked by; what it
     /// forbids is not offered any more.
-    pub(crate) fn check_again(&mut self, config: &Config) -> Result<(), Code> {
-        if self.checked == config.version {
+    pub(crate) fn recheck(&mut self, config: &Config) -> Result<(), Code> {
+        if self.checked_version == config.version {
             return Ok(());
         }
-        self.checked = config.version;
+        self.checked_version = config.version;
         let ix = config
             .workspace_of_key(&self.key_digest)
             .filter(|ix| *config.workspace_name(*ix) == self.demand.workspace)
@@ -264,7 +264,7 @@
 ) -> Result<Repeating, Refusal> {
     let method = &submission.method;
     let by_rule = config.is_non_repeatable(ix, &submission.target, method, &submission.path);
-    let repeatable = !by_rule && !submission.never_repeat;
+    let repeatable = !by_rule && !submission.never_retry;
     let needs_key = by_rule && config.without_key() == WithoutKey::Refuse;
     if let Some(key) = &submission.idempotency_key {
         let workspace = config.workspace_name(ix);
--- a/fireflycroft/tests/burn.rs
+++ b/fireflycroft/tests/burn.rs
@@ -69,7 +69,7 @@
         prefix: Digest(0),
         delivery: Delivery::Stream,
         idempotency_key: None,
-        never_repeat: false,
+        never_retry: false,
         resume: None,
     }
 }
--- a/fireflycroft/tests/point4_once.rs
+++ b/fireflycroft/tests/point4_once.rs
@@ -281,7 +281,7 @@
         for agent in 0..ENGINES {
             world.set_mood(agent, Mood::Die(0));
         }
-        let ask = Ask { kind: Kind::NeverRepeat, ..Ask::default() };
+        let ask = Ask { kind: Kind::NeverRetry, ..Ask::default() };
         let call = world.submit(0, ask).unwrap();
         world.advance(5_000);
         assert_code(world, call, Code::UpstreamFailed);
--- a/fireflycroft/tests/recheck.rs
+++ b/fireflycroft/tests/recheck.rs
@@ -66,7 +66,7 @@
         prefix: Digest(0),
         delivery: Delivery::Whole,
         idempotency_key: None,
-        never_repeat: false,
+        never_retry: false,
         resume: None,
     }
 }
--- a/fireflycroft/tests/route.rs
+++ b/fireflycroft/tests/route.rs
@@ -67,8 +67,8 @@
 fn router(policy: RoutePolicy, agents: usize) -> Router {
     let mut router = Router::new(policy, Name::from("dc"));
     for i in 0..agents {
-        router.learn(&record(i, MemberState::Alive));
-        router.note_load(NOW, &name(i), load(1_000));
+        router.upsert(&record(i, MemberState::Alive));
+        router.record_load(NOW, &name(i), load(1_000));
     }
     router
 }
@@ -98,10 +98,10 @@
     let mut sent = HashMap::new();
     for _ in 0..times {
         let to = choose(router, priority, &mut ids);
-        router.note_sent(&to, &demand(priority));
+        router.record_sent(&to, &demand(priority));
         *sent.entry(to.clone()).or_default() += 1;
         let load = router.by_name(&to).unwrap().load;
-        router.note_load(NOW, &to, load);
+        router.record_load(NOW, &to, load);
     }
     sent
 }
@@ -132,7 +132,7 @@
         max_batch,
         ..load(1_000)
     };
-    router.note_load(NOW, &head(4), full);
+    router.record_load(NOW, &head(4), full);
     let sent = send(&mut router, Priority::Interactive, 50);
     assert_eq!(sent.len(), 1);
     assert!(!sent.contains_key(&head(4)));
@@ -154,7 +154,7 @@
             wait_batch: Duration::from_secs(20),
             ..load(9_500)
         };
-        router.note_load(NOW, &name(i), full);
+        router.record_load(NOW, &name(i), full);
     }
     let sent = send(&mut router, Priority::Batch, 20);
     assert_eq!(sent.get(&head(4)), Some(&20));
@@ -164,7 +164,7 @@
     let mut router = router(RoutePolicy::Expected, 4);
     for i in 0..4 {
         let expected = if i == 2 { 2_000 } else { 6_000 };
-        router.note_load(NOW, &name(i), load(expected));
+        router.record_load(NOW, &name(i), load(expected));
     }
     let sent = send(&mut router, Priority::Batch, 10);
     assert_eq!(sent.get(&name(2)), Some(&10));
@@ -176,7 +176,7 @@
         step: STEP * 3,
         ..load(0)
     };
-    router.note_load(NOW, &head(4), slow);
+    router.record_load(NOW, &head(4), slow);
     assert!(!send(&mut router, Priority::Interactive, 20).contains_key(&head(4)));
     assert!(!send(&mut router, Priority::Batch, 20).contains_key(&head(4)));
 }
@@ -188,7 +188,7 @@
         running: 0,
         ..load(0)
     };
-    router.note_load(NOW, &name(1), idle);
+    router.record_load(NOW, &name(1), idle);
     assert!(send(&mut router, Priority::Batch, 20).contains_key(&name(1)));
 }
 
@@ -200,25 +200,25 @@
         ..load(9_000)
     };
     let batch = demand(Priority::Batch);
-    router.note_load(NOW, &name(0), full);
-    router.note_load(NOW, &name(1), full);
-    assert!(!router.has_freer(NOW, &batch, &name(0)));
-    router.note_load(NOW, &name(1), load(1_000));
-    assert!(router.has_freer(NOW, &batch, &name(0)));
-    assert!(!router.has_freer(NOW, &batch, &name(1)));
-    router.note_sent(&name(1), &batch);
-    assert!(!router.has_freer(NOW, &batch, &name(0)));
+    router.record_load(NOW, &name(0), full);
+    router.record_load(NOW, &name(1), full);
+    assert!(!router.has_free_alternative(NOW, &batch, &name(0)));
+    router.record_load(NOW, &name(1), load(1_000));
+    assert!(router.has_free_alternative(NOW, &batch, &name(0)));
+    assert!(!router.has_free_alternative(NOW, &batch, &name(1)));
+    router.record_sent(&name(1), &batch);
+    assert!(!router.has_free_alternative(NOW, &batch, &name(0)));
 }
 
 fn suspect_is_last() {
     let mut router = router(RoutePolicy::Expected, 3);
     for i in 0..2 {
-        router.learn(&record(i, MemberState::Suspect));
+        router.upsert(&record(i, MemberState::Suspect));
     }
     for priority in [Priority::Interactive, Priority::Batch] {
         assert_eq!(send(&mut router, priority, 20).get(&name(2)), Some(&20));
     }
-    router.learn(&record(2, MemberState::Suspect));
+    router.upsert(&record(2, MemberState::Suspect));
     let mut ids = IdSource::new([1; 32]);
     choose(&mut router, Priority::Interactive, &mut ids);
 }
@@ -250,7 +250,7 @@
         leaving: true,
         ..load(0)
     };
-    router.note_load(NOW, &name(0), leaving);
+    router.record_load(NOW, &name(0), leaving);
     assert_eq!(
         send(&mut router, Priority::Batch, 10).get(&name(1)),
         Some(&10)
@@ -278,7 +278,7 @@
     let mut router = router(RoutePolicy::LeastOutstanding, 3);
     let sent = send(&mut router, Priority::Batch, 30);
     assert!((0..3).all(|i| sent.get(&name(i)) == Some(&10)));
-    router.note_done(&name(1));
+    router.record_done(&name(1));
     let sent = send(&mut router, Priority::Batch, 1);
     assert!(sent.contains_key(&name(1)));
 }
@@ -289,7 +289,7 @@
         running: 30,
         ..load(1_000)
     };
-    router.note_load(NOW, &name(0), busy);
+    router.record_load(NOW, &name(0), busy);
     let sent = send(&mut router, Priority::Batch, 400);
     let less = sent.get(&name(1)).copied().unwrap_or_default();
     assert!((250..350).contains(&less), "{less}");
--- a/fireflycroft/tests/support/fleet.rs
+++ b/fireflycroft/tests/support/fleet.rs
@@ -116,8 +116,8 @@
         policy: POLICIES[i],
         seed: bytes,
         limits: EntryLimits {
-            max_answer: 1_024,
-            max_held: MAX_HELD,
+            max_answer_bytes: 1_024,
+            max_buffered: MAX_HELD,
             max_offers: 2,
             max_calls: MAX_CALLS,
             ..EntryLimits::default()
@@ -204,7 +204,7 @@
     #[default]
     Plain,
     /// A generation that its caller forbids to repeat.
-    NeverRepeat,
+    NeverRetry,
     /// A call of the plain service, which a rule forbids to repeat.
     Service,
 }
@@ -283,7 +283,7 @@
                 Delivery::Stream
             },
             idempotency_key: self.key.map(|k| Name::from(format!("once-{k}"))),
-            never_repeat: self.kind == Kind::NeverRepeat,
+            never_retry: self.kind == Kind::NeverRetry,
             resume: None,
         }
     }
--- a/fireflycroft/tests/support/op.rs
+++ b/fireflycroft/tests/support/op.rs
@@ -85,7 +85,7 @@
     let key = prop_oneof![2 => Just(None), 1 => (0..3_u8).prop_map(Some)];
     let kind = prop_oneof![
         7 => Just(Kind::Plain),
-        1 => Just(Kind::NeverRepeat),
+        1 => Just(Kind::NeverRetry),
         2 => Just(Kind::Service),
     ];
     let whole = prop::bool::weighted(0.3);
--- a/fireflycroft/tests/support/world.rs
+++ b/fireflycroft/tests/support/world.rs
@@ -353,7 +353,7 @@
         for i in 0..ENTRIES {
             let core = &self.entries[i].core;
             let held: u32 = core.router().agents().map(|a| a.outstanding).sum();
-            if core.calls() > 0 || !core.is_idle() || held > 0 || core.held() > 0 {
+            if core.calls() > 0 || !core.is_idle() || held > 0 || core.buffered_bytes() > 0 {
                 let text = format!("entry {i} holds {} calls, {held} shares", core.calls());
                 self.oracle.fault(0, text);
             }
--- a/fireflycroft/tests/support/world/callers.rs
+++ b/fireflycroft/tests/support/world/callers.rs
@@ -106,7 +106,7 @@
         for call in open.into_iter().filter(|_| !stalled) {
             let record = &self.oracle.calls[call];
             let (entry, next) = (record.entry, record.next);
-            self.entry(entry, EntryEvent::Taken(CallId(call as u64), next));
+            self.entry(entry, EntryEvent::Consumed(CallId(call as u64), next));
         }
     }
 
@@ -152,7 +152,7 @@
         {
             let delay = self.rng.below(20) * MS;
             let life = self.entries[entry].life;
-            let taken = EntryEvent::Taken(call, chunk.end());
+            let taken = EntryEvent::Consumed(call, chunk.end());
             self.push(delay, Due::Entry(entry, life, taken));
         }
     }
--- a/fireflycroft/tests/support/world/services.rs
+++ b/fireflycroft/tests/support/world/services.rs
@@ -67,7 +67,7 @@
 
     /// Most bytes of whole answers that any entry holds back.
     pub(crate) fn most_held(&self) -> usize {
-        let held = self.entries.iter().map(|e| e.core.held());
+        let held = self.entries.iter().map(|e| e.core.buffered_bytes());
         held.max().unwrap_or(0)
     }
 
--- a/fireflyd/src/entry.rs
+++ b/fireflyd/src/entry.rs
@@ -215,7 +215,7 @@
         let news = self.node.fleet.on_tick(now, &mut self.node.outbox);
         self.learn(news);
         let entries = self.node.fleet.entries();
-        self.drive(EntryEvent::Entries(entries));
+        self.drive(EntryEvent::EntryCount(entries));
         self.drive(EntryEvent::Tick);
         self.lead(now);
         self.tell_state();
--- a/fireflyd/src/front.rs
+++ b/fireflyd/src/front.rs
@@ -150,7 +150,7 @@
 
     fn tell_taken(&self, next: u64) {
         // A full queue loses no more than the pace: the next notice says more.
-        let event = EntryEvent::Taken(self.id, next);
+        let event = EntryEvent::Consumed(self.id, next);
         let _ = self.tx.try_send(FrontEvent::Event(event));
     }
 }
--- a/fireflyd/src/process.rs
+++ b/fireflyd/src/process.rs
@@ -166,10 +166,10 @@
         policy: route_policy(&settings.policy),
         seed: rand::random(),
         limits: EntryLimits {
-            offer_wait: settings.timeouts.offer,
+            offer_timeout: settings.timeouts.offer,
             poll_after: settings.timeouts.stall / 2,
-            silence: settings.timeouts.stall * 3,
-            long_silence: settings.timeouts.stall * 10,
+            silence_timeout: settings.timeouts.stall * 3,
+            long_silence_timeout: settings.timeouts.stall * 10,
             ..EntryLimits::default()
         },
     };
--- a/fireflyd/src/request.rs
+++ b/fireflyd/src/request.rs
@@ -113,7 +113,7 @@
             Delivery::Whole
         },
         idempotency_key: scan_idempotency_key(headers)?,
-        never_repeat: false,
+        never_retry: false,
         resume: scan_resume(headers)?,
         work: Work::Generate {
             body: Arc::from(body),
@@ -149,7 +149,7 @@
         prefix: Digest::of(&[]),
         delivery: Delivery::Whole,
         idempotency_key: scan_idempotency_key(headers)?,
-        never_repeat: !is_idempotent(&method),
+        never_retry: !is_idempotent(&method),
         resume: None,
         work: Work::Call {
             method,
