--- a/fireflycroft/examples/membership.rs
+++ b/fireflycroft/examples/membership.rs
@@ -88,7 +88,7 @@
     Peer {
         name: format!("member-{n}").into(),
         addr: fleet::addr(n),
-        incarnation: Incarnation::begun(1_780_000_000_000, n as u64),
+        incarnation: Incarnation::started_at(1_780_000_000_000, n as u64),
         role: Role::Agent,
     }
 }
--- a/fireflycroft/src/claim.rs
+++ b/fireflycroft/src/claim.rs
@@ -57,35 +57,35 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimNext {
     /// Ask this.
-    Ask(ClaimOp),
+    Request(ClaimOp),
     /// The claim is this claimer's: start.
-    Won,
+    Acquired,
     /// The key belongs to another, at that version.
-    Other(ClaimRecord, u64),
+    ClaimedByOther(ClaimRecord, u64),
     /// Not settled in time: do not start.
     GiveUp,
 }
 
 /// One attempt to claim a key.
 #[derive(Clone, Debug)]
-pub struct ClaimRun {
+pub struct ClaimAttempt {
     record: ClaimRecord,
     replace: Option<u64>,
-    tries: u32,
-    until: Time,
+    calls: u32,
+    deadline: Time,
 }
 
-const MAX_TRIES: u32 = 6;
+const MAX_CALLS: u32 = 6;
 
-impl ClaimRun {
+impl ClaimAttempt {
     /// Attempt with `record`, over the version `replace` if one is replaced.
     #[must_use]
-    pub const fn new(record: ClaimRecord, replace: Option<u64>, until: Time) -> Self {
+    pub const fn new(record: ClaimRecord, replace: Option<u64>, deadline: Time) -> Self {
         Self {
             record,
             replace,
-            tries: 0,
-            until,
+            calls: 0,
+            deadline,
         }
     }
 
@@ -103,33 +103,33 @@
 
     /// Decides on an answer.
     pub fn on_answer(&mut self, now: Time, answer: ClaimAnswer) -> ClaimNext {
-        self.tries += 1;
+        self.calls += 1;
         // The start must not come after the hold: past `until` nothing is won.
-        if now >= self.until {
+        if now >= self.deadline {
             return ClaimNext::GiveUp;
         }
         match answer {
-            ClaimAnswer::Written => ClaimNext::Won,
-            ClaimAnswer::Found(record, _) if record == self.record => ClaimNext::Won,
+            ClaimAnswer::Written => ClaimNext::Acquired,
+            ClaimAnswer::Found(record, _) if record == self.record => ClaimNext::Acquired,
             ClaimAnswer::Found(record, version) if self.replace == Some(version) => {
                 // The write that was lost had no effect yet.
-                self.ask(
+                self.request_or_yield(
                     ClaimOp::Replace(version, self.record.clone()),
                     record,
                     version,
                 )
             }
-            ClaimAnswer::Found(record, version) => ClaimNext::Other(record, version),
-            ClaimAnswer::Conflict | ClaimAnswer::Lost => self.ask_or_give_up(ClaimOp::Read),
-            ClaimAnswer::Absent => self.ask_or_give_up(ClaimOp::Create(self.record.clone())),
+            ClaimAnswer::Found(record, version) => ClaimNext::ClaimedByOther(record, version),
+            ClaimAnswer::Conflict | ClaimAnswer::Lost => self.request_or_give_up(ClaimOp::Read),
+            ClaimAnswer::Absent => self.request_or_give_up(ClaimOp::Create(self.record.clone())),
             ClaimAnswer::Unavailable => ClaimNext::GiveUp,
         }
     }
 
     /// Whether the attempt has run out of time.
     #[must_use]
-    pub fn is_late(&self, now: Time) -> bool {
-        now >= self.until
+    pub fn is_expired(&self, now: Time) -> bool {
+        now >= self.deadline
     }
 
     fn write(&self) -> ClaimOp {
@@ -139,17 +139,17 @@
         }
     }
 
-    fn ask(&self, op: ClaimOp, other: ClaimRecord, version: u64) -> ClaimNext {
-        if self.tries < MAX_TRIES {
-            ClaimNext::Ask(op)
+    fn request_or_yield(&self, op: ClaimOp, other: ClaimRecord, version: u64) -> ClaimNext {
+        if self.calls < MAX_CALLS {
+            ClaimNext::Request(op)
         } else {
-            ClaimNext::Other(other, version)
+            ClaimNext::ClaimedByOther(other, version)
         }
     }
 
-    fn ask_or_give_up(&self, op: ClaimOp) -> ClaimNext {
-        if self.tries < MAX_TRIES {
-            ClaimNext::Ask(op)
+    fn request_or_give_up(&self, op: ClaimOp) -> ClaimNext {
+        if self.calls < MAX_CALLS {
+            ClaimNext::Request(op)
         } else {
             ClaimNext::GiveUp
         }
--- a/fireflycroft/src/deliver.rs
+++ b/fireflycroft/src/deliver.rs
@@ -41,7 +41,7 @@
             generation: point.generation,
             next: point.next,
         };
-        self.read(now, id, assigned, Origin::Resumed, point.request, cursor);
+        self.begin_reading(now, id, assigned, Origin::Resumed, point.request, cursor);
         self.send_attach(now, id, out);
     }
 
@@ -182,7 +182,7 @@
         if call.is_own() {
             self.quotas.charge(&call.demand.workspace, finish.total);
         }
-        out.push(call.measured(finish.code));
+        out.push(call.measurement(finish.code));
         if call.delivery == Delivery::Whole {
             let whole = std::mem::take(&mut call.buffered);
             if let Some(point) = point_of(&call, whole.offset) {
--- a/fireflycroft/src/dispatch.rs
+++ b/fireflycroft/src/dispatch.rs
@@ -3,7 +3,7 @@
 //! Until a start is sent nothing has run, so every other agent may still be
 //! asked. After it, "not run" is said only when the agent itself says so.
 
-use crate::claim::{ClaimAnswer, ClaimNext, ClaimRecord, ClaimRun};
+use crate::claim::{ClaimAnswer, ClaimAttempt, ClaimNext, ClaimRecord};
 use crate::code::Code;
 use crate::entry::{AssignedAgent, Call, Entry, Origin, Phase, Reading};
 use crate::entry_io::EntryAction;
@@ -40,8 +40,8 @@
             self.fail(id, code, None, out);
             return;
         }
-        let spent = call.offers >= self.limits.max_offers;
-        let chosen = if spent {
+        let exhausted = call.offers >= self.limits.max_offers;
+        let chosen = if exhausted {
             None
         } else {
             self.router
@@ -70,7 +70,7 @@
             },
             sent: now,
         };
-        out.push(EntryAction::Send(peer.addr, offer_of(now, call)));
+        out.push(EntryAction::Send(peer.addr, offer_message(now, call)));
         let note = LogEvent::new("offer_sent")
             .request(call.request)
             .peer(&peer.name);
@@ -97,10 +97,10 @@
         attempt: u32,
         wait: Duration,
     ) {
-        let Some(call) = self.current(request, attempt) else {
+        let Some(call) = self.call_for_attempt(request, attempt) else {
             return;
         };
-        let until = call.received + call.max_wait + QUEUE_SLACK;
+        let deadline = call.received + call.max_wait + QUEUE_SLACK;
         call.retry_after = Some(wait);
         match &mut call.phase {
             Phase::Offered { assigned, .. } => {
@@ -108,7 +108,7 @@
                 call.phase = Phase::Queued {
                     assigned,
                     last_received: now,
-                    until,
+                    deadline,
                 };
             }
             Phase::Queued { last_received, .. } => *last_received = now,
@@ -128,11 +128,11 @@
         out: &mut Vec<EntryAction>,
     ) {
         let wait = self.limits.claim_timeout;
-        let waiting =
+        let is_undecided =
             |call: &&mut Call| matches!(call.phase, Phase::Offered { .. } | Phase::Queued { .. });
         let config = self.config.get().cloned();
-        let Some(call) = self.current(request, attempt).filter(waiting) else {
-            self.give_back_stray(from, request, attempt, generation, out);
+        let Some(call) = self.call_for_attempt(request, attempt).filter(is_undecided) else {
+            self.withdraw_stray_reservation(from, request, attempt, generation, out);
             return;
         };
         let id = call.id;
@@ -159,19 +159,19 @@
             addr: from.addr,
             content: call.demand.content,
         };
-        let run = ClaimRun::new(record, call.replace, now + wait.min(hold));
-        let op = run.first();
+        let claim = ClaimAttempt::new(record, call.replace, now + wait.min(hold));
+        let op = claim.first();
         call.phase = Phase::Claiming {
             assigned,
             generation,
-            run,
+            claim,
         };
         out.push(EntryAction::Claim(call.id, key, op));
     }
 
     /// A reservation that no call waits for is given back, unless it is the
     /// one that a call has just started from or is claiming.
-    fn give_back_stray(
+    fn withdraw_stray_reservation(
         &self,
         from: &Peer,
         request: RequestId,
@@ -206,7 +206,7 @@
         retry_after: Duration,
         out: &mut Vec<EntryAction>,
     ) {
-        let Some(call) = self.current(request, attempt) else {
+        let Some(call) = self.call_for_attempt(request, attempt) else {
             return;
         };
         if !matches!(call.phase, Phase::Offered { .. } | Phase::Queued { .. }) {
@@ -217,7 +217,7 @@
             self.await_config(now, id, out);
             return;
         }
-        if takes_no_work(code) {
+        if is_unavailable(code) {
             call.offers = call.offers.saturating_sub(1);
         }
         call.retry_after = Some(call.retry_after.map_or(retry_after, |r| r.min(retry_after)));
@@ -248,19 +248,19 @@
             Phase::Claiming {
                 assigned,
                 generation,
-                run,
+                claim,
             },
             Some(key),
         ) = (&mut call.phase, call.claim_key)
         else {
             return;
         };
-        let next = run.on_answer(now, answer);
+        let next = claim.on_answer(now, answer);
         let (assigned, generation, request) = (assigned.clone(), *generation, call.request);
         match next {
-            ClaimNext::Ask(op) => out.push(EntryAction::Claim(id, key, op)),
-            ClaimNext::Won => self.start(now, request, assigned, generation, out),
-            ClaimNext::Other(record, version) => {
+            ClaimNext::Request(op) => out.push(EntryAction::Claim(id, key, op)),
+            ClaimNext::Acquired => self.start(now, request, assigned, generation, out),
+            ClaimNext::ClaimedByOther(record, version) => {
                 self.withdraw(id, out);
                 self.join(now, id, &record, version, out);
             }
@@ -300,7 +300,7 @@
             .request(call.request)
             .peer(&record.agent);
         out.push(EntryAction::LogEvent(note));
-        self.read(
+        self.begin_reading(
             now,
             id,
             assigned,
@@ -326,7 +326,7 @@
             generation,
             next: 0,
         };
-        self.read(now, id, assigned, Origin::Own, request, cursor);
+        self.begin_reading(now, id, assigned, Origin::Own, request, cursor);
         if let Some(call) = self.calls.get_mut(&id) {
             call.starts += 1;
         }
@@ -347,7 +347,7 @@
         }
     }
 
-    pub(crate) fn read(
+    pub(crate) fn begin_reading(
         &mut self,
         now: Time,
         id: CallId,
@@ -359,10 +359,10 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let same = call
+        let same_agent = call
             .assigned()
             .is_some_and(|old| old.agent == assigned.agent);
-        if !same {
+        if !same_agent {
             if let Some(old) = call.assigned() {
                 self.router.record_done(&old.agent.clone());
             }
@@ -415,27 +415,27 @@
             Phase::Offered { assigned, sent } => {
                 if now.since(*sent) >= limits.offer_timeout {
                     let agent = assigned.agent.clone();
-                    self.give_up_agent(now, id, &agent, out);
+                    self.abandon_silent_agent(now, id, &agent, out);
                 }
             }
             Phase::Queued {
                 assigned,
                 last_received,
-                until,
+                deadline,
             } => {
                 let agent = assigned.agent.clone();
                 let addr = assigned.addr;
-                if now >= *until || now.since(*last_received) >= limits.silence_timeout {
-                    self.give_up_agent(now, id, &agent, out);
+                if now >= *deadline || now.since(*last_received) >= limits.silence_timeout {
+                    self.abandon_silent_agent(now, id, &agent, out);
                 } else if self.router.has_free_alternative(now, &call.demand, &agent) {
-                    self.move_queued(now, id, agent, out);
+                    self.reoffer_queued(now, id, agent, out);
                 } else if now.since(*last_received) >= limits.poll_after {
-                    let offer = offer_of(now, call);
+                    let offer = offer_message(now, call);
                     out.push(EntryAction::Send(addr, offer));
                 }
             }
-            Phase::Claiming { run, .. } => {
-                if run.is_late(now) {
+            Phase::Claiming { claim, .. } => {
+                if claim.is_expired(now) {
                     self.withdraw(id, out);
                     let retry = Some(limits.min_retry_after);
                     self.fail(id, Code::ClaimUnavailable, retry, out);
@@ -446,7 +446,7 @@
     }
 
     /// Takes a request from one agent's queue to an agent that has room.
-    fn move_queued(&mut self, now: Time, id: CallId, agent: Name, out: &mut Vec<EntryAction>) {
+    fn reoffer_queued(&mut self, now: Time, id: CallId, agent: Name, out: &mut Vec<EntryAction>) {
         self.withdraw(id, out);
         out.push(EntryAction::LogEvent(
             LogEvent::new("offer_moved").peer(&agent),
@@ -459,7 +459,13 @@
     }
 
     /// Leaves a silent agent, before any start, for another.
-    fn give_up_agent(&mut self, now: Time, id: CallId, agent: &Name, out: &mut Vec<EntryAction>) {
+    fn abandon_silent_agent(
+        &mut self,
+        now: Time,
+        id: CallId,
+        agent: &Name,
+        out: &mut Vec<EntryAction>,
+    ) {
         self.withdraw(id, out);
         self.router.avoid(now, agent, self.limits.avoid_for);
         out.push(EntryAction::LogEvent(
@@ -468,7 +474,7 @@
         self.offer_next(now, id, out);
     }
 
-    fn current(&mut self, request: RequestId, attempt: u32) -> Option<&mut Call> {
+    fn call_for_attempt(&mut self, request: RequestId, attempt: u32) -> Option<&mut Call> {
         let id = self.call_by_request(request)?;
         self.calls.get_mut(&id).filter(|c| c.attempt == attempt)
     }
@@ -476,11 +482,11 @@
 
 /// Whether the agent has no work at all now: asking it was cheap, and it is
 /// not asked again, so the offer does not count.
-const fn takes_no_work(code: Code) -> bool {
+const fn is_unavailable(code: Code) -> bool {
     matches!(code, Code::Leaving | Code::NoUpstream)
 }
 
-fn offer_of(now: Time, call: &Call) -> Message {
+fn offer_message(now: Time, call: &Call) -> Message {
     let waited = now.since(call.received);
     Message::Offer {
         request: call.request,
--- a/fireflycroft/src/entry.rs
+++ b/fireflycroft/src/entry.rs
@@ -7,7 +7,7 @@
 //! reading.
 
 use crate::burn::{Goal, Measured, Pace, meets};
-use crate::claim::ClaimRun;
+use crate::claim::ClaimAttempt;
 use crate::code::{Class, Code};
 use crate::config::{Adopted, Config, InForce};
 use crate::entry_io::{Delivery, EntryAction, EntryEvent, EntryLimits, EntrySetup, Reply};
@@ -74,13 +74,13 @@
     Queued {
         assigned: AssignedAgent,
         last_received: Time,
-        until: Time,
+        deadline: Time,
     },
     /// Reserved; the key is being claimed.
     Claiming {
         assigned: AssignedAgent,
         generation: GenerationId,
-        run: ClaimRun,
+        claim: ClaimAttempt,
     },
     /// A generation is read.
     Reading(Reading),
@@ -388,7 +388,7 @@
                 delivered,
             },
         ));
-        out.push(call.measured(code));
+        out.push(call.measurement(code));
         let note = LogEvent::new("request_failed")
             .request(call.request)
             .code(code);
@@ -412,7 +412,7 @@
 
 impl Call {
     /// The request as it is counted when it ends with `code`.
-    pub(crate) fn measured(&self, code: Code) -> EntryAction {
+    pub(crate) fn measurement(&self, code: Code) -> EntryAction {
         EntryAction::Measured(Measured {
             brand: self.brand.clone(),
             priority: self.demand.priority,
--- a/fireflycroft/src/ids.rs
+++ b/fireflycroft/src/ids.rs
@@ -78,7 +78,7 @@
     /// Later lives compare greater; random bits tell apart two lives of the
     /// same millisecond.
     #[must_use]
-    pub const fn begun(unix_millis: u64, random: u64) -> Self {
+    pub const fn started_at(unix_millis: u64, random: u64) -> Self {
         let mask = (1 << INCARNATION_RANDOM_BITS) - 1;
         Self((unix_millis << INCARNATION_RANDOM_BITS) | (random & mask))
     }
@@ -117,7 +117,7 @@
 
 /// Reads a request id written by its `Display`.
 #[must_use]
-pub fn scan_request_id(text: &str) -> Option<RequestId> {
+pub fn parse_request_id(text: &str) -> Option<RequestId> {
     if text.len() != 32 {
         return None;
     }
@@ -126,7 +126,7 @@
 
 /// Reads a generation id written by its `Display`.
 #[must_use]
-pub fn scan_generation_id(text: &str) -> Option<GenerationId> {
+pub fn parse_generation_id(text: &str) -> Option<GenerationId> {
     let (incarnation, serial) = text.split_once('.')?;
     Some(GenerationId {
         incarnation: Incarnation(u64::from_str_radix(incarnation, 16).ok()?),
@@ -138,7 +138,7 @@
 #[derive(Clone, Debug)]
 pub struct IdSource {
     key: [u8; 32],
-    drawn: u64,
+    counter: u64,
 }
 
 impl IdSource {
@@ -147,14 +147,14 @@
     pub const fn new(seed: [u8; 32]) -> Self {
         Self {
             key: seed,
-            drawn: 0,
+            counter: 0,
         }
     }
 
     /// Next id.
     pub fn draw(&mut self) -> RequestId {
-        self.drawn += 1;
-        let hash = blake3::keyed_hash(&self.key, &self.drawn.to_le_bytes());
+        self.counter += 1;
+        let hash = blake3::keyed_hash(&self.key, &self.counter.to_le_bytes());
         RequestId(first_half(&hash))
     }
 
@@ -163,8 +163,8 @@
         if bound == 0 {
             return 0;
         }
-        let wide = self.draw().0 % (bound as u128);
-        usize::try_from(wide).unwrap_or(0)
+        let reduced = self.draw().0 % (bound as u128);
+        usize::try_from(reduced).unwrap_or(0)
     }
 }
 
--- a/fireflycroft/src/resume.rs
+++ b/fireflycroft/src/resume.rs
@@ -4,7 +4,7 @@
 //! its request, and worth nothing to another workspace: the agent compares.
 
 use crate::entry_io::ResumePoint;
-use crate::ids::{Name, scan_generation_id, scan_request_id};
+use crate::ids::{Name, parse_generation_id, parse_request_id};
 
 /// Longest event id that is read.
 pub const MAX_EVENT_ID: usize = 256;
@@ -29,8 +29,8 @@
     let (serial, rest) = rest.split_once('.')?;
     let (next, agent) = rest.split_once('.')?;
     Some(ResumePoint {
-        request: scan_request_id(request)?,
-        generation: scan_generation_id(&format!("{incarnation}.{serial}"))?,
+        request: parse_request_id(request)?,
+        generation: parse_generation_id(&format!("{incarnation}.{serial}"))?,
         agent: Name::from(agent),
         next: next.parse().ok()?,
     })
--- a/fireflycroft/src/submit.rs
+++ b/fireflycroft/src/submit.rs
@@ -20,7 +20,7 @@
     retry_after: Option<Duration>,
 }
 
-const fn final_refusal(code: Code) -> Refusal {
+const fn permanent_refusal(code: Code) -> Refusal {
     Refusal {
         code,
         retry_after: None,
@@ -42,7 +42,7 @@
 const NO_BRAND: &str = "none";
 
 /// Whether and how a request is claimed.
-struct Repeating {
+struct RetryRules {
     repeatable: bool,
     claim_key: Option<Digest>,
 }
@@ -76,7 +76,7 @@
                         delivered: 0,
                     },
                 ));
-                out.push(self.measured_refusal(&submission, refusal.code));
+                out.push(self.refusal_measurement(&submission, refusal.code));
                 out.push(EntryAction::LogEvent(
                     LogEvent::new("request_refused").code(refusal.code),
                 ));
@@ -84,13 +84,14 @@
         }
     }
 
-    fn measured_refusal(&self, submission: &Submission, code: Code) -> EntryAction {
+    fn refusal_measurement(&self, submission: &Submission, code: Code) -> EntryAction {
         let config = self.config.get();
-        let asker = config.and_then(|c| Some((c, c.workspace_of_key(&submission.key_digest)?)));
-        let brand = asker.map_or_else(|| Name::from(NO_BRAND), |(c, ix)| c.brand_name(ix).clone());
-        let wish = submission.priority;
-        let priority = asker.map_or(Priority::Batch, |(c, ix)| c.priority(ix, wish));
-        let objective = asker.and_then(|(c, _)| c.objective(&brand, priority));
+        let requester = config.and_then(|c| Some((c, c.workspace_of_key(&submission.key_digest)?)));
+        let brand =
+            requester.map_or_else(|| Name::from(NO_BRAND), |(c, ix)| c.brand_name(ix).clone());
+        let requested = submission.priority;
+        let priority = requester.map_or(Priority::Batch, |(c, ix)| c.priority(ix, requested));
+        let objective = requester.and_then(|(c, _)| c.objective(&brand, priority));
         let goal = objective.map(Goal::of);
         EntryAction::Measured(Measured {
             met: meets(code, &Pace::default(), goal),
@@ -102,41 +103,41 @@
 
     fn check(&mut self, now: Time, submission: &Submission) -> Result<Checked, Refusal> {
         let retry = Some(self.limits.min_retry_after);
-        let later = |code| Refusal {
+        let temporary = |code| Refusal {
             code,
             retry_after: retry,
         };
         if self.leaving {
-            return Err(later(Code::Leaving));
+            return Err(temporary(Code::Leaving));
         }
         let config = self
             .config
             .get()
             .cloned()
-            .ok_or_else(|| later(Code::NotReady))?;
+            .ok_or_else(|| temporary(Code::NotReady))?;
         if self.config.is_behind() && submission.resume.is_some() {
-            return Err(later(Code::ConfigBehind));
+            return Err(temporary(Code::ConfigBehind));
         }
         if self.calls.len() >= self.limits.max_calls {
-            return Err(later(Code::Overloaded));
+            return Err(temporary(Code::Overloaded));
         }
         let ix = config
             .workspace_of_key(&submission.key_digest)
-            .ok_or_else(|| final_refusal(Code::KeyRefused))?;
+            .ok_or_else(|| permanent_refusal(Code::KeyRefused))?;
         if !config.may_use(ix, &submission.target) {
-            return Err(final_refusal(unknown_target(&submission.work)));
+            return Err(permanent_refusal(unknown_target(&submission.work)));
         }
-        let repeating = check_repeating(&config, ix, submission)?;
-        let demand = self.demand(&config, ix, submission, repeating.repeatable);
+        let retry_rules = check_retry_rules(&config, ix, submission)?;
+        let demand = self.demand(&config, ix, submission, retry_rules.repeatable);
         if self.quarantine.is_refused(demand.content) && submission.resume.is_none() {
-            return Err(final_refusal(Code::Quarantined));
+            return Err(permanent_refusal(Code::Quarantined));
         }
         let charged = self.charge(now, &config, ix, submission)?;
         let max_wait = config.max_wait(demand.priority);
         let brand = config.brand_name(ix).clone();
         Ok(Checked {
             goal: config.objective(&brand, demand.priority).map(Goal::of),
-            claim_key: repeating.claim_key,
+            claim_key: retry_rules.claim_key,
             demand,
             max_wait,
             charged,
@@ -257,11 +258,11 @@
     }
 }
 
-fn check_repeating(
+fn check_retry_rules(
     config: &Arc<Config>,
     ix: WorkspaceIx,
     submission: &Submission,
-) -> Result<Repeating, Refusal> {
+) -> Result<RetryRules, Refusal> {
     let method = &submission.method;
     let by_rule = config.is_non_repeatable(ix, &submission.target, method, &submission.path);
     let repeatable = !by_rule && !submission.never_retry;
@@ -269,15 +270,15 @@
     if let Some(key) = &submission.idempotency_key {
         let workspace = config.workspace_name(ix);
         let claim_key = Digest::of(&[workspace.as_bytes(), key.as_bytes()]);
-        return Ok(Repeating {
+        return Ok(RetryRules {
             repeatable: false,
             claim_key: Some(claim_key),
         });
     }
     if needs_key && submission.resume.is_none() {
-        return Err(final_refusal(Code::IdempotencyKeyRequired));
+        return Err(permanent_refusal(Code::IdempotencyKeyRequired));
     }
-    Ok(Repeating {
+    Ok(RetryRules {
         repeatable,
         claim_key: None,
     })
--- a/fireflycroft/tests/member.rs
+++ b/fireflycroft/tests/member.rs
@@ -582,7 +582,7 @@
 
 #[test]
 fn later_lives_compare_greater() {
-    let earlier = Incarnation::begun(1_780_000_000_000, u64::MAX);
-    let later = Incarnation::begun(1_780_000_000_001, 0);
+    let earlier = Incarnation::started_at(1_780_000_000_000, u64::MAX);
+    let later = Incarnation::started_at(1_780_000_000_001, 0);
     assert!(earlier < later);
 }
--- a/fireflycroft/tests/members/fleet.rs
+++ b/fireflycroft/tests/members/fleet.rs
@@ -144,7 +144,7 @@
         let peer = Peer {
             name: name.into(),
             addr: addr(place),
-            incarnation: Incarnation::begun(millis, self.chance.next()),
+            incarnation: Incarnation::started_at(millis, self.chance.next()),
             role: if is_entry { Role::Entry } else { Role::Agent },
         };
         let serves = if is_entry {
--- a/fireflyctl/src/explain.rs
+++ b/fireflyctl/src/explain.rs
@@ -32,7 +32,7 @@
     console: &mut Console<'_>,
 ) -> Result<()> {
     fleet.require_nodes()?;
-    if fireflycroft::scan_request_id(id).is_none() {
+    if fireflycroft::parse_request_id(id).is_none() {
         return Err(Failure::Usage(format!("{id:?} is not a request id")));
     }
     let mut events: Vec<JournalNote> = Vec::new();
--- a/fireflyd/src/admin.rs
+++ b/fireflyd/src/admin.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::Duration;
 
-use fireflycroft::{Bundle, RequestId, scan_request_id};
+use fireflycroft::{Bundle, RequestId, parse_request_id};
 use poem::http::StatusCode;
 use poem::listener::TcpAcceptor;
 use poem::web::{Data, Json, Path};
@@ -145,7 +145,7 @@
 
 #[handler]
 fn explain(Path(id): Path<String>, Data(admin): Data<&Admin>) -> Response {
-    match scan_request_id(&id) {
+    match parse_request_id(&id) {
         Some(id) => Json((admin.explain)(id)).into_response(),
         None => "not a request id\n"
             .with_status(StatusCode::BAD_REQUEST)
--- a/fireflyd/src/claims.rs
+++ b/fireflyd/src/claims.rs
@@ -3,7 +3,8 @@
 use std::net::SocketAddr;
 
 use fireflycroft::{
-    ClaimAnswer, ClaimOp, ClaimRecord, Digest, Name, RequestId, scan_generation_id, scan_request_id,
+    ClaimAnswer, ClaimOp, ClaimRecord, Digest, Name, RequestId, parse_generation_id,
+    parse_request_id,
 };
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -82,10 +83,10 @@
 fn from_value(value: Value) -> Option<ClaimRecord> {
     let stored: StoredClaim = serde_json::from_value(value).ok()?;
     Some(ClaimRecord {
-        request: scan_request_id(&stored.request)?,
-        generation: scan_generation_id(&stored.generation)?,
+        request: parse_request_id(&stored.request)?,
+        generation: parse_generation_id(&stored.generation)?,
         agent: stored.agent,
         addr: stored.addr,
-        content: scan_request_id(&stored.content).map(|RequestId(bits)| Digest(bits))?,
+        content: parse_request_id(&stored.content).map(|RequestId(bits)| Digest(bits))?,
     })
 }
--- a/fireflyd/src/leases.rs
+++ b/fireflyd/src/leases.rs
@@ -1,6 +1,6 @@
 //! The fleet's lease as an object of the platform.
 
-use fireflycroft::{LeaseAnswer, LeaseOp, LeaseRecord, Name, RequestId, scan_request_id};
+use fireflycroft::{LeaseAnswer, LeaseOp, LeaseRecord, Name, RequestId, parse_request_id};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -65,7 +65,7 @@
 
 fn from_value(value: Value) -> Option<LeaseRecord> {
     let stored: StoredLease = serde_json::from_value(value).ok()?;
-    let token: RequestId = scan_request_id(&stored.token)?;
+    let token: RequestId = parse_request_id(&stored.token)?;
     Some(LeaseRecord {
         holder: stored.holder,
         token,
--- a/fireflydirect/src/peers.rs
+++ b/fireflydirect/src/peers.rs
@@ -167,7 +167,7 @@
         let seeds = place.seeds.iter().filter_map(|s| v4(s.ip()));
         Self {
             me: place.ip,
-            incarnation: Incarnation::begun(millis, rand::rng().next_u64()),
+            incarnation: Incarnation::started_at(millis, rand::rng().next_u64()),
             known: HashMap::new(),
             seeds: seeds.filter(|ip| *ip != place.ip).collect(),
             crashes: VecDeque::new(),
