--- a/fireflycroft/src/lease.rs
+++ b/fireflycroft/src/lease.rs
@@ -58,36 +58,36 @@
 
 /// Spans of a lease.
 #[derive(Clone, Copy, Debug)]
-pub struct LeaseSpans {
+pub struct LeaseTimings {
     /// How long a write gives the lease.
     pub ttl: Duration,
     /// Taken off by the holder and added by a challenger.
     pub margin: Duration,
     /// Longest wait for an answer of the platform.
-    pub answer: Duration,
+    pub call_timeout: Duration,
 }
 
-impl Default for LeaseSpans {
+impl Default for LeaseTimings {
     fn default() -> Self {
         Self {
             ttl: Duration::from_secs(15),
             margin: Duration::from_secs(1),
-            answer: Duration::from_secs(4),
+            call_timeout: Duration::from_secs(4),
         }
     }
 }
 
 /// Calls between two renewals, or two looks, in one span of the lease.
-const STEPS: u32 = 3;
+const CALLS_PER_TTL: u32 = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
     /// Nothing is known, or what was known may be out of date.
-    Unsure,
+    Unknown,
     /// There is no record.
     Vacant,
     /// Another's record, unchanged since that time.
-    Watching {
+    Observed {
         record: LeaseRecord,
         version: u64,
         since: Time,
@@ -101,7 +101,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Asked {
+struct PendingCall {
     call: LeaseCall,
     op: LeaseOp,
     sent: Time,
@@ -112,31 +112,31 @@
 pub struct Lease {
     name: Name,
     token: RequestId,
-    spans: LeaseSpans,
+    timings: LeaseTimings,
     state: State,
-    asked: Option<Asked>,
+    pending: Option<PendingCall>,
     next_call: Time,
     calls: u64,
     /// Highest fencing number seen anywhere.
-    highest: u64,
+    highest_fence: u64,
     /// A write of this node whose answer was lost, and when it was sent.
-    doubtful: Option<(LeaseRecord, Time)>,
+    unconfirmed: Option<(LeaseRecord, Time)>,
 }
 
 impl Lease {
     /// A node that knows nothing of the lease yet.
     #[must_use]
-    pub const fn new(name: Name, token: RequestId, spans: LeaseSpans) -> Self {
+    pub const fn new(name: Name, token: RequestId, timings: LeaseTimings) -> Self {
         Self {
             name,
             token,
-            spans,
-            state: State::Unsure,
-            asked: None,
+            timings,
+            state: State::Unknown,
+            pending: None,
             next_call: Time(0),
             calls: 0,
-            highest: 0,
-            doubtful: None,
+            highest_fence: 0,
+            unconfirmed: None,
         }
     }
 
@@ -150,8 +150,8 @@
     }
 
     /// Notes a fencing number seen elsewhere, such as at an agent.
-    pub fn note_fence(&mut self, fence: u64) {
-        self.highest = self.highest.max(fence);
+    pub fn record_fence(&mut self, fence: u64) {
+        self.highest_fence = self.highest_fence.max(fence);
     }
 
     /// Decides what to ask the platform, if anything.
@@ -159,16 +159,16 @@
     /// Only a `candidate` looks and challenges; a holder renews while it is
     /// one, and lets the lease run out otherwise.
     pub fn on_tick(&mut self, now: Time, candidate: bool) -> Option<(LeaseCall, LeaseOp)> {
-        self.drop_late_call(now);
-        self.drop_ended_hold(now);
-        if self.asked.is_some() || now < self.next_call || !candidate {
+        self.expire_call(now);
+        self.expire_hold(now);
+        if self.pending.is_some() || now < self.next_call || !candidate {
             return None;
         }
         let op = self.next_op(now);
-        self.next_call = now + self.spans.ttl / STEPS;
+        self.next_call = now + self.timings.ttl / CALLS_PER_TTL;
         self.calls += 1;
         let call = LeaseCall(self.calls);
-        self.asked = Some(Asked {
+        self.pending = Some(PendingCall {
             call,
             op: op.clone(),
             sent: now,
@@ -179,8 +179,8 @@
     /// Takes the platform's answer to a call; one that was given up on is
     /// not heard any more.
     pub fn on_answer(&mut self, now: Time, call: LeaseCall, answer: LeaseAnswer) {
-        let awaited = self.asked.take_if(|a| a.call == call);
-        let Some(Asked { op, sent, .. }) = awaited else {
+        let matching = self.pending.take_if(|a| a.call == call);
+        let Some(PendingCall { op, sent, .. }) = matching else {
             return;
         };
         match (answer, op) {
@@ -196,29 +196,29 @@
                 self.hold(record, version, sent);
             }
             (LeaseAnswer::Lost, LeaseOp::Create(record) | LeaseOp::Replace(_, record)) => {
-                self.doubtful = Some((record, sent));
-                self.look_again(now);
+                self.unconfirmed = Some((record, sent));
+                self.schedule_read(now);
             }
-            (LeaseAnswer::Conflict, _) => self.look_again(now),
+            (LeaseAnswer::Conflict, _) => self.schedule_read(now),
             (LeaseAnswer::Written(_) | LeaseAnswer::Lost, LeaseOp::Read)
             | (LeaseAnswer::Unavailable, _) => {}
         }
     }
 
     fn next_op(&self, now: Time) -> LeaseOp {
-        if self.doubtful.is_some() {
+        if self.unconfirmed.is_some() {
             return LeaseOp::Read;
         }
         match &self.state {
-            State::Unsure => LeaseOp::Read,
+            State::Unknown => LeaseOp::Read,
             State::Vacant => LeaseOp::Create(self.new_record(0)),
-            State::Watching {
+            State::Observed {
                 record,
                 version,
                 since,
             } => {
-                let lapsed = now.since(*since) >= self.spans.ttl + self.spans.margin;
-                if lapsed || record.token == self.token {
+                let expired = now.since(*since) >= self.timings.ttl + self.timings.margin;
+                if expired || record.token == self.token {
                     LeaseOp::Replace(*version, self.new_record(record.fence))
                 } else {
                     LeaseOp::Read
@@ -240,14 +240,14 @@
         LeaseRecord {
             holder: self.name.clone(),
             token: self.token,
-            fence: self.highest.max(seen) + 1,
+            fence: self.highest_fence.max(seen) + 1,
             renewal: 0,
         }
     }
 
     fn on_found(&mut self, now: Time, record: LeaseRecord, version: u64) {
-        self.highest = self.highest.max(record.fence);
-        if let Some((own, sent)) = self.doubtful.take()
+        self.highest_fence = self.highest_fence.max(record.fence);
+        if let Some((own, sent)) = self.unconfirmed.take()
             && own == record
         {
             // The write whose answer was lost took effect.
@@ -255,9 +255,9 @@
             return;
         }
         let unchanged =
-            matches!(&self.state, State::Watching { version: seen, .. } if *seen == version);
+            matches!(&self.state, State::Observed { version: seen, .. } if *seen == version);
         if !unchanged {
-            self.state = State::Watching {
+            self.state = State::Observed {
                 record,
                 version,
                 since: now,
@@ -266,33 +266,33 @@
     }
 
     fn hold(&mut self, record: LeaseRecord, version: u64, sent: Time) {
-        self.highest = self.highest.max(record.fence);
-        self.doubtful = None;
+        self.highest_fence = self.highest_fence.max(record.fence);
+        self.unconfirmed = None;
         self.state = State::Held {
             record,
             version,
-            until: sent + self.spans.ttl.saturating_sub(self.spans.margin),
+            until: sent + self.timings.ttl.saturating_sub(self.timings.margin),
         };
     }
 
-    fn look_again(&mut self, now: Time) {
+    fn schedule_read(&mut self, now: Time) {
         self.next_call = now;
         // A hold stays valid for its time; it is only not renewed unseen.
-        if !matches!(self.state, State::Held { .. }) || self.doubtful.is_none() {
-            self.state = State::Unsure;
+        if !matches!(self.state, State::Held { .. }) || self.unconfirmed.is_none() {
+            self.state = State::Unknown;
         }
     }
 
-    fn drop_late_call(&mut self, now: Time) {
-        let late = |a: &&Asked| now.since(a.sent) >= self.spans.answer;
-        if let Some(call) = self.asked.as_ref().filter(late).map(|a| a.call) {
+    fn expire_call(&mut self, now: Time) {
+        let overdue = |a: &&PendingCall| now.since(a.sent) >= self.timings.call_timeout;
+        if let Some(call) = self.pending.as_ref().filter(overdue).map(|a| a.call) {
             self.on_answer(now, call, LeaseAnswer::Lost);
         }
     }
 
-    fn drop_ended_hold(&mut self, now: Time) {
+    fn expire_hold(&mut self, now: Time) {
         if matches!(&self.state, State::Held { until, .. } if now >= *until) {
-            self.state = State::Unsure;
+            self.state = State::Unknown;
         }
     }
 }
--- a/fireflycroft/src/place.rs
+++ b/fireflycroft/src/placement.rs
@@ -16,37 +16,37 @@
     /// Its agent.
     pub agent: Peer,
     /// Models it holds.
-    pub holds: Vec<Name>,
+    pub loaded: Vec<Name>,
     /// Generations that run on it.
     pub running: u32,
 }
 
 /// Bounds of the placer.
 #[derive(Clone, Copy, Debug)]
-pub struct PlaceLimits {
+pub struct PlacementLimits {
     /// Least time between two loads, by the weight store's rate.
     pub load_gap: Duration,
     /// Wait before an unanswered order is sent again.
-    pub resend: Duration,
+    pub resend_after: Duration,
     /// Wait after which an unanswered order is given up.
-    pub give_up: Duration,
+    pub give_up_after: Duration,
     /// Most models on one engine.
     pub models_per_engine: usize,
 }
 
-impl Default for PlaceLimits {
+impl Default for PlacementLimits {
     fn default() -> Self {
         Self {
             load_gap: Duration::from_secs(5),
-            resend: Duration::from_secs(2),
-            give_up: Duration::from_mins(2),
+            resend_after: Duration::from_secs(2),
+            give_up_after: Duration::from_mins(2),
             models_per_engine: 2,
         }
     }
 }
 
 #[derive(Clone, Debug)]
-struct UnderWay {
+struct PendingOrder {
     order: Order,
     agent: Peer,
     sent: Time,
@@ -56,29 +56,29 @@
 /// The placer of the node that holds the lease.
 #[derive(Clone, Debug)]
 pub struct Placer {
-    limits: PlaceLimits,
+    limits: PlacementLimits,
     fence: Option<u64>,
-    under_way: Option<UnderWay>,
+    pending: Option<PendingOrder>,
     next_load: Time,
     /// Agents that answered of late, and until when they are left out.
-    resting: Vec<(Name, Time)>,
+    excluded: Vec<(Name, Time)>,
 }
 
 /// Rest of an agent that refused.
-const REFUSED_FOR: Duration = Duration::from_secs(10);
+const REFUSAL_EXCLUSION: Duration = Duration::from_secs(10);
 /// Rest of an agent that did as ordered, until its record has spread.
-const SETTLE: Duration = Duration::from_secs(5);
+const RECORD_SPREAD_TIME: Duration = Duration::from_secs(5);
 
 impl Placer {
     /// A placer that holds no lease yet.
     #[must_use]
-    pub const fn new(limits: PlaceLimits) -> Self {
+    pub const fn new(limits: PlacementLimits) -> Self {
         Self {
             limits,
             fence: None,
-            under_way: None,
+            pending: None,
             next_load: Time(0),
-            resting: Vec::new(),
+            excluded: Vec::new(),
         }
     }
 
@@ -91,11 +91,11 @@
         engines: &[EngineView],
         ids: &mut IdSource,
     ) -> Option<(Peer, Order)> {
-        self.note_fence(now, fence);
+        self.apply_fence(now, fence);
         let fence = fence?;
-        self.resting.retain(|(_, until)| *until > now);
-        if self.under_way.is_some() {
-            return self.repeat(now);
+        self.excluded.retain(|(_, until)| *until > now);
+        if self.pending.is_some() {
+            return self.resend_or_give_up(now);
         }
         let (at, kind, model) = self.choose(now, wanted, engines)?;
         if kind == OrderKind::Load {
@@ -108,7 +108,7 @@
             kind,
             model,
         };
-        self.under_way = Some(UnderWay {
+        self.pending = Some(PendingOrder {
             order: order.clone(),
             agent: agent.clone(),
             sent: now,
@@ -118,39 +118,44 @@
     }
 
     /// Takes an agent's answer; true when it was for the order under way.
-    pub fn on_done(&mut self, now: Time, id: RequestId, done: bool) -> bool {
-        let Some(under_way) = self.under_way.take_if(|u| u.order.id == id) else {
+    pub fn on_order_done(&mut self, now: Time, id: RequestId, done: bool) -> bool {
+        let Some(pending) = self.pending.take_if(|u| u.order.id == id) else {
             return false;
         };
         // Its record still shows what was there before; look again later.
-        let rest = if done { SETTLE } else { REFUSED_FOR };
-        self.resting.push((under_way.agent.name, now + rest));
+        let exclusion = if done {
+            RECORD_SPREAD_TIME
+        } else {
+            REFUSAL_EXCLUSION
+        };
+        self.excluded.push((pending.agent.name, now + exclusion));
         true
     }
 
-    fn note_fence(&mut self, now: Time, fence: Option<u64>) {
+    fn apply_fence(&mut self, now: Time, fence: Option<u64>) {
         if fence == self.fence {
             return;
         }
         self.fence = fence;
-        self.under_way = None;
+        self.pending = None;
         // The former holder may have begun a load just now.
         self.next_load = now + self.limits.load_gap;
     }
 
-    fn repeat(&mut self, now: Time) -> Option<(Peer, Order)> {
+    fn resend_or_give_up(&mut self, now: Time) -> Option<(Peer, Order)> {
         let limits = self.limits;
-        let late = |u: &mut UnderWay| now.since(u.first_sent) >= limits.give_up;
-        if let Some(gone) = self.under_way.take_if(late) {
-            self.resting.push((gone.agent.name, now + REFUSED_FOR));
+        let overdue = |u: &mut PendingOrder| now.since(u.first_sent) >= limits.give_up_after;
+        if let Some(abandoned) = self.pending.take_if(overdue) {
+            self.excluded
+                .push((abandoned.agent.name, now + REFUSAL_EXCLUSION));
             return None;
         }
-        let under_way = self.under_way.as_mut()?;
-        if now.since(under_way.sent) < limits.resend {
+        let pending = self.pending.as_mut()?;
+        if now.since(pending.sent) < limits.resend_after {
             return None;
         }
-        under_way.sent = now;
-        Some((under_way.agent.clone(), under_way.order.clone()))
+        pending.sent = now;
+        Some((pending.agent.clone(), pending.order.clone()))
     }
 
     fn choose(
@@ -166,22 +171,22 @@
         match load {
             Some(load) if now >= self.next_load => Some(load),
             Some(_) => None,
-            None => self.surplus(wanted, engines),
+            None => self.surplus_model(wanted, engines),
         }
     }
 
     /// The engine with room for the model that is least busy.
     fn engine_for(&self, model: &Name, engines: &[EngineView]) -> Option<usize> {
-        let open = |e: &EngineView| {
-            !e.holds.contains(model)
-                && e.holds.len() < self.limits.models_per_engine
-                && !self.is_resting(&e.agent.name)
+        let has_capacity = |e: &EngineView| {
+            !e.loaded.contains(model)
+                && e.loaded.len() < self.limits.models_per_engine
+                && !self.is_excluded(&e.agent.name)
         };
         (0..engines.len())
-            .filter(|i| open(&engines[*i]))
+            .filter(|i| has_capacity(&engines[*i]))
             .min_by_key(|i| {
                 (
-                    engines[*i].holds.len(),
+                    engines[*i].loaded.len(),
                     engines[*i].running,
                     engines[*i].agent.name.clone(),
                 )
@@ -189,41 +194,41 @@
     }
 
     /// An idle engine that holds more than is wanted while others lack room.
-    fn surplus(
+    fn surplus_model(
         &self,
         wanted: &[(Name, u32)],
         engines: &[EngineView],
     ) -> Option<(usize, OrderKind, Name)> {
-        let over = |model: &Name| {
+        let has_surplus = |model: &Name| {
             let want = wanted
                 .iter()
                 .find(|(m, _)| m == model)
                 .map_or(0, |(_, n)| u64::from(*n));
-            held_by(model, engines) > want
+            replicas_of(model, engines) > want
         };
-        let lacking = most_missing(wanted, engines).is_some();
+        let any_missing = most_missing(wanted, engines).is_some();
         engines.iter().enumerate().find_map(|(at, engine)| {
-            if self.is_resting(&engine.agent.name) || engine.running > 0 {
+            if self.is_excluded(&engine.agent.name) || engine.running > 0 {
                 return None;
             }
             let unlisted = |m: &&Name| !wanted.iter().any(|(w, _)| w == *m);
             let model = engine
-                .holds
+                .loaded
                 .iter()
-                .find(|m| over(m) && (lacking || unlisted(m)))?;
+                .find(|m| has_surplus(m) && (any_missing || unlisted(m)))?;
             Some((at, OrderKind::Unload, model.clone()))
         })
     }
 
-    fn is_resting(&self, agent: &Name) -> bool {
-        self.resting.iter().any(|(name, _)| name == agent)
+    fn is_excluded(&self, agent: &Name) -> bool {
+        self.excluded.iter().any(|(name, _)| name == agent)
     }
 }
 
 /// The model of which the largest share is missing.
 fn most_missing(wanted: &[(Name, u32)], engines: &[EngineView]) -> Option<Name> {
     let missing =
-        |(model, want): &&(Name, u32)| u64::from(*want).saturating_sub(held_by(model, engines));
+        |(model, want): &&(Name, u32)| u64::from(*want).saturating_sub(replicas_of(model, engines));
     wanted
         .iter()
         .filter(|w| missing(w) > 0)
@@ -231,6 +236,6 @@
         .map(|(model, _)| model.clone())
 }
 
-fn held_by(model: &Name, engines: &[EngineView]) -> u64 {
-    engines.iter().filter(|e| e.holds.contains(model)).count() as u64
+fn replicas_of(model: &Name, engines: &[EngineView]) -> u64 {
+    engines.iter().filter(|e| e.loaded.contains(model)).count() as u64
 }
--- a/fireflycroft/tests/lease.rs
+++ b/fireflycroft/tests/lease.rs
@@ -2,7 +2,7 @@
 //! rule: never two holders at once, and no fencing number held twice.
 
 use fireflycroft::{
-    Lease, LeaseAnswer, LeaseCall, LeaseOp, LeaseRecord, LeaseSpans, Name, RequestId, Time,
+    Lease, LeaseAnswer, LeaseCall, LeaseOp, LeaseRecord, LeaseTimings, Name, RequestId, Time,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
@@ -109,7 +109,7 @@
         let token = RequestId(self.lives);
         let name = Name::from(format!("node-{i}"));
         let node = Node {
-            lease: Lease::new(name, token, LeaseSpans::default()),
+            lease: Lease::new(name, token, LeaseTimings::default()),
             calls: Vec::new(),
             inbox: Vec::new(),
             frozen: false,
@@ -292,12 +292,12 @@
 
 #[test]
 fn a_late_answer_to_a_call_given_up_is_not_heard() {
-    let spans = LeaseSpans::default();
-    let mut lease = Lease::new("node".into(), RequestId(1), spans);
+    let timings = LeaseTimings::default();
+    let mut lease = Lease::new("node".into(), RequestId(1), timings);
     let (first, _) = lease.on_tick(Time::from_millis(1), true).unwrap();
-    let late = Time::from_millis(1) + spans.answer;
-    let (second, _) = lease.on_tick(late + spans.ttl, true).unwrap();
+    let late = Time::from_millis(1) + timings.call_timeout;
+    let (second, _) = lease.on_tick(late + timings.ttl, true).unwrap();
     assert_ne!(first, second);
-    lease.on_answer(late + spans.ttl, first, LeaseAnswer::Written(9));
-    assert_eq!(lease.held(late + spans.ttl), None);
+    lease.on_answer(late + timings.ttl, first, LeaseAnswer::Written(9));
+    assert_eq!(lease.held(late + timings.ttl), None);
 }
--- a/fireflycroft/tests/place.rs
+++ b/fireflycroft/tests/place.rs
@@ -1,7 +1,7 @@
 //! Placing models: against a plain fleet that does what it is ordered.
 
 use fireflycroft::{
-    EngineView, IdSource, Incarnation, Name, Order, OrderKind, Peer, PlaceLimits, Placer, Role,
+    EngineView, IdSource, Incarnation, Name, Order, OrderKind, Peer, PlacementLimits, Placer, Role,
     Time,
 };
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
 
 const STEP: Duration = Duration::from_millis(500);
 
-fn engine(i: usize, holds: &[&str]) -> EngineView {
+fn engine(i: usize, loaded: &[&str]) -> EngineView {
     EngineView {
         agent: Peer {
             name: Name::from(format!("agent-{i}")),
@@ -19,7 +19,7 @@
             incarnation: Incarnation(1),
             role: Role::Agent,
         },
-        holds: holds.iter().map(|m| Name::from(*m)).collect(),
+        loaded: loaded.iter().map(|m| Name::from(*m)).collect(),
         running: 0,
     }
 }
@@ -40,7 +40,7 @@
 impl Fleet {
     fn new(engines: Vec<EngineView>) -> Self {
         Self {
-            placer: Placer::new(PlaceLimits::default()),
+            placer: Placer::new(PlacementLimits::default()),
             engines,
             ids: IdSource::new([7; 32]),
             now: Time::from_millis(1),
@@ -66,20 +66,20 @@
         let engine = self.engines.iter_mut().find(|e| e.agent == *agent).unwrap();
         match order.kind {
             OrderKind::Load => {
-                engine.holds.push(order.model.clone());
+                engine.loaded.push(order.model.clone());
                 self.loads.push(self.now);
             }
             OrderKind::Unload => {
                 assert_eq!(engine.running, 0, "an engine was emptied while it ran");
-                engine.holds.retain(|m| *m != order.model);
+                engine.loaded.retain(|m| *m != order.model);
             }
         }
-        assert!(self.placer.on_done(self.now, order.id, true));
+        assert!(self.placer.on_order_done(self.now, order.id, true));
     }
 
     fn counts(&self) -> HashMap<Name, u32> {
         let mut counts = HashMap::new();
-        for model in self.engines.iter().flat_map(|e| &e.holds) {
+        for model in self.engines.iter().flat_map(|e| &e.loaded) {
             *counts.entry(model.clone()).or_default() += 1;
         }
         counts
@@ -103,7 +103,7 @@
     a_new_holder_waits_out_the_gap: {
         let mut fleet = Fleet::new(vec![engine(0, &[])]);
         let wanted = wanted(&[("model-a", 1)]);
-        let gap = PlaceLimits::default().load_gap;
+        let gap = PlacementLimits::default().load_gap;
         let ticks = usize::try_from(gap.as_millis() / STEP.as_millis()).unwrap();
         assert!((0..ticks).all(|_| fleet.tick(Some(1), &wanted).is_none()));
         assert!(fleet.tick(Some(1), &wanted).is_some());
@@ -121,7 +121,7 @@
         let mut fleet = Fleet::new(vec![engine(0, &[]), engine(1, &["model-b"])]);
         let wanted = wanted(&[("model-a", 1), ("model-b", 1)]);
         let (first, order) = (0..60).find_map(|_| fleet.tick(Some(1), &wanted)).unwrap();
-        fleet.placer.on_done(fleet.now, order.id, false);
+        fleet.placer.on_order_done(fleet.now, order.id, false);
         let (second, _) = (0..20).find_map(|_| fleet.tick(Some(1), &wanted)).unwrap();
         assert_ne!(first.name, second.name);
     }
@@ -130,7 +130,7 @@
         let mut fleet = Fleet::new(vec![engine(0, &["old"])]);
         let nothing = wanted(&[]);
         let (_, order) = (0..60).find_map(|_| fleet.tick(Some(1), &nothing)).unwrap();
-        fleet.placer.on_done(fleet.now, order.id, true);
+        fleet.placer.on_order_done(fleet.now, order.id, true);
         // The view is as it was before the order.
         assert!((0..9).all(|_| fleet.tick(Some(1), &nothing).is_none()));
     }
@@ -177,7 +177,7 @@
         prop_assert!(count("b") >= b, "b: {counts:?}");
         prop_assert_eq!(count("old"), 0);
         for pair in fleet.loads.windows(2) {
-            prop_assert!(pair[1].since(pair[0]) >= PlaceLimits::default().load_gap);
+            prop_assert!(pair[1].since(pair[0]) >= PlacementLimits::default().load_gap);
         }
     }
 }
--- a/fireflyd/src/entry.rs
+++ b/fireflyd/src/entry.rs
@@ -5,7 +5,8 @@
 
 use fireflycroft::{
     CallId, Config, ConfigVersion, Entry, EntryAction, EntryEvent, EntrySetup, Envelope,
-    LeaseAnswer, LeaseCall, LeaseSpans, Measured, Message, PlaceLimits, Priority, Reply, Time, Vm,
+    LeaseAnswer, LeaseCall, LeaseTimings, Measured, Message, PlacementLimits, Priority, Reply,
+    Time, Vm,
 };
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
@@ -73,8 +74,8 @@
         let leader = Leader::new(
             node.me.name.clone(),
             rand::random(),
-            LeaseSpans::default(),
-            PlaceLimits::default(),
+            LeaseTimings::default(),
+            PlacementLimits::default(),
         );
         Self {
             core: Entry::new(setup),
--- a/fireflyd/src/leader.rs
+++ b/fireflyd/src/leader.rs
@@ -5,8 +5,8 @@
 
 use fireflycroft::{Code, MemberState};
 use fireflycroft::{
-    Config, EngineView, IdSource, Lease, LeaseAnswer, LeaseCall, LeaseOp, LeaseSpans, LogEvent,
-    Message, Name, PlaceLimits, Placer, RequestId, Router, Time,
+    Config, EngineView, IdSource, Lease, LeaseAnswer, LeaseCall, LeaseOp, LeaseTimings, LogEvent,
+    Message, Name, PlacementLimits, Placer, RequestId, Router, Time,
 };
 
 use crate::outbox::Outbox;
@@ -22,10 +22,10 @@
 impl Leader {
     /// A node of that name that holds no lease.
     #[must_use]
-    pub fn new(name: Name, seed: [u8; 32], spans: LeaseSpans, limits: PlaceLimits) -> Self {
+    pub fn new(name: Name, seed: [u8; 32], timings: LeaseTimings, limits: PlacementLimits) -> Self {
         let mut ids = IdSource::new(seed);
         Self {
-            lease: Lease::new(name, ids.draw(), spans),
+            lease: Lease::new(name, ids.draw(), timings),
             placer: Placer::new(limits),
             ids,
             held: None,
@@ -45,8 +45,8 @@
 
     /// Takes an agent's answer to an order.
     pub fn on_order_answer(&mut self, now: Time, id: RequestId, code: Code, fence: u64) {
-        self.lease.note_fence(fence);
-        self.placer.on_done(now, id, code == Code::OrderDone);
+        self.lease.record_fence(fence);
+        self.placer.on_order_done(now, id, code == Code::OrderDone);
     }
 
     /// Renews or challenges; gives what to ask the platform, and a note when
@@ -94,7 +94,7 @@
         .filter(|a| a.state == MemberState::Alive && !a.load.leaving && is_engine(&a.serves))
         .map(|a| EngineView {
             agent: a.peer.clone(),
-            holds: a.serves.clone(),
+            loaded: a.serves.clone(),
             running: a.load.running,
         })
         .collect()
