--- a/fireflycroft/tests/bounds.rs
+++ b/fireflycroft/tests/bounds.rs
@@ -4,7 +4,7 @@
 
 use fireflycroft::{Code, Message, RequestId};
 use support::cases;
-use support::fleet::{AGENTS, Ask, ENGINES, GIANT, MAX_CALLS, MAX_HELD, MAX_OFFERS, Proc};
+use support::fleet::{AGENTS, CallSpec, ENGINES, GIANT, MAX_CALLS, MAX_HELD, MAX_OFFERS, Proc};
 use support::oracle::Outcome;
 use support::upstream::Mood;
 
@@ -17,7 +17,7 @@
             world.freeze(Proc::Agent(agent));
         }
         let calls: Vec<_> = (0..=MAX_CALLS)
-            .map(|_| world.submit(0, Ask::default()).unwrap())
+            .map(|_| world.submit(0, CallSpec::default()).unwrap())
             .collect();
         let last = world.outcome(calls[MAX_CALLS]);
         assert_eq!(last, Some(Outcome::Failed(Code::Overloaded)));
@@ -26,7 +26,7 @@
     /// A caller who takes nothing is not given more than two windows.
     caller_who_takes_nothing(world) {
         world.stall_callers(true);
-        let call = world.submit(0, Ask { content: GIANT, ..Ask::default() }).unwrap();
+        let call = world.submit(0, CallSpec { content: GIANT, ..CallSpec::default() }).unwrap();
         world.advance(60_000);
         assert!(world.next(call) <= 2 * WINDOW, "{}", world.next(call));
         assert_eq!(world.outcome(call), None);
@@ -37,8 +37,8 @@
 
     /// None is over its own bound, but all of them together are.
     whole_answers_held_back_at_once(world) {
-        let ask = Ask { content: 4, whole: true, ..Ask::default() };
-        let calls: Vec<_> = (0..12).map(|_| world.submit(0, ask).unwrap()).collect();
+        let spec = CallSpec { content: 4, whole: true, ..CallSpec::default() };
+        let calls: Vec<_> = (0..12).map(|_| world.submit(0, spec).unwrap()).collect();
         for _ in 0..100 {
             world.advance(50);
             assert!(world.most_held() <= MAX_HELD, "{}", world.most_held());
@@ -57,7 +57,7 @@
         for agent in 0..ENGINES {
             world.set_mood(agent, Mood::Full);
         }
-        let call = world.submit(0, Ask { content: 5, ..Ask::default() }).unwrap();
+        let call = world.submit(0, CallSpec { content: 5, ..CallSpec::default() }).unwrap();
         world.advance(59_000);
         assert_eq!(world.outcome(call), None);
         world.advance(2_000);
@@ -67,7 +67,7 @@
 
     /// Nobody reads it any more: the engine is not kept for it.
     run_that_nobody_reads(world) {
-        let call = world.submit(0, Ask { content: GIANT, ..Ask::default() }).unwrap();
+        let call = world.submit(0, CallSpec { content: GIANT, ..CallSpec::default() }).unwrap();
         world.advance(100);
         let agent = world.agent_of(call).unwrap();
         world.leave_caller(call);
@@ -83,7 +83,7 @@
             world.set_mood(agent, Mood::Full);
         }
         for _ in 0..20 {
-            world.submit(0, Ask { content: 5, ..Ask::default() });
+            world.submit(0, CallSpec { content: 5, ..CallSpec::default() });
         }
         world.advance(100);
         assert!(world.most_queued() > 0);
@@ -98,7 +98,7 @@
             world.set_mood(agent, Mood::Full);
         }
         for i in 0..1_200 {
-            world.submit(i % 3, Ask { interactive: i % 2 == 0, ..Ask::default() });
+            world.submit(i % 3, CallSpec { interactive: i % 2 == 0, ..CallSpec::default() });
             world.advance(20);
             assert!(world.most_offers() <= MAX_OFFERS, "{}", world.most_offers());
         }
--- a/fireflycroft/tests/fleet.rs
+++ b/fireflycroft/tests/fleet.rs
@@ -40,13 +40,13 @@
     }
 
     fn check_invariants(world: &World, _: &u64) {
-        assert!(world.faults().is_empty(), "{:#?}", world.faults());
+        assert!(world.violations().is_empty(), "{:#?}", world.violations());
     }
 
     fn teardown(mut world: World, _: u64) {
         world.settle();
         TALLY.lock().unwrap().add(&world);
-        assert!(world.faults().is_empty(), "{:#?}", world.faults());
+        assert!(world.violations().is_empty(), "{:#?}", world.violations());
     }
 }
 
--- a/fireflycroft/tests/mutants.rs
+++ b/fireflycroft/tests/mutants.rs
@@ -7,7 +7,7 @@
 use proptest_state_machine::ReferenceStateMachine;
 use support::mutant::Mutant;
 use support::op::{MAX_STEPS, Op, Script};
-use support::oracle::Fault;
+use support::oracle::Violation;
 use support::scenario;
 use support::world::World;
 
@@ -18,13 +18,13 @@
 const MOST_SCRIPTS: u32 = 500;
 
 /// Faults that the script shows in a fleet with the seeded fault.
-fn faults(mutant: Mutant, seed: u64, steps: &[Op]) -> Vec<Fault> {
+fn violations(mutant: Mutant, seed: u64, steps: &[Op]) -> Vec<Violation> {
     let mut world = World::new(seed, mutant);
     for step in steps {
         world.apply(step);
     }
     world.settle();
-    world.faults().to_vec()
+    world.violations().to_vec()
 }
 
 /// Runs scripts until the oracle reports `point`; gives their number.
@@ -36,7 +36,7 @@
     let scripts = Script::sequential_strategy(1..MAX_STEPS);
     (1..=MOST_SCRIPTS).find(|_| {
         let (seed, steps, _) = scripts.new_tree(&mut runner).unwrap().current();
-        faults(mutant, seed, &steps)
+        violations(mutant, seed, &steps)
             .iter()
             .any(|f| f.point == point)
     })
@@ -56,7 +56,7 @@
 }
 
 should_catch! {
-    catches_tokens_handed_on_twice: HandOnTwice breaks 1;
+    catches_tokens_handed_on_twice: DeliverTwice breaks 1;
     catches_readers_of_any_workspace: AnyWorkspace breaks 2;
     catches_unknown_called_not_run: UnknownIsNotRun breaks 3;
     catches_every_claim_won: EveryClaimWon breaks 4;
@@ -72,5 +72,8 @@
     let mut world = World::new(SEED, Mutant::AnyGeneration);
     scenario::late_tokens_of_a_fenced_generation(&mut world);
     world.settle();
-    assert!(world.faults().iter().any(|f| f.point == 1), "not caught");
+    assert!(
+        world.violations().iter().any(|f| f.point == 1),
+        "not caught"
+    );
 }
--- a/fireflycroft/tests/point1_tokens.rs
+++ b/fireflycroft/tests/point1_tokens.rs
@@ -4,7 +4,7 @@
 
 use fireflycroft::Code;
 use support::cases;
-use support::fleet::{Ask, ENGINES, HUGE, Kind, MAX_BYTES, Proc};
+use support::fleet::{CallSpec, ENGINES, HUGE, Kind, MAX_BYTES, Proc};
 use support::link::Weather;
 use support::oracle::Outcome;
 use support::scenario;
@@ -14,15 +14,18 @@
 /// Tokens of the content that most cases ask for.
 const LONG: u64 = 400;
 
-fn long() -> Ask {
-    Ask {
+fn long() -> CallSpec {
+    CallSpec {
         content: 5,
-        ..Ask::default()
+        ..CallSpec::default()
     }
 }
 
-fn whole(ask: Ask) -> Ask {
-    Ask { whole: true, ..ask }
+fn whole(spec: CallSpec) -> CallSpec {
+    CallSpec {
+        whole: true,
+        ..spec
+    }
 }
 
 fn set_moods(world: &mut World, mood: Mood) {
@@ -49,7 +52,7 @@
         world.advance(100);
         let next = world.next(first);
         world.kill(Proc::Entry(0));
-        world.revive_alone(1, true);
+        world.restart_isolated(1, true);
         let early = world.resume(1, first, next).unwrap();
         world.advance(10);
         assert_eq!(world.outcome(early), Some(Outcome::Failed(Code::StreamUnknown)));
@@ -72,7 +75,7 @@
 
     /// A caller who resumes and wants the rest all at once gets it numbered.
     whole_rest_is_numbered_from_the_resume_point(world) {
-        let first = world.submit(0, whole(Ask::default())).unwrap();
+        let first = world.submit(0, whole(CallSpec::default())).unwrap();
         world.advance(2_000);
         assert_eq!(world.outcome(first), Some(Outcome::Whole));
         let rest = world.resume(1, first, 5).unwrap();
@@ -81,7 +84,7 @@
     }
 
     caller_resumes_an_ended_answer_at_its_end(world) {
-        let first = world.submit(0, Ask::default()).unwrap();
+        let first = world.submit(0, CallSpec::default()).unwrap();
         world.advance(2_000);
         let rest = world.resume(1, first, world.next(first)).unwrap();
         world.advance(500);
@@ -191,7 +194,7 @@
 
     /// Nobody saw any of it, so it starts afresh unseen.
     engine_killed_under_a_whole_answer(world) {
-        let call = world.submit(0, whole(Ask::default())).unwrap();
+        let call = world.submit(0, whole(CallSpec::default())).unwrap();
         world.advance(5);
         world.set_mood(world.agent_of(call).unwrap(), Mood::Die(5));
         world.advance(10_000);
@@ -234,7 +237,7 @@
 
     /// Only the frame with the end is lost.
     frame_with_the_end_lost(world) {
-        let call = world.submit(0, Ask { content: 0, ..Ask::default() }).unwrap();
+        let call = world.submit(0, CallSpec { content: 0, ..CallSpec::default() }).unwrap();
         world.advance(5);
         let agent = Proc::Agent(world.agent_of(call).unwrap()).addr();
         world.net.cut(agent, Proc::Entry(0).addr());
@@ -245,14 +248,14 @@
     }
 
     whole_answer_over_the_entrys_buffer(world) {
-        let call = world.submit(0, whole(Ask { content: HUGE, ..Ask::default() })).unwrap();
+        let call = world.submit(0, whole(CallSpec { content: HUGE, ..CallSpec::default() })).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::AnswerTooLarge)));
     }
 
     /// One stream is longer than all the bytes that the agent may keep.
     stream_over_the_agents_buffer(world) {
-        let call = world.submit(0, Ask { content: HUGE, ..Ask::default() }).unwrap();
+        let call = world.submit(0, CallSpec { content: HUGE, ..CallSpec::default() }).unwrap();
         world.advance_until(60_000, |w| {
             assert!(w.most_bytes() <= MAX_BYTES, "{}", w.most_bytes());
             w.outcome(call).is_some()
@@ -262,7 +265,7 @@
 
     /// A reader that does not keep up loses its place, not the agent's memory.
     reader_behind_the_agents_buffer(world) {
-        let call = world.submit(0, Ask { content: HUGE, ..Ask::default() }).unwrap();
+        let call = world.submit(0, CallSpec { content: HUGE, ..CallSpec::default() }).unwrap();
         world.advance(100);
         let agent = Proc::Agent(world.agent_of(call).unwrap()).addr();
         world.net.cut(Proc::Entry(0).addr(), agent);
@@ -274,7 +277,7 @@
 
     /// An answer that was dropped to make room is not given from its middle.
     ended_answers_dropped_to_make_room(world) {
-        let service = |content| Ask { kind: Kind::Service, content, ..Ask::default() };
+        let service = |content| CallSpec { kind: Kind::Service, content, ..CallSpec::default() };
         let first = world.submit(0, service(3)).unwrap();
         world.advance(1_000);
         world.submit(0, service(HUGE));
@@ -286,7 +289,7 @@
 
     /// The head of a running stream was dropped to make room.
     running_stream_has_lost_its_head(world) {
-        let service = Ask { kind: Kind::Service, content: HUGE, ..Ask::default() };
+        let service = CallSpec { kind: Kind::Service, content: HUGE, ..CallSpec::default() };
         let first = world.submit(0, service).unwrap();
         world.advance_until(10_000, |w| w.next(first) > 200);
         let again = world.resume(1, first, 0).unwrap();
@@ -298,11 +301,11 @@
 
     /// Nine callers join one keyed generation; the ninth is told to wait.
     readers_at_their_bound(world) {
-        let ask = Ask { key: Some(1), kind: Kind::Service, ..long() };
+        let spec = CallSpec { key: Some(1), kind: Kind::Service, ..long() };
         let calls: Vec<_> = (0..9)
             .map(|i| {
                 world.advance(20);
-                world.submit(i % 3, ask).unwrap()
+                world.submit(i % 3, spec).unwrap()
             })
             .collect();
         world.advance(10_000);
--- a/fireflycroft/tests/point2_own_answer.rs
+++ b/fireflycroft/tests/point2_own_answer.rs
@@ -4,24 +4,24 @@
 
 use fireflycroft::{Code, GenerationId, Message, RequestId, ResumePoint};
 use support::cases;
-use support::fleet::{Ask, Kind, Proc};
+use support::fleet::{CallSpec, Kind, Proc};
 use support::link::Weather;
 use support::oracle::Outcome;
 
-fn long(workspace: usize) -> Ask {
-    Ask {
+fn long(workspace: usize) -> CallSpec {
+    CallSpec {
         workspace,
         content: 5,
-        ..Ask::default()
+        ..CallSpec::default()
     }
 }
 
-fn keyed(workspace: usize, content: u8) -> Ask {
-    Ask {
+fn keyed(workspace: usize, content: u8) -> CallSpec {
+    CallSpec {
         workspace,
         content,
         key: Some(1),
-        ..Ask::default()
+        ..CallSpec::default()
     }
 }
 
@@ -66,7 +66,7 @@
     /// A start for the former life's first reservation comes late, while the
     /// new life holds its own first reservation.
     stale_start_reaches_an_agents_new_life(world) {
-        let service = Ask { kind: Kind::Service, ..long(0) };
+        let service = CallSpec { kind: Kind::Service, ..long(0) };
         let first = world.submit(0, service).unwrap();
         world.advance(100);
         let point = world.point(first).unwrap();
@@ -74,7 +74,7 @@
         world.advance(5_000);
         let (agent, entry) = (Proc::Agent(3).addr(), Proc::Entry(1).addr());
         world.net.cut(agent, entry);
-        world.submit(1, Ask { workspace: 1, ..service }).unwrap();
+        world.submit(1, CallSpec { workspace: 1, ..service }).unwrap();
         world.advance(2);
         let stale = Message::Start {
             request: point.request,
@@ -114,7 +114,7 @@
     workspace_steals_a_running_stream(world) {
         let call = world.submit(0, long(0)).unwrap();
         world.advance(200);
-        let thief = world.steal(call, 1, 1).unwrap();
+        let thief = world.resume_as_other_workspace(call, 1, 1).unwrap();
         world.advance(1_000);
         assert_eq!(world.outcome(thief), UNKNOWN);
         world.advance(10_000);
@@ -124,7 +124,7 @@
     workspace_steals_an_ended_stream(world) {
         let call = world.submit(0, long(0)).unwrap();
         world.advance(10_000);
-        let thief = world.steal(call, 1, 1).unwrap();
+        let thief = world.resume_as_other_workspace(call, 1, 1).unwrap();
         world.advance(1_000);
         assert_eq!(world.outcome(thief), UNKNOWN);
     }
@@ -133,7 +133,7 @@
     workspace_steals_a_forgotten_stream(world) {
         let call = world.submit(0, long(0)).unwrap();
         world.advance(80_000);
-        let thief = world.steal(call, 1, 1).unwrap();
+        let thief = world.resume_as_other_workspace(call, 1, 1).unwrap();
         let owner = world.resume(1, call, 3).unwrap();
         world.advance(1_000);
         assert_eq!(world.outcome(thief), UNKNOWN);
@@ -166,7 +166,7 @@
 
     /// A cancel for the former life's first generation comes late.
     stale_cancel_reaches_an_agents_new_life(world) {
-        let service = |content| Ask { kind: Kind::Service, content, ..long(0) };
+        let service = |content| CallSpec { kind: Kind::Service, content, ..long(0) };
         let first = world.submit(0, service(5)).unwrap();
         world.advance(100);
         let generation = world.point(first).unwrap().generation;
@@ -202,7 +202,7 @@
     /// A service's answer is never read as an engine's with the same serial.
     resume_point_names_another_agent(world) {
         let call = world.submit(0, long(0)).unwrap();
-        world.submit(1, Ask { kind: Kind::Service, ..long(0) });
+        world.submit(1, CallSpec { kind: Kind::Service, ..long(0) });
         world.advance(200);
         let point = ResumePoint {
             agent: Proc::Agent(3).peer(0).name,
--- a/fireflycroft/tests/point3_not_run.rs
+++ b/fireflycroft/tests/point3_not_run.rs
@@ -4,7 +4,7 @@
 
 use fireflycroft::{CRASH_LIMIT, Class, Code};
 use support::cases;
-use support::fleet::{Ask, ENGINES, Kind, Proc};
+use support::fleet::{CallSpec, ENGINES, Kind, Proc};
 use support::link::Weather;
 use support::oracle::Outcome;
 use support::upstream::Mood;
@@ -35,11 +35,11 @@
         for agent in 0..ENGINES {
             world.set_mood(agent, Mood::Lose(5));
         }
-        let ask = Ask { whole: true, ..Ask::default() };
-        let call = world.submit(0, ask).unwrap();
+        let spec = CallSpec { whole: true, ..CallSpec::default() };
+        let call = world.submit(0, spec).unwrap();
         world.advance(10);
         let first = world.agent_of(call).unwrap();
-        world.tell_agents_of_crashes(first, &ask, CRASH_LIMIT);
+        world.tell_agents_of_crashes(first, &spec, CRASH_LIMIT);
         world.advance(2_000);
         assert_eq!(code(world, call), Code::OutcomeUnknown);
     }
@@ -47,7 +47,7 @@
     /// The offer lies in a frozen agent's queue when the caller is refused.
     agent_frozen_before_it_reads_the_offer(world) {
         freeze_engines(world);
-        let call = world.submit(0, Ask::default()).unwrap();
+        let call = world.submit(0, CallSpec::default()).unwrap();
         world.advance(5_000);
         assert_eq!(code(world, call).class(), Class::NotRun);
         thaw_engines(world);
@@ -58,8 +58,8 @@
     /// The start lies in a frozen agent's queue past the hold.
     agent_frozen_between_receipt_and_start(world) {
         for timers_first in [false, true] {
-            let ask = Ask { kind: Kind::Service, ..Ask::default() };
-            let call = world.submit(0, ask).unwrap();
+            let spec = CallSpec { kind: Kind::Service, ..CallSpec::default() };
+            let call = world.submit(0, spec).unwrap();
             world.advance(2);
             world.freeze(Proc::Agent(3));
             world.advance(9_500);
@@ -74,8 +74,8 @@
 
     /// The same, but the agent thaws in time to say so.
     agent_thaws_and_says_that_it_never_started(world) {
-        let ask = Ask { kind: Kind::Service, ..Ask::default() };
-        let call = world.submit(0, ask).unwrap();
+        let spec = CallSpec { kind: Kind::Service, ..CallSpec::default() };
+        let call = world.submit(0, spec).unwrap();
         world.advance(2);
         world.freeze(Proc::Agent(3));
         world.advance(2_500);
@@ -89,7 +89,7 @@
     dispatch_delayed_past_its_deadline(world) {
         world.net.weather = Weather::Slow;
         let calls: Vec<_> = (0..6)
-            .map(|i| world.submit(i % 3, Ask::default()).unwrap())
+            .map(|i| world.submit(i % 3, CallSpec::default()).unwrap())
             .collect();
         world.advance(30_000);
         assert!(calls.iter().all(|c| world.outcome(*c).is_some()));
@@ -99,7 +99,7 @@
     offer_copied_after_its_withdrawal_was_forgotten(world) {
         world.net.weather = Weather::Copies;
         for i in 0..10 {
-            let call = world.submit(i % 3, Ask::default()).unwrap();
+            let call = world.submit(i % 3, CallSpec::default()).unwrap();
             world.advance(1);
             world.leave_caller(call);
             world.advance(100);
@@ -108,7 +108,7 @@
     }
 
     entry_killed_between_offer_and_start(world) {
-        let call = world.submit(0, Ask::default()).unwrap();
+        let call = world.submit(0, CallSpec::default()).unwrap();
         world.advance(1);
         world.kill(Proc::Entry(0));
         world.advance(5_000);
@@ -117,7 +117,7 @@
 
     entry_frozen_between_offer_and_start(world) {
         for timers_first in [false, true] {
-            let call = world.submit(0, Ask::default()).unwrap();
+            let call = world.submit(0, CallSpec::default()).unwrap();
             world.advance(1);
             world.freeze(Proc::Entry(0));
             world.advance(10_000);
@@ -129,8 +129,8 @@
 
     /// The start is lost and nothing is heard: unknown is said as unknown.
     unknown_is_said_as_unknown(world) {
-        let ask = Ask { kind: Kind::Service, ..Ask::default() };
-        let call = world.submit(0, ask).unwrap();
+        let spec = CallSpec { kind: Kind::Service, ..CallSpec::default() };
+        let call = world.submit(0, spec).unwrap();
         world.advance(2);
         let (entry, agent) = (Proc::Entry(0).addr(), Proc::Agent(3).addr());
         world.net.cut(entry, agent);
@@ -143,8 +143,8 @@
 
     /// Started, but no answer came: it runs on, so it is unknown.
     answer_to_the_start_lost(world) {
-        let ask = Ask { kind: Kind::Service, ..Ask::default() };
-        let call = world.submit(0, ask).unwrap();
+        let spec = CallSpec { kind: Kind::Service, ..CallSpec::default() };
+        let call = world.submit(0, spec).unwrap();
         world.advance(3);
         world.net.cut(Proc::Agent(3).addr(), Proc::Entry(0).addr());
         world.advance(9_500);
@@ -158,7 +158,7 @@
         for agent in 0..ENGINES {
             world.set_mood(agent, Mood::Refuse);
         }
-        let call = world.submit(0, Ask::default()).unwrap();
+        let call = world.submit(0, CallSpec::default()).unwrap();
         world.advance(5_000);
         assert_eq!(code(world, call), Code::Overloaded);
         assert_eq!(world.runs(call), 0);
@@ -168,7 +168,7 @@
     one_upstream_refuses_and_another_serves(world) {
         world.set_mood(0, Mood::Refuse);
         for i in 0..9 {
-            let call = world.submit(i % 3, Ask::default()).unwrap();
+            let call = world.submit(i % 3, CallSpec::default()).unwrap();
             world.advance(1_500);
             assert_eq!(world.outcome(call), Some(Outcome::Whole));
         }
@@ -176,8 +176,8 @@
 
     /// The upstream died between the reservation and the start.
     upstream_dies_before_the_start(world) {
-        let ask = Ask { kind: Kind::Service, ..Ask::default() };
-        let call = world.submit(0, ask).unwrap();
+        let spec = CallSpec { kind: Kind::Service, ..CallSpec::default() };
+        let call = world.submit(0, spec).unwrap();
         world.advance(2);
         world.crash(3);
         world.advance(5_000);
@@ -186,8 +186,8 @@
 
     /// An agent died with the start in its queue: nobody knows.
     agent_dies_at_the_start(world) {
-        let ask = Ask { kind: Kind::Service, ..Ask::default() };
-        let call = world.submit(0, ask).unwrap();
+        let spec = CallSpec { kind: Kind::Service, ..CallSpec::default() };
+        let call = world.submit(0, spec).unwrap();
         world.advance(3);
         world.kill(Proc::Agent(3));
         world.advance(20_000);
@@ -199,19 +199,19 @@
             world.crash(agent);
         }
         world.advance(10);
-        let call = world.submit(0, Ask::default()).unwrap();
+        let call = world.submit(0, CallSpec::default()).unwrap();
         world.advance(20);
         assert_eq!(code(world, call), Code::NoUpstream);
     }
 
     /// The entry's last word of the agent is that it has no work.
     served_again_when_the_upstream_is_back(world) {
-        let ask = Ask { kind: Kind::Service, ..Ask::default() };
+        let spec = CallSpec { kind: Kind::Service, ..CallSpec::default() };
         world.crash(3);
-        let refused = world.submit(0, ask).unwrap();
+        let refused = world.submit(0, spec).unwrap();
         world.advance(3_000);
         assert_eq!(code(world, refused), Code::NoUpstream);
-        let call = world.submit(0, ask).unwrap();
+        let call = world.submit(0, spec).unwrap();
         world.advance(2_000);
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
     }
@@ -222,7 +222,7 @@
             world.set_mood(agent, Mood::Full);
         }
         let calls: Vec<_> = (0..40)
-            .map(|i| world.submit(i % 3, Ask { content: 5, ..Ask::default() }).unwrap())
+            .map(|i| world.submit(i % 3, CallSpec { content: 5, ..CallSpec::default() }).unwrap())
             .collect();
         world.advance(8_000);
         let refused = calls.iter().filter(|c| world.outcome(**c).is_some());
--- a/fireflycroft/tests/point4_once.rs
+++ b/fireflycroft/tests/point4_once.rs
@@ -4,30 +4,30 @@
 
 use fireflycroft::{Code, MemberState};
 use support::cases;
-use support::fleet::{Ask, ENGINES, Kind, Proc};
+use support::fleet::{CallSpec, ENGINES, Kind, Proc};
 use support::oracle::Outcome;
 use support::platform::PlatformMode;
 use support::upstream::Mood;
 use support::world::World;
 
-fn keyed() -> Ask {
-    Ask {
+fn keyed() -> CallSpec {
+    CallSpec {
         content: 4,
         key: Some(1),
-        ..Ask::default()
+        ..CallSpec::default()
     }
 }
 
 /// A keyed call of the plain service.
-fn filing() -> Ask {
-    Ask {
+fn filing() -> CallSpec {
+    CallSpec {
         kind: Kind::Service,
         ..keyed()
     }
 }
 
-fn unkeyed() -> Ask {
-    Ask {
+fn unkeyed() -> CallSpec {
+    CallSpec {
         key: None,
         ..filing()
     }
@@ -49,8 +49,8 @@
 
 cases! {
     same_key_at_two_entries_in_the_same_instant(world) {
-        for ask in [keyed(), Ask { key: Some(2), ..filing() }] {
-            let calls = [0, 1].map(|entry| world.submit(entry, ask).unwrap());
+        for spec in [keyed(), CallSpec { key: Some(2), ..filing() }] {
+            let calls = [0, 1].map(|entry| world.submit(entry, spec).unwrap());
             world.advance(10_000);
             assert_whole(world, &calls);
             assert_eq!(runs(world, &calls), 1);
@@ -65,11 +65,11 @@
     }
 
     sent_again_after_the_entrys_death(world) {
-        for ask in [keyed(), Ask { key: Some(2), ..filing() }] {
-            let first = world.submit(0, ask).unwrap();
+        for spec in [keyed(), CallSpec { key: Some(2), ..filing() }] {
+            let first = world.submit(0, spec).unwrap();
             world.advance(60);
             world.kill(Proc::Entry(0));
-            let again = world.submit(1, ask).unwrap();
+            let again = world.submit(1, spec).unwrap();
             world.advance(10_000);
             assert_whole(world, &[again]);
             assert_eq!(runs(world, &[first, again]), 1);
@@ -111,8 +111,8 @@
     platform_loses_answers(world) {
         world.platform.mode = PlatformMode::Deaf;
         for key in 0..20 {
-            let ask = Ask { key: Some(key), content: 1, ..filing() };
-            let calls = [0, 1].map(|entry| world.submit(entry, ask).unwrap());
+            let spec = CallSpec { key: Some(key), content: 1, ..filing() };
+            let calls = [0, 1].map(|entry| world.submit(entry, spec).unwrap());
             world.advance(8_000);
             assert!(runs(world, &calls) <= 1);
         }
@@ -122,10 +122,10 @@
     platform_writes_late(world) {
         world.platform.mode = PlatformMode::Late;
         for key in 0..20 {
-            let ask = Ask { key: Some(key), content: 1, ..filing() };
-            let first = world.submit(0, ask).unwrap();
+            let spec = CallSpec { key: Some(key), content: 1, ..filing() };
+            let first = world.submit(0, spec).unwrap();
             world.advance(500);
-            let again = world.submit(1, ask).unwrap();
+            let again = world.submit(1, spec).unwrap();
             world.advance(8_000);
             assert!(runs(world, &[first, again]) <= 1);
         }
@@ -134,8 +134,8 @@
     platform_reads_stale(world) {
         world.platform.mode = PlatformMode::Stale;
         for key in 0..10 {
-            let ask = Ask { key: Some(key), content: 1, ..filing() };
-            let calls = [0, 1, 2].map(|entry| world.submit(entry, ask).unwrap());
+            let spec = CallSpec { key: Some(key), content: 1, ..filing() };
+            let calls = [0, 1, 2].map(|entry| world.submit(entry, spec).unwrap());
             world.advance(8_000);
             assert!(runs(world, &calls) <= 1);
         }
@@ -144,12 +144,12 @@
     /// The claimer sleeps past its hold, another takes the claim over.
     claim_holder_frozen_past_its_hold(world) {
         for (key, timers_first) in [(1, false), (2, true)] {
-            let ask = Ask { key: Some(key), ..filing() };
-            let first = world.submit(0, ask).unwrap();
+            let spec = CallSpec { key: Some(key), ..filing() };
+            let first = world.submit(0, spec).unwrap();
             world.advance(2);
             world.freeze(Proc::Entry(0));
             world.advance(2_500);
-            let again = world.submit(1, ask).unwrap();
+            let again = world.submit(1, spec).unwrap();
             world.advance(2_000);
             world.thaw_with(Proc::Entry(0), timers_first);
             world.advance(10_000);
@@ -211,14 +211,14 @@
     /// The upstream refused the start, so the key is free.
     upstream_refused_then_sent_again(world) {
         for wait in [10, 180_000] {
-            let ask = Ask { key: Some(u8::try_from(wait % 7).unwrap()), ..filing() };
+            let spec = CallSpec { key: Some(u8::try_from(wait % 7).unwrap()), ..filing() };
             world.set_mood(3, Mood::Refuse);
-            let first = world.submit(0, ask).unwrap();
+            let first = world.submit(0, spec).unwrap();
             world.advance(1_000);
             assert_code(world, first, Code::Overloaded);
             world.set_mood(3, Mood::Good);
             world.advance(wait);
-            let again = world.submit(1, ask).unwrap();
+            let again = world.submit(1, spec).unwrap();
             world.advance(10_000);
             assert_whole(world, &[again]);
         }
@@ -257,7 +257,7 @@
         // Each its own content, or the third would be quarantined.
         for (tokens, content) in [(0, 3), (1, 4), (20, 5)] {
             world.set_mood(3, Mood::Die(tokens));
-            let call = world.submit(0, Ask { content, ..unkeyed() }).unwrap();
+            let call = world.submit(0, CallSpec { content, ..unkeyed() }).unwrap();
             world.advance(10_000);
             assert_code(world, call, Code::UpstreamFailed);
             assert_eq!(world.runs(call), 1);
@@ -281,8 +281,8 @@
         for agent in 0..ENGINES {
             world.set_mood(agent, Mood::Die(0));
         }
-        let ask = Ask { kind: Kind::NeverRetry, ..Ask::default() };
-        let call = world.submit(0, ask).unwrap();
+        let spec = CallSpec { kind: Kind::NeverRetry, ..CallSpec::default() };
+        let call = world.submit(0, spec).unwrap();
         world.advance(5_000);
         assert_code(world, call, Code::UpstreamFailed);
         assert_eq!(world.runs(call), 1);
--- a/fireflycroft/tests/point5_leaving.rs
+++ b/fireflycroft/tests/point5_leaving.rs
@@ -4,16 +4,16 @@
 
 use fireflycroft::Code;
 use support::cases;
-use support::fleet::{AGENTS, Ask, ENGINES, Kind, Proc};
+use support::fleet::{AGENTS, CallSpec, ENGINES, Kind, Proc};
 use support::link::Weather;
 use support::oracle::Outcome;
 use support::upstream::Mood;
 use support::world::World;
 
-fn filing() -> Ask {
-    Ask {
+fn filing() -> CallSpec {
+    CallSpec {
         kind: Kind::Service,
-        ..Ask::default()
+        ..CallSpec::default()
     }
 }
 
@@ -24,13 +24,13 @@
     for agent in 0..AGENTS {
         world.set_pause(agent, 500);
     }
-    let long = Ask {
+    let long = CallSpec {
         content: 5,
-        ..Ask::default()
+        ..CallSpec::default()
     };
     world.submit(
         0,
-        Ask {
+        CallSpec {
             kind: Kind::Service,
             ..long
         },
@@ -64,7 +64,7 @@
         world.leave(Proc::Agent(1));
         world.set_pause(2, 0);
         for i in 0..6 {
-            let call = world.submit(i % 3, Ask::default()).unwrap();
+            let call = world.submit(i % 3, CallSpec::default()).unwrap();
             world.advance(500);
             assert_eq!(world.agent_of(call), Some(2), "call {i}");
             assert_eq!(world.outcome(call), Some(Outcome::Whole));
@@ -105,8 +105,8 @@
         for agent in 0..ENGINES {
             world.set_mood(agent, Mood::Full);
         }
-        let ask = Ask { interactive: false, ..Ask::default() };
-        let calls: Vec<_> = (0..12).map(|i| world.submit(i % 3, ask).unwrap()).collect();
+        let spec = CallSpec { interactive: false, ..CallSpec::default() };
+        let calls: Vec<_> = (0..12).map(|i| world.submit(i % 3, spec).unwrap()).collect();
         world.advance(100);
         world.leave(Proc::Agent(0));
         world.advance(100);
@@ -121,7 +121,7 @@
     copies_of_old_offers_reach_a_leaving_agent(world) {
         world.net.weather = Weather::Copies;
         for i in 0..6 {
-            world.submit(i % 3, Ask::default());
+            world.submit(i % 3, CallSpec::default());
         }
         world.advance(30);
         for agent in 0..ENGINES {
@@ -131,7 +131,7 @@
     }
 
     agent_stays_after_all(world) {
-        let first = world.submit(0, Ask { content: 5, ..filing() }).unwrap();
+        let first = world.submit(0, CallSpec { content: 5, ..filing() }).unwrap();
         world.advance(50);
         world.leave(Proc::Agent(3));
         let refused = world.submit(0, filing()).unwrap();
--- a/fireflycroft/tests/point6_stop.rs
+++ b/fireflycroft/tests/point6_stop.rs
@@ -4,13 +4,13 @@
 
 use fireflycroft::Code;
 use support::cases;
-use support::fleet::{self, Ask, ENGINES, ENTRIES, Kind, Proc};
+use support::fleet::{self, CallSpec, ENGINES, ENTRIES, Kind, Proc};
 use support::oracle::Outcome;
 
-fn long() -> Ask {
-    Ask {
+fn long() -> CallSpec {
+    CallSpec {
         content: 5,
-        ..Ask::default()
+        ..CallSpec::default()
     }
 }
 
@@ -19,18 +19,18 @@
         let calls: Vec<_> = (0..6).map(|_| world.submit(0, long()).unwrap()).collect();
         world.advance(200);
         world.leave(Proc::Entry(0));
-        let refused = world.submit(0, Ask::default()).unwrap();
+        let refused = world.submit(0, CallSpec::default()).unwrap();
         assert_eq!(world.outcome(refused), Some(Outcome::Failed(Code::Leaving)));
         world.advance(30_000);
         for call in calls {
             assert_eq!(world.outcome(call), Some(Outcome::Whole));
         }
-        assert!(world.life(Proc::Entry(0)) > 0, "it did not stop");
+        assert!(world.incarnation(Proc::Entry(0)) > 0, "it did not stop");
     }
 
     entry_stops_with_a_claim_under_way(world) {
-        let ask = Ask { key: Some(1), kind: Kind::Service, ..long() };
-        let call = world.submit(0, ask).unwrap();
+        let spec = CallSpec { key: Some(1), kind: Kind::Service, ..long() };
+        let call = world.submit(0, spec).unwrap();
         world.advance(2);
         world.leave(Proc::Entry(0));
         world.advance(20_000);
@@ -48,7 +48,7 @@
             assert_eq!(world.outcome(call), Some(Outcome::Whole));
             assert_eq!(world.runs(call), 1);
         }
-        assert!(world.life(Proc::Agent(0)) > 0, "it did not stop");
+        assert!(world.incarnation(Proc::Agent(0)) > 0, "it did not stop");
     }
 
     /// Every process in turn, with calls all the while.
@@ -76,7 +76,7 @@
         world.freeze(Proc::Entry(0));
         world.leave(agent);
         world.advance(20_000);
-        assert_eq!(world.life(agent), 0, "it stopped too early");
+        assert_eq!(world.incarnation(agent), 0, "it stopped too early");
         world.thaw(Proc::Entry(0));
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
@@ -97,12 +97,12 @@
 
     /// A configuration without the workspace cuts nothing that runs.
     workspace_removed_under_its_running_stream(world) {
-        let call = world.submit(0, Ask { workspace: 2, ..long() }).unwrap();
+        let call = world.submit(0, CallSpec { workspace: 2, ..long() }).unwrap();
         world.advance(200);
         for proc in Proc::all() {
             world.configure(proc, &fleet::config(3, false));
         }
-        let refused = world.submit(0, Ask { workspace: 2, ..long() }).unwrap();
+        let refused = world.submit(0, CallSpec { workspace: 2, ..long() }).unwrap();
         world.advance(20_000);
         assert_eq!(world.outcome(call), Some(Outcome::Whole));
         assert_eq!(world.outcome(refused), Some(Outcome::Failed(Code::KeyRefused)));
--- a/fireflycroft/tests/point7_config.rs
+++ b/fireflycroft/tests/point7_config.rs
@@ -4,7 +4,7 @@
 
 use fireflycroft::Code;
 use support::cases;
-use support::fleet::{self, Ask, Proc};
+use support::fleet::{self, CallSpec, Proc};
 use support::link::Weather;
 use support::oracle::Outcome;
 
@@ -33,9 +33,9 @@
         world.configure(Proc::Agent(0), &fleet::config(2, false));
         world.configure(Proc::Agent(1), &fleet::config(2, false));
         world.configure(Proc::Agent(2), &fleet::config(2, false));
-        let first = world.submit(0, Ask::default()).unwrap();
+        let first = world.submit(0, CallSpec::default()).unwrap();
         world.advance(2);
-        let second = world.submit(0, Ask::default()).unwrap();
+        let second = world.submit(0, CallSpec::default()).unwrap();
         assert_eq!((world.runs(first), world.runs(second)), (0, 0));
         assert_eq!(world.version(ENTRY), 1);
         world.advance(2_000);
@@ -49,7 +49,7 @@
         world.configure(Proc::Agent(0), &fleet::config(2, false));
         world.configure(Proc::Agent(1), &fleet::config(2, false));
         world.configure(Proc::Agent(2), &fleet::config(2, false));
-        let first = world.submit(0, Ask::default()).unwrap();
+        let first = world.submit(0, CallSpec::default()).unwrap();
         world.advance(1);
         for agent in 0..3 {
             let (entry, agent) = (ENTRY.addr(), Proc::Agent(agent).addr());
@@ -63,11 +63,11 @@
     /// An agent that is behind catches up before it runs anything.
     agent_behind_catches_up_before_work_runs(world) {
         world.configure(ENTRY, &fleet::config(4, false));
-        let first = world.submit(0, Ask::default()).unwrap();
+        let first = world.submit(0, CallSpec::default()).unwrap();
         world.advance(2);
         assert_eq!(world.runs(first), 0);
         world.advance(1_000);
-        let second = world.submit(0, Ask::default()).unwrap();
+        let second = world.submit(0, CallSpec::default()).unwrap();
         world.advance(2_000);
         assert_eq!(world.outcome(second), Some(Outcome::Whole));
         let agent = world.agent_of(second).unwrap();
@@ -82,7 +82,7 @@
         }
         world.advance(5_000);
         world.thaw(Proc::Entry(1));
-        world.submit(1, Ask::default());
+        world.submit(1, CallSpec::default());
         world.advance(2_000);
         for proc in Proc::all() {
             assert_eq!(world.version(proc), 5);
@@ -91,8 +91,8 @@
 
     process_without_configuration_is_not_ready(world) {
         world.kill(ENTRY);
-        world.revive_alone(0, false);
-        let call = world.submit(0, Ask::default()).unwrap();
+        world.restart_isolated(0, false);
+        let call = world.submit(0, CallSpec::default()).unwrap();
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::NotReady)));
     }
 
@@ -101,7 +101,7 @@
         for version in [3, 2, 6, 4, 5, 1] {
             for proc in Proc::all() {
                 world.configure(proc, &fleet::config(version, version % 2 == 0));
-                world.submit(0, Ask::default());
+                world.submit(0, CallSpec::default());
                 world.advance(50);
             }
         }
--- a/fireflycroft/tests/poison.rs
+++ b/fireflycroft/tests/poison.rs
@@ -8,7 +8,7 @@
 
 use fireflycroft::{CRASH_LIMIT, Code};
 use support::cases;
-use support::fleet::{Ask, POISON};
+use support::fleet::{CallSpec, POISON};
 use support::link::Weather;
 use support::mutant::Mutant;
 use support::oracle::Outcome;
@@ -20,18 +20,18 @@
 /// Time that a caller takes to send again, in milliseconds.
 const PAUSE: u64 = 2_500;
 
-fn poison() -> Ask {
-    Ask {
+fn poison() -> CallSpec {
+    CallSpec {
         content: POISON,
-        ..Ask::default()
+        ..CallSpec::default()
     }
 }
 
 /// Sends it until a final answer each time; `entries` in that order.
-fn send_one_after_another(world: &mut World, ask: Ask, entries: &[usize]) -> Vec<usize> {
+fn send_one_after_another(world: &mut World, spec: CallSpec, entries: &[usize]) -> Vec<usize> {
     let mut calls = Vec::new();
     for entry in entries {
-        let Some(call) = world.submit(*entry, ask) else {
+        let Some(call) = world.submit(*entry, spec) else {
             continue;
         };
         world.advance_until(30_000, |w| w.outcome(call).is_some());
@@ -53,8 +53,8 @@
     }
 
     sent_again_as_a_whole_answer(world) {
-        let ask = Ask { whole: true, ..poison() };
-        send_one_after_another(world, ask, &[2, 0, 1, 1]);
+        let spec = CallSpec { whole: true, ..poison() };
+        send_one_after_another(world, spec, &[2, 0, 1, 1]);
         assert!(crashes(world) <= u32::from(CRASH_LIMIT), "{}", crashes(world));
     }
 
@@ -76,8 +76,8 @@
 
     /// A neighbour that nobody has seen any of starts afresh.
     innocent_neighbour_is_restarted(world) {
-        let ask = Ask { content: 5, whole: false, ..Ask::default() };
-        let innocent = world.submit(0, Ask { whole: true, content: 4, ..ask }).unwrap();
+        let spec = CallSpec { content: 5, whole: false, ..CallSpec::default() };
+        let innocent = world.submit(0, CallSpec { whole: true, content: 4, ..spec }).unwrap();
         world.advance(20);
         let beside = world.agent_of(innocent).unwrap();
         world.crash(beside);
@@ -88,7 +88,7 @@
 
     /// Once blamed beside the poison, it may still run.
     innocent_neighbour_is_not_quarantined_by_one_crash(world) {
-        let innocent = Ask { content: 5, ..Ask::default() };
+        let innocent = CallSpec { content: 5, ..CallSpec::default() };
         let call = world.submit(0, innocent).unwrap();
         world.advance(20);
         world.crash(world.agent_of(call).unwrap());
@@ -111,6 +111,6 @@
         }
         assert!(crashes(&world) <= u32::from(CRASH_LIMIT), "seed {seed}");
         world.settle();
-        assert!(world.faults().is_empty(), "{:#?}", world.faults());
+        assert!(world.violations().is_empty(), "{:#?}", world.violations());
     }
 }
--- a/fireflycroft/tests/support/fleet.rs
+++ b/fireflycroft/tests/support/fleet.rs
@@ -40,13 +40,13 @@
 pub(crate) const GIANT: u8 = 8;
 
 /// Every so many versions lacks the last workspace.
-const WITHOUT_LAST: u64 = 3;
+const REDUCED_PERIOD: u64 = 3;
 
-const LENGTHS: [u64; 9] = [0, 1, 3, 12, 60, 400, 100, 300, 10_000];
+const ANSWER_TOKENS: [u64; 9] = [0, 1, 3, 12, 60, 400, 100, 300, 10_000];
 
 /// Number of tokens that a content's answer has.
-pub(crate) fn length(content: u8) -> u64 {
-    LENGTHS[content as usize]
+pub(crate) fn answer_tokens(content: u8) -> u64 {
+    ANSWER_TOKENS[content as usize]
 }
 
 /// One process.
@@ -79,14 +79,14 @@
         entries.chain((0..AGENTS).map(Self::Agent))
     }
 
-    pub(crate) fn peer(self, life: u64) -> Peer {
+    pub(crate) fn peer(self, incarnation: u64) -> Peer {
         let (name, role) = match self {
             Self::Entry(i) => (format!("entry-{i}"), Role::Entry),
             Self::Agent(i) => (format!("agent-{i}"), Role::Agent),
         };
-        let drawn = Digest::of(&[name.as_bytes(), &life.to_le_bytes()]).0;
+        let digest = Digest::of(&[name.as_bytes(), &incarnation.to_le_bytes()]).0;
         Peer {
-            incarnation: Incarnation(u64::try_from(drawn >> 64).unwrap()),
+            incarnation: Incarnation(u64::try_from(digest >> 64).unwrap()),
             name: Name::from(name),
             addr: self.addr(),
             role,
@@ -107,8 +107,8 @@
     vec![Name::from(target)]
 }
 
-pub(crate) fn new_entry(i: usize, life: u64) -> Entry {
-    let seed = Digest::of(&[&i.to_le_bytes(), &life.to_le_bytes()]);
+pub(crate) fn new_entry(i: usize, incarnation: u64) -> Entry {
+    let seed = Digest::of(&[&i.to_le_bytes(), &incarnation.to_le_bytes()]);
     let mut bytes = [0; 32];
     bytes[..16].copy_from_slice(&seed.0.to_le_bytes());
     Entry::new(EntrySetup {
@@ -125,9 +125,9 @@
     })
 }
 
-pub(crate) fn new_agent(i: usize, life: u64) -> Agent {
+pub(crate) fn new_agent(i: usize, incarnation: u64) -> Agent {
     Agent::new(AgentSetup {
-        me: Proc::Agent(i).peer(life),
+        me: Proc::Agent(i).peer(incarnation),
         serves: serves(i),
         policy: AdmitPolicy::Expected,
         capacity: Capacity {
@@ -145,8 +145,8 @@
 }
 
 /// Configuration of that version; `other` makes a rival of the same version.
-pub(crate) fn config(version: u64, other: bool) -> Arc<Config> {
-    let kept = if version.is_multiple_of(WITHOUT_LAST) {
+pub(crate) fn config(version: u64, conflicting: bool) -> Arc<Config> {
+    let workspace_count = if version.is_multiple_of(REDUCED_PERIOD) {
         WORKSPACES - 1
     } else {
         WORKSPACES
@@ -165,7 +165,7 @@
                 models: vec![Name::from(MODEL)],
                 services: vec![Name::from(SERVICE)],
             }],
-            workspaces: (0..kept).map(workspace).collect(),
+            workspaces: (0..workspace_count).map(workspace).collect(),
             models: vec![Model {
                 name: Name::from(MODEL),
                 replicas: 1,
@@ -185,7 +185,7 @@
             ..Rules::default()
         },
     };
-    let digest = Digest::of(&[&version.to_le_bytes(), &[u8::from(other)]]);
+    let digest = Digest::of(&[&version.to_le_bytes(), &[u8::from(conflicting)]]);
     Arc::new(compile(ConfigVersion(version), digest, &doc).unwrap())
 }
 
@@ -211,7 +211,7 @@
 
 /// What a caller asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Ask {
+pub(crate) struct CallSpec {
     pub(crate) workspace: usize,
     pub(crate) content: u8,
     /// `Idempotency-Key`.
@@ -221,7 +221,7 @@
     pub(crate) interactive: bool,
 }
 
-impl Default for Ask {
+impl Default for CallSpec {
     fn default() -> Self {
         Self {
             workspace: 0,
@@ -234,7 +234,7 @@
     }
 }
 
-impl Ask {
+impl CallSpec {
     /// Whether it may run more than once.
     pub(crate) fn repeatable(&self) -> bool {
         self.key.is_none() && self.kind == Kind::Plain
--- a/fireflycroft/tests/support/mod.rs
+++ b/fireflycroft/tests/support/mod.rs
@@ -29,7 +29,7 @@
                 let $world = &mut fleet;
                 $body
                 fleet.settle();
-                assert!(fleet.faults().is_empty(), "{:#?}", fleet.faults());
+                assert!(fleet.violations().is_empty(), "{:#?}", fleet.violations());
             }
         )+
     };
--- a/fireflycroft/tests/support/mutant.rs
+++ b/fireflycroft/tests/support/mutant.rs
@@ -11,7 +11,7 @@
     /// Tokens of any generation count as those that the reader waits for.
     AnyGeneration,
     /// Frames that come twice are handed on twice.
-    HandOnTwice,
+    DeliverTwice,
     /// A reader's workspace is not compared with the generation's.
     AnyWorkspace,
     /// An unknown generation is said to be never started.
--- a/fireflycroft/tests/support/op.rs
+++ b/fireflycroft/tests/support/op.rs
@@ -1,6 +1,6 @@
 //! Steps of a test, and how they are drawn.
 
-use super::fleet::{AGENTS, Ask, CONTENTS, ENTRIES, Kind, Proc, WORKSPACES};
+use super::fleet::{AGENTS, CONTENTS, CallSpec, ENTRIES, Kind, Proc, WORKSPACES};
 use super::link::Weather;
 use super::platform::PlatformMode;
 use super::upstream::Mood;
@@ -15,11 +15,11 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Op {
     /// A caller asks an entry.
-    Submit(usize, Ask),
+    Submit(usize, CallSpec),
     /// Two callers ask two entries at the same instant.
-    Twins(usize, usize, Ask),
+    SubmitTwice(usize, usize, CallSpec),
     /// The caller of an earlier call sends it again.
-    Again(prop::sample::Index, usize),
+    Resend(prop::sample::Index, usize),
     /// The caller of an earlier call goes on where it was, or before that.
     Resume {
         call: prop::sample::Index,
@@ -27,25 +27,25 @@
         back: bool,
     },
     /// Another workspace uses the resume point of an earlier call.
-    Steal {
+    ResumeAsOtherWorkspace {
         call: prop::sample::Index,
         entry: usize,
     },
     /// The caller goes away.
-    Gone(prop::sample::Index),
+    CallerGone(prop::sample::Index),
     /// Time goes on, in milliseconds.
     Advance(u64),
     Weather(Weather),
     /// A link loses all of one direction.
     Cut(Proc, Proc),
-    Join(Proc, Proc),
+    Reconnect(Proc, Proc),
     /// Dies and comes back with a new life.
     Kill(Proc),
     Freeze(Proc),
     Thaw(Proc),
     /// Planned stop; it ends when it is idle.
     Leave(Proc),
-    Stay(usize),
+    CancelLeave(usize),
     Upstream(usize, Mood),
     /// The upstream dies now.
     Crash(usize),
@@ -81,7 +81,7 @@
     ]
 }
 
-fn any_ask() -> impl Strategy<Value = Ask> {
+fn any_spec() -> impl Strategy<Value = CallSpec> {
     let key = prop_oneof![2 => Just(None), 1 => (0..3_u8).prop_map(Some)];
     let kind = prop_oneof![
         7 => Just(Kind::Plain),
@@ -90,14 +90,16 @@
     ];
     let whole = prop::bool::weighted(0.3);
     let parts = (0..WORKSPACES, 0..CONTENTS, key, kind, whole, any::<bool>());
-    parts.prop_map(|(workspace, content, key, kind, whole, interactive)| Ask {
-        workspace,
-        content,
-        key,
-        kind,
-        whole,
-        interactive,
-    })
+    parts.prop_map(
+        |(workspace, content, key, kind, whole, interactive)| CallSpec {
+            workspace,
+            content,
+            key,
+            kind,
+            whole,
+            interactive,
+        },
+    )
 }
 
 fn any_weather() -> impl Strategy<Value = Weather> {
@@ -146,22 +148,22 @@
         if back { (agent, entry) } else { (entry, agent) }
     };
     prop_oneof![
-        12 => (any_entry(), any_ask()).prop_map(|(entry, ask)| Op::Submit(entry, ask)),
-        2 => (any_entry(), any_entry(), any_ask()).prop_map(|(a, b, ask)| Op::Twins(a, b, ask)),
-        5 => (index(), any_entry()).prop_map(|(call, entry)| Op::Again(call, entry)),
+        12 => (any_entry(), any_spec()).prop_map(|(entry, spec)| Op::Submit(entry, spec)),
+        2 => (any_entry(), any_entry(), any_spec()).prop_map(|(a, b, spec)| Op::SubmitTwice(a, b, spec)),
+        5 => (index(), any_entry()).prop_map(|(call, entry)| Op::Resend(call, entry)),
         5 => (index(), any_entry(), any::<bool>())
             .prop_map(|(call, entry, back)| Op::Resume { call, entry, back }),
-        1 => (index(), any_entry()).prop_map(|(call, entry)| Op::Steal { call, entry }),
-        2 => index().prop_map(Op::Gone),
+        1 => (index(), any_entry()).prop_map(|(call, entry)| Op::ResumeAsOtherWorkspace { call, entry }),
+        2 => index().prop_map(Op::CallerGone),
         20 => any_span().prop_map(Op::Advance),
         2 => any_weather().prop_map(Op::Weather),
         2 => link().prop_map(move |l| { let (a, b) = ends(l); Op::Cut(a, b) }),
-        2 => link().prop_map(move |l| { let (a, b) = ends(l); Op::Join(a, b) }),
+        2 => link().prop_map(move |l| { let (a, b) = ends(l); Op::Reconnect(a, b) }),
         2 => any_proc().prop_map(Op::Kill),
         3 => any_proc().prop_map(Op::Freeze),
         4 => any_proc().prop_map(Op::Thaw),
         1 => any_proc().prop_map(Op::Leave),
-        1 => any_agent().prop_map(Op::Stay),
+        1 => any_agent().prop_map(Op::CancelLeave),
         4 => (any_agent(), any_mood()).prop_map(|(agent, mood)| Op::Upstream(agent, mood)),
         1 => any_agent().prop_map(Op::Crash),
         2 => any_platform().prop_map(Op::Platform),
--- a/fireflycroft/tests/support/oracle.rs
+++ b/fireflycroft/tests/support/oracle.rs
@@ -3,7 +3,7 @@
 //! It knows nothing of how the core works. Each report is checked against
 //! the seven points at once; what does not hold is kept as a [`Fault`].
 
-use super::fleet::{self, Ask, Proc};
+use super::fleet::{self, CallSpec, Proc};
 use super::link::MS;
 use fireflycroft::{
     Chunk, Class, Code, ConfigVersion, Digest, Finish, GenerationId, Name, Reply, RequestId,
@@ -24,7 +24,7 @@
 
 /// One promise that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Fault {
+pub(crate) struct Violation {
     /// Number of the point; zero for "nothing hangs".
     pub(crate) point: u8,
     pub(crate) text: String,
@@ -46,11 +46,11 @@
 /// One call of a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct CallRecord {
-    pub(crate) ask: Ask,
+    pub(crate) spec: CallSpec,
     pub(crate) entry: usize,
     pub(crate) at: u64,
     /// Whether its entry had been told to stop.
-    pub(crate) late: bool,
+    pub(crate) entry_leaving: bool,
     /// Time that its entry was frozen meanwhile.
     pub(crate) frozen: u64,
     /// Number of the first token that it asked for.
@@ -95,7 +95,7 @@
 pub(crate) struct Oracle {
     pub(crate) calls: Vec<CallRecord>,
     pub(crate) runs: Vec<Run>,
-    pub(crate) faults: Vec<Fault>,
+    pub(crate) violations: Vec<Violation>,
     /// Upstreams crashed by each content.
     pub(crate) crashes: BTreeMap<u8, u32>,
     by_request: BTreeMap<RequestId, usize>,
@@ -109,9 +109,9 @@
 }
 
 /// Refusals that end by themselves, so the caller is told when to retry.
-fn may_come_back(code: Code) -> bool {
+fn is_temporary(code: Code) -> bool {
     use Code::{ClaimUnavailable, ConfigBehind, Leaving, NoUpstream, NotReady, Overloaded};
-    let passing = [
+    let temporary = [
         ClaimUnavailable,
         ConfigBehind,
         Leaving,
@@ -119,10 +119,10 @@
         NotReady,
         Overloaded,
     ];
-    passing.contains(&code)
+    temporary.contains(&code)
 }
 
-fn scan_token(token: &[u8]) -> Option<(usize, u64)> {
+fn parse_token(token: &[u8]) -> Option<(usize, u64)> {
     let text = std::str::from_utf8(token).ok()?;
     let mut parts = text.split(':');
     let run = parts.next()?.parse().ok()?;
@@ -132,19 +132,19 @@
 
 impl Oracle {
     /// A caller asks; with the call it goes on from and the next token.
-    pub(crate) fn asked(
+    pub(crate) fn record_call(
         &mut self,
         now: u64,
         entry: usize,
-        ask: Ask,
+        spec: CallSpec,
         from: Option<(usize, u64)>,
     ) -> usize {
         let run = from.and_then(|(call, _)| self.calls[call].run);
         self.calls.push(CallRecord {
-            ask,
+            spec,
             entry,
             at: now,
-            late: false,
+            entry_leaving: false,
             frozen: 0,
             first: from.map_or(0, |(_, next)| next),
             next: from.map_or(0, |(_, next)| next),
@@ -159,7 +159,7 @@
     }
 
     /// The entry gave the call that request id.
-    pub(crate) fn numbered(&mut self, call: usize, request: RequestId) {
+    pub(crate) fn record_request_id(&mut self, call: usize, request: RequestId) {
         self.calls[call].request = Some(request);
         self.by_request.insert(request, call);
     }
@@ -176,18 +176,18 @@
             .collect()
     }
 
-    pub(crate) fn fault(&mut self, point: u8, text: impl Into<String>) {
+    pub(crate) fn violation(&mut self, point: u8, text: impl Into<String>) {
         let text = text.into();
-        self.faults.push(Fault { point, text });
+        self.violations.push(Violation { point, text });
     }
 
     /// An upstream begins a run.
-    pub(crate) fn began(&mut self, start: RunStart) -> usize {
+    pub(crate) fn record_run(&mut self, start: RunStart) -> usize {
         let number = self.runs.len();
         let call = self.by_request.get(&start.request).copied();
         match call {
-            Some(call) => self.check_began(number, call, &start),
-            None => self.fault(2, format!("run {number} was asked by nobody")),
+            Some(call) => self.check_run(number, call, &start),
+            None => self.violation(2, format!("run {number} was asked by nobody")),
         }
         self.runs.push(Run {
             generation: start.generation,
@@ -201,27 +201,27 @@
         number
     }
 
-    fn check_began(&mut self, number: usize, call: usize, start: &RunStart) {
+    fn check_run(&mut self, number: usize, call: usize, start: &RunStart) {
         let record = &self.calls[call];
-        let ask = record.ask;
-        let workspace = fleet::workspace_name(ask.workspace);
-        if ask.content != start.content || workspace != start.workspace {
-            self.fault(2, format!("run {number} is not what call {call} asked"));
+        let spec = record.spec;
+        let workspace = fleet::workspace_name(spec.workspace);
+        if spec.content != start.content || workspace != start.workspace {
+            self.violation(2, format!("run {number} is not what call {call} asked"));
         }
         if let Some(Outcome::Failed(code)) = self.calls[call].outcome
             && code.class() == Class::NotRun
         {
-            self.fault(3, format!("run {number} after call {call} got {code:?}"));
+            self.violation(3, format!("run {number} after call {call} got {code:?}"));
         }
-        if self.calls[call].late {
-            self.fault(6, format!("run {number} by an entry that stops"));
+        if self.calls[call].entry_leaving {
+            self.violation(6, format!("run {number} by an entry that stops"));
         }
-        let most = if ask.repeatable() { MAX_RUNS } else { 1 };
-        if self.calls[call].runs.len() >= most {
-            self.fault(4, format!("run {number} is one too many for call {call}"));
+        let max_runs = if spec.repeatable() { MAX_RUNS } else { 1 };
+        if self.calls[call].runs.len() >= max_runs {
+            self.violation(4, format!("run {number} is one too many for call {call}"));
         }
         let same_key = |c: &&CallRecord| {
-            c.ask.key.is_some() && c.ask.key == ask.key && c.ask.workspace == ask.workspace
+            c.spec.key.is_some() && c.spec.key == spec.key && c.spec.workspace == spec.workspace
         };
         let earlier: usize = self
             .calls
@@ -230,13 +230,13 @@
             .map(|c| c.runs.len())
             .sum();
         if earlier > 0 {
-            self.fault(4, format!("run {number} repeats the key of call {call}"));
+            self.violation(4, format!("run {number} repeats the key of call {call}"));
         }
         self.calls[call].runs.push(number);
     }
 
     /// An agent runs what it was offered under a later configuration.
-    pub(crate) fn began_behind(
+    pub(crate) fn check_run_config(
         &mut self,
         number: usize,
         own: ConfigVersion,
@@ -244,96 +244,96 @@
     ) {
         if own < theirs {
             let text = format!("run {number} under {own:?}, offered under {theirs:?}");
-            self.fault(7, text);
+            self.violation(7, text);
         }
     }
 
     /// An agent that was told to leave starts a run.
-    pub(crate) fn began_leaving(&mut self, number: usize, offered_later: bool, since: u64) {
+    pub(crate) fn check_run_after_leave(&mut self, number: usize, offered_later: bool, since: u64) {
         if offered_later {
-            self.fault(5, format!("run {number} was offered after the leave"));
+            self.violation(5, format!("run {number} was offered after the leave"));
         }
         if since > LAST_START {
-            self.fault(5, format!("run {number} began {since} us after the leave"));
+            self.violation(5, format!("run {number} began {since} us after the leave"));
         }
     }
 
     /// A caller is given something.
-    pub(crate) fn replied(&mut self, now: u64, call: usize, reply: &Reply) {
+    pub(crate) fn record_reply(&mut self, now: u64, call: usize, reply: &Reply) {
         if let Some(outcome) = self.calls[call].outcome {
-            let late = !matches!(outcome, Outcome::Cut | Outcome::Gone);
-            if late {
-                self.fault(1, format!("call {call} got more after {outcome:?}"));
+            let has_final_reply = !matches!(outcome, Outcome::Cut | Outcome::Gone);
+            if has_final_reply {
+                self.violation(1, format!("call {call} got more after {outcome:?}"));
             }
             return;
         }
         match reply {
-            Reply::Begin(point) => self.begun(call, point),
-            Reply::Tokens(chunk) => self.given(call, chunk),
-            Reply::End(finish) => self.ended(call, finish),
+            Reply::Begin(point) => self.on_begin(call, point),
+            Reply::Tokens(chunk) => self.on_tokens(call, chunk),
+            Reply::End(finish) => self.on_end(call, finish),
             Reply::Fail {
                 code,
                 retry_after,
                 delivered,
             } => {
                 self.calls[call].retry_after = *retry_after;
-                self.failed(now, call, *code, *delivered);
+                self.on_fail(now, call, *code, *delivered);
             }
         }
     }
 
-    fn begun(&mut self, call: usize, point: &ResumePoint) {
+    fn on_begin(&mut self, call: usize, point: &ResumePoint) {
         if self.calls[call].point.is_some() {
-            self.fault(1, format!("call {call} begins twice"));
+            self.violation(1, format!("call {call} begins twice"));
         }
         if point.next != self.calls[call].next {
             let text = format!("call {call} begins at {}, not next", point.next);
-            self.fault(1, text);
+            self.violation(1, text);
         }
         self.calls[call].point = Some(point.clone());
     }
 
-    fn given(&mut self, call: usize, chunk: &Chunk) {
+    fn on_tokens(&mut self, call: usize, chunk: &Chunk) {
         if self.calls[call].point.is_none() {
-            self.fault(1, format!("call {call} got tokens before its begin"));
+            self.violation(1, format!("call {call} got tokens before its begin"));
         }
         if chunk.offset != self.calls[call].next {
             let next = self.calls[call].next;
-            self.fault(1, format!("call {call} wants {next}, got {}", chunk.offset));
+            self.violation(1, format!("call {call} wants {next}, got {}", chunk.offset));
         }
-        let tokens: Vec<_> = chunk.tokens().map(scan_token).collect();
+        let tokens: Vec<_> = chunk.tokens().map(parse_token).collect();
         for token in tokens {
             match token {
-                Some((run, index)) => self.given_one(call, run, index),
-                None => self.fault(1, format!("call {call} got no whole token")),
+                Some((run, index)) => self.on_token(call, run, index),
+                None => self.violation(1, format!("call {call} got no whole token")),
             }
         }
     }
 
-    fn given_one(&mut self, call: usize, run: usize, index: u64) {
+    fn on_token(&mut self, call: usize, run: usize, index: u64) {
         let record = &mut self.calls[call];
         let same = *record.run.get_or_insert(run) == run;
         let in_order = record.next == index;
         record.next += 1;
-        let ask = record.ask;
+        let spec = record.spec;
         if !same {
-            self.fault(1, format!("call {call} got tokens of a second run {run}"));
+            self.violation(1, format!("call {call} got tokens of a second run {run}"));
         }
         if !in_order {
-            self.fault(1, format!("call {call} got token {index} out of order"));
+            self.violation(1, format!("call {call} got token {index} out of order"));
         }
         let source = &self.runs[run];
-        let own = source.workspace == fleet::workspace_name(ask.workspace);
-        if !own || source.content != ask.content {
-            self.fault(2, format!("call {call} got tokens of foreign run {run}"));
+        let own = source.workspace == fleet::workspace_name(spec.workspace);
+        if !own || source.content != spec.content {
+            self.violation(2, format!("call {call} got tokens of foreign run {run}"));
         }
     }
 
-    fn ended(&mut self, call: usize, finish: &Finish) {
+    fn on_end(&mut self, call: usize, finish: &Finish) {
         let record = &self.calls[call];
         let next = record.next;
-        let workspace = fleet::workspace_name(record.ask.workspace);
-        let content = record.ask.content;
+        let workspace = fleet::workspace_name(record.spec.workspace);
+        let content = record.spec.content;
         let whole = |r: &Run| {
             r.ended && r.emitted == next && r.content == content && r.workspace == workspace
         };
@@ -342,54 +342,62 @@
             None => self.runs.iter().any(whole),
         };
         if !found || finish.total != next {
-            self.fault(1, format!("call {call} ended at {next}, not whole"));
+            self.violation(1, format!("call {call} ended at {next}, not whole"));
         }
         self.calls[call].outcome = Some(Outcome::Whole);
     }
 
-    fn failed(&mut self, now: u64, call: usize, code: Code, delivered: u64) {
+    fn on_fail(&mut self, now: u64, call: usize, code: Code, delivered: u64) {
         let record = &self.calls[call];
         let waited = now - record.at - record.frozen;
-        let bound = u64::try_from(record.ask.max_wait().as_micros()).unwrap() + REFUSAL_SLACK;
+        let bound = u64::try_from(record.spec.max_wait().as_micros()).unwrap() + REFUSAL_SLACK;
         let ran = !record.runs.is_empty() || record.next > record.first;
         let given = record.next;
         // Nothing was given by this call: it need not know of an earlier one.
-        let honest = delivered == given || (delivered == 0 && given == record.first);
+        let count_correct = delivered == given || (delivered == 0 && given == record.first);
         if code.class() == Class::NotRun {
             if ran {
-                self.fault(3, format!("call {call} ran, but got {code:?}"));
+                self.violation(3, format!("call {call} ran, but got {code:?}"));
             }
-            if may_come_back(code) && self.calls[call].retry_after.is_none() {
-                self.fault(0, format!("call {call} got {code:?} and no time to retry"));
+            if is_temporary(code) && self.calls[call].retry_after.is_none() {
+                self.violation(0, format!("call {call} got {code:?} and no time to retry"));
             }
             if waited > bound {
-                self.fault(0, format!("call {call} got {code:?} after {waited} us"));
+                self.violation(0, format!("call {call} got {code:?} after {waited} us"));
             }
         }
-        if !honest {
+        if !count_correct {
             let text = format!("call {call} got {given} tokens, is told {delivered}");
-            self.fault(1, text);
+            self.violation(1, text);
         }
         self.calls[call].outcome = Some(Outcome::Failed(code));
     }
 
     /// A process that was told to stop has ended.
-    pub(crate) fn stopped(&mut self, proc: Proc, cut: &[usize]) {
+    pub(crate) fn record_stop(&mut self, proc: Proc, cut: &[usize]) {
         if !cut.is_empty() {
-            self.fault(6, format!("the stop of {proc:?} cut {cut:?}"));
+            self.violation(6, format!("the stop of {proc:?} cut {cut:?}"));
         }
     }
 
     /// A configuration is in force at a process in one of its lives.
-    pub(crate) fn in_force(&mut self, proc: Proc, life: u64, version: ConfigVersion, to: Digest) {
-        let Some((held, digest)) = self.configs.insert((proc, life), (version, to)) else {
+    pub(crate) fn record_config(
+        &mut self,
+        proc: Proc,
+        incarnation: u64,
+        version: ConfigVersion,
+        digest: Digest,
+    ) {
+        let Some((previous, previous_digest)) =
+            self.configs.insert((proc, incarnation), (version, digest))
+        else {
             return;
         };
-        if version < held {
-            self.fault(7, format!("{proc:?} went from {held:?} to {version:?}"));
+        if version < previous {
+            self.violation(7, format!("{proc:?} went from {previous:?} to {version:?}"));
         }
-        if version == held && digest != to {
-            self.fault(7, format!("{proc:?} replaced {held:?} by a rival"));
+        if version == previous && previous_digest != digest {
+            self.violation(7, format!("{proc:?} replaced {previous:?} by a rival"));
         }
     }
 }
--- a/fireflycroft/tests/support/scenario.rs
+++ b/fireflycroft/tests/support/scenario.rs
@@ -1,16 +1,16 @@
 //! Situations that a named case and a seeded fault share.
 
-use super::fleet::{Ask, ENGINES, Proc};
+use super::fleet::{CallSpec, ENGINES, Proc};
 use super::world::World;
 
 /// The agent that runs a call freezes before its first token; the call is
 /// started afresh elsewhere, then the frozen agent's tokens arrive.
 pub(crate) fn late_tokens_of_a_fenced_generation(world: &mut World) -> usize {
-    let ask = Ask {
+    let spec = CallSpec {
         content: 5,
-        ..Ask::default()
+        ..CallSpec::default()
     };
-    let call = world.submit(0, ask).unwrap();
+    let call = world.submit(0, spec).unwrap();
     world.advance(4);
     let frozen = world.agent_of(call).unwrap();
     world.freeze(Proc::Agent(frozen));
--- a/fireflycroft/tests/support/upstream.rs
+++ b/fireflycroft/tests/support/upstream.rs
@@ -77,7 +77,7 @@
         if live.content == fleet::POISON && live.sent >= 2 {
             return Turn::Die;
         }
-        let mut limit = fleet::length(live.content);
+        let mut limit = fleet::answer_tokens(live.content);
         match self.mood {
             Mood::Full => return Turn::Wait,
             Mood::Die(n) if live.sent == n => {
@@ -92,7 +92,7 @@
             Mood::Die(n) | Mood::Break(n) | Mood::Lose(n) if n > live.sent => limit = limit.min(n),
             _ => {}
         }
-        if live.sent >= fleet::length(live.content) {
+        if live.sent >= fleet::answer_tokens(live.content) {
             return Turn::End;
         }
         if live.content == fleet::POISON {
--- a/fireflycroft/tests/support/world.rs
+++ b/fireflycroft/tests/support/world.rs
@@ -9,7 +9,7 @@
 use super::link::{MS, Net};
 use super::mutant::Mutant;
 use super::op::Op;
-use super::oracle::{Fault, Oracle};
+use super::oracle::{Oracle, Violation};
 use super::platform::{Platform, PlatformMode};
 use super::rng::Rng;
 use super::upstream::{Mood, Upstream};
@@ -24,7 +24,7 @@
 const TICK: u64 = 100 * MS;
 
 /// Time without any fault before a stop is blamed for what it cut.
-const CALM: u64 = 8_000 * MS;
+const FAULT_FREE_SPAN: u64 = 8_000 * MS;
 
 /// Time after all is mended within which every call must end.
 const END_BOUND: u64 = 60_000 * MS;
@@ -37,7 +37,7 @@
 struct Node<C, E> {
     core: C,
     alive: bool,
-    life: u64,
+    incarnation: u64,
     born: u64,
     frozen: Option<u64>,
     inbox: Vec<E>,
@@ -47,11 +47,11 @@
 }
 
 impl<C, E> Node<C, E> {
-    fn new(core: C, life: u64, born: u64) -> Self {
+    fn new(core: C, incarnation: u64, born: u64) -> Self {
         Self {
             core,
             alive: true,
-            life,
+            incarnation,
             born,
             frozen: None,
             inbox: Vec::new(),
@@ -64,17 +64,17 @@
         Time(now - self.born)
     }
 
-    fn works(&self) -> bool {
+    fn is_running(&self) -> bool {
         self.alive && self.frozen.is_none()
     }
 }
 
 /// What is to happen at a time.
 #[derive(Clone, Debug)]
-enum Due {
+enum ScheduledEvent {
     Packet(SocketAddr, Box<Envelope>),
     Tick,
-    Rebirth(Proc),
+    Restart(Proc),
     Entry(usize, u64, EntryEvent),
     Agent(usize, u64, AgentEvent),
     Claim(PlatformCall),
@@ -82,7 +82,11 @@
     Emit(usize, GenerationId, u64),
     Reattach(usize, GenerationId),
     UpstreamUp(usize),
-    Config { to: Proc, life: u64, from: Proc },
+    Config {
+        to: Proc,
+        incarnation: u64,
+        from: Proc,
+    },
     Member(usize, usize, MemberState),
 }
 
@@ -97,7 +101,7 @@
 #[derive(Clone, Debug)]
 struct PlatformCall {
     entry: usize,
-    life: u64,
+    incarnation: u64,
     call: CallId,
     key: Digest,
     op: ClaimOp,
@@ -119,18 +123,18 @@
     entries: Vec<Node<Entry, EntryEvent>>,
     agents: Vec<Node<Agent, AgentEvent>>,
     upstreams: Vec<Upstream>,
-    due: BTreeMap<(u64, u64), Due>,
-    drawn: u64,
+    queue: BTreeMap<(u64, u64), ScheduledEvent>,
+    sequence: u64,
     /// Callers take nothing of what they are given.
-    stalled: bool,
+    callers_stalled: bool,
     /// Last time that anything was broken.
-    troubled: u64,
+    last_fault: u64,
     /// Highest configuration that any process was given.
-    head: u64,
+    highest_version: u64,
     /// Generation that each reader asked for last.
-    wanted: BTreeMap<RequestId, GenerationId>,
+    awaited: BTreeMap<RequestId, GenerationId>,
     /// Offers that reached an agent after it was told to leave.
-    too_late: BTreeSet<(usize, u64, RequestId, u32)>,
+    offered_after_leave: BTreeSet<(usize, u64, RequestId, u32)>,
     /// Configuration that rode on the first copy of each offer to arrive.
     offered: BTreeMap<(RequestId, u32), ConfigVersion>,
     /// Offer that a reservation was made for.
@@ -153,13 +157,13 @@
             entries: (0..ENTRIES).map(entry).collect(),
             agents: (0..AGENTS).map(agent).collect(),
             upstreams: vec![Upstream::default(); AGENTS],
-            due: BTreeMap::new(),
-            drawn: 0,
-            stalled: false,
-            troubled: 0,
-            head: 1,
-            wanted: BTreeMap::new(),
-            too_late: BTreeSet::new(),
+            queue: BTreeMap::new(),
+            sequence: 0,
+            callers_stalled: false,
+            last_fault: 0,
+            highest_version: 1,
+            awaited: BTreeMap::new(),
+            offered_after_leave: BTreeSet::new(),
             offered: BTreeMap::new(),
             offer_of: BTreeMap::new(),
         };
@@ -172,61 +176,61 @@
         for entry in 0..ENTRIES {
             world.introduce(entry);
         }
-        world.push(0, Due::Tick);
+        world.schedule(0, ScheduledEvent::Tick);
         world
     }
 
     /// What the oracle found wrong.
-    pub(crate) fn faults(&self) -> &[Fault] {
-        &self.oracle.faults
+    pub(crate) fn violations(&self) -> &[Violation] {
+        &self.oracle.violations
     }
 
     /// Carries out one step.
     pub(crate) fn apply(&mut self, op: &Op) {
         self.events += 1;
         match *op {
-            Op::Submit(entry, ask) => {
-                self.submit(entry, ask);
+            Op::Submit(entry, spec) => {
+                self.submit(entry, spec);
             }
-            Op::Twins(a, b, ask) => {
-                self.submit(a, ask);
-                self.submit(b, ask);
+            Op::SubmitTwice(a, b, spec) => {
+                self.submit(a, spec);
+                self.submit(b, spec);
             }
-            Op::Again(call, entry) => self.again(call, entry),
-            Op::Resume { call, entry, back } => self.resume_one(call, entry, back),
-            Op::Steal { call, entry } => {
+            Op::Resend(call, entry) => self.resend(call, entry),
+            Op::Resume { call, entry, back } => self.resume_indexed(call, entry, back),
+            Op::ResumeAsOtherWorkspace { call, entry } => {
                 if let Some(call) = self.pick(call) {
-                    let owner = self.oracle.calls[call].ask.workspace;
-                    self.steal(call, entry, (owner + 1) % fleet::WORKSPACES);
+                    let owner = self.oracle.calls[call].spec.workspace;
+                    self.resume_as_other_workspace(call, entry, (owner + 1) % fleet::WORKSPACES);
                 }
             }
-            Op::Gone(call) => {
+            Op::CallerGone(call) => {
                 if let Some(call) = self.pick(call) {
                     self.leave_caller(call);
                 }
             }
             Op::Advance(millis) => self.advance(millis),
             Op::Heal => self.heal(),
-            _ => self.trouble(op),
+            _ => self.apply_fault(op),
         }
     }
 
-    fn trouble(&mut self, op: &Op) {
-        self.troubled = self.now;
+    fn apply_fault(&mut self, op: &Op) {
+        self.last_fault = self.now;
         match *op {
             Op::Weather(weather) => self.net.weather = weather,
             Op::Cut(from, to) => self.net.cut(from.addr(), to.addr()),
-            Op::Join(from, to) => self.net.join(from.addr(), to.addr()),
+            Op::Reconnect(from, to) => self.net.join(from.addr(), to.addr()),
             Op::Kill(proc) => self.kill(proc),
             Op::Freeze(proc) => self.freeze(proc),
             Op::Thaw(proc) => self.thaw(proc),
             Op::Leave(proc) => self.leave(proc),
-            Op::Stay(agent) => self.stay(agent),
+            Op::CancelLeave(agent) => self.stay(agent),
             Op::Upstream(agent, mood) => self.set_mood(agent, mood),
             Op::Crash(agent) => self.crash(agent),
             Op::Platform(mode) => self.platform.mode = mode,
             Op::Config { to, version, other } => {
-                self.head = self.head.max(version);
+                self.highest_version = self.highest_version.max(version);
                 self.configure(to, &fleet::config(version, other));
             }
             Op::Member {
@@ -241,14 +245,14 @@
     /// Lets time go on.
     pub(crate) fn advance(&mut self, millis: u64) {
         let until = self.now + millis * MS;
-        while let Some(next) = self.due.first_entry() {
+        while let Some(next) = self.queue.first_entry() {
             if next.key().0 > until {
                 break;
             }
-            let ((at, _), due) = next.remove_entry();
+            let ((at, _), queue) = next.remove_entry();
             self.now = at;
             self.events += 1;
-            self.carry_out(due);
+            self.execute(queue);
         }
         self.now = until;
     }
@@ -262,42 +266,46 @@
         }
     }
 
-    fn push(&mut self, delay: u64, due: Due) {
-        self.drawn += 1;
-        self.due.insert((self.now + delay, self.drawn), due);
+    fn schedule(&mut self, delay: u64, queue: ScheduledEvent) {
+        self.sequence += 1;
+        self.queue.insert((self.now + delay, self.sequence), queue);
     }
 
-    fn carry_out(&mut self, due: Due) {
-        match due {
-            Due::Packet(to, envelope) => self.deliver(to, *envelope),
-            Due::Tick => self.tick(),
-            Due::Rebirth(proc) => self.rebirth(proc),
-            Due::Entry(i, life, event) => {
-                if self.entries[i].life == life {
+    fn execute(&mut self, queue: ScheduledEvent) {
+        match queue {
+            ScheduledEvent::Packet(to, envelope) => self.deliver(to, *envelope),
+            ScheduledEvent::Tick => self.tick(),
+            ScheduledEvent::Restart(proc) => self.restart(proc),
+            ScheduledEvent::Entry(i, incarnation, event) => {
+                if self.entries[i].incarnation == incarnation {
                     self.entry(i, event);
                 }
             }
-            Due::Agent(i, life, event) => {
-                if self.agents[i].life == life {
+            ScheduledEvent::Agent(i, incarnation, event) => {
+                if self.agents[i].incarnation == incarnation {
                     self.agent(i, event);
                 }
             }
-            Due::Claim(call) => self.claim_effect(call),
-            Due::Begin(agent, life, order) => {
-                if self.agents[agent].life == life && self.agents[agent].alive {
+            ScheduledEvent::Claim(call) => self.claim_effect(call),
+            ScheduledEvent::Begin(agent, incarnation, order) => {
+                if self.agents[agent].incarnation == incarnation && self.agents[agent].alive {
                     self.begin(agent, *order);
                 }
             }
-            Due::Emit(agent, generation, epoch) => self.emit(agent, generation, epoch),
-            Due::Reattach(agent, generation) => self.reattach(agent, generation),
-            Due::UpstreamUp(agent) => self.upstream_up(agent),
-            Due::Config { to, life, from } => self.give_config(to, life, from),
-            Due::Member(entry, agent, state) => self.tell_member(entry, agent, state),
+            ScheduledEvent::Emit(agent, generation, epoch) => self.emit(agent, generation, epoch),
+            ScheduledEvent::Reattach(agent, generation) => self.reattach(agent, generation),
+            ScheduledEvent::UpstreamUp(agent) => self.upstream_up(agent),
+            ScheduledEvent::Config {
+                to,
+                incarnation,
+                from,
+            } => self.give_config(to, incarnation, from),
+            ScheduledEvent::Member(entry, agent, state) => self.tell_member(entry, agent, state),
         }
     }
 
     fn tick(&mut self) {
-        self.push(TICK, Due::Tick);
+        self.schedule(TICK, ScheduledEvent::Tick);
         for i in 0..ENTRIES {
             if self.mutant != Mutant::NoTicks {
                 self.entry(i, EntryEvent::Tick);
@@ -322,9 +330,9 @@
         for proc in Proc::all() {
             self.thaw(proc);
         }
-        self.head += 1;
+        self.highest_version += 1;
         for proc in Proc::all() {
-            self.configure(proc, &fleet::config(self.head, false));
+            self.configure(proc, &fleet::config(self.highest_version, false));
         }
         for entry in 0..ENTRIES {
             self.introduce(entry);
@@ -345,7 +353,7 @@
     fn check_answered(&mut self) {
         let open: Vec<usize> = self.oracle.open().collect();
         if !open.is_empty() {
-            self.oracle.fault(0, format!("calls {open:?} hang"));
+            self.oracle.violation(0, format!("calls {open:?} hang"));
         }
     }
 
@@ -355,7 +363,7 @@
             let held: u32 = core.router().agents().map(|a| a.outstanding).sum();
             if core.calls() > 0 || !core.is_idle() || held > 0 || core.buffered_bytes() > 0 {
                 let text = format!("entry {i} holds {} calls, {held} shares", core.calls());
-                self.oracle.fault(0, text);
+                self.oracle.violation(0, text);
             }
         }
         for i in 0..AGENTS {
@@ -363,7 +371,7 @@
             let idle = self.agents[i].core.is_idle();
             if !idle || load.running > 0 || load.queued > 0 {
                 let text = format!("agent {i} holds {load:?}, idle: {idle}");
-                self.oracle.fault(0, text);
+                self.oracle.violation(0, text);
             }
         }
     }
--- a/fireflycroft/tests/support/world/callers.rs
+++ b/fireflycroft/tests/support/world/callers.rs
@@ -1,7 +1,7 @@
 //! What callers do, and what a test reads of them.
 
-use super::{Due, World};
-use crate::support::fleet::{Ask, Proc};
+use super::{ScheduledEvent, World};
+use crate::support::fleet::{CallSpec, Proc};
 use crate::support::link::MS;
 use crate::support::oracle::Outcome;
 use fireflycroft::{CallId, Digest, EntryEvent, Reply, ResumePoint};
@@ -35,10 +35,10 @@
     }
 
     /// Lives that the process had before this one.
-    pub(crate) fn life(&self, proc: Proc) -> u64 {
+    pub(crate) fn incarnation(&self, proc: Proc) -> u64 {
         match proc {
-            Proc::Entry(i) => self.entries[i].life,
-            Proc::Agent(i) => self.agents[i].life,
+            Proc::Entry(i) => self.entries[i].incarnation,
+            Proc::Agent(i) => self.agents[i].incarnation,
         }
     }
 
@@ -56,8 +56,8 @@
     }
 
     /// A caller asks; `None` when the entry does not answer.
-    pub(crate) fn submit(&mut self, entry: usize, ask: Ask) -> Option<usize> {
-        self.submit_from(entry, ask, None)
+    pub(crate) fn submit(&mut self, entry: usize, spec: CallSpec) -> Option<usize> {
+        self.submit_from(entry, spec, None)
     }
 
     /// A caller goes on at a point of an earlier call.
@@ -67,24 +67,24 @@
             next,
             ..record.point.clone()?
         };
-        let ask = record.ask;
-        self.submit_from(entry, ask, Some((earlier, point)))
+        let spec = record.spec;
+        self.submit_from(entry, spec, Some((earlier, point)))
     }
 
     pub(crate) fn submit_from(
         &mut self,
         entry: usize,
-        ask: Ask,
+        spec: CallSpec,
         from: Option<(usize, ResumePoint)>,
     ) -> Option<usize> {
-        if !self.entries[entry].works() {
+        if !self.entries[entry].is_running() {
             return None;
         }
-        let mut submission = ask.submission();
+        let mut submission = spec.submission();
         submission.resume = from.as_ref().map(|(_, point)| point.clone());
         let from = from.map(|(call, point)| (call, point.next));
-        let call = self.oracle.asked(self.now, entry, ask, from);
-        self.oracle.calls[call].late = self.entries[entry].leaving.is_some();
+        let call = self.oracle.record_call(self.now, entry, spec, from);
+        self.oracle.calls[call].entry_leaving = self.entries[entry].leaving.is_some();
         let event = EntryEvent::Submit(CallId(call as u64), Box::new(submission));
         self.entry(entry, event);
         Some(call)
@@ -101,7 +101,7 @@
 
     /// Callers stop taking, or take again all that they were given.
     pub(crate) fn stall_callers(&mut self, stalled: bool) {
-        self.stalled = stalled;
+        self.callers_stalled = stalled;
         let open: Vec<usize> = self.oracle.open().collect();
         for call in open.into_iter().filter(|_| !stalled) {
             let record = &self.oracle.calls[call];
@@ -115,14 +115,14 @@
         (calls > 0).then(|| index.index(calls))
     }
 
-    pub(super) fn again(&mut self, call: Index, entry: usize) {
+    pub(super) fn resend(&mut self, call: Index, entry: usize) {
         if let Some(call) = self.pick(call) {
-            let ask = self.oracle.calls[call].ask;
-            self.submit(entry, ask);
+            let spec = self.oracle.calls[call].spec;
+            self.submit(entry, spec);
         }
     }
 
-    pub(super) fn resume_one(&mut self, call: Index, entry: usize, back: bool) {
+    pub(super) fn resume_indexed(&mut self, call: Index, entry: usize, back: bool) {
         if let Some(call) = self.pick(call) {
             let next = self.oracle.calls[call].next;
             self.resume(entry, call, if back { next / 2 } else { next });
@@ -130,13 +130,18 @@
     }
 
     /// Another workspace uses the resume point of a call.
-    pub(crate) fn steal(&mut self, call: usize, entry: usize, workspace: usize) -> Option<usize> {
+    pub(crate) fn resume_as_other_workspace(
+        &mut self,
+        call: usize,
+        entry: usize,
+        workspace: usize,
+    ) -> Option<usize> {
         let point = self.point(call)?;
-        let ask = Ask {
+        let spec = CallSpec {
             workspace,
-            ..self.oracle.calls[call].ask
+            ..self.oracle.calls[call].spec
         };
-        self.submit_from(entry, ask, Some((call, point)))
+        self.submit_from(entry, spec, Some((call, point)))
     }
 
     /// Where the call may be resumed.
@@ -146,14 +151,14 @@
 
     pub(super) fn reply(&mut self, entry: usize, call: CallId, reply: &Reply) {
         let index = usize::try_from(call.0).unwrap();
-        self.oracle.replied(self.now, index, reply);
+        self.oracle.record_reply(self.now, index, reply);
         if let Reply::Tokens(chunk) = reply
-            && !self.stalled
+            && !self.callers_stalled
         {
             let delay = self.rng.below(20) * MS;
-            let life = self.entries[entry].life;
+            let incarnation = self.entries[entry].incarnation;
             let taken = EntryEvent::Consumed(call, chunk.end());
-            self.push(delay, Due::Entry(entry, life, taken));
+            self.schedule(delay, ScheduledEvent::Entry(entry, incarnation, taken));
         }
     }
 }
--- a/fireflycroft/tests/support/world/messages.rs
+++ b/fireflycroft/tests/support/world/messages.rs
@@ -1,6 +1,6 @@
 //! Messages, membership and configurations between the processes.
 
-use super::{Due, World};
+use super::{ScheduledEvent, World};
 use crate::support::fleet::{self, AGENTS, Proc};
 use crate::support::mutant::Mutant;
 use fireflycroft::{
@@ -28,22 +28,25 @@
             | Message::Attach {
                 reader, generation, ..
             } => {
-                self.wanted.insert(*reader, *generation);
+                self.awaited.insert(*reader, *generation);
             }
             _ => {}
         }
-        let (life, load) = match from {
-            Proc::Entry(i) => (self.entries[i].life, None),
-            Proc::Agent(i) => (self.agents[i].life, Some(self.agents[i].core.load())),
+        let (incarnation, load) = match from {
+            Proc::Entry(i) => (self.entries[i].incarnation, None),
+            Proc::Agent(i) => (self.agents[i].incarnation, Some(self.agents[i].core.load())),
         };
         let envelope = Envelope {
-            from: from.peer(life),
+            from: from.peer(incarnation),
             config: self.config_of(from),
             load,
             body: self.mutate(message),
         };
         for delay in self.net.delays(&mut self.rng, from.addr(), to) {
-            self.push(delay, Due::Packet(to, Box::new(envelope.clone())));
+            self.schedule(
+                delay,
+                ScheduledEvent::Packet(to, Box::new(envelope.clone())),
+            );
         }
     }
 
@@ -69,7 +72,7 @@
                 },
                 Mutant::AnyGeneration,
             ) => {
-                if let Some(wanted) = self.wanted.get(reader) {
+                if let Some(wanted) = self.awaited.get(reader) {
                     *generation = *wanted;
                 }
             }
@@ -105,7 +108,7 @@
 
     pub(crate) fn tell_member(&mut self, entry: usize, agent: usize, state: MemberState) {
         let record = MemberRecord {
-            peer: Proc::Agent(agent).peer(self.agents[agent].life),
+            peer: Proc::Agent(agent).peer(self.agents[agent].incarnation),
             data_centre: Name::from("dc"),
             state,
             turn: 0,
@@ -119,12 +122,12 @@
         match proc {
             Proc::Entry(i) => {
                 if self.mutant == Mutant::AnyConfig && self.config_of(proc) > config.version {
-                    self.entries[i].core = fleet::new_entry(i, self.entries[i].life);
+                    self.entries[i].core = fleet::new_entry(i, self.entries[i].incarnation);
                 }
                 self.entry(i, EntryEvent::Config(config.clone()));
             }
             Proc::Agent(i) => {
-                if !self.agents[i].works() {
+                if !self.agents[i].is_running() {
                     return;
                 }
                 self.agents[i].config.adopt(config.clone());
@@ -135,40 +138,50 @@
     }
 
     pub(super) fn check_config(&mut self, proc: Proc) {
-        let (life, config) = match proc {
-            Proc::Entry(i) => (self.entries[i].life, self.entries[i].core.config()),
-            Proc::Agent(i) => (self.agents[i].life, self.agents[i].config.get()),
+        let (incarnation, config) = match proc {
+            Proc::Entry(i) => (self.entries[i].incarnation, self.entries[i].core.config()),
+            Proc::Agent(i) => (self.agents[i].incarnation, self.agents[i].config.get()),
         };
         if let Some(config) = config {
             let (version, digest) = (config.version, config.digest);
-            self.oracle.in_force(proc, life, version, digest);
+            self.oracle
+                .record_config(proc, incarnation, version, digest);
         }
     }
 
     pub(super) fn pull_config(&mut self, to: Proc, addr: SocketAddr) {
-        let life = match to {
-            Proc::Entry(i) => self.entries[i].life,
-            Proc::Agent(i) => self.agents[i].life,
+        let incarnation = match to {
+            Proc::Entry(i) => self.entries[i].incarnation,
+            Proc::Agent(i) => self.agents[i].incarnation,
         };
         let from = Proc::of(addr);
         let there = self.net.delays(&mut self.rng, to.addr(), addr);
         let back = self.net.delays(&mut self.rng, addr, to.addr());
         if let (Some(there), Some(back)) = (there.first(), back.first()) {
-            self.push(there + back, Due::Config { to, life, from });
+            self.schedule(
+                there + back,
+                ScheduledEvent::Config {
+                    to,
+                    incarnation,
+                    from,
+                },
+            );
         }
     }
 
-    pub(super) fn give_config(&mut self, to: Proc, life: u64, from: Proc) {
+    pub(super) fn give_config(&mut self, to: Proc, incarnation: u64, from: Proc) {
         let config = match from {
-            Proc::Entry(i) if self.entries[i].works() => self.entries[i].core.config().cloned(),
-            Proc::Agent(i) if self.agents[i].works() => self.agents[i].config.get().cloned(),
+            Proc::Entry(i) if self.entries[i].is_running() => {
+                self.entries[i].core.config().cloned()
+            }
+            Proc::Agent(i) if self.agents[i].is_running() => self.agents[i].config.get().cloned(),
             _ => None,
         };
-        let same_life = match to {
-            Proc::Entry(i) => self.entries[i].life == life,
-            Proc::Agent(i) => self.agents[i].life == life,
+        let same_incarnation = match to {
+            Proc::Entry(i) => self.entries[i].incarnation == incarnation,
+            Proc::Agent(i) => self.agents[i].incarnation == incarnation,
         };
-        if let Some(config) = config.filter(|_| same_life) {
+        if let Some(config) = config.filter(|_| same_incarnation) {
             self.configure(to, &config);
         }
     }
--- a/fireflycroft/tests/support/world/processes.rs
+++ b/fireflycroft/tests/support/world/processes.rs
@@ -1,6 +1,6 @@
 //! Lives of entries and agents, and what they want done.
 
-use super::{CALM, Due, Node, RunOrder, World};
+use super::{FAULT_FREE_SPAN, Node, RunOrder, ScheduledEvent, World};
 use crate::support::fleet::{self, ENTRIES, Proc};
 use crate::support::link::MS;
 use crate::support::mutant::Mutant;
@@ -28,7 +28,7 @@
         let mut out = Vec::new();
         node.core.on_event(node.local(self.now), event, &mut out);
         if let Some(call) = submitted {
-            self.number(call, &out);
+            self.record_request_id(call, &out);
         }
         for action in out {
             self.entry_action(i, action);
@@ -37,7 +37,7 @@
     }
 
     /// Reads from the first message or note which request id the call has.
-    pub(super) fn number(&mut self, call: CallId, out: &[EntryAction]) {
+    pub(super) fn record_request_id(&mut self, call: CallId, out: &[EntryAction]) {
         let request = out.iter().find_map(|action| match action {
             EntryAction::Send(_, Message::Offer { request, .. }) => Some(*request),
             EntryAction::Send(_, Message::Attach { reader, .. }) => Some(*reader),
@@ -47,7 +47,7 @@
         });
         if let Some(request) = request {
             let call = usize::try_from(call.0).unwrap();
-            self.oracle.numbered(call, request);
+            self.oracle.record_request_id(call, request);
         }
     }
 
@@ -57,7 +57,7 @@
             EntryAction::Send(to, message) => self.send(from, to, message),
             EntryAction::Broadcast(message) => self.broadcast(from, &message),
             EntryAction::Reply(call, reply) => {
-                if self.mutant == Mutant::HandOnTwice && matches!(reply, Reply::Tokens(_)) {
+                if self.mutant == Mutant::DeliverTwice && matches!(reply, Reply::Tokens(_)) {
                     self.reply(i, call, &reply);
                 }
                 self.reply(i, call, &reply);
@@ -104,13 +104,14 @@
             .or_insert(envelope.config);
         let known = self.offer_of.values().any(|o| *o == (request, attempt));
         if node.leaving.is_some() && !known {
-            self.too_late.insert((i, node.life, request, attempt));
+            self.offered_after_leave
+                .insert((i, node.incarnation, request, attempt));
         }
     }
 
     pub(super) fn agent_action(&mut self, i: usize, action: AgentAction) {
         let from = Proc::Agent(i);
-        let life = self.agents[i].life;
+        let incarnation = self.agents[i].incarnation;
         match action {
             AgentAction::Send(to, message) => {
                 if let Message::Accept {
@@ -137,10 +138,10 @@
                     demand,
                     work,
                 };
-                self.push(MS, Due::Begin(i, life, Box::new(order)));
+                self.schedule(MS, ScheduledEvent::Begin(i, incarnation, Box::new(order)));
             }
             AgentAction::Resume { generation, .. } => {
-                self.push(5 * MS, Due::Reattach(i, generation));
+                self.schedule(5 * MS, ScheduledEvent::Reattach(i, generation));
             }
             AgentAction::Stop(generation) => {
                 self.upstreams[i].live.remove(&generation);
@@ -170,39 +171,39 @@
             }
         }
         let delay = self.rng.below(3_000) * MS;
-        self.push(delay, Due::Rebirth(proc));
+        self.schedule(delay, ScheduledEvent::Restart(proc));
     }
 
-    pub(super) fn rebirth(&mut self, proc: Proc) {
+    pub(super) fn restart(&mut self, proc: Proc) {
         let now = self.now;
         match proc {
             Proc::Entry(i) => {
-                let life = self.entries[i].life + 1;
-                self.entries[i] = Node::new(fleet::new_entry(i, life), life, now);
+                let incarnation = self.entries[i].incarnation + 1;
+                self.entries[i] = Node::new(fleet::new_entry(i, incarnation), incarnation, now);
                 self.introduce(i);
             }
             Proc::Agent(i) => {
-                let life = self.agents[i].life + 1;
-                self.agents[i] = Node::new(fleet::new_agent(i, life), life, now);
+                let incarnation = self.agents[i].incarnation + 1;
+                self.agents[i] = Node::new(fleet::new_agent(i, incarnation), incarnation, now);
                 if self.upstreams[i].up {
                     self.agent(i, AgentEvent::UpstreamUp);
                 }
                 for entry in 0..ENTRIES {
                     let delay = self.rng.below(1_500) * MS;
-                    self.push(delay, Due::Member(entry, i, MemberState::Alive));
+                    self.schedule(delay, ScheduledEvent::Member(entry, i, MemberState::Alive));
                 }
             }
         }
-        let version = 1 + self.rng.below(self.head);
+        let version = 1 + self.rng.below(self.highest_version);
         self.configure(proc, &fleet::config(version, false));
     }
 
     /// An entry's new life that knows no agents, nor a configuration if so.
-    pub(crate) fn revive_alone(&mut self, i: usize, configured: bool) {
-        let life = self.entries[i].life + 1;
-        self.entries[i] = Node::new(fleet::new_entry(i, life), life, self.now);
+    pub(crate) fn restart_isolated(&mut self, i: usize, configured: bool) {
+        let incarnation = self.entries[i].incarnation + 1;
+        self.entries[i] = Node::new(fleet::new_entry(i, incarnation), incarnation, self.now);
         if configured {
-            self.configure(Proc::Entry(i), &fleet::config(self.head, false));
+            self.configure(Proc::Entry(i), &fleet::config(self.highest_version, false));
         }
     }
 
@@ -259,11 +260,11 @@
     pub(crate) fn leave(&mut self, proc: Proc) {
         let now = self.now;
         match proc {
-            Proc::Entry(i) if self.entries[i].works() => {
+            Proc::Entry(i) if self.entries[i].is_running() => {
                 self.entries[i].leaving.get_or_insert(now);
                 self.entry(i, EntryEvent::Leave);
             }
-            Proc::Agent(i) if self.agents[i].works() => {
+            Proc::Agent(i) if self.agents[i].is_running() => {
                 self.agents[i].leaving.get_or_insert(now);
                 if self.mutant != Mutant::IgnoreLeave {
                     self.agent(i, AgentEvent::Leave);
@@ -274,7 +275,7 @@
     }
 
     pub(crate) fn stay(&mut self, agent: usize) {
-        if self.agents[agent].works() {
+        if self.agents[agent].is_running() {
             self.agents[agent].leaving = None;
             self.agent(agent, AgentEvent::Stay);
         }
@@ -285,16 +286,16 @@
         let ready = match proc {
             Proc::Entry(i) => {
                 let node = &self.entries[i];
-                node.works() && node.leaving.is_some() && (at_once || node.core.is_idle())
+                node.is_running() && node.leaving.is_some() && (at_once || node.core.is_idle())
             }
             Proc::Agent(i) => {
                 let node = &self.agents[i];
-                node.works() && node.leaving.is_some() && (at_once || node.core.is_idle())
+                node.is_running() && node.leaving.is_some() && (at_once || node.core.is_idle())
             }
         };
         if ready {
             let cut = self.cut_by_stop(proc);
-            self.oracle.stopped(proc, &cut);
+            self.oracle.record_stop(proc, &cut);
             self.kill(proc);
         }
     }
@@ -304,14 +305,14 @@
         match proc {
             Proc::Entry(i) => self.oracle.open_at(i),
             Proc::Agent(i) => {
-                let calm = self.is_calm();
+                let fault_free = self.is_fault_free();
                 let here = |call: &usize| {
                     let record = &self.oracle.calls[*call];
                     let run = record.run.or(record.runs.last().copied());
                     run.is_some_and(|r| {
                         let run = &self.oracle.runs[r];
                         let live = self.upstreams[i].live.contains_key(&run.generation);
-                        live || (calm && run.agent == i && record.next < run.emitted)
+                        live || (fault_free && run.agent == i && record.next < run.emitted)
                     })
                 };
                 self.oracle.open().filter(here).collect()
@@ -320,8 +321,8 @@
     }
 
     /// Whether nothing has been broken for a while.
-    pub(super) fn is_calm(&self) -> bool {
+    pub(super) fn is_fault_free(&self) -> bool {
         let frozen = self.entries.iter().any(|e| e.frozen.is_some());
-        self.net.is_calm() && !frozen && self.now - self.troubled > CALM
+        self.net.is_calm() && !frozen && self.now - self.last_fault > FAULT_FREE_SPAN
     }
 }
--- a/fireflycroft/tests/support/world/services.rs
+++ b/fireflycroft/tests/support/world/services.rs
@@ -1,7 +1,7 @@
 //! The platform and the upstreams, as the processes meet them.
 
-use super::{Due, PlatformCall, RunOrder, World};
-use crate::support::fleet::{self, AGENTS, Ask, Proc};
+use super::{PlatformCall, RunOrder, ScheduledEvent, World};
+use crate::support::fleet::{self, AGENTS, CallSpec, Proc};
 use crate::support::link::MS;
 use crate::support::mutant::Mutant;
 use crate::support::oracle::{RunStart, token};
@@ -14,18 +14,18 @@
 impl World {
     pub(super) fn claim(&mut self, entry: usize, call: CallId, key: Digest, op: ClaimOp) {
         let plan = self.platform.plan(&mut self.rng);
-        let life = self.entries[entry].life;
+        let incarnation = self.entries[entry].incarnation;
         if let Some(effect) = plan.effect {
             let answer = (!plan.lost).then_some(self.now + plan.answer);
             let call = PlatformCall {
                 entry,
-                life,
+                incarnation,
                 call,
                 key,
                 op,
                 answer,
             };
-            self.push(effect, Due::Claim(call));
+            self.schedule(effect, ScheduledEvent::Claim(call));
         }
         let answer = if plan.lost {
             ClaimAnswer::Lost
@@ -35,7 +35,10 @@
             return;
         };
         let event = EntryEvent::Claim(call, answer);
-        self.push(plan.answer, Due::Entry(entry, life, event));
+        self.schedule(
+            plan.answer,
+            ScheduledEvent::Entry(entry, incarnation, event),
+        );
     }
 
     pub(super) fn claim_effect(&mut self, call: PlatformCall) {
@@ -47,7 +50,10 @@
         if let Some(at) = call.answer {
             let event = EntryEvent::Claim(call.call, answer);
             let delay = at.saturating_sub(self.now);
-            self.push(delay, Due::Entry(call.entry, call.life, event));
+            self.schedule(
+                delay,
+                ScheduledEvent::Entry(call.entry, call.incarnation, event),
+            );
         }
     }
 
@@ -90,7 +96,7 @@
     }
 
     pub(super) fn begin(&mut self, agent: usize, order: RunOrder) {
-        let life = self.agents[agent].life;
+        let incarnation = self.agents[agent].incarnation;
         let generation = order.generation;
         let refusal = if !self.upstreams[agent].up {
             Some(Code::NoUpstream)
@@ -101,11 +107,11 @@
         };
         if let Some(code) = refusal {
             let event = AgentEvent::NotStarted { generation, code };
-            self.push(MS, Due::Agent(agent, life, event));
+            self.schedule(MS, ScheduledEvent::Agent(agent, incarnation, event));
             return;
         }
         let content = fleet::content_of(&order.work);
-        let run = self.oracle.began(RunStart {
+        let run = self.oracle.record_run(RunStart {
             agent,
             generation,
             request: order.request,
@@ -115,10 +121,10 @@
         self.check_leaving(agent, run, generation);
         if let Some(offered) = self.offered_under(generation) {
             let own = self.agents[agent].config.version();
-            self.oracle.began_behind(run, own, offered);
+            self.oracle.check_run_config(run, own, offered);
         }
         self.upstreams[agent].begin(generation, run, content);
-        self.push(5 * MS, Due::Emit(agent, generation, 0));
+        self.schedule(5 * MS, ScheduledEvent::Emit(agent, generation, 0));
     }
 
     /// Configuration under which the generation was offered.
@@ -134,12 +140,12 @@
         };
         let offer = self.offer_of.get(&generation);
         let late = offer.is_some_and(|(request, attempt)| {
-            let offer = (agent, node.life, *request, *attempt);
-            self.too_late.contains(&offer)
+            let offer = (agent, node.incarnation, *request, *attempt);
+            self.offered_after_leave.contains(&offer)
         });
         // The upstream takes a millisecond to begin.
         let since = (self.now - leaving).saturating_sub(MS);
-        self.oracle.began_leaving(run, late, since);
+        self.oracle.check_run_after_leave(run, late, since);
     }
 
     pub(super) fn emit(&mut self, agent: usize, generation: GenerationId, epoch: u64) {
@@ -153,9 +159,9 @@
         match self.upstreams[agent].turn(generation, burst) {
             Turn::Give(count) => {
                 self.give_tokens(agent, generation, count);
-                self.push(pause, Due::Emit(agent, generation, epoch));
+                self.schedule(pause, ScheduledEvent::Emit(agent, generation, epoch));
             }
-            Turn::Wait => self.push(200 * MS, Due::Emit(agent, generation, epoch)),
+            Turn::Wait => self.schedule(200 * MS, ScheduledEvent::Emit(agent, generation, epoch)),
             Turn::Break => self.agent(agent, AgentEvent::Broken { generation }),
             Turn::Die => self.crash(agent),
             Turn::End => self.end(agent, generation),
@@ -197,7 +203,7 @@
             Some(live) if live.resumable => {
                 live.epoch += 1;
                 let epoch = live.epoch;
-                self.push(MS, Due::Emit(agent, generation, epoch));
+                self.schedule(MS, ScheduledEvent::Emit(agent, generation, epoch));
             }
             _ => {
                 self.upstreams[agent].live.remove(&generation);
@@ -218,7 +224,7 @@
         }
         self.agent(agent, AgentEvent::UpstreamDown);
         let delay = (300 + self.rng.below(1_500)) * MS;
-        self.push(delay, Due::UpstreamUp(agent));
+        self.schedule(delay, ScheduledEvent::UpstreamUp(agent));
     }
 
     pub(super) fn upstream_up(&mut self, agent: usize) {
@@ -227,8 +233,8 @@
     }
 
     /// All agents but one, and no entry, hear that the content crashed upstreams.
-    pub(crate) fn tell_agents_of_crashes(&mut self, but: usize, ask: &Ask, count: u8) {
-        let content = ask.digest();
+    pub(crate) fn tell_agents_of_crashes(&mut self, but: usize, spec: &CallSpec, count: u8) {
+        let content = spec.digest();
         for to in (0..AGENTS).filter(|a| *a != but).map(Proc::Agent) {
             self.send(
                 Proc::Entry(0),
