--- a/fireflycroft/src/await_config.rs
+++ b/fireflycroft/src/await_config.rs
@@ -1,9 +1,9 @@
-//! Requests that wait, for a moment, until both sides hold one configuration.
+//! Calls that wait until entry and agent have the same configuration version.
 //!
-//! An offer is taken only where entry and agent have the same version in
-//! force. The older side pulls what it lacks from the other, which takes one
-//! or a few round trips; meanwhile the request is held, then checked again by
-//! what is in force and offered anew. Only past a bound is its caller told.
+//! An agent accepts an offer only if both have the same version in force. The
+//! older side pulls the newer version, which takes one or a few round trips.
+//! Meanwhile the call waits; then it is checked against the new configuration
+//! and offered again. It fails only if this exceeds a time limit.
 
 use crate::code::Code;
 use crate::entry::{Call, Entry, Phase};
@@ -13,8 +13,8 @@
 use crate::time::Time;
 
 impl Entry {
-    /// Holds a call whose offer was refused for the version, or that came
-    /// while this side is behind.
+    /// Makes a call wait whose offer was refused because of the version, or
+    /// that arrived while this entry's configuration is out of date.
     pub(crate) fn await_config(&mut self, now: Time, id: CallId, out: &mut Vec<EntryAction>) {
         let retry = self.limits.config_retry_interval;
         let Some(call) = self.calls.get_mut(&id) else {
@@ -23,12 +23,12 @@
         if let Some(assigned) = call.assigned() {
             self.router.record_done(&assigned.agent.clone());
         }
-        // The same agent may be asked again once both sides agree.
+        // The same agent may get the offer again once the versions agree.
         call.tried.pop();
         call.offers = call.offers.saturating_sub(1);
         if call.awaiting_config_since.is_none() {
-            let note = LogEvent::new("config_awaited").request(call.request);
-            out.push(EntryAction::LogEvent(note));
+            let event = LogEvent::new("config_awaited").request(call.request);
+            out.push(EntryAction::LogEvent(event));
         }
         let since = *call.awaiting_config_since.get_or_insert(now);
         call.phase = Phase::AwaitingConfig {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Takes a new call that came while this side is behind.
+    /// Registers a new call that arrived while this entry's configuration is out of date.
     pub(crate) fn begin_awaiting_config(
         &mut self,
         now: Time,
@@ -53,7 +53,7 @@
         self.await_config(now, id, out);
     }
 
-    /// Offers a held call again when its time has come.
+    /// Offers a waiting call again when its retry is due.
     pub(crate) fn tick_awaiting_config(
         &mut self,
         now: Time,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A configuration came into force: offers all held calls again.
+    /// Offers all waiting calls again after a configuration came into force.
     pub(crate) fn retry_awaiting_config(&mut self, now: Time, out: &mut Vec<EntryAction>) {
         if self.config.is_behind() {
             return;
--- a/fireflycroft/src/dispatch.rs
+++ b/fireflycroft/src/dispatch.rs
@@ -1,7 +1,7 @@
-//! The way of a call from its checks to a start on one agent.
+//! Dispatch of a checked call: offers, claim and start on one agent.
 //!
-//! Until a start is sent nothing has run, so every other agent may still be
-//! asked. After it, "not run" is said only when the agent itself says so.
+//! Until a start is sent nothing has run, so the call may be offered to any
+//! other agent. After that, only the agent itself can report "not run".
 
 use crate::claim::{ClaimAnswer, ClaimAttempt, ClaimNext, ClaimRecord};
 use crate::code::Code;
@@ -14,11 +14,11 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Time beyond the longest wait before a silent queue is given up.
+/// Time past a call's longest wait before its place in an agent's queue is abandoned.
 const QUEUE_SLACK: Duration = Duration::from_secs(1);
 
 impl Entry {
-    /// Offers a new call to its first agent.
+    /// Registers a new call and offers it to its first agent.
     pub(crate) fn begin_offers(&mut self, now: Time, call: Call, out: &mut Vec<EntryAction>) {
         let id = call.id;
         self.by_request.insert(call.request, id);
@@ -26,7 +26,7 @@
         self.offer_next(now, id, out);
     }
 
-    /// Offers the call to the next agent, or refuses it at once.
+    /// Offers the call to the next agent, or refuses it if none is left.
     pub(crate) fn offer_next(&mut self, now: Time, id: CallId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -71,13 +71,13 @@
             sent: now,
         };
         out.push(EntryAction::Send(peer.addr, offer_message(now, call)));
-        let note = LogEvent::new("offer_sent")
+        let event = LogEvent::new("offer_sent")
             .request(call.request)
             .peer(&peer.name);
-        out.push(EntryAction::LogEvent(note.count(u64::from(call.attempt))));
+        out.push(EntryAction::LogEvent(event.count(u64::from(call.attempt))));
     }
 
-    /// No agent is left to ask: says why and when to come back.
+    /// Fails a call that no agent accepted, with the reason and a retry time.
     fn refuse_call(&mut self, id: CallId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -169,8 +169,8 @@
         out.push(EntryAction::Claim(call.id, key, op));
     }
 
-    /// A reservation that no call waits for is given back, unless it is the
-    /// one that a call has just started from or is claiming.
+    /// Withdraws a reservation that no call waits for, unless a call is
+    /// claiming it or has started from it.
     fn withdraw_stray_reservation(
         &self,
         from: &Peer,
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Reads the answer of the request that claimed the key first.
+    /// Attaches the call to the generation of the request that holds the claim.
     fn join(
         &mut self,
         now: Time,
@@ -296,10 +296,10 @@
             generation: record.generation,
             next: 0,
         };
-        let note = LogEvent::new("claim_joined")
+        let event = LogEvent::new("claim_joined")
             .request(call.request)
             .peer(&record.agent);
-        out.push(EntryAction::LogEvent(note));
+        out.push(EntryAction::LogEvent(event));
         self.begin_reading(
             now,
             id,
@@ -386,7 +386,7 @@
         });
     }
 
-    /// Tells the agent that the offer or reservation is not wanted.
+    /// Withdraws the call's offer or reservation from its agent.
     pub(crate) fn withdraw(&self, id: CallId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -445,7 +445,7 @@
         }
     }
 
-    /// Takes a request from one agent's queue to an agent that has room.
+    /// Moves a request from one agent's queue to an agent with free capacity.
     fn reoffer_queued(&mut self, now: Time, id: CallId, agent: Name, out: &mut Vec<EntryAction>) {
         self.withdraw(id, out);
         out.push(EntryAction::LogEvent(
@@ -458,7 +458,7 @@
         self.offer_next(now, id, out);
     }
 
-    /// Leaves a silent agent, before any start, for another.
+    /// Abandons an agent that is silent before the start and tries another.
     fn abandon_silent_agent(
         &mut self,
         now: Time,
@@ -480,8 +480,9 @@
     }
 }
 
-/// Whether the agent has no work at all now: asking it was cheap, and it is
-/// not asked again, so the offer does not count.
+/// Returns whether the agent currently accepts no work at all. Such an offer
+/// doesn't count towards the limit: it was cheap, and the agent is not tried
+/// again for this call.
 const fn is_unavailable(code: Code) -> bool {
     matches!(code, Code::Leaving | Code::NoUpstream)
 }
--- a/fireflycroft/src/entry.rs
+++ b/fireflycroft/src/entry.rs
@@ -1,10 +1,9 @@
-//! The entry: takes a caller's request and sees it to its one answer.
+//! State machine of an entry, which gives each caller's request exactly one final answer.
 //!
-//! A call is checked, offered to agents until one reserves, claimed where its
-//! key asks for it, started, and read token by token. What happens comes in
-//! as [`EntryEvent`]s, what is to be done comes out as [`EntryAction`]s.
-//! `submit` holds the checks, `dispatch` the way to a start, `deliver` the
-//! reading.
+//! A call is checked, offered to agents until one reserves capacity, claimed
+//! if it has an idempotency key, started, and read token by token. Inputs are
+//! [`EntryEvent`]s, outputs are [`EntryAction`]s. `submit` holds the checks,
+//! `dispatch` offers, claims and starts, `deliver` reads tokens.
 
 use crate::burn::{Goal, Measured, Pace, meets};
 use crate::claim::ClaimAttempt;
@@ -27,104 +26,104 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where an offer was made.
+/// The agent that holds an offer, a reservation or a generation of a call.
 #[derive(Clone, Debug)]
 pub(crate) struct AssignedAgent {
     pub(crate) agent: Name,
     pub(crate) addr: SocketAddr,
 }
 
-/// Why a generation is read.
+/// How a call came to read a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
     /// This call started it.
     Own,
-    /// Another call with the same key started it; the claim's version.
+    /// Another call with the same key started it; holds the claim's version.
     Joined(u64),
-    /// The caller came back to it.
+    /// The caller resumed it.
     Resumed,
 }
 
-/// A generation that is read.
+/// State of reading a generation.
 #[derive(Clone, Debug)]
 pub(crate) struct Reading {
     pub(crate) assigned: AssignedAgent,
     pub(crate) origin: Origin,
     pub(crate) request: RequestId,
     pub(crate) cursor: Cursor,
-    /// When a frame of it came last; the start until then.
+    /// Time of the last frame; time of the start before the first frame.
     pub(crate) last_received: Time,
-    /// Whether any frame came.
+    /// Whether any frame was received.
     pub(crate) frame_received: bool,
     pub(crate) polled: Time,
     pub(crate) acked_at: Time,
     pub(crate) acked: u64,
 }
 
-/// Where a call is on its way.
+/// Phase of a call.
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
-    /// No agent was asked yet.
+    /// No offer has been sent.
     New,
-    /// Waits until both sides hold one configuration; asked again then.
+    /// Waits until entry and agent have the same configuration version.
     AwaitingConfig { retry_at: Time },
-    /// An offer is out.
+    /// An offer awaits its answer.
     Offered { assigned: AssignedAgent, sent: Time },
-    /// The agent has it in its queue.
+    /// The call is in the agent's queue.
     Queued {
         assigned: AssignedAgent,
         last_received: Time,
         deadline: Time,
     },
-    /// Reserved; the key is being claimed.
+    /// The agent has reserved capacity; the key is being claimed.
     Claiming {
         assigned: AssignedAgent,
         generation: GenerationId,
         claim: ClaimAttempt,
     },
-    /// A generation is read.
+    /// A generation is being read.
     Reading(Reading),
 }
 
-/// One caller's request on its way.
+/// A caller's request in progress.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) id: CallId,
     pub(crate) request: RequestId,
     pub(crate) key_digest: [u8; 32],
-    /// Configuration by which it was checked.
+    /// Configuration version that it was checked against.
     pub(crate) checked_version: ConfigVersion,
     pub(crate) demand: Demand,
     pub(crate) work: Work,
     pub(crate) delivery: Delivery,
     pub(crate) claim_key: Option<Digest>,
-    /// Version of a claim that may be replaced.
+    /// Version of an existing claim that may be replaced.
     pub(crate) replace: Option<u64>,
     pub(crate) phase: Phase,
     pub(crate) attempt: u32,
     pub(crate) starts: u32,
     pub(crate) tried: Vec<Name>,
-    /// Agents asked in this round of offers.
+    /// Offers counted in the current round; a restart or a move between queues begins a new one.
     pub(crate) offers: usize,
-    /// Soonest time that a refusing agent named.
+    /// Retry time to report if no agent accepts.
     pub(crate) retry_after: Option<Duration>,
-    /// Worst reason that a refusing agent gave.
+    /// Reason to report if no agent accepts; an overload outranks others.
     pub(crate) refusal: Option<Code>,
-    /// Since when it waits for a configuration, the first time.
+    /// Time at which it first had to wait for a configuration.
     pub(crate) awaiting_config_since: Option<Time>,
     pub(crate) received: Time,
     pub(crate) brand: Name,
     pub(crate) goal: Option<Goal>,
     pub(crate) pace: Pace,
-    /// Whether the caller was told which generation it is given.
+    /// Whether the caller was sent the generation's id.
     pub(crate) begin_sent: bool,
     pub(crate) buffered: Chunk,
     pub(crate) max_wait: Duration,
-    /// Tokens charged to the quota beforehand.
+    /// Prompt tokens charged to the quota at admission.
     pub(crate) charged: u64,
 }
 
-/// The entry.
+/// An entry: its calls in progress and its view of the agents.
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub(crate) limits: EntryLimits,
@@ -133,7 +132,7 @@
     pub(crate) router: Router,
     pub(crate) calls: BTreeMap<CallId, Call>,
     pub(crate) by_request: HashMap<RequestId, CallId>,
-    /// Bytes of whole answers held back.
+    /// Bytes of whole answers buffered for all calls.
     pub(crate) buffered_bytes: usize,
     pub(crate) quarantine: Quarantine,
     pub(crate) quotas: Quotas,
@@ -145,7 +144,7 @@
 }
 
 impl Entry {
-    /// An entry that knows no configuration and no agents yet.
+    /// Creates an entry without a configuration and without agents.
     #[must_use]
     pub fn new(setup: EntrySetup) -> Self {
         Self {
@@ -165,7 +164,7 @@
         }
     }
 
-    /// Takes one event at `now` and adds what is to be done to `out`.
+    /// Handles an event at `now` and appends the resulting actions to `out`.
     pub fn on_event(&mut self, now: Time, event: EntryEvent, out: &mut Vec<EntryAction>) {
         match event {
             EntryEvent::Submit(id, submission) => self.on_submit(now, id, *submission, out),
@@ -181,55 +180,55 @@
         }
     }
 
-    /// Version of the configuration in force here.
+    /// Returns the version of the configuration in force.
     #[must_use]
     pub fn config_version(&self) -> ConfigVersion {
         self.config.version()
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.config.get()
     }
 
-    /// Whether a higher version is known to be in force elsewhere.
+    /// Returns whether a higher version is known to be in force elsewhere.
     #[must_use]
     pub fn is_behind(&self) -> bool {
         self.config.is_behind()
     }
 
-    /// The table of agents.
+    /// Returns the table of agents.
     #[must_use]
     pub const fn router(&self) -> &Router {
         &self.router
     }
 
-    /// Calls under way.
+    /// Returns the number of calls in progress.
     #[must_use]
     pub fn calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Bytes of whole answers held back.
+    /// Returns the bytes of whole answers buffered for all calls.
     #[must_use]
     pub const fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
-    /// Whether a planned stop would cut off nothing any more.
+    /// Returns whether the entry can stop without cutting off a call.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Whether the entry takes no new requests.
+    /// Returns whether the entry refuses new requests because it is stopping.
     #[must_use]
     pub const fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Digests that are refused.
+    /// Returns the number of quarantined content digests.
     #[must_use]
     pub fn quarantined(&self) -> usize {
         self.quarantine.refused()
@@ -326,8 +325,10 @@
         self.quarantine.expire(now);
     }
 
-    /// Agents that took no work a while ago may be asked again: one whose
-    /// upstream came back says so only when it is spoken to.
+    /// Clears `leaving` reports older than their lifetime.
+    ///
+    /// An agent whose upstream recovered reports so only in reply to a
+    /// message, so it has to be offered work again.
     fn expire_leaving_reports(&mut self, now: Time) {
         let span = self.limits.leaving_report_ttl;
         let old = |a: &&AgentView| a.load.leaving && now.since(a.load_received) >= span;
@@ -344,8 +345,10 @@
         }
     }
 
-    /// This process was paused: what came meanwhile waits to be read, so the
-    /// silence of the others counts from now on.
+    /// Restarts the silence timers after a pause of this process.
+    ///
+    /// Messages that arrived during the pause are still unread, so the agents
+    /// were not necessarily silent.
     fn reset_silence_timers(&mut self, now: Time) {
         for call in self.calls.values_mut() {
             match &mut call.phase {
@@ -357,9 +360,10 @@
         }
     }
 
-    /// Ends a call with a code; the caller gets it at once.
+    /// Ends a call with a code, which is sent to the caller at once.
     ///
-    /// After a start that may have run, "not run" would not be true.
+    /// After a start, which may have run, a code that claims "not run" is
+    /// replaced by `OutcomeUnknown`.
     pub(crate) fn fail(
         &mut self,
         id: CallId,
@@ -389,10 +393,10 @@
             },
         ));
         out.push(call.measurement(code));
-        let note = LogEvent::new("request_failed")
+        let event = LogEvent::new("request_failed")
             .request(call.request)
             .code(code);
-        out.push(EntryAction::LogEvent(note.count(delivered)));
+        out.push(EntryAction::LogEvent(event.count(delivered)));
     }
 
     pub(crate) fn remove(&mut self, id: CallId) -> Option<Call> {
@@ -411,7 +415,7 @@
 }
 
 impl Call {
-    /// The request as it is counted when it ends with `code`.
+    /// Returns the measurement of a request that ends with `code`.
     pub(crate) fn measurement(&self, code: Code) -> EntryAction {
         EntryAction::Measured(Measured {
             brand: self.brand.clone(),
@@ -431,7 +435,7 @@
         }
     }
 
-    /// Tokens that the caller was given.
+    /// Returns the number of tokens sent to the caller.
     pub(crate) const fn delivered(&self) -> u64 {
         match (&self.phase, self.delivery) {
             (Phase::Reading(reading), Delivery::Stream) => reading.cursor.next,
--- a/fireflycroft/src/entry_io.rs
+++ b/fireflycroft/src/entry_io.rs
@@ -1,4 +1,4 @@
-//! What goes into an entry and comes out: limits, requests, events, replies, actions.
+//! Inputs and outputs of an entry: limits, requests, events, replies, actions.
 
 use crate::burn::Measured;
 use crate::claim::{ClaimAnswer, ClaimOp};
@@ -15,42 +15,42 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bounds and waits of an entry.
+/// Limits and timeouts of an entry.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryLimits {
-    /// Wait for an answer to an offer before another agent is asked.
+    /// Time to wait for the answer to an offer before trying another agent.
     pub offer_timeout: Duration,
-    /// Agents asked for one request before it is refused.
+    /// Offers per request before it is refused.
     pub max_offers: usize,
-    /// Silence of an agent after which a poll is sent.
+    /// Silence of an agent after which it is polled.
     pub poll_after: Duration,
-    /// Silence of an agent after which it is given up.
+    /// Silence after which an agent is abandoned.
     pub silence_timeout: Duration,
-    /// Silence after which it is given up where nobody else can go on.
+    /// Silence after which an agent is abandoned if no other agent can continue its work.
     pub long_silence_timeout: Duration,
-    /// Time between acknowledgements that also say the reader is there.
+    /// Time between acknowledgements, which also show that the reader is alive.
     pub ack_interval: Duration,
-    /// Time between two ticks from which on this process was paused.
+    /// Time between two ticks that counts as a pause of this process.
     pub pause_threshold: Duration,
-    /// Starts of one repeatable request in all.
+    /// Total starts of one retryable request.
     pub max_starts: u32,
-    /// Longest hold of a request until both sides have one configuration.
+    /// Longest wait of a request until entry and agent have the same configuration.
     pub config_timeout: Duration,
-    /// Time between two looks whether they have.
+    /// Time between two checks of whether they do.
     pub config_retry_interval: Duration,
-    /// Time that a claim may take.
+    /// Time limit of a claim.
     pub claim_timeout: Duration,
-    /// How long an agent is left out after it was given up.
+    /// Time for which an abandoned agent gets no offers.
     pub avoid_for: Duration,
-    /// Bytes of a whole answer held back.
+    /// Buffered bytes of one whole answer.
     pub max_answer_bytes: usize,
-    /// Bytes of whole answers held back in all.
+    /// Buffered bytes of all whole answers together.
     pub max_buffered: usize,
-    /// Calls at once.
+    /// Calls in progress.
     pub max_calls: usize,
-    /// How long an agent's word that it takes no work is believed.
+    /// Time for which an agent's report that it is leaving is valid.
     pub leaving_report_ttl: Duration,
-    /// What a refused caller waits at least.
+    /// Shortest retry time sent to a refused caller.
     pub min_retry_after: Duration,
 }
 
@@ -78,132 +78,132 @@
     }
 }
 
-/// What an entry is told at its start.
+/// Parameters of a new entry.
 #[derive(Clone, Debug)]
 pub struct EntrySetup {
-    /// Data centre it runs in.
+    /// Data centre that it runs in.
     pub data_centre: Name,
-    /// How it chooses among agents.
+    /// Policy for choosing agents.
     pub policy: RoutePolicy,
-    /// Secret from which ids are drawn.
+    /// Secret from which ids are derived.
     pub seed: [u8; 32],
-    /// Bounds and waits.
+    /// Limits and timeouts.
     pub limits: EntryLimits,
 }
 
-/// How the caller wants the answer.
+/// Form in which the caller wants the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     /// Token by token.
     Stream,
-    /// All at once; held back until complete.
+    /// As a whole, buffered until complete.
     Whole,
 }
 
-/// A caller's request as the front has read it.
+/// A caller's request as parsed by the HTTP front end.
 #[derive(Clone, Debug)]
 pub struct Submission {
     /// BLAKE3 digest of the caller's key.
     pub key_digest: [u8; 32],
     /// Model or plain service.
     pub target: Name,
-    /// HTTP method, for rules on repeating.
+    /// HTTP method, matched by the rules on retries.
     pub method: Name,
-    /// Path, for rules on repeating.
+    /// Path, matched by the rules on retries.
     pub path: Name,
-    /// The work.
+    /// The work to run.
     pub work: Work,
-    /// Priority that the caller asks for.
+    /// Priority requested by the caller.
     pub priority: Option<Priority>,
-    /// Tokens of the prompt, estimated.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Largest number of tokens in the answer.
     pub max_tokens: u32,
-    /// Digest of the prompt's head.
+    /// Digest of the prompt's prefix.
     pub prefix: Digest,
-    /// How the answer is wanted.
+    /// Form of the answer.
     pub delivery: Delivery,
-    /// `Idempotency-Key`, when there is one.
+    /// Value of the `Idempotency-Key` header.
     pub idempotency_key: Option<Name>,
-    /// Whether it is run once at most even where no rule says so.
+    /// Whether it runs at most once even if no rule demands it.
     pub never_retry: bool,
-    /// Place to go on from, when the caller comes back.
+    /// Position at which a returning caller resumes.
     pub resume: Option<ResumePoint>,
 }
 
-/// Place in a stream, as the id of an event tells it.
+/// Position in a stream, carried in the ids of its server-sent events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResumePoint {
     /// The request that started the generation.
     pub request: RequestId,
     /// The generation.
     pub generation: GenerationId,
-    /// Name of the agent that keeps it.
+    /// Name of the agent that holds it.
     pub agent: Name,
     /// First token not yet received.
     pub next: u64,
 }
 
-/// What an entry hears.
+/// An input of an entry.
 #[derive(Clone, Debug)]
 pub enum EntryEvent {
     /// A caller's request.
     Submit(CallId, Box<Submission>),
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone(CallId),
-    /// The caller took all tokens below that number.
+    /// The caller consumed all tokens below that index.
     Consumed(CallId, u64),
-    /// A message of a process of the fleet.
+    /// A message from another process of the fleet.
     Message(Box<Envelope>),
-    /// The platform's answer on a call's claim.
+    /// The platform's answer to a call's claim.
     Claim(CallId, ClaimAnswer),
     /// A configuration was read.
     Config(Arc<Config>),
-    /// What membership says of an agent or entry.
+    /// A membership record of an agent or entry.
     Member(MemberRecord),
-    /// Number of entries alive, for shares of quotas.
+    /// Number of live entries, among which quotas are divided.
     EntryCount(u32),
     /// The entry is to stop.
     Leave,
-    /// Time went on.
+    /// Periodic timer.
     Tick,
 }
 
-/// What a caller is given.
+/// A reply to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The generation has begun; tokens follow.
+    /// The generation has started; tokens follow.
     Begin(ResumePoint),
     /// Next tokens.
     Tokens(Chunk),
-    /// The end of a whole answer.
+    /// The end of a complete answer.
     End(Finish),
-    /// No more comes: why, and when to come back.
+    /// The call failed; no tokens follow.
     Fail {
         /// Result code.
         code: Code,
-        /// When to come back; `None` when there is no use in it.
+        /// Time after which to retry; `None` if a retry is useless.
         retry_after: Option<Duration>,
-        /// Tokens given so far.
+        /// Tokens sent so far.
         delivered: u64,
     },
 }
 
-/// What an entry wants done.
+/// An output of an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryAction {
     /// Send a message.
     Send(SocketAddr, Message),
-    /// Send a message to every member that is known.
+    /// Send a message to every known member.
     Broadcast(Message),
-    /// Give this to a caller.
+    /// Send a reply to a caller.
     Reply(CallId, Reply),
-    /// Ask the platform about the claim of that key.
+    /// Perform an operation on the claim of that key at the platform.
     Claim(CallId, Digest, ClaimOp),
-    /// Ask the sender for its configuration.
+    /// Pull the configuration from that process.
     PullConfig(SocketAddr),
-    /// Count a request that has ended.
+    /// Count a finished request.
     Measured(Measured),
-    /// Something to log and count.
+    /// Log and count an event.
     LogEvent(LogEvent),
 }
--- a/fireflycroft/src/log_event.rs
+++ b/fireflycroft/src/log_event.rs
@@ -1,9 +1,9 @@
-//! What the core tells of itself: the shell turns notes into logs and counts.
+//! Events that the core reports for the carrier to log and count.
 
 use crate::code::Code;
 use crate::ids::{Name, RequestId};
 
-/// One thing that happened.
+/// An event to log and count.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEvent {
     /// Name of the event, such as `offer_refused`.
@@ -12,14 +12,14 @@
     pub request: Option<RequestId>,
     /// The other process.
     pub peer: Option<Name>,
-    /// Result code that goes with it.
+    /// Result code.
     pub code: Option<Code>,
-    /// A number that goes with it; its meaning follows from the event.
+    /// A number whose meaning depends on the event.
     pub count: u64,
 }
 
 impl LogEvent {
-    /// Note of an event.
+    /// Creates an event without details.
     #[must_use]
     pub const fn new(event: &'static str) -> Self {
         Self {
@@ -31,28 +31,28 @@
         }
     }
 
-    /// With the request concerned.
+    /// Adds the request concerned.
     #[must_use]
     pub const fn request(mut self, request: RequestId) -> Self {
         self.request = Some(request);
         self
     }
 
-    /// With the other process.
+    /// Adds the other process.
     #[must_use]
     pub fn peer(mut self, peer: &Name) -> Self {
         self.peer = Some(peer.clone());
         self
     }
 
-    /// With a result code.
+    /// Adds a result code.
     #[must_use]
     pub const fn code(mut self, code: Code) -> Self {
         self.code = Some(code);
         self
     }
 
-    /// With a number.
+    /// Adds a number.
     #[must_use]
     pub const fn count(mut self, count: u64) -> Self {
         self.count = count;
--- a/fireflycroft/src/submit.rs
+++ b/fireflycroft/src/submit.rs
@@ -1,4 +1,4 @@
-//! Checks on a caller's request before any agent hears of it.
+//! Checks on a caller's request before it is offered to any agent.
 
 use crate::burn::{Goal, Measured, Pace, meets};
 use crate::code::Code;
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Why a request is refused before any agent hears of it.
+/// Refusal of a request before it is offered to any agent.
 struct Refusal {
     code: Code,
     retry_after: Option<Duration>,
@@ -27,7 +27,7 @@
     }
 }
 
-/// What the checks found out of a request.
+/// Properties of a request that passed the checks.
 struct Checked {
     demand: Demand,
     claim_key: Option<Digest>,
@@ -38,10 +38,10 @@
     goal: Option<Goal>,
 }
 
-/// Brand under which a request is counted whose key nobody holds.
+/// Brand under which requests with an unknown key are counted.
 const NO_BRAND: &str = "none";
 
-/// Whether and how a request is claimed.
+/// Whether a request may be retried, and the key under which it is claimed.
 struct RetryRules {
     repeatable: bool,
     claim_key: Option<Digest>,
@@ -229,8 +229,8 @@
 }
 
 impl Call {
-    /// Checks again by a later configuration than it was checked by; what it
-    /// forbids is not offered any more.
+    /// Repeats the checks if the configuration has changed since; a call that
+    /// it forbids is not offered any more.
     pub(crate) fn recheck(&mut self, config: &Config) -> Result<(), Code> {
         if self.checked_version == config.version {
             return Ok(());
--- a/fireflycroft/tests/support/world/processes.rs
+++ b/fireflycroft/tests/support/world/processes.rs
@@ -79,7 +79,7 @@
             }
             return;
         }
-        self.note_offer(i, &event);
+        self.record_offer(i, &event);
         let node = &mut self.agents[i];
         let mut out = Vec::new();
         node.core.on_event(node.local(self.now), event, &mut out);
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(super) fn note_offer(&mut self, i: usize, event: &AgentEvent) {
+    pub(super) fn record_offer(&mut self, i: usize, event: &AgentEvent) {
         let node = &self.agents[i];
         let AgentEvent::Message(envelope) = event else {
             return;
