--- a/fireflycroft/src/claim.rs
+++ b/fireflycroft/src/claim.rs
@@ -1,19 +1,19 @@
-//! Claims of idempotency keys: at most one run a key, whoever re-sends it.
+//! Claims of idempotency keys: at most one run per key, whoever resends it.
 //!
-//! A claim is made after an agent has reserved and before the start, so that
-//! the record names the one reservation that may run. It is an object of the
-//! platform, created if absent under the claimer's own token: when an answer
-//! is lost, reading it back tells whose it is. A claim whose reservation was
-//! never started may be replaced, conditional on its version.
+//! A claim is made after an agent has reserved capacity and before the start,
+//! so that the record names the one reservation that may run. It is an object
+//! in the platform's store, created if absent, with the claimer's own token:
+//! if an answer is lost, reading the object shows who owns it. A claim whose
+//! reservation was never started may be replaced, conditional on its version.
 
 use crate::ids::{Digest, GenerationId, Name, RequestId};
 use crate::time::Time;
 use std::net::SocketAddr;
 
-/// Record of one claim, as the platform keeps it.
+/// Record of one claim, as stored by the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRecord {
-    /// Unguessable token of the claimer; also its request id.
+    /// Unguessable token of the claimer, also its request id.
     pub request: RequestId,
     /// The one reservation that may run.
     pub generation: GenerationId,
@@ -25,10 +25,10 @@
     pub content: Digest,
 }
 
-/// What the platform is asked.
+/// A request to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOp {
-    /// Create the record if there is none.
+    /// Create the record if absent.
     Create(ClaimRecord),
     /// Read the record.
     Read,
@@ -36,37 +36,37 @@
     Replace(u64, ClaimRecord),
 }
 
-/// What the platform answered.
+/// The platform's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAnswer {
     /// The write took effect.
     Written,
-    /// The write met another record or version and had no effect.
+    /// Another record or version exists; the write had no effect.
     Conflict,
-    /// The record read, with its version.
+    /// The record and its version.
     Found(ClaimRecord, u64),
     /// There is no record.
     Absent,
-    /// The platform is out; the call had no effect.
+    /// The platform is unavailable; the call had no effect.
     Unavailable,
     /// The answer was lost; a write may have taken effect.
     Lost,
 }
 
-/// What comes of an answer.
+/// Next step after an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimNext {
-    /// Ask this.
+    /// Send this request.
     Request(ClaimOp),
-    /// The claim is this claimer's: start.
+    /// The claim is acquired; the generation may start.
     Acquired,
-    /// The key belongs to another, at that version.
+    /// Another request holds the claim, at that version.
     ClaimedByOther(ClaimRecord, u64),
-    /// Not settled in time: do not start.
+    /// The claim was not settled in time; nothing may start.
     GiveUp,
 }
 
-/// One attempt to claim a key.
+/// An attempt to claim a key.
 #[derive(Clone, Debug)]
 pub struct ClaimAttempt {
     record: ClaimRecord,
@@ -78,7 +78,7 @@
 const MAX_CALLS: u32 = 6;
 
 impl ClaimAttempt {
-    /// Attempt with `record`, over the version `replace` if one is replaced.
+    /// Creates an attempt with `record` that replaces version `replace`, if given.
     #[must_use]
     pub const fn new(record: ClaimRecord, replace: Option<u64>, deadline: Time) -> Self {
         Self {
@@ -89,22 +89,22 @@
         }
     }
 
-    /// The record that is claimed.
+    /// Returns the record to be written.
     #[must_use]
     pub const fn record(&self) -> &ClaimRecord {
         &self.record
     }
 
-    /// The first call.
+    /// Returns the first request.
     #[must_use]
     pub fn first(&self) -> ClaimOp {
         self.write()
     }
 
-    /// Decides on an answer.
+    /// Returns the next step after an answer.
     pub fn on_answer(&mut self, now: Time, answer: ClaimAnswer) -> ClaimNext {
         self.calls += 1;
-        // The start must not come after the hold: past `until` nothing is won.
+        // The start must not come after the reservation's hold has ended.
         if now >= self.deadline {
             return ClaimNext::GiveUp;
         }
@@ -112,7 +112,7 @@
             ClaimAnswer::Written => ClaimNext::Acquired,
             ClaimAnswer::Found(record, _) if record == self.record => ClaimNext::Acquired,
             ClaimAnswer::Found(record, version) if self.replace == Some(version) => {
-                // The write that was lost had no effect yet.
+                // The write whose answer was lost has had no effect yet.
                 self.request_or_yield(
                     ClaimOp::Replace(version, self.record.clone()),
                     record,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Whether the attempt has run out of time.
+    /// Returns whether the deadline has passed.
     #[must_use]
     pub fn is_expired(&self, now: Time) -> bool {
         now >= self.deadline
--- a/fireflycroft/src/ids.rs
+++ b/fireflycroft/src/ids.rs
@@ -1,8 +1,8 @@
-//! Identifiers: unguessable where a caller sees them, never used twice.
+//! Identifiers: unguessable if callers see them, and never reused.
 //!
-//! A request id is drawn from a keyed hash, so that knowing one tells nothing
-//! of the next. A generation id names the incarnation of the agent that made
-//! it, so that an id of an agent's former life matches nothing.
+//! A request id is derived by a keyed hash, so that one id reveals nothing
+//! about the next. A generation id contains the incarnation of the agent that
+//! created it, so that ids of an earlier incarnation match nothing.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -12,71 +12,71 @@
 /// Name of a process, VM, brand, workspace, model or service.
 pub type Name = Arc<str>;
 
-/// One call of a caller, as the entry numbers it.
+/// Number of a caller's call within one entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Unguessable id of one request of a caller.
+/// Unguessable id of a caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u128);
 
-/// One life of a process, drawn at its start.
+/// Incarnation of a process, from its start until its end.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// Whether anything is known of the start.
+    /// Returns whether the incarnation is known.
     #[must_use]
     pub const fn is_known(self) -> bool {
         self.0 != 0
     }
 }
 
-/// One reservation, and the generation it may become, on one agent.
+/// Id of a reservation on one agent and of the generation started from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GenerationId {
-    /// Life of the agent that made the id.
+    /// Incarnation of the agent that created the id.
     pub incarnation: Incarnation,
-    /// Number within that life; never given twice.
+    /// Number within that incarnation, never reused.
     pub serial: u64,
 }
 
-/// Digest of content: 128 bits of BLAKE3.
+/// Digest of content: the first 128 bits of BLAKE3.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub u128);
 
-/// What a process does for the fleet.
+/// Role of a process in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Receives callers' requests.
     Entry,
-    /// Stands before one upstream.
+    /// Drives one upstream.
     Agent,
 }
 
-/// One process of the fleet, as others address it.
+/// Identity and address of a process of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Peer {
     /// Stable name from the settings.
     pub name: Name,
     /// Address of its mailbox.
     pub addr: SocketAddr,
-    /// Its present life.
+    /// Current incarnation.
     pub incarnation: Incarnation,
-    /// What it does.
+    /// Role in the fleet.
     pub role: Role,
 }
 
-/// Bits of an incarnation that are drawn at random.
+/// Number of random bits in an incarnation.
 const INCARNATION_RANDOM_BITS: u32 = 20;
 
 impl Incarnation {
-    /// Life that began `unix_millis` after the epoch by the wall clock.
+    /// Creates the incarnation of a process started at `unix_millis` by the wall clock.
     ///
-    /// Later lives compare greater; random bits tell apart two lives of the
-    /// same millisecond.
+    /// Later incarnations compare greater; random bits distinguish two that
+    /// started in the same millisecond.
     #[must_use]
     pub const fn started_at(unix_millis: u64, random: u64) -> Self {
         let mask = (1 << INCARNATION_RANDOM_BITS) - 1;
@@ -103,7 +103,7 @@
 }
 
 impl Digest {
-    /// Digest of `parts`, each marked off by its length.
+    /// Returns the digest of `parts`, each prefixed with its length.
     #[must_use]
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new();
@@ -115,7 +115,7 @@
     }
 }
 
-/// Reads a request id written by its `Display`.
+/// Parses a request id as written by its `Display`.
 #[must_use]
 pub fn parse_request_id(text: &str) -> Option<RequestId> {
     if text.len() != 32 {
@@ -124,7 +124,7 @@
     u128::from_str_radix(text, 16).ok().map(RequestId)
 }
 
-/// Reads a generation id written by its `Display`.
+/// Parses a generation id as written by its `Display`.
 #[must_use]
 pub fn parse_generation_id(text: &str) -> Option<GenerationId> {
     let (incarnation, serial) = text.split_once('.')?;
@@ -134,7 +134,7 @@
     })
 }
 
-/// Draws unguessable ids from a secret seed.
+/// Source of unguessable ids, derived from a secret seed.
 #[derive(Clone, Debug)]
 pub struct IdSource {
     key: [u8; 32],
@@ -142,7 +142,7 @@
 }
 
 impl IdSource {
-    /// Source whose ids follow from `seed`, which must stay secret.
+    /// Creates a source whose ids are determined by `seed`, which must stay secret.
     #[must_use]
     pub const fn new(seed: [u8; 32]) -> Self {
         Self {
@@ -151,14 +151,14 @@
         }
     }
 
-    /// Next id.
+    /// Returns the next id.
     pub fn draw(&mut self) -> RequestId {
         self.counter += 1;
         let hash = blake3::keyed_hash(&self.key, &self.counter.to_le_bytes());
         RequestId(first_half(&hash))
     }
 
-    /// Next number below `bound`; zero for a bound of zero.
+    /// Returns a random number below `bound`, or zero if `bound` is zero.
     pub fn draw_below(&mut self, bound: usize) -> usize {
         if bound == 0 {
             return 0;
--- a/fireflycroft/src/lease.rs
+++ b/fireflycroft/src/lease.rs
@@ -1,69 +1,69 @@
-//! A short lease in the platform: at most one node acts for the fleet.
+//! A short lease in the platform's store, so that at most one node acts for the fleet.
 //!
-//! The record is one object, changed only conditional on its version. Clocks
-//! of nodes are never compared: a holder counts its time from the moment its
-//! last successful write was *sent*, a challenger from the moment it *saw* the
-//! record for the first time, and waits a margin more. Both use monotonic
-//! time, so a holder that was paused finds its lease over before it acts.
-//! Every change of hands raises the fencing number.
+//! The record is one object, written only conditional on its version. Clocks
+//! of different nodes are never compared: a holder counts from the time at
+//! which its last successful write was *sent*, a challenger from the time at
+//! which it first *read* the record, plus a margin. Both use monotonic time,
+//! so a holder that was paused finds its lease expired before it acts. Every
+//! change of holder raises the fencing number.
 
 use crate::ids::{Name, RequestId};
 use crate::time::Time;
 use std::time::Duration;
 
-/// The lease as the platform keeps it.
+/// Record of the lease, as stored by the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseRecord {
     /// Name of the holder.
     pub holder: Name,
-    /// Token of the holder's present life; unguessable.
+    /// Unguessable token of the holder's current incarnation.
     pub token: RequestId,
-    /// Fencing number; grows with every change of hands.
+    /// Fencing number, raised by every change of holder.
     pub fence: u64,
-    /// Renewals under this fencing number.
+    /// Number of renewals under this fencing number.
     pub renewal: u64,
 }
 
-/// What the platform is asked.
+/// A request to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseOp {
     /// Read the record.
     Read,
-    /// Create the record if there is none.
+    /// Create the record if absent.
     Create(LeaseRecord),
     /// Replace the record of that version.
     Replace(u64, LeaseRecord),
 }
 
-/// What the platform answered.
+/// The platform's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAnswer {
-    /// The record read, with its version.
+    /// The record and its version.
     Found(LeaseRecord, u64),
     /// There is no record.
     Absent,
-    /// The write took effect and made that version.
+    /// The write took effect and created that version.
     Written(u64),
-    /// The write met another version and had no effect.
+    /// Another version exists; the write had no effect.
     Conflict,
-    /// The platform is out; the call had no effect.
+    /// The platform is unavailable; the call had no effect.
     Unavailable,
     /// The answer was lost; a write may have taken effect.
     Lost,
 }
 
-/// Number of a call, so that an answer that comes late is told apart.
+/// Number of a call, by which late answers are recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseCall(pub u64);
 
-/// Spans of a lease.
+/// Durations of a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTimings {
-    /// How long a write gives the lease.
+    /// Time for which a write holds the lease.
     pub ttl: Duration,
-    /// Taken off by the holder and added by a challenger.
+    /// Safety margin, subtracted by the holder and added by a challenger.
     pub margin: Duration,
-    /// Longest wait for an answer of the platform.
+    /// Longest wait for an answer from the platform.
     pub call_timeout: Duration,
 }
 
@@ -77,16 +77,16 @@
     }
 }
 
-/// Calls between two renewals, or two looks, in one span of the lease.
+/// Renewals, or reads by a challenger, within one `ttl`.
 const CALLS_PER_TTL: u32 = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
-    /// Nothing is known, or what was known may be out of date.
+    /// Nothing is known, or the known state may be out of date.
     Unknown,
     /// There is no record.
     Vacant,
-    /// Another's record, unchanged since that time.
+    /// A record of another node, unchanged since that time.
     Observed {
         record: LeaseRecord,
         version: u64,
@@ -119,12 +119,12 @@
     calls: u64,
     /// Highest fencing number seen anywhere.
     highest_fence: u64,
-    /// A write of this node whose answer was lost, and when it was sent.
+    /// A write of this node whose answer was lost, and the time it was sent.
     unconfirmed: Option<(LeaseRecord, Time)>,
 }
 
 impl Lease {
-    /// A node that knows nothing of the lease yet.
+    /// Creates a view that knows nothing about the lease.
     #[must_use]
     pub const fn new(name: Name, token: RequestId, timings: LeaseTimings) -> Self {
         Self {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Fencing number under which this node may act at `now`.
+    /// Returns the fencing number under which this node may act at `now`.
     #[must_use]
     pub fn held(&self, now: Time) -> Option<u64> {
         match &self.state {
@@ -149,15 +149,15 @@
         }
     }
 
-    /// Notes a fencing number seen elsewhere, such as at an agent.
+    /// Records a fencing number observed elsewhere, such as at an agent.
     pub fn record_fence(&mut self, fence: u64) {
         self.highest_fence = self.highest_fence.max(fence);
     }
 
-    /// Decides what to ask the platform, if anything.
+    /// Returns the next request to the platform, if one is due.
     ///
-    /// Only a `candidate` looks and challenges; a holder renews while it is
-    /// one, and lets the lease run out otherwise.
+    /// Only a `candidate` reads the record and challenges the holder; a holder
+    /// that is no longer a candidate lets the lease expire.
     pub fn on_tick(&mut self, now: Time, candidate: bool) -> Option<(LeaseCall, LeaseOp)> {
         self.expire_call(now);
         self.expire_hold(now);
@@ -176,8 +176,8 @@
         Some((call, op))
     }
 
-    /// Takes the platform's answer to a call; one that was given up on is
-    /// not heard any more.
+    /// Handles the platform's answer to a call; the answer to an abandoned
+    /// call is ignored.
     pub fn on_answer(&mut self, now: Time, call: LeaseCall, answer: LeaseAnswer) {
         let matching = self.pending.take_if(|a| a.call == call);
         let Some(PendingCall { op, sent, .. }) = matching else {
@@ -277,7 +277,7 @@
 
     fn schedule_read(&mut self, now: Time) {
         self.next_call = now;
-        // A hold stays valid for its time; it is only not renewed unseen.
+        // A renewal whose answer was lost doesn't end the lease early; the next call reads the record.
         if !matches!(self.state, State::Held { .. }) || self.unconfirmed.is_none() {
             self.state = State::Unknown;
         }
--- a/fireflycroft/src/placement.rs
+++ b/fireflycroft/src/placement.rs
@@ -1,36 +1,36 @@
-//! Which model goes on which engine: one order at a time, by the lease holder.
+//! Placement of models on engines: one order at a time, given by the lease holder.
 //!
-//! What is wanted comes from the inventory, what is there from the members'
-//! records, so nothing needs to be kept: the next holder goes on from what it
-//! sees. The weight store's rate is kept by a gap between two loads, which a
-//! new holder waits out too before its first.
+//! The wanted replicas come from the inventory and the loaded models from the
+//! members' records, so no state is stored: the next holder continues from
+//! what it observes. A gap between two loads keeps to the weight store's rate;
+//! a new holder also waits for this gap before its first load.
 
 use crate::ids::{IdSource, Name, Peer, RequestId};
 use crate::order::{Order, OrderKind};
 use crate::time::Time;
 use std::time::Duration;
 
-/// One engine as the placer sees it.
+/// The placer's view of one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineView {
     /// Its agent.
     pub agent: Peer,
-    /// Models it holds.
+    /// Loaded models.
     pub loaded: Vec<Name>,
-    /// Generations that run on it.
+    /// Running generations.
     pub running: u32,
 }
 
-/// Bounds of the placer.
+/// Limits and timeouts of the placer.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementLimits {
-    /// Least time between two loads, by the weight store's rate.
+    /// Shortest time between two loads, given by the weight store's rate.
     pub load_gap: Duration,
-    /// Wait before an unanswered order is sent again.
+    /// Time after which an unanswered order is resent.
     pub resend_after: Duration,
-    /// Wait after which an unanswered order is given up.
+    /// Time after which an unanswered order is given up.
     pub give_up_after: Duration,
-    /// Most models on one engine.
+    /// Largest number of models on one engine.
     pub models_per_engine: usize,
 }
 
@@ -60,17 +60,17 @@
     fence: Option<u64>,
     pending: Option<PendingOrder>,
     next_load: Time,
-    /// Agents that answered of late, and until when they are left out.
+    /// Agents excluded after a recent answer or timeout, and the end of the exclusion.
     excluded: Vec<(Name, Time)>,
 }
 
-/// Rest of an agent that refused.
+/// Exclusion of an agent that refused an order or didn't answer.
 const REFUSAL_EXCLUSION: Duration = Duration::from_secs(10);
-/// Rest of an agent that did as ordered, until its record has spread.
+/// Exclusion of an agent that carried out an order, until its new record has spread.
 const RECORD_SPREAD_TIME: Duration = Duration::from_secs(5);
 
 impl Placer {
-    /// A placer that holds no lease yet.
+    /// Creates a placer without a lease.
     #[must_use]
     pub const fn new(limits: PlacementLimits) -> Self {
         Self {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Decides what to order now; `fence` is that of the lease, if it is held.
+    /// Returns the next order and its agent; `fence` is the lease's fencing number, if held.
     pub fn on_tick(
         &mut self,
         now: Time,
@@ -117,12 +117,12 @@
         Some((agent, order))
     }
 
-    /// Takes an agent's answer; true when it was for the order under way.
+    /// Handles an agent's answer; returns whether it belongs to the pending order.
     pub fn on_order_done(&mut self, now: Time, id: RequestId, done: bool) -> bool {
         let Some(pending) = self.pending.take_if(|u| u.order.id == id) else {
             return false;
         };
-        // Its record still shows what was there before; look again later.
+        // Its record still shows the state before the order.
         let exclusion = if done {
             RECORD_SPREAD_TIME
         } else {
@@ -138,7 +138,7 @@
         }
         self.fence = fence;
         self.pending = None;
-        // The former holder may have begun a load just now.
+        // The previous holder may just have started a load.
         self.next_load = now + self.limits.load_gap;
     }
 
@@ -175,7 +175,7 @@
         }
     }
 
-    /// The engine with room for the model that is least busy.
+    /// Returns the least busy engine that can load the model.
     fn engine_for(&self, model: &Name, engines: &[EngineView]) -> Option<usize> {
         let has_capacity = |e: &EngineView| {
             !e.loaded.contains(model)
@@ -193,7 +193,8 @@
             })
     }
 
-    /// An idle engine that holds more than is wanted while others lack room.
+    /// Returns an idle engine and a model to unload from it: one that is not in
+    /// the inventory, or a surplus replica while another model is missing.
     fn surplus_model(
         &self,
         wanted: &[(Name, u32)],
@@ -225,7 +226,7 @@
     }
 }
 
-/// The model of which the largest share is missing.
+/// Returns the model with the largest share of missing replicas.
 fn most_missing(wanted: &[(Name, u32)], engines: &[EngineView]) -> Option<Name> {
     let missing =
         |(model, want): &&(Name, u32)| u64::from(*want).saturating_sub(replicas_of(model, engines));
--- a/fireflycroft/src/route.rs
+++ b/fireflycroft/src/route.rs
@@ -1,7 +1,7 @@
-//! Which agent is asked next: the entry's table of agents and its choice.
+//! Routing: the entry's table of agents and its choice among them.
 //!
-//! Load rides on every message of an agent, so the table is as fresh as the
-//! last reply; what this entry has sent since is added to it.
+//! Every message from an agent carries its load, so the table is as recent as
+//! the last message. Requests sent since are added to that load.
 
 use crate::ids::{Digest, IdSource, Name, Peer};
 use crate::member_record::{MemberRecord, MemberState};
@@ -14,14 +14,14 @@
 /// How an entry chooses among agents.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RoutePolicy {
-    /// By expected wait and expected memory.
+    /// Lowest expected wait and memory use.
     #[default]
     Expected,
-    /// One after another. A baseline.
+    /// Each in turn. A baseline.
     RoundRobin,
-    /// Fewest requests of this entry under way. A baseline.
+    /// Fewest requests of this entry in progress. A baseline.
     LeastOutstanding,
-    /// The less loaded of two drawn at random, by lagged reports. A baseline.
+    /// The less loaded of two random agents, by their last reports. A baseline.
     TwoChoices,
 }
 
@@ -29,28 +29,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AgentIx(usize);
 
-/// What the entry knows of one agent.
+/// The entry's view of one agent.
 #[derive(Clone, Debug)]
 pub struct AgentView {
-    /// Who it is.
+    /// The agent's identity and address.
     pub peer: Peer,
-    /// Data centre it runs in.
+    /// Data centre that it runs in.
     pub data_centre: Name,
-    /// Its state as a member.
+    /// Membership state.
     pub state: MemberState,
     /// Models or plain services of its upstream.
     pub serves: Vec<Name>,
-    /// Load that it told last.
+    /// Last reported load.
     pub load: Load,
-    /// When it told it.
+    /// Time at which the load was received.
     pub load_received: Time,
-    /// Requests of this entry under way there.
+    /// Requests of this entry in progress there.
     pub outstanding: u32,
-    /// Requests sent there since it told its load.
+    /// Requests sent there since its last load report.
     pub sent_since: u32,
-    /// Tokens of their prompts.
+    /// Prompt tokens of those requests.
     pub sent_tokens: u64,
-    /// Share of this entry's interactive work of late that went there.
+    /// Share of this entry's recent interactive requests that went there.
     pub interactive_share: f64,
     avoid_until: Time,
 }
@@ -68,30 +68,29 @@
 const SLOW_PENALTY: f64 = 2.0;
 const REMOTE_PENALTY: f64 = 0.01;
 
-/// Share of its batch up to which interactive work gathers at an agent, one in
-/// so many.
+/// Interactive work gathers on an agent up to its largest batch divided by this.
 const GATHER_BATCH_DIVISOR: u32 = 2;
 
-/// Batch that costs as much as the whole memory.
+/// Batch size that costs as much as the whole memory.
 const UNIT_COST_BATCH: f64 = 64.0;
 
-/// Prompt that costs as much as the whole memory where all interactive work is.
+/// Prompt length that costs as much as the whole memory on an agent with all interactive work.
 const UNIT_COST_PROMPT_TOKENS: f64 = 500.0;
 
-/// Steps of wait that cost as much as the whole memory.
+/// Wait, in engine steps, that costs as much as the whole memory.
 const UNIT_COST_WAIT_STEPS: f64 = 256.0;
 
-/// Step that waits are measured by before any was told.
+/// Step duration used for waits before any agent has reported one.
 const MIN_STEP: Duration = Duration::from_millis(1);
 
-/// Steps of the peers that make a slow agent, in tenths.
+/// Step duration above which an agent is slow, in tenths of its peers' median.
 const SLOW_STEP_TENTHS: u32 = 25;
 
-/// Weight of one request in an agent's share of the interactive work.
+/// Weight of one request in the moving average of interactive shares.
 const INTERACTIVE_SHARE_WEIGHT: f64 = 0.02;
 
 impl Router {
-    /// An empty table of an entry in `data_centre`.
+    /// Creates an empty table for an entry in `data_centre`.
     #[must_use]
     pub const fn new(policy: RoutePolicy, data_centre: Name) -> Self {
         Self {
@@ -102,7 +101,7 @@
         }
     }
 
-    /// Takes what membership says of one agent.
+    /// Adds or updates an agent from its membership record.
     pub fn upsert(&mut self, record: &MemberRecord) {
         if let Some(agent) = self
             .agents
@@ -134,7 +133,7 @@
         });
     }
 
-    /// Takes the load that an agent told.
+    /// Records the load that an agent reported.
     pub fn record_load(&mut self, now: Time, name: &Name, load: Load) {
         if let Some(agent) = self.by_name_mut(name) {
             agent.load = load;
@@ -144,7 +143,7 @@
         }
     }
 
-    /// Notes that a request was sent to the agent.
+    /// Records a request sent to the agent.
     pub fn record_sent(&mut self, name: &Name, demand: &Demand) {
         if demand.priority == Priority::Interactive {
             self.update_interactive_shares(name);
@@ -165,44 +164,44 @@
         }
     }
 
-    /// Notes that a request at the agent has ended.
+    /// Records the end of a request at the agent.
     pub fn record_done(&mut self, name: &Name) {
         if let Some(agent) = self.by_name_mut(name) {
             agent.outstanding = agent.outstanding.saturating_sub(1);
         }
     }
 
-    /// Leaves the agent out for a while.
+    /// Excludes the agent from the choice for `span`.
     pub fn avoid(&mut self, now: Time, name: &Name, span: Duration) {
         if let Some(agent) = self.by_name_mut(name) {
             agent.avoid_until = agent.avoid_until.max(now + span);
         }
     }
 
-    /// Agent of that name.
+    /// Returns the agent of that name.
     #[must_use]
     pub fn by_name(&self, name: &str) -> Option<&AgentView> {
         self.agents.iter().find(|a| *a.peer.name == *name)
     }
 
-    /// Mailbox of the agent of that name.
+    /// Returns the mailbox address of the agent of that name.
     #[must_use]
     pub fn addr_of(&self, name: &str) -> Option<SocketAddr> {
         self.by_name(name).map(|a| a.peer.addr)
     }
 
-    /// The agent at that index.
+    /// Returns the agent at that index.
     #[must_use]
     pub fn get(&self, ix: AgentIx) -> &AgentView {
         &self.agents[ix.0]
     }
 
-    /// All agents known.
+    /// Returns all known agents.
     pub fn agents(&self) -> impl Iterator<Item = &AgentView> {
         self.agents.iter()
     }
 
-    /// Whether any agent, however loaded, serves `target`.
+    /// Returns whether any agent, however loaded, serves `target`.
     #[must_use]
     pub fn any_serves(&self, target: &Name) -> bool {
         self.agents
@@ -210,7 +209,7 @@
             .any(|a| is_usable(a) && a.serves.contains(target))
     }
 
-    /// Chooses an agent for `demand` that is not in `tried`.
+    /// Chooses an agent outside `tried` for `demand`.
     pub fn choose(
         &mut self,
         now: Time,
@@ -232,7 +231,7 @@
         chosen.map(AgentIx)
     }
 
-    /// Whether another agent has room now where `at` has none.
+    /// Returns whether another agent has free capacity now while `current` has none.
     #[must_use]
     pub fn has_free_alternative(&self, now: Time, demand: &Demand, current: &Name) -> bool {
         if self.policy != RoutePolicy::Expected {
@@ -280,8 +279,7 @@
         })
     }
 
-    /// An agent for interactive work where little batch work is, one for batch
-    /// work where little interactive work is.
+    /// Keeps interactive and batch work on different agents as far as possible.
     fn expected_cost(
         &self,
         candidates: &[usize],
@@ -297,10 +295,10 @@
         self.cheapest(candidates, demand, step, ids)
     }
 
-    /// First agent, in an order that all entries share, with room for more.
+    /// Returns the first agent with capacity, in an order that all entries share.
     ///
-    /// Interactive work so gathers on few agents, whose prefix caches it warms,
-    /// and goes on to the next one when these are filled to a bound.
+    /// Interactive work thus gathers on few agents, whose prefix caches it
+    /// warms, and spills over to the next one when these are filled to a limit.
     fn gathering_agent(
         &self,
         candidates: &[usize],
@@ -323,7 +321,8 @@
             .copied()
     }
 
-    /// Least cost; equal costs are drawn for, so that entries do not herd.
+    /// Returns the candidate of lowest cost. Ties are broken at random so that
+    /// the entries don't all choose the same agent.
     fn cheapest(
         &self,
         candidates: &[usize],
@@ -345,8 +344,7 @@
         turned.min_by(|a, b| cost(a).total_cmp(&cost(b)))
     }
 
-    /// What a request costs there: shares of the memory, and of the wait that
-    /// counts as much as all of it.
+    /// Returns the cost of a request on an agent, in units of its whole memory.
     #[allow(clippy::cast_precision_loss)]
     fn cost(&self, i: usize, demand: &Demand, step: Duration) -> f64 {
         let agent = &self.agents[i];
@@ -383,7 +381,7 @@
         wait + occupancy + slow + suspect + remote
     }
 
-    /// Median of the steps that the agents told, zero when none did.
+    /// Returns the median of the reported step durations, zero if there are none.
     fn median_step(&self, candidates: &[usize]) -> Duration {
         let reported = candidates.iter().map(|i| self.agents[*i].load.step);
         let mut steps: Vec<Duration> = reported.filter(|s| !s.is_zero()).collect();
@@ -396,7 +394,7 @@
     }
 }
 
-/// Time until a request of that priority would begin there.
+/// Returns the reported wait of an agent for a request of that priority.
 const fn wait_at(agent: &AgentView, priority: Priority) -> Duration {
     match priority {
         Priority::Interactive => agent.load.wait_interactive,
@@ -404,12 +402,12 @@
     }
 }
 
-/// Whether an agent at work is slow by the figures of its peers.
+/// Returns whether a busy agent is slow compared with its peers.
 fn is_slow(agent: &AgentView, median: Duration) -> bool {
     agent.load.running > 0 && agent.load.step * 10 > median * SLOW_STEP_TENTHS && !median.is_zero()
 }
 
-/// Place of an agent in the order of a target, the same at all entries.
+/// Returns an agent's rendezvous hash for a target, the same at all entries.
 fn rendezvous(target: &Name, agent: &Name) -> Digest {
     Digest::of(&[target.as_bytes(), agent.as_bytes()])
 }
