--- a/fireflycroft/tests/lease.rs
+++ b/fireflycroft/tests/lease.rs
@@ -20,11 +20,11 @@
     /// The oldest call under way of a node reaches the platform and is answered.
     Answer(usize),
     /// It reaches the platform, and its answer is lost.
-    Lose(usize),
+    LoseAnswer(usize),
     /// Its caller is told nothing; it takes effect when this comes up again.
     Delay(usize),
     /// The oldest delayed call reaches the platform.
-    Effect,
+    ApplyDelayed,
     /// The platform refuses the call.
     Refuse(usize),
     /// A node stops running, without knowing.
@@ -51,9 +51,9 @@
         prop_oneof![
             8 => prop_oneof![1_u64..400, 400_u64..3_000, 8_000_u64..20_000].prop_map(Step::Wait),
             8 => node.clone().prop_map(Step::Answer),
-            2 => node.clone().prop_map(Step::Lose),
+            2 => node.clone().prop_map(Step::LoseAnswer),
             2 => node.clone().prop_map(Step::Delay),
-            2 => Just(Step::Effect),
+            2 => Just(Step::ApplyDelayed),
             1 => node.clone().prop_map(Step::Refuse),
             1 => node.clone().prop_map(Step::Freeze),
             2 => node.clone().prop_map(Step::Thaw),
@@ -78,7 +78,7 @@
     record: Option<(LeaseRecord, u64)>,
     revision: u64,
     delayed: Vec<LeaseOp>,
-    lives: u128,
+    incarnations: u128,
     /// Who acted under each fencing number.
     actors: BTreeMap<u64, RequestId>,
     tokens: Vec<RequestId>,
@@ -92,7 +92,7 @@
             record: None,
             revision: 0,
             delayed: Vec::new(),
-            lives: 0,
+            incarnations: 0,
             actors: BTreeMap::new(),
             tokens: Vec::new(),
         };
@@ -105,8 +105,8 @@
     }
 
     fn new_node(&mut self, i: usize) -> (Node, RequestId) {
-        self.lives += 1;
-        let token = RequestId(self.lives);
+        self.incarnations += 1;
+        let token = RequestId(self.incarnations);
         let name = Name::from(format!("node-{i}"));
         let node = Node {
             lease: Lease::new(name, token, LeaseTimings::default()),
@@ -136,7 +136,7 @@
         LeaseAnswer::Written(self.revision)
     }
 
-    fn tell(&mut self, i: usize, call: LeaseCall, answer: LeaseAnswer) {
+    fn deliver_answer(&mut self, i: usize, call: LeaseCall, answer: LeaseAnswer) {
         let node = &mut self.nodes[i];
         if node.frozen {
             node.inbox.push((call, answer));
@@ -162,22 +162,22 @@
             Step::Answer(i) => {
                 if let Some((call, op)) = self.next_call(i) {
                     let answer = self.serve(&op);
-                    self.tell(i, call, answer);
+                    self.deliver_answer(i, call, answer);
                 }
             }
-            Step::Lose(i) => {
+            Step::LoseAnswer(i) => {
                 if let Some((call, op)) = self.next_call(i) {
                     self.serve(&op);
-                    self.tell(i, call, LeaseAnswer::Lost);
+                    self.deliver_answer(i, call, LeaseAnswer::Lost);
                 }
             }
             Step::Delay(i) => {
                 if let Some((call, op)) = self.next_call(i) {
                     self.delayed.push(op);
-                    self.tell(i, call, LeaseAnswer::Lost);
+                    self.deliver_answer(i, call, LeaseAnswer::Lost);
                 }
             }
-            Step::Effect => {
+            Step::ApplyDelayed => {
                 if !self.delayed.is_empty() {
                     let op = self.delayed.remove(0);
                     self.serve(&op);
@@ -185,7 +185,7 @@
             }
             Step::Refuse(i) => {
                 if let Some((call, _)) = self.next_call(i) {
-                    self.tell(i, call, LeaseAnswer::Unavailable);
+                    self.deliver_answer(i, call, LeaseAnswer::Unavailable);
                 }
             }
             Step::Freeze(i) => self.nodes[i].frozen = true,
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_late_answer_to_a_call_given_up_is_not_heard() {
+fn a_late_answer_to_an_abandoned_call_is_ignored() {
     let timings = LeaseTimings::default();
     let mut lease = Lease::new("node".into(), RequestId(1), timings);
     let (first, _) = lease.on_tick(Time::from_millis(1), true).unwrap();
--- a/fireflycroft/tests/mutants.rs
+++ b/fireflycroft/tests/mutants.rs
@@ -15,7 +15,7 @@
 const SEED: u64 = 4;
 
 /// Scripts within which a fault must be caught.
-const MOST_SCRIPTS: u32 = 500;
+const MAX_SCRIPTS: u32 = 500;
 
 /// Faults that the script shows in a fleet with the seeded fault.
 fn violations(mutant: Mutant, seed: u64, steps: &[Op]) -> Vec<Violation> {
@@ -34,7 +34,7 @@
         ..Config::default()
     });
     let scripts = Script::sequential_strategy(1..MAX_STEPS);
-    (1..=MOST_SCRIPTS).find(|_| {
+    (1..=MAX_SCRIPTS).find(|_| {
         let (seed, steps, _) = scripts.new_tree(&mut runner).unwrap().current();
         violations(mutant, seed, &steps)
             .iter()
@@ -56,11 +56,11 @@
 }
 
 should_catch! {
-    catches_tokens_handed_on_twice: DeliverTwice breaks 1;
+    catches_tokens_delivered_twice: DeliverTwice breaks 1;
     catches_readers_of_any_workspace: AnyWorkspace breaks 2;
     catches_unknown_called_not_run: UnknownIsNotRun breaks 3;
     catches_every_claim_won: EveryClaimWon breaks 4;
-    catches_an_agent_deaf_to_leave: IgnoreLeave breaks 5;
+    catches_an_agent_that_ignores_leave: IgnoreLeave breaks 5;
     catches_a_stop_that_does_not_wait: StopAtOnce breaks 6;
     catches_a_lower_configuration: AnyConfig breaks 7;
     catches_calls_that_hang: NoTicks breaks 0;
--- a/fireflycroft/tests/place.rs
+++ b/fireflycroft/tests/place.rs
@@ -29,7 +29,7 @@
 }
 
 /// Engines that carry out each order at once.
-struct Fleet {
+struct SimulatedEngines {
     placer: Placer,
     engines: Vec<EngineView>,
     ids: IdSource,
@@ -37,7 +37,7 @@
     loads: Vec<Time>,
 }
 
-impl Fleet {
+impl SimulatedEngines {
     fn new(engines: Vec<EngineView>) -> Self {
         Self {
             placer: Placer::new(PlacementLimits::default()),
@@ -57,12 +57,12 @@
     fn run(&mut self, wanted: &[(Name, u32)], ticks: usize) {
         for _ in 0..ticks {
             if let Some((agent, order)) = self.tick(Some(1), wanted) {
-                self.carry_out(&agent, &order);
+                self.execute(&agent, &order);
             }
         }
     }
 
-    fn carry_out(&mut self, agent: &Peer, order: &Order) {
+    fn execute(&mut self, agent: &Peer, order: &Order) {
         let engine = self.engines.iter_mut().find(|e| e.agent == *agent).unwrap();
         match order.kind {
             OrderKind::Load => {
@@ -95,13 +95,13 @@
 
 cases! {
     without_the_lease_nothing_is_ordered: {
-        let mut fleet = Fleet::new(vec![engine(0, &[])]);
+        let mut fleet = SimulatedEngines::new(vec![engine(0, &[])]);
         let wanted = wanted(&[("model-a", 1)]);
         assert!((0..100).all(|_| fleet.tick(None, &wanted).is_none()));
     }
 
     a_new_holder_waits_out_the_gap: {
-        let mut fleet = Fleet::new(vec![engine(0, &[])]);
+        let mut fleet = SimulatedEngines::new(vec![engine(0, &[])]);
         let wanted = wanted(&[("model-a", 1)]);
         let gap = PlacementLimits::default().load_gap;
         let ticks = usize::try_from(gap.as_millis() / STEP.as_millis()).unwrap();
@@ -110,7 +110,7 @@
     }
 
     an_unanswered_order_is_sent_again_as_a_copy: {
-        let mut fleet = Fleet::new(vec![engine(0, &[])]);
+        let mut fleet = SimulatedEngines::new(vec![engine(0, &[])]);
         let wanted = wanted(&[("model-a", 1)]);
         let sent: Vec<Order> = (0..60).filter_map(|_| fleet.tick(Some(1), &wanted)).map(|(_, o)| o).collect();
         assert!(sent.len() > 2);
@@ -118,7 +118,7 @@
     }
 
     a_refusing_engine_is_left_out_for_a_while: {
-        let mut fleet = Fleet::new(vec![engine(0, &[]), engine(1, &["model-b"])]);
+        let mut fleet = SimulatedEngines::new(vec![engine(0, &[]), engine(1, &["model-b"])]);
         let wanted = wanted(&[("model-a", 1), ("model-b", 1)]);
         let (first, order) = (0..60).find_map(|_| fleet.tick(Some(1), &wanted)).unwrap();
         fleet.placer.on_order_done(fleet.now, order.id, false);
@@ -127,7 +127,7 @@
     }
 
     an_engine_whose_record_lags_is_not_ordered_twice: {
-        let mut fleet = Fleet::new(vec![engine(0, &["old"])]);
+        let mut fleet = SimulatedEngines::new(vec![engine(0, &["old"])]);
         let nothing = wanted(&[]);
         let (_, order) = (0..60).find_map(|_| fleet.tick(Some(1), &nothing)).unwrap();
         fleet.placer.on_order_done(fleet.now, order.id, true);
@@ -138,13 +138,13 @@
     an_engine_that_runs_is_not_emptied: {
         let mut busy = engine(0, &["model-old"]);
         busy.running = 3;
-        let mut fleet = Fleet::new(vec![busy]);
+        let mut fleet = SimulatedEngines::new(vec![busy]);
         fleet.run(&wanted(&[("model-a", 1)]), 200);
         assert!(fleet.counts().contains_key("model-old"));
     }
 
-    a_model_that_nobody_wants_makes_room: {
-        let mut fleet = Fleet::new(vec![engine(0, &["old-1", "old-2"])]);
+    an_unlisted_model_is_unloaded_for_a_wanted_one: {
+        let mut fleet = SimulatedEngines::new(vec![engine(0, &["old-1", "old-2"])]);
         fleet.run(&wanted(&[("model-a", 1)]), 200);
         assert_eq!(fleet.counts().get("model-a"), Some(&1));
     }
@@ -160,7 +160,7 @@
 
     /// What fits is placed, whatever was there; loads keep their distance.
     #[test]
-    fn what_is_wanted_and_fits_is_placed(
+    fn wanted_replicas_that_fit_are_placed(
         engines in 1_usize..8,
         a in 0_u32..6,
         b in 0_u32..6,
@@ -169,7 +169,7 @@
         let a = a.min(u32::try_from(engines).unwrap());
         let b = b.min(u32::try_from(engines).unwrap());
         let views = (0..engines).map(|i| engine(i, &held[i])).collect();
-        let mut fleet = Fleet::new(views);
+        let mut fleet = SimulatedEngines::new(views);
         fleet.run(&wanted(&[("a", a), ("b", b)]), 600);
         let counts = fleet.counts();
         let count = |m: &str| counts.get(m).copied().unwrap_or(0);
--- a/fireflycroft/tests/point4_once.rs
+++ b/fireflycroft/tests/point4_once.rs
@@ -10,7 +10,7 @@
 use support::upstream::Mood;
 use support::world::World;
 
-fn keyed() -> CallSpec {
+fn keyed_call() -> CallSpec {
     CallSpec {
         content: 4,
         key: Some(1),
@@ -19,17 +19,17 @@
 }
 
 /// A keyed call of the plain service.
-fn filing() -> CallSpec {
+fn service_call() -> CallSpec {
     CallSpec {
         kind: Kind::Service,
-        ..keyed()
+        ..keyed_call()
     }
 }
 
-fn unkeyed() -> CallSpec {
+fn unkeyed_service_call() -> CallSpec {
     CallSpec {
         key: None,
-        ..filing()
+        ..service_call()
     }
 }
 
@@ -49,7 +49,7 @@
 
 cases! {
     same_key_at_two_entries_in_the_same_instant(world) {
-        for spec in [keyed(), CallSpec { key: Some(2), ..filing() }] {
+        for spec in [keyed_call(), CallSpec { key: Some(2), ..service_call() }] {
             let calls = [0, 1].map(|entry| world.submit(entry, spec).unwrap());
             world.advance(10_000);
             assert_whole(world, &calls);
@@ -58,14 +58,14 @@
     }
 
     same_key_twice_at_one_entry(world) {
-        let calls = [0, 0].map(|entry| world.submit(entry, keyed()).unwrap());
+        let calls = [0, 0].map(|entry| world.submit(entry, keyed_call()).unwrap());
         world.advance(10_000);
         assert_whole(world, &calls);
         assert_eq!(runs(world, &calls), 1);
     }
 
     sent_again_after_the_entrys_death(world) {
-        for spec in [keyed(), CallSpec { key: Some(2), ..filing() }] {
+        for spec in [keyed_call(), CallSpec { key: Some(2), ..service_call() }] {
             let first = world.submit(0, spec).unwrap();
             world.advance(60);
             world.kill(Proc::Entry(0));
@@ -79,23 +79,23 @@
 
     /// The entry died after the claim took effect, before its start.
     sent_again_after_death_between_claim_and_start(world) {
-        let first = world.submit(0, filing()).unwrap();
+        let first = world.submit(0, service_call()).unwrap();
         world.advance(2);
         world.kill(Proc::Entry(0));
         world.advance(100);
         assert_eq!(world.runs(first), 0);
-        let again = world.submit(1, filing()).unwrap();
+        let again = world.submit(1, service_call()).unwrap();
         world.advance(10_000);
         assert_whole(world, &[again]);
     }
 
     refused_at_once_in_an_outage(world) {
         world.platform.mode = PlatformMode::Out;
-        let call = world.submit(0, filing()).unwrap();
+        let call = world.submit(0, service_call()).unwrap();
         world.advance(10);
         assert_code(world, call, Code::ClaimUnavailable);
         world.platform.mode = PlatformMode::Up;
-        let again = world.submit(1, filing()).unwrap();
+        let again = world.submit(1, service_call()).unwrap();
         world.advance(10_000);
         assert_whole(world, &[again]);
         assert_eq!(world.runs(call), 0);
@@ -103,7 +103,7 @@
 
     refused_in_time_when_the_platform_hangs(world) {
         world.platform.mode = PlatformMode::Hung;
-        let call = world.submit(0, filing()).unwrap();
+        let call = world.submit(0, service_call()).unwrap();
         world.advance(1_700);
         assert_code(world, call, Code::ClaimUnavailable);
     }
@@ -111,7 +111,7 @@
     platform_loses_answers(world) {
         world.platform.mode = PlatformMode::Deaf;
         for key in 0..20 {
-            let spec = CallSpec { key: Some(key), content: 1, ..filing() };
+            let spec = CallSpec { key: Some(key), content: 1, ..service_call() };
             let calls = [0, 1].map(|entry| world.submit(entry, spec).unwrap());
             world.advance(8_000);
             assert!(runs(world, &calls) <= 1);
@@ -122,7 +122,7 @@
     platform_writes_late(world) {
         world.platform.mode = PlatformMode::Late;
         for key in 0..20 {
-            let spec = CallSpec { key: Some(key), content: 1, ..filing() };
+            let spec = CallSpec { key: Some(key), content: 1, ..service_call() };
             let first = world.submit(0, spec).unwrap();
             world.advance(500);
             let again = world.submit(1, spec).unwrap();
@@ -134,7 +134,7 @@
     platform_reads_stale(world) {
         world.platform.mode = PlatformMode::Stale;
         for key in 0..10 {
-            let spec = CallSpec { key: Some(key), content: 1, ..filing() };
+            let spec = CallSpec { key: Some(key), content: 1, ..service_call() };
             let calls = [0, 1, 2].map(|entry| world.submit(entry, spec).unwrap());
             world.advance(8_000);
             assert!(runs(world, &calls) <= 1);
@@ -144,7 +144,7 @@
     /// The claimer sleeps past its hold, another takes the claim over.
     claim_holder_frozen_past_its_hold(world) {
         for (key, timers_first) in [(1, false), (2, true)] {
-            let spec = CallSpec { key: Some(key), ..filing() };
+            let spec = CallSpec { key: Some(key), ..service_call() };
             let first = world.submit(0, spec).unwrap();
             world.advance(2);
             world.freeze(Proc::Entry(0));
@@ -160,11 +160,11 @@
 
     /// The claimer sleeps before its hold is over: the other waits for it.
     claim_holder_frozen_within_its_hold(world) {
-        let first = world.submit(0, filing()).unwrap();
+        let first = world.submit(0, service_call()).unwrap();
         world.advance(2);
         world.freeze(Proc::Entry(0));
         world.advance(300);
-        let again = world.submit(1, filing()).unwrap();
+        let again = world.submit(1, service_call()).unwrap();
         world.advance(500);
         world.thaw(Proc::Entry(0));
         world.advance(10_000);
@@ -173,12 +173,12 @@
     }
 
     agent_frozen_past_its_hold(world) {
-        let first = world.submit(0, filing()).unwrap();
+        let first = world.submit(0, service_call()).unwrap();
         world.advance(2);
         world.freeze(Proc::Agent(3));
         world.advance(2_500);
         world.thaw(Proc::Agent(3));
-        let again = world.submit(1, filing()).unwrap();
+        let again = world.submit(1, service_call()).unwrap();
         world.advance(10_000);
         assert_whole(world, &[again]);
         assert_eq!(runs(world, &[first, again]), 1);
@@ -186,23 +186,23 @@
 
     /// Nobody can know whether it ran: it is not run again.
     agent_restarted_under_a_claim(world) {
-        let first = world.submit(0, filing()).unwrap();
+        let first = world.submit(0, service_call()).unwrap();
         world.advance(60);
         assert_eq!(world.runs(first), 1);
         world.kill(Proc::Agent(3));
         world.advance(5_000);
-        let again = world.submit(1, filing()).unwrap();
+        let again = world.submit(1, service_call()).unwrap();
         world.advance(5_000);
         assert_code(world, again, Code::ClaimUnresolved);
     }
 
     /// Its caller left while the claim was written; it never started.
     caller_gone_while_claiming_then_sent_again_late(world) {
-        let first = world.submit(0, filing()).unwrap();
+        let first = world.submit(0, service_call()).unwrap();
         world.advance(3);
         world.leave_caller(first);
         world.advance(180_000);
-        let again = world.submit(1, filing()).unwrap();
+        let again = world.submit(1, service_call()).unwrap();
         world.advance(10_000);
         assert_whole(world, &[again]);
         assert_eq!(world.runs(first), 0);
@@ -211,7 +211,7 @@
     /// The upstream refused the start, so the key is free.
     upstream_refused_then_sent_again(world) {
         for wait in [10, 180_000] {
-            let spec = CallSpec { key: Some(u8::try_from(wait % 7).unwrap()), ..filing() };
+            let spec = CallSpec { key: Some(u8::try_from(wait % 7).unwrap()), ..service_call() };
             world.set_mood(3, Mood::Refuse);
             let first = world.submit(0, spec).unwrap();
             world.advance(1_000);
@@ -225,18 +225,18 @@
     }
 
     sent_again_after_its_end(world) {
-        let first = world.submit(0, filing()).unwrap();
+        let first = world.submit(0, service_call()).unwrap();
         world.advance(5_000);
-        let again = world.submit(1, filing()).unwrap();
+        let again = world.submit(1, service_call()).unwrap();
         world.advance(1_000);
         assert_whole(world, &[first, again]);
         assert_eq!(runs(world, &[first, again]), 1);
     }
 
     sent_again_after_its_answer_was_forgotten(world) {
-        let first = world.submit(0, filing()).unwrap();
+        let first = world.submit(0, service_call()).unwrap();
         world.advance(120_000);
-        let again = world.submit(1, filing()).unwrap();
+        let again = world.submit(1, service_call()).unwrap();
         world.advance(1_000);
         assert_code(world, again, Code::AlreadyRan);
         assert_eq!(world.runs(first), 1);
@@ -244,11 +244,11 @@
 
     /// The other entry has not heard of the agent that holds the claim.
     sent_again_through_an_entry_that_does_not_know_the_agent(world) {
-        let first = world.submit(0, keyed()).unwrap();
+        let first = world.submit(0, keyed_call()).unwrap();
         world.advance(60);
         let agent = world.agent_of(first).unwrap();
         world.tell_member(1, agent, MemberState::Dead);
-        let again = world.submit(1, keyed()).unwrap();
+        let again = world.submit(1, keyed_call()).unwrap();
         world.advance(10_000);
         assert_whole(world, &[first, again]);
     }
@@ -257,7 +257,7 @@
         // Each its own content, or the third would be quarantined.
         for (tokens, content) in [(0, 3), (1, 4), (20, 5)] {
             world.set_mood(3, Mood::Die(tokens));
-            let call = world.submit(0, CallSpec { content, ..unkeyed() }).unwrap();
+            let call = world.submit(0, CallSpec { content, ..unkeyed_service_call() }).unwrap();
             world.advance(10_000);
             assert_code(world, call, Code::UpstreamFailed);
             assert_eq!(world.runs(call), 1);
@@ -265,7 +265,7 @@
     }
 
     no_key_and_the_agent_freezes(world) {
-        let call = world.submit(0, unkeyed()).unwrap();
+        let call = world.submit(0, unkeyed_service_call()).unwrap();
         world.advance(4);
         world.freeze(Proc::Agent(3));
         world.advance(9_500);
@@ -289,11 +289,11 @@
     }
 
     /// The claimed call's engine dies: the key stays spent.
-    key_stays_spent_after_the_engine_died(world) {
+    key_stays_used_after_the_engine_died(world) {
         world.set_mood(3, Mood::Die(2));
-        let first = world.submit(0, filing()).unwrap();
+        let first = world.submit(0, service_call()).unwrap();
         world.advance(5_000);
-        let again = world.submit(1, filing()).unwrap();
+        let again = world.submit(1, service_call()).unwrap();
         world.advance(5_000);
         assert_code(world, first, Code::UpstreamFailed);
         assert_code(world, again, Code::UpstreamFailed);
--- a/fireflycroft/tests/recheck.rs
+++ b/fireflycroft/tests/recheck.rs
@@ -79,7 +79,7 @@
 
 impl World {
     /// An entry with two agents whose first call is out on offer.
-    fn offered() -> Self {
+    fn with_pending_offer() -> Self {
         let entry = Entry::new(EntrySetup {
             data_centre: "dc1".into(),
             policy: RoutePolicy::RoundRobin,
@@ -91,9 +91,9 @@
             entry,
             out: Vec::new(),
         };
-        world.tell(EntryEvent::Config(config(1, &["desk"], &["model"])));
+        world.apply(EntryEvent::Config(config(1, &["desk"], &["model"])));
         for n in [1, 2] {
-            world.tell(EntryEvent::Member(MemberRecord {
+            world.apply(EntryEvent::Member(MemberRecord {
                 peer: peer(n),
                 data_centre: "dc1".into(),
                 state: MemberState::Alive,
@@ -101,11 +101,11 @@
                 serves: vec!["model".into()],
             }));
         }
-        world.tell(EntryEvent::Submit(CALL, Box::new(submission())));
+        world.apply(EntryEvent::Submit(CALL, Box::new(submission())));
         world
     }
 
-    fn tell(&mut self, event: EntryEvent) {
+    fn apply(&mut self, event: EntryEvent) {
         self.entry.on_event(self.now, event, &mut self.out);
     }
 
@@ -113,7 +113,7 @@
     fn ticks(&mut self, count: u32) {
         for _ in 0..count {
             self.now = self.now + Duration::from_millis(50);
-            self.tell(EntryEvent::Tick);
+            self.apply(EntryEvent::Tick);
         }
     }
 
@@ -133,7 +133,7 @@
 
     fn answer(&mut self, config: u64, body: impl Fn(RequestId, u32) -> Message) {
         let (request, attempt, agent) = self.last_offer();
-        self.tell(EntryEvent::Message(Box::new(Envelope {
+        self.apply(EntryEvent::Message(Box::new(Envelope {
             from: peer(agent),
             config: ConfigVersion(config),
             load: None,
@@ -186,7 +186,7 @@
         $(#[$doc])*
         #[test]
         fn $name() {
-            let mut $world = World::offered();
+            let mut $world = World::with_pending_offer();
             $body
         }
     )*};
@@ -204,7 +204,7 @@
     }
 
     key_removed_before_the_next_offer: |world| {
-        world.tell(EntryEvent::Config(config(2, &[], &["model"])));
+        world.apply(EntryEvent::Config(config(2, &[], &["model"])));
         world.refuse(2);
         world.ticks(2);
         assert_eq!(world.ended_with(), Some(Code::KeyRefused));
@@ -212,28 +212,28 @@
     }
 
     key_moved_before_the_next_offer: |world| {
-        world.tell(EntryEvent::Config(config(2, &["lab"], &["model"])));
+        world.apply(EntryEvent::Config(config(2, &["lab"], &["model"])));
         world.refuse(2);
         world.ticks(2);
         assert_eq!(world.ended_with(), Some(Code::KeyRefused));
     }
 
     model_removed_before_the_next_offer: |world| {
-        world.tell(EntryEvent::Config(config(2, &["desk"], &["other"])));
+        world.apply(EntryEvent::Config(config(2, &["desk"], &["other"])));
         world.refuse(2);
         world.ticks(2);
         assert_eq!(world.ended_with(), Some(Code::ModelUnknown));
     }
 
     key_removed_before_the_start: |world| {
-        world.tell(EntryEvent::Config(config(2, &[], &["model"])));
+        world.apply(EntryEvent::Config(config(2, &[], &["model"])));
         world.accept(2);
         assert_eq!(world.ended_with(), Some(Code::KeyRefused));
         assert!(!world.started());
     }
 
     still_allowed: |world| {
-        world.tell(EntryEvent::Config(config(2, &["desk"], &["model"])));
+        world.apply(EntryEvent::Config(config(2, &["desk"], &["model"])));
         world.refuse(2);
         world.ticks(2);
         assert_eq!((world.ended_with(), world.offers()), (None, 2));
--- a/fireflycroft/tests/route.rs
+++ b/fireflycroft/tests/route.rs
@@ -15,22 +15,22 @@
 const STEP: Duration = Duration::from_millis(20);
 
 cases! {
-    interactive_gathers_on_the_same_agent_at_all_entries => gathers();
-    interactive_goes_on_from_a_filled_agent => goes_on_when_filled(40, 64);
-    interactive_spreads_over_small_batches => goes_on_when_filled(1, 3);
-    batch_keeps_off_the_interactive_agent => batch_keeps_off();
-    batch_takes_the_interactive_agent_before_a_long_wait => batch_spills();
-    batch_goes_where_memory_is => batch_follows_memory();
-    slow_agent_is_found_by_its_peers => slow_is_left_out();
-    slow_agent_without_work_may_prove_itself => idle_slow_is_tried();
-    queued_request_finds_a_freer_agent => finds_freer();
-    suspect_agent_is_the_last_choice => suspect_is_last();
-    tried_agent_is_not_asked_again => tried_is_left_out();
-    leaving_agent_is_not_asked => leaving_is_left_out();
-    avoided_agent_is_asked_again_later => avoided_comes_back();
-    round_robin_goes_round => goes_round();
-    least_outstanding_counts_own_requests => counts_outstanding();
-    two_choices_takes_the_less_loaded => takes_less_loaded();
+    interactive_gathers_on_the_same_agent_at_all_entries => check_gathering();
+    interactive_goes_on_from_a_filled_agent => check_spill_over(40, 64);
+    interactive_spreads_over_small_batches => check_spill_over(1, 3);
+    batch_keeps_off_the_interactive_agent => check_batch_separation();
+    batch_takes_the_interactive_agent_before_a_long_wait => check_batch_spill_over();
+    batch_goes_where_memory_is => check_memory_choice();
+    slow_agent_is_found_by_its_peers => check_slow_excluded();
+    idle_slow_agent_is_still_chosen => check_idle_slow_chosen();
+    queued_request_finds_a_freer_agent => check_free_alternative();
+    suspect_agent_is_the_last_choice => check_suspect_last();
+    tried_agent_is_not_asked_again => check_tried_excluded();
+    leaving_agent_is_not_asked => check_leaving_excluded();
+    avoided_agent_is_asked_again_later => check_avoided_returns();
+    round_robin_goes_round => check_round_robin();
+    least_outstanding_counts_own_requests => check_least_outstanding();
+    two_choices_takes_the_less_loaded => check_two_choices();
 }
 
 fn name(i: usize) -> Name {
@@ -106,7 +106,7 @@
     sent
 }
 
-fn head(agents: usize) -> Name {
+fn gathering_agent(agents: usize) -> Name {
     let mut router = router(RoutePolicy::Expected, agents);
     choose(
         &mut router,
@@ -115,41 +115,41 @@
     )
 }
 
-fn gathers() {
+fn check_gathering() {
     for seed in 0..20 {
         let mut router = router(RoutePolicy::Expected, 6);
         let mut ids = IdSource::new([seed; 32]);
         let to = choose(&mut router, Priority::Interactive, &mut ids);
-        assert_eq!(to, head(6));
+        assert_eq!(to, gathering_agent(6));
     }
 }
 
 /// The bound is a share of the batch, not a number of generations.
-fn goes_on_when_filled(running: u32, max_batch: u32) {
+fn check_spill_over(running: u32, max_batch: u32) {
     let mut router = router(RoutePolicy::Expected, 4);
     let full = Load {
         running,
         max_batch,
         ..load(1_000)
     };
-    router.record_load(NOW, &head(4), full);
+    router.record_load(NOW, &gathering_agent(4), full);
     let sent = send(&mut router, Priority::Interactive, 50);
     assert_eq!(sent.len(), 1);
-    assert!(!sent.contains_key(&head(4)));
+    assert!(!sent.contains_key(&gathering_agent(4)));
 }
 
-fn batch_keeps_off() {
+fn check_batch_separation() {
     let mut router = router(RoutePolicy::Expected, 4);
     send(&mut router, Priority::Interactive, 200);
     let sent = send(&mut router, Priority::Batch, 100);
-    assert_eq!(sent.get(&head(4)), None);
+    assert_eq!(sent.get(&gathering_agent(4)), None);
     assert_eq!(sent.len(), 3);
 }
 
-fn batch_spills() {
+fn check_batch_spill_over() {
     let mut router = router(RoutePolicy::Expected, 4);
     send(&mut router, Priority::Interactive, 200);
-    for i in (0..4).filter(|i| name(*i) != head(4)) {
+    for i in (0..4).filter(|i| name(*i) != gathering_agent(4)) {
         let full = Load {
             wait_batch: Duration::from_secs(20),
             ..load(9_500)
@@ -157,10 +157,10 @@
         router.record_load(NOW, &name(i), full);
     }
     let sent = send(&mut router, Priority::Batch, 20);
-    assert_eq!(sent.get(&head(4)), Some(&20));
+    assert_eq!(sent.get(&gathering_agent(4)), Some(&20));
 }
 
-fn batch_follows_memory() {
+fn check_memory_choice() {
     let mut router = router(RoutePolicy::Expected, 4);
     for i in 0..4 {
         let expected = if i == 2 { 2_000 } else { 6_000 };
@@ -170,18 +170,18 @@
     assert_eq!(sent.get(&name(2)), Some(&10));
 }
 
-fn slow_is_left_out() {
+fn check_slow_excluded() {
     let mut router = router(RoutePolicy::Expected, 4);
     let slow = Load {
         step: STEP * 3,
         ..load(0)
     };
-    router.record_load(NOW, &head(4), slow);
-    assert!(!send(&mut router, Priority::Interactive, 20).contains_key(&head(4)));
-    assert!(!send(&mut router, Priority::Batch, 20).contains_key(&head(4)));
+    router.record_load(NOW, &gathering_agent(4), slow);
+    assert!(!send(&mut router, Priority::Interactive, 20).contains_key(&gathering_agent(4)));
+    assert!(!send(&mut router, Priority::Batch, 20).contains_key(&gathering_agent(4)));
 }
 
-fn idle_slow_is_tried() {
+fn check_idle_slow_chosen() {
     let mut router = router(RoutePolicy::Expected, 4);
     let idle = Load {
         step: STEP * 3,
@@ -193,7 +193,7 @@
 }
 
 /// Free means room now, at an agent that nothing was sent to since it said so.
-fn finds_freer() {
+fn check_free_alternative() {
     let mut router = router(RoutePolicy::Expected, 2);
     let full = Load {
         wait_batch: Duration::from_secs(3),
@@ -210,7 +210,7 @@
     assert!(!router.has_free_alternative(NOW, &batch, &name(0)));
 }
 
-fn suspect_is_last() {
+fn check_suspect_last() {
     let mut router = router(RoutePolicy::Expected, 3);
     for i in 0..2 {
         router.upsert(&record(i, MemberState::Suspect));
@@ -223,7 +223,7 @@
     choose(&mut router, Priority::Interactive, &mut ids);
 }
 
-fn tried_is_left_out() {
+fn check_tried_excluded() {
     for policy in [
         RoutePolicy::Expected,
         RoutePolicy::RoundRobin,
@@ -244,7 +244,7 @@
     }
 }
 
-fn leaving_is_left_out() {
+fn check_leaving_excluded() {
     let mut router = router(RoutePolicy::Expected, 2);
     let leaving = Load {
         leaving: true,
@@ -257,7 +257,7 @@
     );
 }
 
-fn avoided_comes_back() {
+fn check_avoided_returns() {
     let mut router = router(RoutePolicy::Expected, 1);
     router.avoid(NOW, &name(0), Duration::from_secs(2));
     let mut ids = IdSource::new([1; 32]);
@@ -268,13 +268,13 @@
     assert!(router.choose(late, &demand, &[], &mut ids).is_some());
 }
 
-fn goes_round() {
+fn check_round_robin() {
     let mut router = router(RoutePolicy::RoundRobin, 3);
     let sent = send(&mut router, Priority::Batch, 30);
     assert!((0..3).all(|i| sent.get(&name(i)) == Some(&10)));
 }
 
-fn counts_outstanding() {
+fn check_least_outstanding() {
     let mut router = router(RoutePolicy::LeastOutstanding, 3);
     let sent = send(&mut router, Priority::Batch, 30);
     assert!((0..3).all(|i| sent.get(&name(i)) == Some(&10)));
@@ -283,7 +283,7 @@
     assert!(sent.contains_key(&name(1)));
 }
 
-fn takes_less_loaded() {
+fn check_two_choices() {
     let mut router = router(RoutePolicy::TwoChoices, 2);
     let busy = Load {
         running: 30,
