--- a/fireflycroft/tests/fleet.rs
+++ b/fireflycroft/tests/fleet.rs
@@ -19,7 +19,7 @@
 /// Cases of the run in CI.
 const CI_CASES: u32 = 1_000;
 
-/// Attempts at shrinking a failure.
+/// Iterations for shrinking a failure.
 const MAX_SHRINKS: u32 = 4_096;
 
 static TALLY: Mutex<Tally> = Mutex::new(Tally::new());
@@ -67,7 +67,7 @@
     }
 }
 
-/// The seven points hold after every step, and nothing hangs.
+/// The seven guarantees hold after every step, and no call hangs.
 #[test]
 fn fleet_keeps_its_promises() {
     let config = config();
--- a/fireflycroft/tests/lease.rs
+++ b/fireflycroft/tests/lease.rs
@@ -1,5 +1,5 @@
-//! The lease under freezes, outages, lost and late answers, against the plain
-//! rule: never two holders at once, and no fencing number held twice.
+//! The lease under freezes, outages, lost and late answers: there are never
+//! two holders at once, and no fencing number is held by two incarnations.
 
 use fireflycroft::{
     Lease, LeaseAnswer, LeaseCall, LeaseOp, LeaseRecord, LeaseTimings, Name, RequestId, Time,
@@ -12,30 +12,30 @@
 
 const NODES: usize = 3;
 
-/// What happens next.
+/// One step of a run.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Time goes on by so many milliseconds, and nodes that are awake tick.
+    /// Time passes, in milliseconds, and running nodes tick.
     Wait(u64),
-    /// The oldest call under way of a node reaches the platform and is answered.
+    /// The oldest pending call of a node reaches the platform and is answered.
     Answer(usize),
-    /// It reaches the platform, and its answer is lost.
+    /// The oldest pending call reaches the platform, but its answer is lost.
     LoseAnswer(usize),
-    /// Its caller is told nothing; it takes effect when this comes up again.
+    /// The oldest pending call counts as lost, but takes effect later.
     Delay(usize),
-    /// The oldest delayed call reaches the platform.
+    /// The oldest delayed call takes effect at the platform.
     ApplyDelayed,
-    /// The platform refuses the call.
+    /// The platform refuses the oldest pending call.
     Refuse(usize),
-    /// A node stops running, without knowing.
+    /// A node is paused without noticing.
     Freeze(usize),
-    /// It goes on.
+    /// A paused node resumes.
     Thaw(usize),
-    /// It dies and begins a new life.
+    /// A node ends and starts as a new incarnation.
     Restart(usize),
 }
 
-/// The reference has no state: the rule is checked on what the nodes hold.
+/// The reference has no state; the invariants are checked on the nodes' leases.
 struct Steps;
 
 impl ReferenceStateMachine for Steps {
@@ -79,7 +79,7 @@
     revision: u64,
     delayed: Vec<LeaseOp>,
     incarnations: u128,
-    /// Who acted under each fencing number.
+    /// Token of the holder under each fencing number.
     actors: BTreeMap<u64, RequestId>,
     tokens: Vec<RequestId>,
 }
@@ -117,7 +117,7 @@
         (node, token)
     }
 
-    /// What the platform does with a call.
+    /// Performs a call at the platform.
     fn serve(&mut self, op: &LeaseOp) -> LeaseAnswer {
         match (op, self.record.clone()) {
             (LeaseOp::Read, Some((record, version))) => LeaseAnswer::Found(record, version),
@@ -206,8 +206,7 @@
     }
 
     fn check(&mut self) {
-        // A frozen node counts too: what it holds at this moment is what it
-        // would act on if it thawed now.
+        // A frozen node counts too: it would act on its lease if it resumed now.
         let held: Vec<(RequestId, u64)> = self
             .nodes
             .iter()
@@ -217,13 +216,16 @@
         assert!(held.len() <= 1, "two holders at once: {held:?}");
         for (token, fence) in held {
             let actor = *self.actors.entry(fence).or_insert(token);
-            assert_eq!(actor, token, "fencing number {fence} was held twice");
+            assert_eq!(
+                actor, token,
+                "fencing number {fence} was held by two incarnations"
+            );
             let highest = *self.actors.keys().next_back().unwrap();
-            assert_eq!(fence, highest, "an old fencing number is held again");
+            assert_eq!(fence, highest, "a lower fencing number is held again");
         }
     }
 
-    /// With all awake and the platform well, somebody must come to hold it.
+    /// Checks that one node acquires the lease once all run and the platform answers.
     fn settle(&mut self) {
         for i in 0..NODES {
             self.apply(&Step::Thaw(i));
@@ -240,7 +242,7 @@
             .iter()
             .filter(|n| n.lease.held(self.now).is_some())
             .count();
-        assert_eq!(holders, 1, "nobody came to hold the lease");
+        assert_eq!(holders, 1, "not exactly one node holds the lease");
     }
 }
 
--- a/fireflycroft/tests/mutants.rs
+++ b/fireflycroft/tests/mutants.rs
@@ -1,4 +1,4 @@
-//! The oracle can fail: each seeded fault is caught under its point.
+//! Mutation tests of the oracle: it reports each seeded fault under its point.
 
 mod support;
 
@@ -14,10 +14,10 @@
 /// Seed of the scripts.
 const SEED: u64 = 4;
 
-/// Scripts within which a fault must be caught.
+/// Scripts within which a seeded fault must be caught.
 const MAX_SCRIPTS: u32 = 500;
 
-/// Faults that the script shows in a fleet with the seeded fault.
+/// Returns the violations that a script causes in a fleet with the seeded fault.
 fn violations(mutant: Mutant, seed: u64, steps: &[Op]) -> Vec<Violation> {
     let mut world = World::new(seed, mutant);
     for step in steps {
@@ -27,7 +27,7 @@
     world.violations().to_vec()
 }
 
-/// Runs scripts until the oracle reports `point`; gives their number.
+/// Runs scripts until the oracle reports `point`; returns their number.
 fn scripts_until_caught(mutant: Mutant, point: u8) -> Option<u32> {
     let mut runner = TestRunner::new(Config {
         rng_seed: RngSeed::Fixed(SEED),
@@ -66,7 +66,7 @@
     catches_calls_that_hang: NoTicks breaks 0;
 }
 
-/// Scripts seldom come upon this one, so it has a situation of its own.
+/// Random scripts rarely reach this one, so it has a scenario of its own.
 #[test]
 fn catches_tokens_of_any_generation() {
     let mut world = World::new(SEED, Mutant::AnyGeneration);
--- a/fireflycroft/tests/place.rs
+++ b/fireflycroft/tests/place.rs
@@ -1,4 +1,4 @@
-//! Placing models: against a plain fleet that does what it is ordered.
+//! Placement of models on simulated engines that carry out every order.
 
 use fireflycroft::{
     EngineView, IdSource, Incarnation, Name, Order, OrderKind, Peer, PlacementLimits, Placer, Role,
@@ -70,7 +70,7 @@
                 self.loads.push(self.now);
             }
             OrderKind::Unload => {
-                assert_eq!(engine.running, 0, "an engine was emptied while it ran");
+                assert_eq!(engine.running, 0, "a model was unloaded from a busy engine");
                 engine.loaded.retain(|m| *m != order.model);
             }
         }
@@ -131,7 +131,7 @@
         let nothing = wanted(&[]);
         let (_, order) = (0..60).find_map(|_| fleet.tick(Some(1), &nothing)).unwrap();
         fleet.placer.on_order_done(fleet.now, order.id, true);
-        // The view is as it was before the order.
+        // The view still shows the state before the order.
         assert!((0..9).all(|_| fleet.tick(Some(1), &nothing).is_none()));
     }
 
@@ -158,7 +158,7 @@
         ..Config::default()
     })]
 
-    /// What fits is placed, whatever was there; loads keep their distance.
+    /// Replicas that fit are placed from any initial state, and loads keep the gap.
     #[test]
     fn wanted_replicas_that_fit_are_placed(
         engines in 1_usize..8,
--- a/fireflycroft/tests/point4_once.rs
+++ b/fireflycroft/tests/point4_once.rs
@@ -1,4 +1,4 @@
-//! Point 4: what may not be repeated runs at most once.
+//! Point 4: a request that must not be retried runs at most once.
 
 mod support;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// A keyed call of the plain service.
+/// A call of the plain service with an idempotency key.
 fn service_call() -> CallSpec {
     CallSpec {
         kind: Kind::Service,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The entry died after the claim took effect, before its start.
+    /// The entry is killed after the claim took effect and before the start.
     sent_again_after_death_between_claim_and_start(world) {
         let first = world.submit(0, service_call()).unwrap();
         world.advance(2);
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The claimer sleeps past its hold, another takes the claim over.
+    /// The claiming entry is frozen past its hold, and another takes over the claim.
     claim_holder_frozen_past_its_hold(world) {
         for (key, timers_first) in [(1, false), (2, true)] {
             let spec = CallSpec { key: Some(key), ..service_call() };
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The claimer sleeps before its hold is over: the other waits for it.
+    /// The claiming entry is frozen for less than its hold, and the other waits for it.
     claim_holder_frozen_within_its_hold(world) {
         let first = world.submit(0, service_call()).unwrap();
         world.advance(2);
@@ -184,7 +184,7 @@
         assert_eq!(runs(world, &[first, again]), 1);
     }
 
-    /// Nobody can know whether it ran: it is not run again.
+    /// Whether it ran is unknown, so it is not run again.
     agent_restarted_under_a_claim(world) {
         let first = world.submit(0, service_call()).unwrap();
         world.advance(60);
@@ -196,7 +196,7 @@
         assert_code(world, again, Code::ClaimUnresolved);
     }
 
-    /// Its caller left while the claim was written; it never started.
+    /// The caller disconnects while the claim is written, so nothing starts.
     caller_gone_while_claiming_then_sent_again_late(world) {
         let first = world.submit(0, service_call()).unwrap();
         world.advance(3);
@@ -208,7 +208,7 @@
         assert_eq!(world.runs(first), 0);
     }
 
-    /// The upstream refused the start, so the key is free.
+    /// The upstream refuses the start, so the key is free again.
     upstream_refused_then_sent_again(world) {
         for wait in [10, 180_000] {
             let spec = CallSpec { key: Some(u8::try_from(wait % 7).unwrap()), ..service_call() };
@@ -242,7 +242,7 @@
         assert_eq!(world.runs(first), 1);
     }
 
-    /// The other entry has not heard of the agent that holds the claim.
+    /// The second entry believes the agent that holds the claim to be dead.
     sent_again_through_an_entry_that_does_not_know_the_agent(world) {
         let first = world.submit(0, keyed_call()).unwrap();
         world.advance(60);
@@ -254,7 +254,7 @@
     }
 
     no_key_and_the_upstream_dies(world) {
-        // Each its own content, or the third would be quarantined.
+        // With the same content, the third call would be quarantined.
         for (tokens, content) in [(0, 3), (1, 4), (20, 5)] {
             world.set_mood(3, Mood::Die(tokens));
             let call = world.submit(0, CallSpec { content, ..unkeyed_service_call() }).unwrap();
@@ -276,7 +276,7 @@
         assert_eq!(world.runs(call), 1);
     }
 
-    /// The caller forbids it for a generation that could be repeated.
+    /// The caller forbids retries of a generation that could be retried.
     never_repeat_and_the_engine_dies(world) {
         for agent in 0..ENGINES {
             world.set_mood(agent, Mood::Die(0));
@@ -288,7 +288,7 @@
         assert_eq!(world.runs(call), 1);
     }
 
-    /// The claimed call's engine dies: the key stays spent.
+    /// The claimed call's upstream crashes: the key stays used.
     key_stays_used_after_the_engine_died(world) {
         world.set_mood(3, Mood::Die(2));
         let first = world.submit(0, service_call()).unwrap();
--- a/fireflycroft/tests/recheck.rs
+++ b/fireflycroft/tests/recheck.rs
@@ -1,4 +1,4 @@
-//! A call that a configuration overtakes before it is started is checked again.
+//! A call is checked again if the configuration changes before its start.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -78,7 +78,7 @@
 }
 
 impl World {
-    /// An entry with two agents whose first call is out on offer.
+    /// Creates an entry with two agents whose first call has a pending offer.
     fn with_pending_offer() -> Self {
         let entry = Entry::new(EntrySetup {
             data_centre: "dc1".into(),
@@ -109,7 +109,7 @@
         self.entry.on_event(self.now, event, &mut self.out);
     }
 
-    /// Time goes on by so many ticks of 50 ms.
+    /// Advances time by `count` ticks of 50 ms.
     fn ticks(&mut self, count: u32) {
         for _ in 0..count {
             self.now = self.now + Duration::from_millis(50);
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Request, attempt and agent of the last offer.
+    /// Returns the request, attempt and agent of the last offer.
     fn last_offer(&self) -> (RequestId, u32, u16) {
         let offer = |action: &EntryAction| match action {
             EntryAction::Send(
@@ -193,7 +193,7 @@
 }
 
 cases! {
-    /// The agent knows more: nothing is offered until this entry has caught up.
+    /// The agent has a newer version: nothing is offered until this entry has it too.
     refused_while_behind: |world| {
         world.refuse(2);
         world.ticks(30);
--- a/fireflycroft/tests/route.rs
+++ b/fireflycroft/tests/route.rs
@@ -92,7 +92,7 @@
     router.get(ix).peer.name.clone()
 }
 
-/// Chooses, sends and tells the load again, `times` over.
+/// Chooses an agent, sends to it and reports its load again, `times` times.
 fn send(router: &mut Router, priority: Priority, times: usize) -> HashMap<Name, usize> {
     let mut ids = IdSource::new([3; 32]);
     let mut sent = HashMap::new();
@@ -124,7 +124,7 @@
     }
 }
 
-/// The bound is a share of the batch, not a number of generations.
+/// The limit is a share of the largest batch, not a number of generations.
 fn check_spill_over(running: u32, max_batch: u32) {
     let mut router = router(RoutePolicy::Expected, 4);
     let full = Load {
@@ -192,7 +192,7 @@
     assert!(send(&mut router, Priority::Batch, 20).contains_key(&name(1)));
 }
 
-/// Free means room now, at an agent that nothing was sent to since it said so.
+/// An alternative is free if it has no wait and nothing was sent to it since its last load report.
 fn check_free_alternative() {
     let mut router = router(RoutePolicy::Expected, 2);
     let full = Load {
--- a/fireflycroft/tests/support/cases.rs
+++ b/fireflycroft/tests/support/cases.rs
@@ -1,6 +1,6 @@
-//! The macro that names each case of a test file.
+//! Macro for tests that are lists of named cases.
 
-/// One test for each case: its name, and the expression that checks it.
+/// Defines one test per case, from its name and the expression that checks it.
 macro_rules! cases {
     ($($name:ident => $body:expr;)+) => {
         $(
--- a/fireflycroft/tests/support/fleet.rs
+++ b/fireflycroft/tests/support/fleet.rs
@@ -18,38 +18,38 @@
 pub(crate) const MODEL: &str = "model";
 pub(crate) const SERVICE: &str = "records";
 
-/// Bytes of whole answers that an entry holds back.
+/// Bytes of whole answers that an entry buffers.
 pub(crate) const MAX_HELD: usize = 2_048;
 
-/// Calls at once at an entry.
+/// Calls in progress at an entry.
 pub(crate) const MAX_CALLS: usize = 64;
 
 /// Offers that an agent remembers.
 pub(crate) const MAX_OFFERS: usize = 256;
 
-/// Bytes of answers that an agent keeps.
+/// Bytes of answers that an agent retains.
 pub(crate) const MAX_BYTES: usize = 128 * 1_024;
 
-/// Content that crashes each upstream that runs it.
+/// Content that crashes every upstream that runs it.
 pub(crate) const POISON: u8 = 6;
-/// Content whose answer outgrows the entry's buffer.
+/// Content whose answer exceeds the entry's buffer.
 pub(crate) const HUGE: u8 = 7;
-/// Contents that the fuzzer draws.
+/// Number of contents from which the fuzzer chooses.
 pub(crate) const CONTENTS: u8 = 8;
-/// Content whose answer is longer than any window; for named cases only.
+/// Content whose answer exceeds any window; for named cases only.
 pub(crate) const GIANT: u8 = 8;
 
-/// Every so many versions lacks the last workspace.
+/// Configuration versions divisible by this lack the last workspace.
 const REDUCED_PERIOD: u64 = 3;
 
 const ANSWER_TOKENS: [u64; 9] = [0, 1, 3, 12, 60, 400, 100, 300, 10_000];
 
-/// Number of tokens that a content's answer has.
+/// Returns the number of tokens in a content's answer.
 pub(crate) fn answer_tokens(content: u8) -> u64 {
     ANSWER_TOKENS[content as usize]
 }
 
-/// One process.
+/// Index of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Proc {
     Entry(usize),
@@ -94,14 +94,14 @@
     }
 }
 
-/// Each entry chooses in its own way.
+/// Routing policy of each entry; they differ to cover several.
 const POLICIES: [RoutePolicy; ENTRIES] = [
     RoutePolicy::Expected,
     RoutePolicy::RoundRobin,
     RoutePolicy::TwoChoices,
 ];
 
-/// What the upstream of an agent serves.
+/// Returns the targets that an agent's upstream serves.
 pub(crate) fn serves(agent: usize) -> Vec<Name> {
     let target = if agent < ENGINES { MODEL } else { SERVICE };
     vec![Name::from(target)]
@@ -144,7 +144,7 @@
     })
 }
 
-/// Configuration of that version; `other` makes a rival of the same version.
+/// Returns the configuration of that version; `conflicting` gives it another digest.
 pub(crate) fn config(version: u64, conflicting: bool) -> Arc<Config> {
     let workspace_count = if version.is_multiple_of(REDUCED_PERIOD) {
         WORKSPACES - 1
@@ -197,24 +197,24 @@
     format!("key-{workspace}")
 }
 
-/// What kind of request it is.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Kind {
     /// A generation.
     #[default]
     Plain,
-    /// A generation that its caller forbids to repeat.
+    /// A generation whose caller forbids retries.
     NeverRetry,
-    /// A call of the plain service, which a rule forbids to repeat.
+    /// A call of the plain service, for which a rule forbids retries.
     Service,
 }
 
-/// What a caller asks.
+/// A caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CallSpec {
     pub(crate) workspace: usize,
     pub(crate) content: u8,
-    /// `Idempotency-Key`.
+    /// Number of the idempotency key.
     pub(crate) key: Option<u8>,
     pub(crate) kind: Kind,
     pub(crate) whole: bool,
@@ -235,17 +235,17 @@
 }
 
 impl CallSpec {
-    /// Whether it may run more than once.
+    /// Returns whether it may run more than once.
     pub(crate) fn repeatable(&self) -> bool {
         self.key.is_none() && self.kind == Kind::Plain
     }
 
-    /// Longest wait that the rules allow before it begins.
+    /// Returns the longest wait before its start that the rules allow.
     pub(crate) fn max_wait(&self) -> Duration {
         Duration::from_secs(if self.interactive { 2 } else { 8 })
     }
 
-    /// Digest of the content, as the core reckons it for a generation.
+    /// Returns the content digest, computed as the core does for a generation.
     pub(crate) fn digest(&self) -> Digest {
         Digest::of(&[MODEL.as_bytes(), &[self.content]])
     }
@@ -289,7 +289,7 @@
     }
 }
 
-/// Content that a piece of work carries.
+/// Returns the content of a piece of work.
 pub(crate) fn content_of(work: &Work) -> u8 {
     match work {
         Work::Generate { body } | Work::Call { body, .. } => body[0],
--- a/fireflycroft/tests/support/mod.rs
+++ b/fireflycroft/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! Fakes at the interfaces of the core, and the oracle that watches them.
+//! A simulated fleet and the oracle that checks it.
 //!
-//! [`world::World`] holds real entries and agents in one process and drives
-//! them in virtual time. The network, the platform, the upstreams and the
-//! callers are fakes; every one of them reports to the [`oracle::Oracle`].
+//! [`world::World`] runs real entries and agents in one process and in
+//! virtual time. The network, the platform, the upstreams and the callers are
+//! fakes, and the [`oracle::Oracle`] records every call, run and reply.
 
 #![allow(dead_code, unused_macros)]
 
@@ -18,7 +18,7 @@
 pub(crate) mod upstream;
 pub(crate) mod world;
 
-/// Names each case; the oracle is asked at its end.
+/// Defines one test per case; each ends with a check that the oracle found no violation.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident($world:ident) $body:block)+) => {
         $(
--- a/fireflycroft/tests/support/mutant.rs
+++ b/fireflycroft/tests/support/mutant.rs
@@ -1,29 +1,29 @@
-//! Seeded faults that show the oracle can fail.
+//! Seeded faults that show that the oracle detects violations.
 //!
-//! Each corrupts what passes between the core and its surroundings, so that
-//! the fleet behaves as if one check of the core were missing.
+//! Each changes the core's inputs or outputs so that the fleet behaves as if
+//! one check of the core were missing.
 
-/// The fault that a world is run with.
+/// The seeded fault of a world.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Mutant {
     #[default]
     None,
-    /// Tokens of any generation count as those that the reader waits for.
+    /// Readers accept tokens of any generation.
     AnyGeneration,
-    /// Frames that come twice are handed on twice.
+    /// Tokens are delivered to the caller twice.
     DeliverTwice,
     /// A reader's workspace is not compared with the generation's.
     AnyWorkspace,
-    /// An unknown generation is said to be never started.
+    /// An unknown generation is reported as never started.
     UnknownIsNotRun,
-    /// A claim that meets another counts as won.
+    /// A claim that conflicts with another counts as acquired.
     EveryClaimWon,
-    /// The agent is not told to leave.
+    /// Agents ignore the order to leave.
     IgnoreLeave,
-    /// A leaving process ends at once.
+    /// A leaving process ends without waiting for its calls.
     StopAtOnce,
-    /// A lower configuration is taken.
+    /// A lower configuration version is accepted.
     AnyConfig,
-    /// Entries hear no ticks.
+    /// Entries get no ticks.
     NoTicks,
 }
--- a/fireflycroft/tests/support/op.rs
+++ b/fireflycroft/tests/support/op.rs
@@ -1,4 +1,4 @@
-//! Steps of a test, and how they are drawn.
+//! Steps of a fuzzing script and the strategies that generate them.
 
 use super::fleet::{AGENTS, CONTENTS, CallSpec, ENTRIES, Kind, Proc, WORKSPACES};
 use super::link::Weather;
@@ -8,19 +8,19 @@
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 
-/// Most steps of one case.
+/// Largest number of steps in a case.
 pub(crate) const MAX_STEPS: usize = 120;
 
 /// One step.
 #[derive(Clone, Debug)]
 pub(crate) enum Op {
-    /// A caller asks an entry.
+    /// A caller sends a request to an entry.
     Submit(usize, CallSpec),
-    /// Two callers ask two entries at the same instant.
+    /// The same request is sent to two entries at the same time.
     SubmitTwice(usize, usize, CallSpec),
-    /// The caller of an earlier call sends it again.
+    /// The caller of an earlier call sends the same request again.
     Resend(prop::sample::Index, usize),
-    /// The caller of an earlier call goes on where it was, or before that.
+    /// The caller of an earlier call resumes at its position, or at half of it if `back`.
     Resume {
         call: prop::sample::Index,
         entry: usize,
@@ -31,38 +31,38 @@
         call: prop::sample::Index,
         entry: usize,
     },
-    /// The caller goes away.
+    /// The caller disconnects.
     CallerGone(prop::sample::Index),
-    /// Time goes on, in milliseconds.
+    /// Time passes, in milliseconds.
     Advance(u64),
     Weather(Weather),
-    /// A link loses all of one direction.
+    /// A link loses all messages in one direction.
     Cut(Proc, Proc),
     Reconnect(Proc, Proc),
-    /// Dies and comes back with a new life.
+    /// The process ends and restarts as a new incarnation.
     Kill(Proc),
     Freeze(Proc),
     Thaw(Proc),
-    /// Planned stop; it ends when it is idle.
+    /// The process leaves as planned and ends when it is idle.
     Leave(Proc),
     CancelLeave(usize),
     Upstream(usize, Mood),
-    /// The upstream dies now.
+    /// The upstream crashes now.
     Crash(usize),
     Platform(PlatformMode),
-    /// A process reads that version, or a rival of it.
+    /// A process reads that version, or a conflicting one of the same number.
     Config {
         to: Proc,
         version: u64,
         other: bool,
     },
-    /// Membership, rightly or wrongly, says that of an agent.
+    /// Membership reports that state of an agent, whether true or not.
     Member {
         entry: usize,
         agent: usize,
         state: MemberState,
     },
-    /// All that is broken is mended.
+    /// All faults are repaired.
     Heal,
 }
 
@@ -139,7 +139,7 @@
     ]
 }
 
-/// Strategy of one step.
+/// Returns the strategy for one step.
 pub(crate) fn any_op() -> impl Strategy<Value = Op> {
     let index = any::<prop::sample::Index>;
     let link = || (any_entry(), any_agent(), any::<bool>());
@@ -175,7 +175,7 @@
     ]
 }
 
-/// A script of steps; the oracle itself lives beside the system under test.
+/// A script of steps. Its state is only the seed: the oracle is part of the system under test.
 pub(crate) struct Script;
 
 impl ReferenceStateMachine for Script {
--- a/fireflycroft/tests/support/oracle.rs
+++ b/fireflycroft/tests/support/oracle.rs
@@ -1,7 +1,7 @@
-//! The oracle: what callers asked, what upstreams ran, what callers got.
+//! The oracle: a record of callers' requests, upstreams' runs and replies to callers.
 //!
-//! It knows nothing of how the core works. Each report is checked against
-//! the seven points at once; what does not hold is kept as a [`Fault`].
+//! It is independent of the core. Each report is checked at once against the
+//! seven guarantees (points 1 to 7); each breach is kept as a [`Violation`].
 
 use super::fleet::{self, CallSpec, Proc};
 use super::link::MS;
@@ -12,34 +12,34 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Starts of one repeatable request in all.
+/// Total runs of one retryable request.
 const MAX_RUNS: usize = 3;
 
-/// Longest time beyond the wait of the rules until a request that is given
-/// up on is refused: four offers, a claim, a replaced claim and their ticks.
+/// Longest time past the rules' wait until a request is refused: covers four
+/// offers, a claim, a replaced claim and their ticks.
 const REFUSAL_SLACK: u64 = 6_000 * MS;
 
-/// Longest time from an agent's leave to its last start.
+/// Longest time from an agent's order to leave to its last start.
 const LAST_START: u64 = 2_000 * MS;
 
-/// One promise that was broken.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Violation {
-    /// Number of the point; zero for "nothing hangs".
+    /// Number of the guarantee; zero for "no call hangs".
     pub(crate) point: u8,
     pub(crate) text: String,
 }
 
-/// How a call ended for its caller.
+/// Outcome of a call for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// Its whole answer was given.
+    /// The whole answer was delivered.
     Whole,
-    /// It was given a code.
+    /// The call failed with a code.
     Failed(Code),
-    /// Its entry died.
+    /// The entry was killed.
     Cut,
-    /// The caller went away.
+    /// The caller disconnected.
     Gone,
 }
 
@@ -49,19 +49,19 @@
     pub(crate) spec: CallSpec,
     pub(crate) entry: usize,
     pub(crate) at: u64,
-    /// Whether its entry had been told to stop.
+    /// Whether its entry was already leaving.
     pub(crate) entry_leaving: bool,
-    /// Time that its entry was frozen meanwhile.
+    /// Time for which its entry was frozen during the call.
     pub(crate) frozen: u64,
-    /// Number of the first token that it asked for.
+    /// Index of the first requested token.
     pub(crate) first: u64,
-    /// Number of the token that must come next.
+    /// Index of the next expected token.
     pub(crate) next: u64,
     /// Run that its tokens came from.
     pub(crate) run: Option<usize>,
     pub(crate) point: Option<ResumePoint>,
     pub(crate) outcome: Option<Outcome>,
-    /// When it was told to come back.
+    /// Retry time in the failure reply.
     pub(crate) retry_after: Option<Duration>,
     pub(crate) runs: Vec<usize>,
     pub(crate) request: Option<RequestId>,
@@ -75,13 +75,13 @@
     pub(crate) call: Option<usize>,
     pub(crate) workspace: Name,
     pub(crate) content: u8,
-    /// Tokens that it has given.
+    /// Number of emitted tokens.
     pub(crate) emitted: u64,
-    /// Whether it came to its own end.
+    /// Whether it ran to completion.
     pub(crate) ended: bool,
 }
 
-/// Start of a run, as the upstream sees it.
+/// Start of a run at an upstream.
 pub(crate) struct RunStart {
     pub(crate) agent: usize,
     pub(crate) generation: GenerationId,
@@ -90,25 +90,25 @@
     pub(crate) content: u8,
 }
 
-/// The record and what was found wrong with it.
+/// The recorded calls and runs, and the violations found.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Oracle {
     pub(crate) calls: Vec<CallRecord>,
     pub(crate) runs: Vec<Run>,
     pub(crate) violations: Vec<Violation>,
-    /// Upstreams crashed by each content.
+    /// Number of upstream crashes caused by each content.
     pub(crate) crashes: BTreeMap<u8, u32>,
     by_request: BTreeMap<RequestId, usize>,
     configs: BTreeMap<(Proc, u64), (ConfigVersion, Digest)>,
 }
 
-/// Token `index` of run `run`; padded for the huge content.
+/// Returns token `index` of a run, padded for the huge content.
 pub(crate) fn token(run: usize, index: u64, content: u8) -> Vec<u8> {
     let pad = if content == fleet::HUGE { 1_000 } else { 1 };
     format!("{run}:{index}:{:pad$}", "").into_bytes()
 }
 
-/// Refusals that end by themselves, so the caller is told when to retry.
+/// Returns whether a refusal is temporary, so that it must carry a retry time.
 fn is_temporary(code: Code) -> bool {
     use Code::{ClaimUnavailable, ConfigBehind, Leaving, NoUpstream, NotReady, Overloaded};
     let temporary = [
@@ -131,7 +131,7 @@
 }
 
 impl Oracle {
-    /// A caller asks; with the call it goes on from and the next token.
+    /// Records a call; `from` is the call that it resumes and the next token.
     pub(crate) fn record_call(
         &mut self,
         now: u64,
@@ -158,18 +158,18 @@
         self.calls.len() - 1
     }
 
-    /// The entry gave the call that request id.
+    /// Records the request id that the entry assigned to the call.
     pub(crate) fn record_request_id(&mut self, call: usize, request: RequestId) {
         self.calls[call].request = Some(request);
         self.by_request.insert(request, call);
     }
 
-    /// Calls that have no final answer.
+    /// Returns the calls without a final answer.
     pub(crate) fn open(&self) -> impl Iterator<Item = usize> {
         (0..self.calls.len()).filter(|i| self.calls[*i].outcome.is_none())
     }
 
-    /// Calls of the entry that have no final answer.
+    /// Returns the entry's calls without a final answer.
     pub(crate) fn open_at(&self, entry: usize) -> Vec<usize> {
         self.open()
             .filter(|i| self.calls[*i].entry == entry)
@@ -181,13 +181,13 @@
         self.violations.push(Violation { point, text });
     }
 
-    /// An upstream begins a run.
+    /// Records and checks the start of a run at an upstream.
     pub(crate) fn record_run(&mut self, start: RunStart) -> usize {
         let number = self.runs.len();
         let call = self.by_request.get(&start.request).copied();
         match call {
             Some(call) => self.check_run(number, call, &start),
-            None => self.violation(2, format!("run {number} was asked by nobody")),
+            None => self.violation(2, format!("run {number} belongs to no recorded call")),
         }
         self.runs.push(Run {
             generation: start.generation,
@@ -206,7 +206,10 @@
         let spec = record.spec;
         let workspace = fleet::workspace_name(spec.workspace);
         if spec.content != start.content || workspace != start.workspace {
-            self.violation(2, format!("run {number} is not what call {call} asked"));
+            self.violation(
+                2,
+                format!("run {number} differs from the request of call {call}"),
+            );
         }
         if let Some(Outcome::Failed(code)) = self.calls[call].outcome
             && code.class() == Class::NotRun
@@ -214,11 +217,14 @@
             self.violation(3, format!("run {number} after call {call} got {code:?}"));
         }
         if self.calls[call].entry_leaving {
-            self.violation(6, format!("run {number} by an entry that stops"));
+            self.violation(6, format!("run {number} started by a leaving entry"));
         }
         let max_runs = if spec.repeatable() { MAX_RUNS } else { 1 };
         if self.calls[call].runs.len() >= max_runs {
-            self.violation(4, format!("run {number} is one too many for call {call}"));
+            self.violation(
+                4,
+                format!("run {number} exceeds the runs allowed for call {call}"),
+            );
         }
         let same_key = |c: &&CallRecord| {
             c.spec.key.is_some() && c.spec.key == spec.key && c.spec.workspace == spec.workspace
@@ -230,12 +236,15 @@
             .map(|c| c.runs.len())
             .sum();
         if earlier > 0 {
-            self.violation(4, format!("run {number} repeats the key of call {call}"));
+            self.violation(
+                4,
+                format!("run {number} is a second run for the key of call {call}"),
+            );
         }
         self.calls[call].runs.push(number);
     }
 
-    /// An agent runs what it was offered under a later configuration.
+    /// Checks that a run was not offered under a later configuration than its agent's.
     pub(crate) fn check_run_config(
         &mut self,
         number: usize,
@@ -248,17 +257,23 @@
         }
     }
 
-    /// An agent that was told to leave starts a run.
+    /// Checks a run started by a leaving agent.
     pub(crate) fn check_run_after_leave(&mut self, number: usize, offered_later: bool, since: u64) {
         if offered_later {
-            self.violation(5, format!("run {number} was offered after the leave"));
+            self.violation(
+                5,
+                format!("run {number} was offered after the order to leave"),
+            );
         }
         if since > LAST_START {
-            self.violation(5, format!("run {number} began {since} us after the leave"));
+            self.violation(
+                5,
+                format!("run {number} began {since} us after the order to leave"),
+            );
         }
     }
 
-    /// A caller is given something.
+    /// Records and checks a reply to a caller.
     pub(crate) fn record_reply(&mut self, now: u64, call: usize, reply: &Reply) {
         if let Some(outcome) = self.calls[call].outcome {
             let has_final_reply = !matches!(outcome, Outcome::Cut | Outcome::Gone);
@@ -287,7 +302,10 @@
             self.violation(1, format!("call {call} begins twice"));
         }
         if point.next != self.calls[call].next {
-            let text = format!("call {call} begins at {}, not next", point.next);
+            let text = format!(
+                "call {call} begins at token {}, not the next one",
+                point.next
+            );
             self.violation(1, text);
         }
         self.calls[call].point = Some(point.clone());
@@ -305,7 +323,7 @@
         for token in tokens {
             match token {
                 Some((run, index)) => self.on_token(call, run, index),
-                None => self.violation(1, format!("call {call} got no whole token")),
+                None => self.violation(1, format!("call {call} got a malformed token")),
             }
         }
     }
@@ -325,7 +343,10 @@
         let source = &self.runs[run];
         let own = source.workspace == fleet::workspace_name(spec.workspace);
         if !own || source.content != spec.content {
-            self.violation(2, format!("call {call} got tokens of foreign run {run}"));
+            self.violation(
+                2,
+                format!("call {call} got tokens of run {run} for another request"),
+            );
         }
     }
 
@@ -342,7 +363,7 @@
             None => self.runs.iter().any(whole),
         };
         if !found || finish.total != next {
-            self.violation(1, format!("call {call} ended at {next}, not whole"));
+            self.violation(1, format!("call {call} ended at token {next}, incomplete"));
         }
         self.calls[call].outcome = Some(Outcome::Whole);
     }
@@ -353,34 +374,34 @@
         let bound = u64::try_from(record.spec.max_wait().as_micros()).unwrap() + REFUSAL_SLACK;
         let ran = !record.runs.is_empty() || record.next > record.first;
         let given = record.next;
-        // Nothing was given by this call: it need not know of an earlier one.
+        // A call that delivered nothing needn't count the tokens of the call that it resumes.
         let count_correct = delivered == given || (delivered == 0 && given == record.first);
         if code.class() == Class::NotRun {
             if ran {
                 self.violation(3, format!("call {call} ran, but got {code:?}"));
             }
             if is_temporary(code) && self.calls[call].retry_after.is_none() {
-                self.violation(0, format!("call {call} got {code:?} and no time to retry"));
+                self.violation(0, format!("call {call} got {code:?} without a retry time"));
             }
             if waited > bound {
                 self.violation(0, format!("call {call} got {code:?} after {waited} us"));
             }
         }
         if !count_correct {
-            let text = format!("call {call} got {given} tokens, is told {delivered}");
+            let text = format!("call {call} got {given} tokens, but {delivered} are reported");
             self.violation(1, text);
         }
         self.calls[call].outcome = Some(Outcome::Failed(code));
     }
 
-    /// A process that was told to stop has ended.
+    /// Checks that the planned stop of a process cut no calls.
     pub(crate) fn record_stop(&mut self, proc: Proc, cut: &[usize]) {
         if !cut.is_empty() {
             self.violation(6, format!("the stop of {proc:?} cut {cut:?}"));
         }
     }
 
-    /// A configuration is in force at a process in one of its lives.
+    /// Records the configuration in force at an incarnation of a process.
     pub(crate) fn record_config(
         &mut self,
         proc: Proc,
@@ -397,7 +418,10 @@
             self.violation(7, format!("{proc:?} went from {previous:?} to {version:?}"));
         }
         if version == previous && previous_digest != digest {
-            self.violation(7, format!("{proc:?} replaced {previous:?} by a rival"));
+            self.violation(
+                7,
+                format!("{proc:?} replaced {previous:?} by a conflicting one"),
+            );
         }
     }
 }
--- a/fireflycroft/tests/support/scenario.rs
+++ b/fireflycroft/tests/support/scenario.rs
@@ -1,10 +1,10 @@
-//! Situations that a named case and a seeded fault share.
+//! Scenarios shared by a named case and the test of a seeded fault.
 
 use super::fleet::{CallSpec, ENGINES, Proc};
 use super::world::World;
 
-/// The agent that runs a call freezes before its first token; the call is
-/// started afresh elsewhere, then the frozen agent's tokens arrive.
+/// The agent that runs a call is frozen before its first token; the call is
+/// restarted on another agent, then the frozen agent's tokens arrive.
 pub(crate) fn late_tokens_of_a_fenced_generation(world: &mut World) -> usize {
     let spec = CallSpec {
         content: 5,
@@ -14,7 +14,7 @@
     world.advance(4);
     let frozen = world.agent_of(call).unwrap();
     world.freeze(Proc::Agent(frozen));
-    // Its answers are under way, but what it is told is lost.
+    // Its messages still arrive, but messages to it are lost.
     for other in (0..ENGINES).filter(|a| *a != frozen) {
         world.set_pause(other, 100);
     }
--- a/fireflycroft/tests/support/tally.rs
+++ b/fireflycroft/tests/support/tally.rs
@@ -1,10 +1,10 @@
-//! Counts of what a run of the fuzzer went through.
+//! Totals of a fuzzer run.
 
 use super::world::World;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Sums over all cases.
+/// Totals over all cases.
 pub(crate) struct Tally {
     cases: u64,
     events: u64,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Adds one case at its end.
+    /// Adds a finished case.
     pub(crate) fn add(&mut self, world: &World) {
         self.cases += 1;
         self.events += world.events;
--- a/fireflycroft/tests/support/world.rs
+++ b/fireflycroft/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! The fleet in one process and in virtual time, driven step by step.
+//! The simulated fleet, run in one process and in virtual time.
 
 mod callers;
 mod messages;
@@ -23,16 +23,17 @@
 /// Time between ticks.
 const TICK: u64 = 100 * MS;
 
-/// Time without any fault before a stop is blamed for what it cut.
+/// Time without injected faults after which a stop also counts as cutting calls
+/// with undelivered tokens.
 const FAULT_FREE_SPAN: u64 = 8_000 * MS;
 
-/// Time after all is mended within which every call must end.
+/// Time after all faults are repaired within which every call must end.
 const END_BOUND: u64 = 60_000 * MS;
 
-/// Time after that within which every table must be empty.
+/// Further time within which every table must be empty.
 const DRAIN_BOUND: u64 = 65_000 * MS;
 
-/// One process and its shell.
+/// A process: its core and the state of its shell.
 #[derive(Clone, Debug)]
 struct Node<C, E> {
     core: C,
@@ -41,7 +42,7 @@
     born: u64,
     frozen: Option<u64>,
     inbox: Vec<E>,
-    /// Told to stop at that time.
+    /// Time of the order to leave.
     leaving: Option<u64>,
     config: InForce,
 }
@@ -69,7 +70,7 @@
     }
 }
 
-/// What is to happen at a time.
+/// An event scheduled for a time.
 #[derive(Clone, Debug)]
 enum ScheduledEvent {
     Packet(SocketAddr, Box<Envelope>),
@@ -105,18 +106,18 @@
     call: CallId,
     key: Digest,
     op: ClaimOp,
-    /// When the answer comes; `None` when it is lost.
+    /// Time of the answer; `None` if it is lost.
     answer: Option<u64>,
 }
 
-/// The fleet with all that surrounds it.
+/// The fleet and its simulated environment.
 #[derive(Clone, Debug)]
 pub(crate) struct World {
     pub(crate) now: u64,
     pub(crate) oracle: Oracle,
     pub(crate) net: Net,
     pub(crate) platform: Platform,
-    /// Events of any kind that were carried out.
+    /// Number of executed events and steps.
     pub(crate) events: u64,
     mutant: Mutant,
     rng: Rng,
@@ -125,19 +126,19 @@
     upstreams: Vec<Upstream>,
     queue: BTreeMap<(u64, u64), ScheduledEvent>,
     sequence: u64,
-    /// Callers take nothing of what they are given.
+    /// Callers don't consume their tokens.
     callers_stalled: bool,
-    /// Last time that anything was broken.
+    /// Time of the last injected fault.
     last_fault: u64,
-    /// Highest configuration that any process was given.
+    /// Highest configuration version sent to any process.
     highest_version: u64,
-    /// Generation that each reader asked for last.
+    /// Last generation that each reader attached to.
     awaited: BTreeMap<RequestId, GenerationId>,
-    /// Offers that reached an agent after it was told to leave.
+    /// Offers that reached an agent after its order to leave.
     offered_after_leave: BTreeSet<(usize, u64, RequestId, u32)>,
-    /// Configuration that rode on the first copy of each offer to arrive.
+    /// Configuration version carried by the first received copy of each offer.
     offered: BTreeMap<(RequestId, u32), ConfigVersion>,
-    /// Offer that a reservation was made for.
+    /// Offer for which each reservation was made.
     offer_of: BTreeMap<GenerationId, (RequestId, u32)>,
 }
 
@@ -180,12 +181,12 @@
         world
     }
 
-    /// What the oracle found wrong.
+    /// Returns the violations that the oracle found.
     pub(crate) fn violations(&self) -> &[Violation] {
         &self.oracle.violations
     }
 
-    /// Carries out one step.
+    /// Executes one step.
     pub(crate) fn apply(&mut self, op: &Op) {
         self.events += 1;
         match *op {
@@ -242,7 +243,7 @@
         }
     }
 
-    /// Lets time go on.
+    /// Advances time and executes the events that fall due.
     pub(crate) fn advance(&mut self, millis: u64) {
         let until = self.now + millis * MS;
         while let Some(next) = self.queue.first_entry() {
@@ -257,11 +258,11 @@
         self.now = until;
     }
 
-    /// Lets time go on until something holds, for at most that long.
+    /// Advances time until `holds`, for at most that long.
     pub(crate) fn advance_until(&mut self, millis: u64, holds: impl Fn(&Self) -> bool) {
         let until = self.now + millis * MS;
         while !holds(self) {
-            assert!(self.now < until, "it did not come to hold");
+            assert!(self.now < until, "the condition did not hold in time");
             self.advance(10);
         }
     }
@@ -319,7 +320,7 @@
         }
     }
 
-    /// Mends all that is broken.
+    /// Repairs all faults.
     pub(crate) fn heal(&mut self) {
         self.net.heal();
         self.platform.mode = PlatformMode::Up;
@@ -339,7 +340,7 @@
         }
     }
 
-    /// Mends all, lets time pass and checks that nothing hangs.
+    /// Repairs all faults, then checks that every call ends and no state remains.
     pub(crate) fn settle(&mut self) {
         self.heal();
         self.advance(4_000);
--- a/fireflycroft/tests/support/world/callers.rs
+++ b/fireflycroft/tests/support/world/callers.rs
@@ -1,4 +1,4 @@
-//! What callers do, and what a test reads of them.
+//! Actions of callers, and queries on their calls.
 
 use super::{ScheduledEvent, World};
 use crate::support::fleet::{CallSpec, Proc};
@@ -13,28 +13,28 @@
         self.oracle.calls[call].outcome
     }
 
-    /// When the call was told to come back.
+    /// Returns the retry time that the call was sent.
     pub(crate) fn retry_after(&self, call: usize) -> Option<Duration> {
         self.oracle.calls[call].retry_after
     }
 
-    /// Number of the token that the call is given next.
+    /// Returns the index of the call's next token.
     pub(crate) fn next(&self, call: usize) -> u64 {
         self.oracle.calls[call].next
     }
 
-    /// Runs that were started for the call.
+    /// Returns the number of runs started for the call.
     pub(crate) fn runs(&self, call: usize) -> usize {
         self.oracle.calls[call].runs.len()
     }
 
-    /// Agent that ran the call last.
+    /// Returns the agent of the call's last run.
     pub(crate) fn agent_of(&self, call: usize) -> Option<usize> {
         let run = self.oracle.calls[call].runs.last()?;
         Some(self.oracle.runs[*run].agent)
     }
 
-    /// Lives that the process had before this one.
+    /// Returns the number of the process's incarnation, counted from zero.
     pub(crate) fn incarnation(&self, proc: Proc) -> u64 {
         match proc {
             Proc::Entry(i) => self.entries[i].incarnation,
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Version in force at the process.
+    /// Returns the configuration version in force at the process.
     pub(crate) fn version(&self, proc: Proc) -> u64 {
         self.config_of(proc).0
     }
 
-    /// Digest of the configuration in force at the process.
+    /// Returns the digest of the configuration in force at the process.
     pub(crate) fn digest(&self, proc: Proc) -> Option<Digest> {
         match proc {
             Proc::Entry(i) => self.entries[i].core.config().map(|c| c.digest),
@@ -55,12 +55,12 @@
         }
     }
 
-    /// A caller asks; `None` when the entry does not answer.
+    /// Sends a request to an entry; returns `None` if the entry is not running.
     pub(crate) fn submit(&mut self, entry: usize, spec: CallSpec) -> Option<usize> {
         self.submit_from(entry, spec, None)
     }
 
-    /// A caller goes on at a point of an earlier call.
+    /// Resumes an earlier call at token `next`.
     pub(crate) fn resume(&mut self, entry: usize, earlier: usize, next: u64) -> Option<usize> {
         let record = &self.oracle.calls[earlier];
         let point = ResumePoint {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Callers stop taking, or take again all that they were given.
+    /// Makes callers stop consuming tokens, or consume all that are pending.
     pub(crate) fn stall_callers(&mut self, stalled: bool) {
         self.callers_stalled = stalled;
         let open: Vec<usize> = self.oracle.open().collect();
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Another workspace uses the resume point of a call.
+    /// Resumes a call with the key of another workspace.
     pub(crate) fn resume_as_other_workspace(
         &mut self,
         call: usize,
@@ -144,7 +144,7 @@
         self.submit_from(entry, spec, Some((call, point)))
     }
 
-    /// Where the call may be resumed.
+    /// Returns the call's resume point.
     pub(crate) fn point(&self, call: usize) -> Option<ResumePoint> {
         self.oracle.calls[call].point.clone()
     }
--- a/fireflycroft/tests/support/world/processes.rs
+++ b/fireflycroft/tests/support/world/processes.rs
@@ -1,4 +1,4 @@
-//! Lives of entries and agents, and what they want done.
+//! Life cycle of entries and agents, and execution of their actions.
 
 use super::{FAULT_FREE_SPAN, Node, RunOrder, ScheduledEvent, World};
 use crate::support::fleet::{self, ENTRIES, Proc};
@@ -36,12 +36,12 @@
         self.check_config(Proc::Entry(i));
     }
 
-    /// Reads from the first message or note which request id the call has.
+    /// Reads the call's request id from its first message or log event.
     pub(super) fn record_request_id(&mut self, call: CallId, out: &[EntryAction]) {
         let request = out.iter().find_map(|action| match action {
             EntryAction::Send(_, Message::Offer { request, .. }) => Some(*request),
             EntryAction::Send(_, Message::Attach { reader, .. }) => Some(*reader),
-            // Held for a configuration: no message yet.
+            // A call that waits for a configuration sends no message yet.
             EntryAction::LogEvent(note) => note.request,
             _ => None,
         });
@@ -147,12 +147,12 @@
                 self.upstreams[i].live.remove(&generation);
             }
             AgentAction::PullConfig(addr) => self.pull_config(from, addr),
-            // No orders are given in this world.
+            // The simulation gives no orders.
             AgentAction::Order(_) | AgentAction::LogEvent(_) => {}
         }
     }
 
-    /// A process loses all state and comes back after a while.
+    /// Ends a process, which loses its state and restarts after a delay.
     pub(crate) fn kill(&mut self, proc: Proc) {
         match proc {
             Proc::Entry(i) => {
@@ -198,7 +198,7 @@
         self.configure(proc, &fleet::config(version, false));
     }
 
-    /// An entry's new life that knows no agents, nor a configuration if so.
+    /// Restarts an entry without agents, and without a configuration unless `configured`.
     pub(crate) fn restart_isolated(&mut self, i: usize, configured: bool) {
         let incarnation = self.entries[i].incarnation + 1;
         self.entries[i] = Node::new(fleet::new_entry(i, incarnation), incarnation, self.now);
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Goes on with what came meanwhile; its timers may fire first.
+    /// Resumes a process with the events received meanwhile; its timers may fire first.
     pub(crate) fn thaw(&mut self, proc: Proc) {
         let timers_first = self.rng.per_mille(500);
         self.thaw_with(proc, timers_first);
@@ -256,7 +256,7 @@
         }
     }
 
-    /// A planned stop: the process ends once it is idle.
+    /// Orders a process to leave; it ends once it is idle.
     pub(crate) fn leave(&mut self, proc: Proc) {
         let now = self.now;
         match proc {
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Calls in progress that the end of the process would cut.
+    /// Returns the calls in progress that the end of the process would cut.
     pub(super) fn cut_by_stop(&self, proc: Proc) -> Vec<usize> {
         match proc {
             Proc::Entry(i) => self.oracle.open_at(i),
@@ -320,7 +320,7 @@
         }
     }
 
-    /// Whether nothing has been broken for a while.
+    /// Returns whether no fault was injected recently and none is in effect.
     pub(super) fn is_fault_free(&self) -> bool {
         let frozen = self.entries.iter().any(|e| e.frozen.is_some());
         self.net.is_calm() && !frozen && self.now - self.last_fault > FAULT_FREE_SPAN
