--- a/fireflycroft/src/lib.rs
+++ b/fireflycroft/src/lib.rs
@@ -7,7 +7,7 @@
 //! Two carriers use it, each with modules of its own:
 //!
 //! - the agents' path (`fireflyd`): [`Entry`] and [`Agent`] with `member`,
-//!   `route`, `admit`, `place`, `lease`, `claim` and what belongs to them;
+//!   `route`, `admit`, `placement`, `lease`, `claim` and what belongs to them;
 //! - the direct entry (`fireflydirect`): [`Pool`] with `upstream`, `listing`,
 //!   `loads`, `pace` and `room` says where a request goes, and
 //!   `evacuation`, `cold`, `rate_limit` and `region` where it may not; `owners`, `repeat`,
--- a/fireflycroft/tests/bounds.rs
+++ b/fireflycroft/tests/bounds.rs
@@ -28,7 +28,7 @@
         world.stall_callers(true);
         let call = world.submit(0, CallSpec { content: GIANT, ..CallSpec::default() }).unwrap();
         world.advance(60_000);
-        assert!(world.next(call) <= 2 * WINDOW, "{}", world.next(call));
+        assert!(world.next_token(call) <= 2 * WINDOW, "{}", world.next_token(call));
         assert_eq!(world.outcome(call), None);
         world.stall_callers(false);
         world.advance(20_000);
@@ -70,7 +70,7 @@
         let call = world.submit(0, CallSpec { content: GIANT, ..CallSpec::default() }).unwrap();
         world.advance(100);
         let agent = world.agent_of(call).unwrap();
-        world.leave_caller(call);
+        world.disconnect_caller(call);
         world.advance(29_000);
         assert_eq!(world.running(agent), 1);
         world.advance(2_000);
--- a/fireflycroft/tests/point1_tokens.rs
+++ b/fireflycroft/tests/point1_tokens.rs
@@ -39,18 +39,18 @@
         let first = world.submit(0, long()).unwrap();
         world.advance(200);
         world.kill(Proc::Entry(0));
-        assert!(world.next(first) > 0);
-        let rest = world.resume(1, first, world.next(first)).unwrap();
+        assert!(world.next_token(first) > 0);
+        let rest = world.resume(1, first, world.next_token(first)).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
-        assert_eq!((world.next(rest), world.runs(first)), (LONG, 1));
+        assert_eq!((world.next_token(rest), world.runs(first)), (LONG, 1));
     }
 
     /// A new entry has not heard of the agent yet: the caller may come again.
     caller_back_through_an_entry_that_knows_no_agent(world) {
         let first = world.submit(0, long()).unwrap();
         world.advance(100);
-        let next = world.next(first);
+        let next = world.next_token(first);
         world.kill(Proc::Entry(0));
         world.restart_isolated(1, true);
         let early = world.resume(1, first, next).unwrap();
@@ -68,7 +68,7 @@
         let first = world.submit(0, long()).unwrap();
         world.advance(500);
         world.kill(Proc::Entry(0));
-        let rest = world.resume(2, first, world.next(first) / 2).unwrap();
+        let rest = world.resume(2, first, world.next_token(first) / 2).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
@@ -86,7 +86,7 @@
     caller_resumes_an_ended_answer_at_its_end(world) {
         let first = world.submit(0, CallSpec::default()).unwrap();
         world.advance(2_000);
-        let rest = world.resume(1, first, world.next(first)).unwrap();
+        let rest = world.resume(1, first, world.next_token(first)).unwrap();
         world.advance(500);
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
@@ -123,7 +123,7 @@
         assert_eq!(world.outcome(call), None, "nobody else can go on with it yet");
         world.advance(2_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::OutcomeUnknown)));
-        let rest = world.resume(1, call, world.next(call)).unwrap();
+        let rest = world.resume(1, call, world.next_token(call)).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
         assert_eq!(world.runs(call), 1);
@@ -149,7 +149,7 @@
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::OutcomeUnknown)));
         world.thaw(agent);
-        let rest = world.resume(2, call, world.next(call)).unwrap();
+        let rest = world.resume(2, call, world.next_token(call)).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
@@ -181,7 +181,7 @@
         let call = world.submit(0, long()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::UpstreamFailed)));
-        assert_eq!((world.next(call), world.runs(call)), (1, 1));
+        assert_eq!((world.next_token(call), world.runs(call)), (1, 1));
     }
 
     engine_killed_after_many_tokens(world) {
@@ -189,7 +189,7 @@
         let call = world.submit(0, long()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::UpstreamFailed)));
-        assert_eq!((world.next(call), world.runs(call)), (50, 1));
+        assert_eq!((world.next_token(call), world.runs(call)), (50, 1));
     }
 
     /// Nobody saw any of it, so it starts afresh unseen.
@@ -215,7 +215,7 @@
         let call = world.submit(0, long()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::UpstreamFailed)));
-        assert_eq!(world.next(call), 50);
+        assert_eq!(world.next_token(call), 50);
     }
 
     tokens_of_a_fenced_generation_come_late(world) {
@@ -291,9 +291,9 @@
     running_stream_has_lost_its_head(world) {
         let service = CallSpec { kind: Kind::Service, content: HUGE, ..CallSpec::default() };
         let first = world.submit(0, service).unwrap();
-        world.advance_until(10_000, |w| w.next(first) > 200);
+        world.advance_until(10_000, |w| w.next_token(first) > 200);
         let again = world.resume(1, first, 0).unwrap();
-        let rest = world.resume(2, first, world.next(first)).unwrap();
+        let rest = world.resume(2, first, world.next_token(first)).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(again), Some(Outcome::Failed(Code::PartGone)));
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
--- a/fireflycroft/tests/point2_own_answer.rs
+++ b/fireflycroft/tests/point2_own_answer.rs
@@ -52,7 +52,7 @@
         let first = world.submit(0, long(0)).unwrap();
         world.advance(200);
         let agent = world.agent_of(first).unwrap();
-        let next = world.next(first);
+        let next = world.next_token(first);
         world.kill(Proc::Agent(agent));
         world.advance(4_000);
         let other = world.submit(1, long(1)).unwrap();
@@ -69,7 +69,7 @@
         let service = CallSpec { kind: Kind::Service, ..long(0) };
         let first = world.submit(0, service).unwrap();
         world.advance(100);
-        let point = world.point(first).unwrap();
+        let point = world.resume_point(first).unwrap();
         world.kill(Proc::Agent(3));
         world.advance(5_000);
         let (agent, entry) = (Proc::Agent(3).addr(), Proc::Entry(1).addr());
@@ -144,7 +144,7 @@
     workspace_guesses_an_id(world) {
         let call = world.submit(0, long(0)).unwrap();
         world.advance(200);
-        let real = world.point(call).unwrap();
+        let real = world.resume_point(call).unwrap();
         for (request, serial) in [
             (RequestId(7), real.generation.serial),
             (real.request, real.generation.serial + 1),
@@ -169,7 +169,7 @@
         let service = |content| CallSpec { kind: Kind::Service, content, ..long(0) };
         let first = world.submit(0, service(5)).unwrap();
         world.advance(100);
-        let generation = world.point(first).unwrap().generation;
+        let generation = world.resume_point(first).unwrap().generation;
         world.kill(Proc::Agent(3));
         world.advance(5_000);
         let second = world.submit(1, service(4)).unwrap();
@@ -206,7 +206,7 @@
         world.advance(200);
         let point = ResumePoint {
             agent: Proc::Agent(3).peer(0).name,
-            ..world.point(call).unwrap()
+            ..world.resume_point(call).unwrap()
         };
         let guess = world.submit_from(2, long(0), Some((call, point))).unwrap();
         world.advance(1_000);
--- a/fireflycroft/tests/point3_not_run.rs
+++ b/fireflycroft/tests/point3_not_run.rs
@@ -101,7 +101,7 @@
         for i in 0..10 {
             let call = world.submit(i % 3, CallSpec::default()).unwrap();
             world.advance(1);
-            world.leave_caller(call);
+            world.disconnect_caller(call);
             world.advance(100);
         }
         world.advance(200_000);
--- a/fireflycroft/tests/point4_once.rs
+++ b/fireflycroft/tests/point4_once.rs
@@ -200,7 +200,7 @@
     caller_gone_while_claiming_then_sent_again_late(world) {
         let first = world.submit(0, service_call()).unwrap();
         world.advance(3);
-        world.leave_caller(first);
+        world.disconnect_caller(first);
         world.advance(180_000);
         let again = world.submit(1, service_call()).unwrap();
         world.advance(10_000);
--- a/fireflycroft/tests/point5_leaving.rs
+++ b/fireflycroft/tests/point5_leaving.rs
@@ -137,7 +137,7 @@
         let refused = world.submit(0, filing()).unwrap();
         world.advance(50);
         assert_eq!(world.outcome(refused), LEAVING);
-        world.stay(3);
+        world.cancel_leave(3);
         world.advance(1_200);
         let call = world.submit(0, filing()).unwrap();
         world.advance(10_000);
--- a/fireflycroft/tests/point6_stop.rs
+++ b/fireflycroft/tests/point6_stop.rs
@@ -90,7 +90,7 @@
         world.kill(Proc::Entry(0));
         world.leave(agent);
         world.advance(20_000);
-        let rest = world.resume(1, call, world.next(call)).unwrap();
+        let rest = world.resume(1, call, world.next_token(call)).unwrap();
         world.advance(5_000);
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
--- a/fireflycroft/tests/support/world.rs
+++ b/fireflycroft/tests/support/world.rs
@@ -39,7 +39,7 @@
     core: C,
     alive: bool,
     incarnation: u64,
-    born: u64,
+    started_at: u64,
     frozen: Option<u64>,
     inbox: Vec<E>,
     /// Time of the order to leave.
@@ -48,12 +48,12 @@
 }
 
 impl<C, E> Node<C, E> {
-    fn new(core: C, incarnation: u64, born: u64) -> Self {
+    fn new(core: C, incarnation: u64, started_at: u64) -> Self {
         Self {
             core,
             alive: true,
             incarnation,
-            born,
+            started_at,
             frozen: None,
             inbox: Vec::new(),
             leaving: None,
@@ -61,8 +61,8 @@
         }
     }
 
-    fn local(&self, now: u64) -> Time {
-        Time(now - self.born)
+    fn local_time(&self, now: u64) -> Time {
+        Time(now - self.started_at)
     }
 
     fn is_running(&self) -> bool {
@@ -207,7 +207,7 @@
             }
             Op::CallerGone(call) => {
                 if let Some(call) = self.pick(call) {
-                    self.leave_caller(call);
+                    self.disconnect_caller(call);
                 }
             }
             Op::Advance(millis) => self.advance(millis),
@@ -226,7 +226,7 @@
             Op::Freeze(proc) => self.freeze(proc),
             Op::Thaw(proc) => self.thaw(proc),
             Op::Leave(proc) => self.leave(proc),
-            Op::CancelLeave(agent) => self.stay(agent),
+            Op::CancelLeave(agent) => self.cancel_leave(agent),
             Op::Upstream(agent, mood) => self.set_mood(agent, mood),
             Op::Crash(agent) => self.crash(agent),
             Op::Platform(mode) => self.platform.mode = mode,
@@ -279,12 +279,12 @@
             ScheduledEvent::Restart(proc) => self.restart(proc),
             ScheduledEvent::Entry(i, incarnation, event) => {
                 if self.entries[i].incarnation == incarnation {
-                    self.entry(i, event);
+                    self.drive_entry(i, event);
                 }
             }
             ScheduledEvent::Agent(i, incarnation, event) => {
                 if self.agents[i].incarnation == incarnation {
-                    self.agent(i, event);
+                    self.drive_agent(i, event);
                 }
             }
             ScheduledEvent::Claim(call) => self.claim_effect(call),
@@ -309,11 +309,11 @@
         self.schedule(TICK, ScheduledEvent::Tick);
         for i in 0..ENTRIES {
             if self.mutant != Mutant::NoTicks {
-                self.entry(i, EntryEvent::Tick);
+                self.drive_entry(i, EntryEvent::Tick);
             }
         }
         for i in 0..AGENTS {
-            self.agent(i, AgentEvent::Tick);
+            self.drive_agent(i, AgentEvent::Tick);
         }
         for proc in Proc::all() {
             self.stop_if_idle(proc);
--- a/fireflycroft/tests/support/world/callers.rs
+++ b/fireflycroft/tests/support/world/callers.rs
@@ -19,7 +19,7 @@
     }
 
     /// Returns the index of the call's next token.
-    pub(crate) fn next(&self, call: usize) -> u64 {
+    pub(crate) fn next_token(&self, call: usize) -> u64 {
         self.oracle.calls[call].next
     }
 
@@ -86,16 +86,16 @@
         let call = self.oracle.record_call(self.now, entry, spec, from);
         self.oracle.calls[call].entry_leaving = self.entries[entry].leaving.is_some();
         let event = EntryEvent::Submit(CallId(call as u64), Box::new(submission));
-        self.entry(entry, event);
+        self.drive_entry(entry, event);
         Some(call)
     }
 
-    pub(crate) fn leave_caller(&mut self, call: usize) {
+    pub(crate) fn disconnect_caller(&mut self, call: usize) {
         let record = &mut self.oracle.calls[call];
         if record.outcome.is_none() {
             record.outcome = Some(Outcome::Gone);
             let entry = record.entry;
-            self.entry(entry, EntryEvent::CallerGone(CallId(call as u64)));
+            self.drive_entry(entry, EntryEvent::CallerGone(CallId(call as u64)));
         }
     }
 
@@ -106,7 +106,7 @@
         for call in open.into_iter().filter(|_| !stalled) {
             let record = &self.oracle.calls[call];
             let (entry, next) = (record.entry, record.next);
-            self.entry(entry, EntryEvent::Consumed(CallId(call as u64), next));
+            self.drive_entry(entry, EntryEvent::Consumed(CallId(call as u64), next));
         }
     }
 
@@ -136,7 +136,7 @@
         entry: usize,
         workspace: usize,
     ) -> Option<usize> {
-        let point = self.point(call)?;
+        let point = self.resume_point(call)?;
         let spec = CallSpec {
             workspace,
             ..self.oracle.calls[call].spec
@@ -145,11 +145,11 @@
     }
 
     /// Returns the call's resume point.
-    pub(crate) fn point(&self, call: usize) -> Option<ResumePoint> {
+    pub(crate) fn resume_point(&self, call: usize) -> Option<ResumePoint> {
         self.oracle.calls[call].point.clone()
     }
 
-    pub(super) fn reply(&mut self, entry: usize, call: CallId, reply: &Reply) {
+    pub(super) fn deliver_reply(&mut self, entry: usize, call: CallId, reply: &Reply) {
         let index = usize::try_from(call.0).unwrap();
         self.oracle.record_reply(self.now, index, reply);
         if let Reply::Tokens(chunk) = reply
--- a/fireflycroft/tests/support/world/messages.rs
+++ b/fireflycroft/tests/support/world/messages.rs
@@ -58,8 +58,8 @@
 
     pub(super) fn deliver(&mut self, to: SocketAddr, envelope: Envelope) {
         match Proc::of(to) {
-            Proc::Entry(i) => self.entry(i, EntryEvent::Message(Box::new(envelope))),
-            Proc::Agent(i) => self.agent(i, AgentEvent::Message(Box::new(envelope))),
+            Proc::Entry(i) => self.drive_entry(i, EntryEvent::Message(Box::new(envelope))),
+            Proc::Agent(i) => self.drive_agent(i, AgentEvent::Message(Box::new(envelope))),
         }
     }
 
@@ -114,7 +114,7 @@
             turn: 0,
             serves: fleet::serves(agent),
         };
-        self.entry(entry, EntryEvent::Member(record));
+        self.drive_entry(entry, EntryEvent::Member(record));
     }
 
     /// A process reads a configuration.
@@ -124,14 +124,14 @@
                 if self.mutant == Mutant::AnyConfig && self.config_of(proc) > config.version {
                     self.entries[i].core = fleet::new_entry(i, self.entries[i].incarnation);
                 }
-                self.entry(i, EntryEvent::Config(config.clone()));
+                self.drive_entry(i, EntryEvent::Config(config.clone()));
             }
             Proc::Agent(i) => {
                 if !self.agents[i].is_running() {
                     return;
                 }
                 self.agents[i].config.adopt(config.clone());
-                self.agent(i, AgentEvent::Config(config.version));
+                self.drive_agent(i, AgentEvent::Config(config.version));
                 self.check_config(proc);
             }
         }
--- a/fireflycroft/tests/support/world/processes.rs
+++ b/fireflycroft/tests/support/world/processes.rs
@@ -10,7 +10,7 @@
 };
 
 impl World {
-    pub(super) fn entry(&mut self, i: usize, event: EntryEvent) {
+    pub(super) fn drive_entry(&mut self, i: usize, event: EntryEvent) {
         let node = &mut self.entries[i];
         if !node.alive {
             return;
@@ -26,7 +26,8 @@
             _ => None,
         };
         let mut out = Vec::new();
-        node.core.on_event(node.local(self.now), event, &mut out);
+        node.core
+            .on_event(node.local_time(self.now), event, &mut out);
         if let Some(call) = submitted {
             self.record_request_id(call, &out);
         }
@@ -58,9 +59,9 @@
             EntryAction::Broadcast(message) => self.broadcast(from, &message),
             EntryAction::Reply(call, reply) => {
                 if self.mutant == Mutant::DeliverTwice && matches!(reply, Reply::Tokens(_)) {
-                    self.reply(i, call, &reply);
+                    self.deliver_reply(i, call, &reply);
                 }
-                self.reply(i, call, &reply);
+                self.deliver_reply(i, call, &reply);
             }
             EntryAction::Claim(call, key, op) => self.claim(i, call, key, op),
             EntryAction::PullConfig(addr) => self.pull_config(from, addr),
@@ -68,7 +69,7 @@
         }
     }
 
-    pub(super) fn agent(&mut self, i: usize, event: AgentEvent) {
+    pub(super) fn drive_agent(&mut self, i: usize, event: AgentEvent) {
         let node = &mut self.agents[i];
         if !node.alive {
             return;
@@ -82,7 +83,8 @@
         self.record_offer(i, &event);
         let node = &mut self.agents[i];
         let mut out = Vec::new();
-        node.core.on_event(node.local(self.now), event, &mut out);
+        node.core
+            .on_event(node.local_time(self.now), event, &mut out);
         for action in out {
             self.agent_action(i, action);
         }
@@ -186,7 +188,7 @@
                 let incarnation = self.agents[i].incarnation + 1;
                 self.agents[i] = Node::new(fleet::new_agent(i, incarnation), incarnation, now);
                 if self.upstreams[i].up {
-                    self.agent(i, AgentEvent::UpstreamUp);
+                    self.drive_agent(i, AgentEvent::UpstreamUp);
                 }
                 for entry in 0..ENTRIES {
                     let delay = self.rng.below(1_500) * MS;
@@ -236,10 +238,10 @@
                     self.oracle.calls[call].frozen += self.now - since;
                 }
                 if timers_first {
-                    self.entry(i, EntryEvent::Tick);
+                    self.drive_entry(i, EntryEvent::Tick);
                 }
                 for event in std::mem::take(&mut self.entries[i].inbox) {
-                    self.entry(i, event);
+                    self.drive_entry(i, event);
                 }
             }
             Proc::Agent(i) => {
@@ -247,10 +249,10 @@
                     return;
                 }
                 if timers_first {
-                    self.agent(i, AgentEvent::Tick);
+                    self.drive_agent(i, AgentEvent::Tick);
                 }
                 for event in std::mem::take(&mut self.agents[i].inbox) {
-                    self.agent(i, event);
+                    self.drive_agent(i, event);
                 }
             }
         }
@@ -262,22 +264,22 @@
         match proc {
             Proc::Entry(i) if self.entries[i].is_running() => {
                 self.entries[i].leaving.get_or_insert(now);
-                self.entry(i, EntryEvent::Leave);
+                self.drive_entry(i, EntryEvent::Leave);
             }
             Proc::Agent(i) if self.agents[i].is_running() => {
                 self.agents[i].leaving.get_or_insert(now);
                 if self.mutant != Mutant::IgnoreLeave {
-                    self.agent(i, AgentEvent::Leave);
+                    self.drive_agent(i, AgentEvent::Leave);
                 }
             }
             _ => {}
         }
     }
 
-    pub(crate) fn stay(&mut self, agent: usize) {
+    pub(crate) fn cancel_leave(&mut self, agent: usize) {
         if self.agents[agent].is_running() {
             self.agents[agent].leaving = None;
-            self.agent(agent, AgentEvent::Stay);
+            self.drive_agent(agent, AgentEvent::Stay);
         }
     }
 
--- a/fireflycroft/tests/support/world/services.rs
+++ b/fireflycroft/tests/support/world/services.rs
@@ -162,7 +162,7 @@
                 self.schedule(pause, ScheduledEvent::Emit(agent, generation, epoch));
             }
             Turn::Wait => self.schedule(200 * MS, ScheduledEvent::Emit(agent, generation, epoch)),
-            Turn::Break => self.agent(agent, AgentEvent::Broken { generation }),
+            Turn::Break => self.drive_agent(agent, AgentEvent::Broken { generation }),
             Turn::Die => self.crash(agent),
             Turn::End => self.end(agent, generation),
         }
@@ -176,7 +176,7 @@
         let tokens = numbers.map(|n| token(live.run, n, live.content)).collect();
         live.sent += count;
         self.oracle.runs[live.run].emitted = live.sent;
-        self.agent(agent, AgentEvent::Tokens { generation, tokens });
+        self.drive_agent(agent, AgentEvent::Tokens { generation, tokens });
     }
 
     pub(super) fn end(&mut self, agent: usize, generation: GenerationId) {
@@ -194,7 +194,7 @@
             preemptions: 0,
             crashes: 0,
         };
-        self.agent(agent, AgentEvent::Finished { generation, finish });
+        self.drive_agent(agent, AgentEvent::Finished { generation, finish });
     }
 
     pub(super) fn reattach(&mut self, agent: usize, generation: GenerationId) {
@@ -207,7 +207,7 @@
             }
             _ => {
                 self.upstreams[agent].live.remove(&generation);
-                self.agent(agent, AgentEvent::Lost { generation });
+                self.drive_agent(agent, AgentEvent::Lost { generation });
             }
         }
     }
@@ -222,14 +222,14 @@
         for live in lost.values() {
             *self.oracle.crashes.entry(live.content).or_default() += 1;
         }
-        self.agent(agent, AgentEvent::UpstreamDown);
+        self.drive_agent(agent, AgentEvent::UpstreamDown);
         let delay = (300 + self.rng.below(1_500)) * MS;
         self.schedule(delay, ScheduledEvent::UpstreamUp(agent));
     }
 
     pub(super) fn upstream_up(&mut self, agent: usize) {
         self.upstreams[agent].up = true;
-        self.agent(agent, AgentEvent::UpstreamUp);
+        self.drive_agent(agent, AgentEvent::UpstreamUp);
     }
 
     /// All agents but one, and no entry, hear that the content crashed upstreams.
