--- a/fireflycroft/src/lease.rs
+++ b/fireflycroft/src/lease.rs
@@ -277,7 +277,8 @@
 
     fn schedule_read(&mut self, now: Time) {
         self.next_call = now;
-        // A renewal whose answer was lost doesn't end the lease early; the next call reads the record.
+        // A renewal whose answer was lost doesn't end the lease early; the next
+        // call reads the record.
         if !matches!(self.state, State::Held { .. }) || self.unconfirmed.is_none() {
             self.state = State::Unknown;
         }
