--- a/fireflycroft/src/submit.rs
+++ b/fireflycroft/src/submit.rs
@@ -86,12 +86,12 @@
 
     fn refusal_measurement(&self, submission: &Submission, code: Code) -> EntryAction {
         let config = self.config.get();
-        let requester = config.and_then(|c| Some((c, c.workspace_of_key(&submission.key_digest)?)));
+        let workspace = config.and_then(|c| Some((c, c.workspace_of_key(&submission.key_digest)?)));
         let brand =
-            requester.map_or_else(|| Name::from(NO_BRAND), |(c, ix)| c.brand_name(ix).clone());
+            workspace.map_or_else(|| Name::from(NO_BRAND), |(c, ix)| c.brand_name(ix).clone());
         let requested = submission.priority;
-        let priority = requester.map_or(Priority::Batch, |(c, ix)| c.priority(ix, requested));
-        let objective = requester.and_then(|(c, _)| c.objective(&brand, priority));
+        let priority = workspace.map_or(Priority::Batch, |(c, ix)| c.priority(ix, requested));
+        let objective = workspace.and_then(|(c, _)| c.objective(&brand, priority));
         let goal = objective.map(Goal::of);
         EntryAction::Measured(Measured {
             met: meets(code, &Pace::default(), goal),
