--- a/fireflycroft/src/agent.rs
+++ b/fireflycroft/src/agent.rs
@@ -11,8 +11,8 @@
 use crate::generation::Generation;
 use crate::generation_store::GenerationStore;
 use crate::ids::{GenerationId, Name, Peer, RequestId};
+use crate::log_event::LogEvent;
 use crate::message::{ConfigVersion, Envelope, Finish, Load, Message, Standing};
-use crate::note::Note;
 use crate::offer::{AdmitPolicy, Capacity, OfferId, UpstreamReport};
 use crate::order::{Order, Orders};
 use crate::quarantine::Quarantine;
@@ -167,7 +167,7 @@
     /// Request the configuration of that process.
     PullConfig(SocketAddr),
     /// Event to log and count.
-    Note(Note),
+    LogEvent(LogEvent),
 }
 
 #[derive(Clone, Debug)]
@@ -405,14 +405,14 @@
 }
 
 pub(crate) fn note(event: &'static str, request: RequestId, code: Option<Code>) -> AgentAction {
-    let mut note = Note::new(event).request(request);
+    let mut note = LogEvent::new(event).request(request);
     note.code = code;
-    AgentAction::Note(note)
+    AgentAction::LogEvent(note)
 }
 
 pub(crate) fn with_count(action: AgentAction, count: u64) -> AgentAction {
     match action {
-        AgentAction::Note(note) => AgentAction::Note(note.count(count)),
+        AgentAction::LogEvent(note) => AgentAction::LogEvent(note.count(count)),
         other => other,
     }
 }
--- a/fireflycroft/src/deliver.rs
+++ b/fireflycroft/src/deliver.rs
@@ -5,8 +5,8 @@
 use crate::entry_io::{Delivery, EntryAction, EntryLimits, Reply, ResumePoint};
 use crate::generation::WINDOW_TOKENS;
 use crate::ids::{CallId, GenerationId, Incarnation, Name, Peer, RequestId};
+use crate::log_event::LogEvent;
 use crate::message::{Finish, Message, Standing};
-use crate::note::Note;
 use crate::quarantine::CRASH_LIMIT;
 use crate::stream::{Chunk, ChunkOutcome, Cursor};
 use crate::time::Time;
@@ -33,7 +33,7 @@
             self.fail(id, Code::StreamUnknown, retry, out);
             return;
         };
-        let asked = crate::entry::Asked {
+        let assigned = crate::entry::AssignedAgent {
             agent: point.agent,
             addr,
         };
@@ -41,7 +41,7 @@
             generation: point.generation,
             next: point.next,
         };
-        self.read(now, id, asked, Origin::Resumed, point.request, cursor);
+        self.begin_reading(now, id, assigned, Origin::Resumed, point.request, cursor);
         self.send_attach(now, id, out);
     }
 
@@ -60,7 +60,7 @@
             workspace: call.demand.workspace.clone(),
             from: reading.cursor.next,
         };
-        out.push(EntryAction::Send(reading.asked.addr, message));
+        out.push(EntryAction::Send(reading.assigned.addr, message));
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -74,7 +74,9 @@
         finish: Option<Finish>,
         out: &mut Vec<EntryAction>,
     ) {
-        let call = self.call_of(reader).and_then(|id| self.calls.get_mut(&id));
+        let call = self
+            .call_by_request(reader)
+            .and_then(|id| self.calls.get_mut(&id));
         let Some(call) = call else {
             out.push(EntryAction::Send(
                 from.addr,
@@ -87,7 +89,7 @@
             return;
         };
         let outcome = reading.cursor.advance(generation, chunk);
-        reading.begun |= outcome != ChunkOutcome::OtherGeneration;
+        reading.frame_received |= outcome != ChunkOutcome::OtherGeneration;
         match outcome {
             ChunkOutcome::OtherGeneration => {
                 // Late tokens of a superseded generation.
@@ -99,13 +101,13 @@
             }
             ChunkOutcome::Malformed => return,
             ChunkOutcome::Gap(_) => {
-                reading.heard = now;
+                reading.last_received = now;
                 self.send_attach(now, id, out);
                 return;
             }
-            ChunkOutcome::Duplicate => reading.heard = now,
+            ChunkOutcome::Duplicate => reading.last_received = now,
             ChunkOutcome::Next(chunk) => {
-                reading.heard = now;
+                reading.last_received = now;
                 self.deliver_chunk(now, id, chunk, out);
             }
         }
@@ -115,16 +117,16 @@
     }
 
     fn deliver_chunk(&mut self, now: Time, id: CallId, chunk: Chunk, out: &mut Vec<EntryAction>) {
-        let max_answer = self.limits.max_answer;
-        let max_held = self.limits.max_held;
+        let max_answer = self.limits.max_answer_bytes;
+        let max_held = self.limits.max_buffered;
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         call.pace.note(now, call.received, chunk.count(), call.goal);
         match call.delivery {
             Delivery::Stream => {
-                if !call.told_begin {
-                    call.told_begin = true;
+                if !call.begin_sent {
+                    call.begin_sent = true;
                     let point = resume_point_of(call, chunk.offset);
                     out.extend(point.map(|p| EntryAction::Reply(id, Reply::Begin(p))));
                 }
@@ -132,11 +134,11 @@
             }
             Delivery::Whole => {
                 for token in chunk.tokens() {
-                    call.held_back.push(token);
+                    call.buffered.push(token);
                 }
-                self.held += chunk.data.len();
-                ack_held_back(now, call, out);
-                if call.held_back.data.len() > max_answer || self.held > max_held {
+                self.buffered_bytes += chunk.data.len();
+                ack_buffered(now, call, out);
+                if call.buffered.data.len() > max_answer || self.buffered_bytes > max_held {
                     self.cancel(id, out);
                     self.fail(id, Code::AnswerTooLarge, None, out);
                 }
@@ -180,18 +182,18 @@
         if call.reads_own_generation() {
             self.quotas.charge(&call.demand.workspace, finish.total);
         }
-        out.push(call.measured(finish.code));
+        out.push(call.measurement(finish.code));
         if call.delivery == Delivery::Whole {
-            let answer = std::mem::take(&mut call.held_back);
+            let answer = std::mem::take(&mut call.buffered);
             if let Some(point) = resume_point_of(&call, answer.offset) {
                 out.push(EntryAction::Reply(id, Reply::Begin(point)));
             }
             out.push(EntryAction::Reply(id, Reply::Tokens(answer)));
         }
-        let note = Note::new("request_done")
+        let note = LogEvent::new("request_done")
             .request(call.request)
             .code(Code::Ok);
-        out.push(EntryAction::Note(note.count(finish.total)));
+        out.push(EntryAction::LogEvent(note.count(finish.total)));
         out.push(EntryAction::Reply(id, Reply::End(finish)));
     }
 
@@ -204,7 +206,7 @@
                 reader: call.request,
                 generation: reading.cursor.generation,
             };
-            out.push(EntryAction::Send(reading.asked.addr, message));
+            out.push(EntryAction::Send(reading.assigned.addr, message));
         }
     }
 
@@ -254,11 +256,11 @@
             return;
         };
         call.demand.crashes = crashes;
-        self.held -= call.held_back.data.len();
-        call.held_back = Chunk::default();
+        self.buffered_bytes -= call.buffered.data.len();
+        call.buffered = Chunk::default();
         call.offers = 0;
-        out.push(EntryAction::Note(
-            Note::new("restarted").request(call.request),
+        out.push(EntryAction::LogEvent(
+            LogEvent::new("restarted").request(call.request),
         ));
         self.offer_next(now, id, out);
     }
@@ -267,7 +269,7 @@
         if let Some(Phase::Reading(reading)) = self.calls.get(&id).map(|c| &c.phase) {
             let generation = reading.cursor.generation;
             out.push(EntryAction::Send(
-                reading.asked.addr,
+                reading.assigned.addr,
                 Message::Cancel { generation },
             ));
         }
@@ -281,7 +283,9 @@
         standing: Standing,
         out: &mut Vec<EntryAction>,
     ) {
-        let call = self.call_of(reader).and_then(|id| self.calls.get_mut(&id));
+        let call = self
+            .call_by_request(reader)
+            .and_then(|id| self.calls.get_mut(&id));
         let Some(call) = call else {
             return;
         };
@@ -292,7 +296,7 @@
         if reading.cursor.generation != generation {
             return;
         }
-        reading.heard = now;
+        reading.last_received = now;
         let origin = reading.origin;
         let retry = Some(self.limits.min_retry_after);
         match (standing, origin) {
@@ -350,19 +354,19 @@
         if reading.cursor.next - reading.acked >= WINDOW_TOKENS {
             // The window is full: the agent waits for the caller, so its silence
             // does not count.
-            reading.heard = now;
+            reading.last_received = now;
         }
-        if now.since(reading.heard) >= silence_timeout {
+        if now.since(reading.last_received) >= silence_timeout {
             self.on_agent_timeout(now, id, out);
             return;
         }
-        if now.since(reading.acked_at) >= limits.ack_every {
+        if now.since(reading.acked_at) >= limits.ack_interval {
             out.push(ack_action(now, request, reading));
         }
-        let quiet = now.since(reading.heard) >= limits.poll_after;
+        let quiet = now.since(reading.last_received) >= limits.poll_after;
         if quiet && now.since(reading.polled) >= limits.poll_after {
             reading.polled = now;
-            let start_unconfirmed = reading.origin == Origin::Own && !reading.begun;
+            let start_unconfirmed = reading.origin == Origin::Own && !reading.frame_received;
             if start_unconfirmed {
                 self.send_start(id, out);
             } else {
@@ -375,10 +379,12 @@
         let Some(Phase::Reading(reading)) = self.calls.get(&id).map(|c| &c.phase) else {
             return;
         };
-        let agent = reading.asked.agent.clone();
+        let agent = reading.assigned.agent.clone();
         let joined = matches!(reading.origin, Origin::Joined(_));
-        self.router.avoid(now, &agent, self.limits.avoid);
-        out.push(EntryAction::Note(Note::new("agent_silent").peer(&agent)));
+        self.router.avoid(now, &agent, self.limits.avoid_for);
+        out.push(EntryAction::LogEvent(
+            LogEvent::new("agent_silent").peer(&agent),
+        ));
         if joined {
             let retry = Some(self.limits.min_retry_after);
             self.fail(id, Code::ClaimUnresolved, retry, out);
@@ -402,9 +408,9 @@
         let limits = self.limits;
         // Only a later incarnation confirms that the generation is lost.
         let lost = |call: &Call| match &call.phase {
-            Phase::Reading(r) if r.asked.agent == *agent => match alive {
+            Phase::Reading(r) if r.assigned.agent == *agent => match alive {
                 Some(incarnation) => r.cursor.generation.incarnation != incarnation,
-                None => call.silence_timeout(&limits) == limits.silence,
+                None => call.silence_timeout(&limits) == limits.silence_timeout,
             },
             _ => false,
         };
@@ -424,15 +430,15 @@
             return;
         };
         match &call.phase {
-            Phase::New | Phase::Behind { .. } => {}
+            Phase::New | Phase::AwaitingConfig { .. } => {}
             Phase::Offered { .. } | Phase::Queued { .. } | Phase::Claiming { .. } => {
                 self.withdraw(id, out);
             }
             Phase::Reading(_) => self.send_detach(id, out),
         }
         if let Some(call) = self.remove(id) {
-            out.push(EntryAction::Note(
-                Note::new("caller_gone").request(call.request),
+            out.push(EntryAction::LogEvent(
+                LogEvent::new("caller_gone").request(call.request),
             ));
         }
     }
@@ -457,9 +463,9 @@
         let joined =
             matches!(&self.phase, Phase::Reading(r) if matches!(r.origin, Origin::Joined(_)));
         if joined || self.may_restart(limits.max_starts) {
-            limits.silence
+            limits.silence_timeout
         } else {
-            limits.long_silence
+            limits.long_silence_timeout
         }
     }
 }
@@ -467,7 +473,7 @@
 fn ack_action(now: Time, reader: RequestId, reading: &mut Reading) -> EntryAction {
     reading.acked_at = now;
     EntryAction::Send(
-        reading.asked.addr,
+        reading.assigned.addr,
         Message::Ack {
             reader,
             generation: reading.cursor.generation,
@@ -477,7 +483,7 @@
 }
 
 /// Acknowledges tokens held back for the caller, in large steps.
-fn ack_held_back(now: Time, call: &mut Call, out: &mut Vec<EntryAction>) {
+fn ack_buffered(now: Time, call: &mut Call, out: &mut Vec<EntryAction>) {
     let request = call.request;
     if let Phase::Reading(reading) = &mut call.phase
         && reading.cursor.next - reading.acked >= ACK_INTERVAL_TOKENS
@@ -494,7 +500,7 @@
     Some(ResumePoint {
         request: reading.request,
         generation: reading.cursor.generation,
-        agent: reading.asked.agent.clone(),
+        agent: reading.assigned.agent.clone(),
         next,
     })
 }
--- a/fireflycroft/src/dispatch.rs
+++ b/fireflycroft/src/dispatch.rs
@@ -1,24 +1,24 @@
-//! The way of a call from its checks to a start on one agent.
+//! Dispatch of a checked call: offers, claim and start on one agent.
 //!
-//! Until a start is sent nothing has run, so every other agent may still be
-//! asked. After it, "not run" is said only when the agent itself says so.
+//! Until a start is sent nothing has run, so the call may be offered to any
+//! other agent. After that, only the agent itself can report "not run".
 
-use crate::claim::{ClaimAnswer, ClaimNext, ClaimRecord, ClaimRun};
+use crate::claim::{ClaimAnswer, ClaimAttempt, ClaimNext, ClaimRecord};
 use crate::code::Code;
-use crate::entry::{Asked, Call, Entry, Origin, Phase, Reading};
+use crate::entry::{AssignedAgent, Call, Entry, Origin, Phase, Reading};
 use crate::entry_io::EntryAction;
 use crate::ids::{CallId, GenerationId, Name, Peer, RequestId};
+use crate::log_event::LogEvent;
 use crate::message::Message;
-use crate::note::Note;
 use crate::stream::{Chunk, Cursor};
 use crate::time::Time;
 use std::time::Duration;
 
-/// Time beyond the longest wait before a silent queue is given up.
+/// Time past a call's longest wait before its place in an agent's queue is abandoned.
 const QUEUE_SLACK: Duration = Duration::from_secs(1);
 
 impl Entry {
-    /// Offers a new call to its first agent.
+    /// Registers a new call and offers it to its first agent.
     pub(crate) fn begin_offers(&mut self, now: Time, call: Call, out: &mut Vec<EntryAction>) {
         let id = call.id;
         self.by_request.insert(call.request, id);
@@ -26,22 +26,22 @@
         self.offer_next(now, id, out);
     }
 
-    /// Offers the call to the next agent, or refuses it at once.
+    /// Offers the call to the next agent, or refuses it if none is left.
     pub(crate) fn offer_next(&mut self, now: Time, id: CallId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        if let Some(asked) = call.asked() {
-            self.router.note_done(&asked.agent.clone());
+        if let Some(assigned) = call.assigned() {
+            self.router.record_done(&assigned.agent.clone());
             call.phase = Phase::New;
         }
-        let checked = self.config.get().map_or(Ok(()), |c| call.check_again(c));
+        let checked = self.config.get().map_or(Ok(()), |c| call.recheck(c));
         if let Err(code) = checked {
             self.fail(id, code, None, out);
             return;
         }
-        let spent = call.offers >= self.limits.max_offers;
-        let chosen = if spent {
+        let exhausted = call.offers >= self.limits.max_offers;
+        let chosen = if exhausted {
             None
         } else {
             self.router
@@ -59,25 +59,25 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        self.router.note_sent(&peer.name, &call.demand);
+        self.router.record_sent(&peer.name, &call.demand);
         call.attempt += 1;
         call.offers += 1;
         call.tried.push(peer.name.clone());
         call.phase = Phase::Offered {
-            asked: Asked {
+            assigned: AssignedAgent {
                 agent: peer.name.clone(),
                 addr: peer.addr,
             },
             sent: now,
         };
-        out.push(EntryAction::Send(peer.addr, offer_of(now, call)));
-        let note = Note::new("offer_sent")
+        out.push(EntryAction::Send(peer.addr, offer_message(now, call)));
+        let event = LogEvent::new("offer_sent")
             .request(call.request)
             .peer(&peer.name);
-        out.push(EntryAction::Note(note.count(u64::from(call.attempt))));
+        out.push(EntryAction::LogEvent(event.count(u64::from(call.attempt))));
     }
 
-    /// No agent is left to ask: says why and when to come back.
+    /// Fails a call that no agent accepted, with the reason and a retry time.
     fn refuse_call(&mut self, id: CallId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -97,21 +97,21 @@
         attempt: u32,
         wait: Duration,
     ) {
-        let Some(call) = self.current(request, attempt) else {
+        let Some(call) = self.call_for_attempt(request, attempt) else {
             return;
         };
-        let until = call.received + call.max_wait + QUEUE_SLACK;
+        let deadline = call.received + call.max_wait + QUEUE_SLACK;
         call.retry_after = Some(wait);
         match &mut call.phase {
-            Phase::Offered { asked, .. } => {
-                let asked = asked.clone();
+            Phase::Offered { assigned, .. } => {
+                let assigned = assigned.clone();
                 call.phase = Phase::Queued {
-                    asked,
-                    heard: now,
-                    until,
+                    assigned,
+                    last_received: now,
+                    deadline,
                 };
             }
-            Phase::Queued { heard, .. } => *heard = now,
+            Phase::Queued { last_received, .. } => *last_received = now,
             _ => {}
         }
     }
@@ -127,16 +127,16 @@
         hold: Duration,
         out: &mut Vec<EntryAction>,
     ) {
-        let wait = self.limits.claim_wait;
-        let waiting =
+        let wait = self.limits.claim_timeout;
+        let is_undecided =
             |call: &&mut Call| matches!(call.phase, Phase::Offered { .. } | Phase::Queued { .. });
         let config = self.config.get().cloned();
-        let Some(call) = self.current(request, attempt).filter(waiting) else {
-            self.give_back_stray(from, request, attempt, generation, out);
+        let Some(call) = self.call_for_attempt(request, attempt).filter(is_undecided) else {
+            self.withdraw_stray_reservation(from, request, attempt, generation, out);
             return;
         };
         let id = call.id;
-        if let Err(code) = config.map_or(Ok(()), |c| call.check_again(&c)) {
+        if let Err(code) = config.map_or(Ok(()), |c| call.recheck(&c)) {
             self.withdraw(id, out);
             self.fail(id, code, None, out);
             return;
@@ -144,12 +144,12 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let asked = Asked {
+        let assigned = AssignedAgent {
             agent: from.name.clone(),
             addr: from.addr,
         };
         let Some(key) = call.claim_key else {
-            self.start(now, request, asked, generation, out);
+            self.start(now, request, assigned, generation, out);
             return;
         };
         let record = ClaimRecord {
@@ -159,19 +159,19 @@
             addr: from.addr,
             content: call.demand.content,
         };
-        let run = ClaimRun::new(record, call.replace, now + wait.min(hold));
-        let op = run.first();
+        let claim = ClaimAttempt::new(record, call.replace, now + wait.min(hold));
+        let op = claim.first();
         call.phase = Phase::Claiming {
-            asked,
+            assigned,
             generation,
-            run,
+            claim,
         };
         out.push(EntryAction::Claim(call.id, key, op));
     }
 
-    /// A reservation that no call waits for is given back, unless it is the
-    /// one that a call has just started from or is claiming.
-    fn give_back_stray(
+    /// Withdraws a reservation that no call waits for, unless a call is
+    /// claiming it or has started from it.
+    fn withdraw_stray_reservation(
         &self,
         from: &Peer,
         request: RequestId,
@@ -179,7 +179,9 @@
         generation: GenerationId,
         out: &mut Vec<EntryAction>,
     ) {
-        let call = self.call_of(request).and_then(|id| self.calls.get(&id));
+        let call = self
+            .call_by_request(request)
+            .and_then(|id| self.calls.get(&id));
         let in_use = call.is_some_and(|c| match &c.phase {
             Phase::Claiming {
                 generation: own, ..
@@ -204,7 +206,7 @@
         retry_after: Duration,
         out: &mut Vec<EntryAction>,
     ) {
-        let Some(call) = self.current(request, attempt) else {
+        let Some(call) = self.call_for_attempt(request, attempt) else {
             return;
         };
         if !matches!(call.phase, Phase::Offered { .. } | Phase::Queued { .. }) {
@@ -212,10 +214,10 @@
         }
         let id = call.id;
         if code == Code::ConfigBehind {
-            self.hold_for_config(now, id, out);
+            self.await_config(now, id, out);
             return;
         }
-        if takes_no_work(code) {
+        if is_unavailable(code) {
             call.offers = call.offers.saturating_sub(1);
         }
         call.retry_after = Some(call.retry_after.map_or(retry_after, |r| r.min(retry_after)));
@@ -244,21 +246,21 @@
         };
         let (
             Phase::Claiming {
-                asked,
+                assigned,
                 generation,
-                run,
+                claim,
             },
             Some(key),
         ) = (&mut call.phase, call.claim_key)
         else {
             return;
         };
-        let next = run.on_answer(now, answer);
-        let (asked, generation, request) = (asked.clone(), *generation, call.request);
+        let next = claim.on_answer(now, answer);
+        let (assigned, generation, request) = (assigned.clone(), *generation, call.request);
         match next {
-            ClaimNext::Ask(op) => out.push(EntryAction::Claim(id, key, op)),
-            ClaimNext::Won => self.start(now, request, asked, generation, out),
-            ClaimNext::Other(record, version) => {
+            ClaimNext::Request(op) => out.push(EntryAction::Claim(id, key, op)),
+            ClaimNext::Acquired => self.start(now, request, assigned, generation, out),
+            ClaimNext::ClaimedByOther(record, version) => {
                 self.withdraw(id, out);
                 self.join(now, id, &record, version, out);
             }
@@ -270,7 +272,7 @@
         }
     }
 
-    /// Reads the answer of the request that claimed the key first.
+    /// Attaches the call to the generation of the request that holds the claim.
     fn join(
         &mut self,
         now: Time,
@@ -286,7 +288,7 @@
             self.fail(id, Code::IdempotencyKeyReused, None, out);
             return;
         }
-        let asked = Asked {
+        let assigned = AssignedAgent {
             agent: record.agent.clone(),
             addr: record.addr,
         };
@@ -294,14 +296,14 @@
             generation: record.generation,
             next: 0,
         };
-        let note = Note::new("claim_joined")
+        let event = LogEvent::new("claim_joined")
             .request(call.request)
             .peer(&record.agent);
-        out.push(EntryAction::Note(note));
-        self.read(
+        out.push(EntryAction::LogEvent(event));
+        self.begin_reading(
             now,
             id,
-            asked,
+            assigned,
             Origin::Joined(version),
             record.request,
             cursor,
@@ -313,18 +315,18 @@
         &mut self,
         now: Time,
         request: RequestId,
-        asked: Asked,
+        assigned: AssignedAgent,
         generation: GenerationId,
         out: &mut Vec<EntryAction>,
     ) {
-        let Some(id) = self.call_of(request) else {
+        let Some(id) = self.call_by_request(request) else {
             return;
         };
         let cursor = Cursor {
             generation,
             next: 0,
         };
-        self.read(now, id, asked, Origin::Own, request, cursor);
+        self.begin_reading(now, id, assigned, Origin::Own, request, cursor);
         if let Some(call) = self.calls.get_mut(&id) {
             call.starts += 1;
         }
@@ -341,15 +343,15 @@
                 generation: reading.cursor.generation,
                 work: call.work.clone(),
             };
-            out.push(EntryAction::Send(reading.asked.addr, message));
+            out.push(EntryAction::Send(reading.assigned.addr, message));
         }
     }
 
-    pub(crate) fn read(
+    pub(crate) fn begin_reading(
         &mut self,
         now: Time,
         id: CallId,
-        asked: Asked,
+        assigned: AssignedAgent,
         origin: Origin,
         request: RequestId,
         cursor: Cursor,
@@ -357,39 +359,41 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let same = call.asked().is_some_and(|old| old.agent == asked.agent);
-        if !same {
-            if let Some(old) = call.asked() {
-                self.router.note_done(&old.agent.clone());
+        let same_agent = call
+            .assigned()
+            .is_some_and(|old| old.agent == assigned.agent);
+        if !same_agent {
+            if let Some(old) = call.assigned() {
+                self.router.record_done(&old.agent.clone());
             }
-            self.router.note_sent(&asked.agent, &call.demand);
+            self.router.record_sent(&assigned.agent, &call.demand);
         }
-        self.held -= call.held_back.data.len();
-        call.held_back = Chunk {
+        self.buffered_bytes -= call.buffered.data.len();
+        call.buffered = Chunk {
             offset: cursor.next,
             ..Chunk::default()
         };
         call.phase = Phase::Reading(Reading {
-            asked,
+            assigned,
             origin,
             request,
             cursor,
-            heard: now,
-            begun: false,
+            last_received: now,
+            frame_received: false,
             polled: now,
             acked_at: now,
             acked: cursor.next,
         });
     }
 
-    /// Tells the agent that the offer or reservation is not wanted.
+    /// Withdraws the call's offer or reservation from its agent.
     pub(crate) fn withdraw(&self, id: CallId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let (Phase::Offered { asked, .. }
-        | Phase::Queued { asked, .. }
-        | Phase::Claiming { asked, .. }) = &call.phase
+        let (Phase::Offered { assigned, .. }
+        | Phase::Queued { assigned, .. }
+        | Phase::Claiming { assigned, .. }) = &call.phase
         else {
             return;
         };
@@ -397,7 +401,7 @@
             request: call.request,
             attempt: call.attempt,
         };
-        out.push(EntryAction::Send(asked.addr, message));
+        out.push(EntryAction::Send(assigned.addr, message));
     }
 
     pub(crate) fn tick_call(&mut self, now: Time, id: CallId, out: &mut Vec<EntryAction>) {
@@ -407,31 +411,31 @@
         };
         match &mut call.phase {
             Phase::New => {}
-            Phase::Behind { .. } => self.tick_behind(now, id, out),
-            Phase::Offered { asked, sent } => {
-                if now.since(*sent) >= limits.offer_wait {
-                    let agent = asked.agent.clone();
-                    self.give_up_agent(now, id, &agent, out);
+            Phase::AwaitingConfig { .. } => self.tick_awaiting_config(now, id, out),
+            Phase::Offered { assigned, sent } => {
+                if now.since(*sent) >= limits.offer_timeout {
+                    let agent = assigned.agent.clone();
+                    self.abandon_silent_agent(now, id, &agent, out);
                 }
             }
             Phase::Queued {
-                asked,
-                heard,
-                until,
+                assigned,
+                last_received,
+                deadline,
             } => {
-                let agent = asked.agent.clone();
-                let addr = asked.addr;
-                if now >= *until || now.since(*heard) >= limits.silence {
-                    self.give_up_agent(now, id, &agent, out);
-                } else if self.router.has_freer(now, &call.demand, &agent) {
-                    self.move_queued(now, id, agent, out);
-                } else if now.since(*heard) >= limits.poll_after {
-                    let offer = offer_of(now, call);
+                let agent = assigned.agent.clone();
+                let addr = assigned.addr;
+                if now >= *deadline || now.since(*last_received) >= limits.silence_timeout {
+                    self.abandon_silent_agent(now, id, &agent, out);
+                } else if self.router.has_free_alternative(now, &call.demand, &agent) {
+                    self.reoffer_queued(now, id, agent, out);
+                } else if now.since(*last_received) >= limits.poll_after {
+                    let offer = offer_message(now, call);
                     out.push(EntryAction::Send(addr, offer));
                 }
             }
-            Phase::Claiming { run, .. } => {
-                if run.is_late(now) {
+            Phase::Claiming { claim, .. } => {
+                if claim.is_expired(now) {
                     self.withdraw(id, out);
                     let retry = Some(limits.min_retry_after);
                     self.fail(id, Code::ClaimUnavailable, retry, out);
@@ -441,10 +445,12 @@
         }
     }
 
-    /// Takes a request from one agent's queue to an agent that has room.
-    fn move_queued(&mut self, now: Time, id: CallId, agent: Name, out: &mut Vec<EntryAction>) {
+    /// Moves a request from one agent's queue to an agent with free capacity.
+    fn reoffer_queued(&mut self, now: Time, id: CallId, agent: Name, out: &mut Vec<EntryAction>) {
         self.withdraw(id, out);
-        out.push(EntryAction::Note(Note::new("offer_moved").peer(&agent)));
+        out.push(EntryAction::LogEvent(
+            LogEvent::new("offer_moved").peer(&agent),
+        ));
         if let Some(call) = self.calls.get_mut(&id) {
             call.offers = 0;
             call.tried = vec![agent];
@@ -452,27 +458,36 @@
         self.offer_next(now, id, out);
     }
 
-    /// Leaves a silent agent, before any start, for another.
-    fn give_up_agent(&mut self, now: Time, id: CallId, agent: &Name, out: &mut Vec<EntryAction>) {
+    /// Abandons an agent that is silent before the start and tries another.
+    fn abandon_silent_agent(
+        &mut self,
+        now: Time,
+        id: CallId,
+        agent: &Name,
+        out: &mut Vec<EntryAction>,
+    ) {
         self.withdraw(id, out);
-        self.router.avoid(now, agent, self.limits.avoid);
-        out.push(EntryAction::Note(Note::new("agent_silent").peer(agent)));
+        self.router.avoid(now, agent, self.limits.avoid_for);
+        out.push(EntryAction::LogEvent(
+            LogEvent::new("agent_silent").peer(agent),
+        ));
         self.offer_next(now, id, out);
     }
 
-    fn current(&mut self, request: RequestId, attempt: u32) -> Option<&mut Call> {
-        let id = self.call_of(request)?;
+    fn call_for_attempt(&mut self, request: RequestId, attempt: u32) -> Option<&mut Call> {
+        let id = self.call_by_request(request)?;
         self.calls.get_mut(&id).filter(|c| c.attempt == attempt)
     }
 }
 
-/// Whether the agent has no work at all now: asking it was cheap, and it is
-/// not asked again, so the offer does not count.
-const fn takes_no_work(code: Code) -> bool {
+/// Returns whether the agent currently accepts no work at all. Such an offer
+/// doesn't count towards the limit: it was cheap, and the agent is not tried
+/// again for this call.
+const fn is_unavailable(code: Code) -> bool {
     matches!(code, Code::Leaving | Code::NoUpstream)
 }
 
-fn offer_of(now: Time, call: &Call) -> Message {
+fn offer_message(now: Time, call: &Call) -> Message {
     let waited = now.since(call.received);
     Message::Offer {
         request: call.request,
--- a/fireflycroft/src/entry.rs
+++ b/fireflycroft/src/entry.rs
@@ -1,20 +1,19 @@
-//! The entry: takes a caller's request and sees it to its one answer.
+//! State machine of an entry, which gives each caller's request exactly one final answer.
 //!
-//! A call is checked, offered to agents until one reserves, claimed where its
-//! key asks for it, started, and read token by token. What happens comes in
-//! as [`EntryEvent`]s, what is to be done comes out as [`EntryAction`]s.
-//! `submit` holds the checks, `dispatch` the way to a start, `deliver` the
-//! reading.
+//! A call is checked, offered to agents until one reserves capacity, claimed
+//! if it has an idempotency key, started, and read token by token. Inputs are
+//! [`EntryEvent`]s, outputs are [`EntryAction`]s. `submit` holds the checks,
+//! `dispatch` offers, claims and starts, `deliver` reads tokens.
 
 use crate::burn::{Goal, Measured, Pace, meets};
-use crate::claim::ClaimRun;
+use crate::claim::ClaimAttempt;
 use crate::code::{Class, Code};
 use crate::config::{ActiveConfig, AdoptOutcome, Config};
 use crate::entry_io::{Delivery, EntryAction, EntryEvent, EntryLimits, EntrySetup, Reply};
 use crate::ids::{CallId, Digest, GenerationId, IdSource, Name, RequestId};
+use crate::log_event::LogEvent;
 use crate::member_record::{MemberRecord, MemberState};
 use crate::message::{ConfigVersion, Envelope, Load, Message};
-use crate::note::Note;
 use crate::quarantine::Quarantine;
 use crate::quota::Quotas;
 use crate::retry::RetryBudget;
@@ -27,104 +26,104 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where an offer was made.
+/// The agent that holds an offer, a reservation or a generation of a call.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct AssignedAgent {
     pub(crate) agent: Name,
     pub(crate) addr: SocketAddr,
 }
 
-/// Why a generation is read.
+/// How a call came to read a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
     /// This call started it.
     Own,
-    /// Another call with the same key started it; the claim's version.
+    /// Another call with the same key started it; holds the claim's version.
     Joined(u64),
-    /// The caller came back to it.
+    /// The caller resumed it.
     Resumed,
 }
 
-/// A generation that is read.
+/// State of reading a generation.
 #[derive(Clone, Debug)]
 pub(crate) struct Reading {
-    pub(crate) asked: Asked,
+    pub(crate) assigned: AssignedAgent,
     pub(crate) origin: Origin,
     pub(crate) request: RequestId,
     pub(crate) cursor: Cursor,
-    /// When a frame of it came last; the start until then.
-    pub(crate) heard: Time,
-    /// Whether any frame came.
-    pub(crate) begun: bool,
+    /// Time of the last frame; time of the start before the first frame.
+    pub(crate) last_received: Time,
+    /// Whether any frame was received.
+    pub(crate) frame_received: bool,
     pub(crate) polled: Time,
     pub(crate) acked_at: Time,
     pub(crate) acked: u64,
 }
 
-/// Where a call is on its way.
+/// Phase of a call.
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
-    /// No agent was asked yet.
+    /// No offer has been sent.
     New,
-    /// Waits until both sides hold one configuration; asked again then.
-    Behind { again: Time },
-    /// An offer is out.
-    Offered { asked: Asked, sent: Time },
-    /// The agent has it in its queue.
+    /// Waits until entry and agent have the same configuration version.
+    AwaitingConfig { retry_at: Time },
+    /// An offer awaits its answer.
+    Offered { assigned: AssignedAgent, sent: Time },
+    /// The call is in the agent's queue.
     Queued {
-        asked: Asked,
-        heard: Time,
-        until: Time,
+        assigned: AssignedAgent,
+        last_received: Time,
+        deadline: Time,
     },
-    /// Reserved; the key is being claimed.
+    /// The agent has reserved capacity; the key is being claimed.
     Claiming {
-        asked: Asked,
+        assigned: AssignedAgent,
         generation: GenerationId,
-        run: ClaimRun,
+        claim: ClaimAttempt,
     },
-    /// A generation is read.
+    /// A generation is being read.
     Reading(Reading),
 }
 
-/// One caller's request on its way.
+/// A caller's request in progress.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) id: CallId,
     pub(crate) request: RequestId,
     pub(crate) key_digest: [u8; 32],
-    /// Configuration by which it was checked.
-    pub(crate) checked: ConfigVersion,
+    /// Configuration version that it was checked against.
+    pub(crate) checked_version: ConfigVersion,
     pub(crate) demand: Demand,
     pub(crate) work: Work,
     pub(crate) delivery: Delivery,
     pub(crate) claim_key: Option<Digest>,
-    /// Version of a claim that may be replaced.
+    /// Version of an existing claim that may be replaced.
     pub(crate) replace: Option<u64>,
     pub(crate) phase: Phase,
     pub(crate) attempt: u32,
     pub(crate) starts: u32,
     pub(crate) tried: Vec<Name>,
-    /// Agents asked in this round of offers.
+    /// Offers counted in the current round; a restart or a move between queues begins a new one.
     pub(crate) offers: usize,
-    /// Soonest time that a refusing agent named.
+    /// Retry time to report if no agent accepts.
     pub(crate) retry_after: Option<Duration>,
-    /// Worst reason that a refusing agent gave.
+    /// Reason to report if no agent accepts; an overload outranks others.
     pub(crate) refusal: Option<Code>,
-    /// Since when it waits for a configuration, the first time.
-    pub(crate) behind_since: Option<Time>,
+    /// Time at which it first had to wait for a configuration.
+    pub(crate) awaiting_config_since: Option<Time>,
     pub(crate) received: Time,
     pub(crate) brand: Name,
     pub(crate) goal: Option<Goal>,
     pub(crate) pace: Pace,
-    /// Whether the caller was told which generation it is given.
-    pub(crate) told_begin: bool,
-    pub(crate) held_back: Chunk,
+    /// Whether the caller was sent the generation's id.
+    pub(crate) begin_sent: bool,
+    pub(crate) buffered: Chunk,
     pub(crate) max_wait: Duration,
-    /// Tokens charged to the quota beforehand.
+    /// Prompt tokens charged to the quota at admission.
     pub(crate) charged: u64,
 }
 
-/// The entry.
+/// An entry: its calls in progress and its view of the agents.
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub(crate) limits: EntryLimits,
@@ -133,19 +132,19 @@
     pub(crate) router: Router,
     pub(crate) calls: BTreeMap<CallId, Call>,
     pub(crate) by_request: HashMap<RequestId, CallId>,
-    /// Bytes of whole answers held back.
-    pub(crate) held: usize,
+    /// Bytes of whole answers buffered for all calls.
+    pub(crate) buffered_bytes: usize,
     pub(crate) quarantine: Quarantine,
     pub(crate) quotas: Quotas,
     pub(crate) retries: RetryBudget,
     pub(crate) entries: u32,
     pub(crate) leaving: bool,
     /// Time of the last tick.
-    pub(crate) ticked: Option<Time>,
+    pub(crate) last_tick: Option<Time>,
 }
 
 impl Entry {
-    /// An entry that knows no configuration and no agents yet.
+    /// Creates an entry without a configuration and without agents.
     #[must_use]
     pub fn new(setup: EntrySetup) -> Self {
         Self {
@@ -155,81 +154,81 @@
             router: Router::new(setup.policy, setup.data_centre),
             calls: BTreeMap::new(),
             by_request: HashMap::new(),
-            held: 0,
+            buffered_bytes: 0,
             quarantine: Quarantine::default(),
             quotas: Quotas::default(),
             retries: RetryBudget::default(),
             entries: 1,
             leaving: false,
-            ticked: None,
+            last_tick: None,
         }
     }
 
-    /// Takes one event at `now` and adds what is to be done to `out`.
+    /// Handles an event at `now` and appends the resulting actions to `out`.
     pub fn on_event(&mut self, now: Time, event: EntryEvent, out: &mut Vec<EntryAction>) {
         match event {
             EntryEvent::Submit(id, submission) => self.on_submit(now, id, *submission, out),
             EntryEvent::CallerGone(id) => self.on_caller_gone(id, out),
-            EntryEvent::Taken(id, next) => self.on_delivered(now, id, next, out),
+            EntryEvent::Consumed(id, next) => self.on_delivered(now, id, next, out),
             EntryEvent::Message(envelope) => self.on_message(now, *envelope, out),
             EntryEvent::Claim(id, answer) => self.on_claim(now, id, answer, out),
             EntryEvent::Config(config) => self.on_config(now, &config, out),
             EntryEvent::Member(record) => self.on_member(now, &record, out),
-            EntryEvent::Entries(count) => self.entries = count.max(1),
+            EntryEvent::EntryCount(count) => self.entries = count.max(1),
             EntryEvent::Leave => self.leaving = true,
             EntryEvent::Tick => self.on_tick(now, out),
         }
     }
 
-    /// Version of the configuration in force here.
+    /// Returns the version of the configuration in force.
     #[must_use]
     pub fn config_version(&self) -> ConfigVersion {
         self.config.version()
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.config.get()
     }
 
-    /// Whether a higher version is known to be in force elsewhere.
+    /// Returns whether a higher version is known to be in force elsewhere.
     #[must_use]
     pub fn is_lagging(&self) -> bool {
         self.config.is_lagging()
     }
 
-    /// The table of agents.
+    /// Returns the table of agents.
     #[must_use]
     pub const fn router(&self) -> &Router {
         &self.router
     }
 
-    /// Calls under way.
+    /// Returns the number of calls in progress.
     #[must_use]
     pub fn calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Bytes of whole answers held back.
+    /// Returns the bytes of whole answers buffered for all calls.
     #[must_use]
-    pub const fn held(&self) -> usize {
-        self.held
+    pub const fn buffered_bytes(&self) -> usize {
+        self.buffered_bytes
     }
 
-    /// Whether a planned stop would cut off nothing any more.
+    /// Returns whether the entry can stop without cutting off a call.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Whether the entry takes no new requests.
+    /// Returns whether the entry refuses new requests because it is stopping.
     #[must_use]
     pub const fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Digests that are refused.
+    /// Returns the number of quarantined content digests.
     #[must_use]
     pub fn quarantined(&self) -> usize {
         self.quarantine.refused_count()
@@ -246,7 +245,7 @@
             out.push(EntryAction::PullConfig(from.addr));
         }
         if let Some(load) = load {
-            self.router.note_load(now, &from.name, load);
+            self.router.record_load(now, &from.name, load);
         }
         match body {
             Message::Queued {
@@ -291,8 +290,8 @@
             AdoptOutcome::Conflict => "config_conflict",
             AdoptOutcome::Unchanged | AdoptOutcome::Outdated => return,
         };
-        out.push(EntryAction::Note(Note::new(event).count(version)));
-        self.on_caught_up(now, out);
+        out.push(EntryAction::LogEvent(LogEvent::new(event).count(version)));
+        self.retry_awaiting_config(now, out);
     }
 
     fn on_member(&mut self, now: Time, record: &MemberRecord, out: &mut Vec<EntryAction>) {
@@ -303,7 +302,7 @@
             .router
             .by_name(&record.peer.name)
             .map(|a| a.peer.incarnation);
-        self.router.learn(record);
+        self.router.upsert(record);
         let dead = record.state == MemberState::Dead;
         let replaced = before.is_some_and(|old| old != record.peer.incarnation);
         if replaced || dead {
@@ -313,12 +312,12 @@
     }
 
     fn on_tick(&mut self, now: Time, out: &mut Vec<EntryAction>) {
-        let gap = self.ticked.map_or(Duration::ZERO, |t| now.since(t));
-        self.ticked = Some(now);
-        if gap >= self.limits.pause {
-            self.on_paused(now);
+        let gap = self.last_tick.map_or(Duration::ZERO, |t| now.since(t));
+        self.last_tick = Some(now);
+        if gap >= self.limits.pause_threshold {
+            self.reset_silence_timers(now);
         }
-        self.doubt_leaving(now);
+        self.expire_leaving_reports(now);
         let ids: Vec<CallId> = self.calls.keys().copied().collect();
         for id in ids {
             self.tick_call(now, id, out);
@@ -326,11 +325,13 @@
         self.quarantine.expire(now);
     }
 
-    /// Agents that took no work a while ago may be asked again: one whose
-    /// upstream came back says so only when it is spoken to.
-    fn doubt_leaving(&mut self, now: Time) {
-        let span = self.limits.believe_leaving;
-        let old = |a: &&AgentView| a.load.leaving && now.since(a.load_at) >= span;
+    /// Clears `leaving` reports older than their lifetime.
+    ///
+    /// An agent whose upstream recovered reports so only in reply to a
+    /// message, so it has to be offered work again.
+    fn expire_leaving_reports(&mut self, now: Time) {
+        let span = self.limits.leaving_report_ttl;
+        let old = |a: &&AgentView| a.load.leaving && now.since(a.load_received) >= span;
         let agents: Vec<(Name, Load)> = self
             .router
             .agents()
@@ -339,26 +340,30 @@
             .collect();
         for (name, load) in agents {
             let leaving = false;
-            self.router.note_load(now, &name, Load { leaving, ..load });
+            self.router
+                .record_load(now, &name, Load { leaving, ..load });
         }
     }
 
-    /// This process was paused: what came meanwhile waits to be read, so the
-    /// silence of the others counts from now on.
-    fn on_paused(&mut self, now: Time) {
+    /// Restarts the silence timers after a pause of this process.
+    ///
+    /// Messages that arrived during the pause are still unread, so the agents
+    /// were not necessarily silent.
+    fn reset_silence_timers(&mut self, now: Time) {
         for call in self.calls.values_mut() {
             match &mut call.phase {
                 Phase::Offered { sent, .. } => *sent = now,
-                Phase::Queued { heard, .. } => *heard = now,
-                Phase::Reading(reading) => reading.heard = now,
-                Phase::New | Phase::Behind { .. } | Phase::Claiming { .. } => {}
+                Phase::Queued { last_received, .. } => *last_received = now,
+                Phase::Reading(reading) => reading.last_received = now,
+                Phase::New | Phase::AwaitingConfig { .. } | Phase::Claiming { .. } => {}
             }
         }
     }
 
-    /// Ends a call with a code; the caller gets it at once.
+    /// Ends a call with a code, which is sent to the caller at once.
     ///
-    /// After a start that may have run, "not run" would not be true.
+    /// After a start, which may have run, a code that claims "not run" is
+    /// replaced by `OutcomeUnknown`.
     pub(crate) fn fail(
         &mut self,
         id: CallId,
@@ -387,29 +392,31 @@
                 delivered,
             },
         ));
-        out.push(call.measured(code));
-        let note = Note::new("request_failed").request(call.request).code(code);
-        out.push(EntryAction::Note(note.count(delivered)));
+        out.push(call.measurement(code));
+        let event = LogEvent::new("request_failed")
+            .request(call.request)
+            .code(code);
+        out.push(EntryAction::LogEvent(event.count(delivered)));
     }
 
     pub(crate) fn remove(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         self.by_request.remove(&call.request);
-        self.held -= call.held_back.data.len();
-        if let Some(asked) = call.asked() {
-            self.router.note_done(&asked.agent);
+        self.buffered_bytes -= call.buffered.data.len();
+        if let Some(assigned) = call.assigned() {
+            self.router.record_done(&assigned.agent);
         }
         Some(call)
     }
 
-    pub(crate) fn call_of(&self, request: RequestId) -> Option<CallId> {
+    pub(crate) fn call_by_request(&self, request: RequestId) -> Option<CallId> {
         self.by_request.get(&request).copied()
     }
 }
 
 impl Call {
-    /// The request as it is counted when it ends with `code`.
-    pub(crate) fn measured(&self, code: Code) -> EntryAction {
+    /// Returns the measurement of a request that ends with `code`.
+    pub(crate) fn measurement(&self, code: Code) -> EntryAction {
         EntryAction::Measured(Measured {
             brand: self.brand.clone(),
             priority: self.demand.priority,
@@ -418,17 +425,17 @@
         })
     }
 
-    pub(crate) const fn asked(&self) -> Option<&Asked> {
+    pub(crate) const fn assigned(&self) -> Option<&AssignedAgent> {
         match &self.phase {
-            Phase::New | Phase::Behind { .. } => None,
-            Phase::Offered { asked, .. }
-            | Phase::Queued { asked, .. }
-            | Phase::Claiming { asked, .. } => Some(asked),
-            Phase::Reading(reading) => Some(&reading.asked),
+            Phase::New | Phase::AwaitingConfig { .. } => None,
+            Phase::Offered { assigned, .. }
+            | Phase::Queued { assigned, .. }
+            | Phase::Claiming { assigned, .. } => Some(assigned),
+            Phase::Reading(reading) => Some(&reading.assigned),
         }
     }
 
-    /// Tokens that the caller was given.
+    /// Returns the number of tokens sent to the caller.
     pub(crate) const fn delivered(&self) -> u64 {
         match (&self.phase, self.delivery) {
             (Phase::Reading(reading), Delivery::Stream) => reading.cursor.next,
--- a/fireflycroft/src/lib.rs
+++ b/fireflycroft/src/lib.rs
@@ -7,7 +7,7 @@
 //! Two carriers use it, each with modules of its own:
 //!
 //! - the agents' path (`fireflyd`): [`Entry`] and [`Agent`] with `member`,
-//!   `route`, `admit`, `place`, `lease`, `claim` and what belongs to them;
+//!   `route`, `admit`, `placement`, `lease`, `claim` and what belongs to them;
 //! - the direct entry (`fireflydirect`): [`Pool`] with `upstream`, `listing`,
 //!   `loads`, `pace` and `room` says where a request goes, and
 //!   `evacuation`, `cold`, `rate_limit` and `region` where it may not; `owners`, `repeat`,
@@ -52,10 +52,10 @@
 mod agent_reservations;
 mod ask;
 mod attempt;
+mod await_config;
 mod breadth;
 mod burn;
 mod catalog;
-mod catch_up;
 mod claim;
 mod code;
 mod cold;
@@ -84,13 +84,13 @@
 mod length;
 mod listing;
 mod loads;
+mod log_event;
 mod mechanism;
 mod member;
 mod member_record;
 mod merge;
 mod message;
 mod missing;
-mod note;
 mod offer;
 mod order;
 mod outage;
@@ -102,8 +102,8 @@
 mod pace;
 mod part_name;
 mod ping;
-mod place;
 mod placed;
+mod placement;
 mod pool;
 mod probe;
 mod quarantine;
@@ -160,11 +160,11 @@
 pub use lease::*;
 pub use length::*;
 pub use listing::*;
+pub use log_event::*;
 pub use mechanism::*;
 pub use member::*;
 pub use member_record::*;
 pub use message::*;
-pub use note::*;
 pub use offer::*;
 pub use order::*;
 pub use outage::*;
@@ -175,8 +175,8 @@
 pub use owners::*;
 pub use pace::*;
 pub use part_name::*;
-pub use place::*;
 pub use placed::*;
+pub use placement::*;
 pub use pool::*;
 pub use quarantine::*;
 pub use quota::*;
--- a/fireflycroft/src/member_record.rs
+++ b/fireflycroft/src/member_record.rs
@@ -1,8 +1,8 @@
 //! Member records, and the events and actions of membership.
 
 use crate::ids::{Name, Peer};
+use crate::log_event::LogEvent;
 use crate::message::Message;
-use crate::note::Note;
 use std::net::SocketAddr;
 
 /// State of a member, ordered from best to worst.
@@ -86,5 +86,5 @@
     /// Number of entries that accept requests, including this process.
     Entries(u32),
     /// An event to log and count.
-    Note(Note),
+    LogEvent(LogEvent),
 }
--- a/fireflycroft/src/merge.rs
+++ b/fireflycroft/src/merge.rs
@@ -6,9 +6,9 @@
 //! are verified.
 
 use crate::ids::Peer;
+use crate::log_event::LogEvent;
 use crate::member::{Members, SUSPECT_TIMEOUT};
 use crate::member_record::{MemberAction, MemberRecord, MemberState};
-use crate::note::Note;
 use crate::probe::ProbeKind;
 use crate::roster::{MemberIx, OWN};
 use crate::time::Time;
@@ -236,8 +236,8 @@
         if (record.revision, record.state) > (own.revision, own.state) {
             let revision = record.revision;
             self.update_own(now, |own| own.revision = own.revision.max(revision), out);
-            out.push(MemberAction::Note(
-                Note::new("member_refuted").count(revision),
+            out.push(MemberAction::LogEvent(
+                LogEvent::new("member_refuted").count(revision),
             ));
         }
         MergeOutcome::Outdated
--- a/fireflycroft/src/probe.rs
+++ b/fireflycroft/src/probe.rs
@@ -6,10 +6,10 @@
 //! other members start a probe. Dead members, seeds and listed VMs are contacted
 //! now and then, so that the halves of a partitioned fleet find each other again.
 
+use crate::log_event::LogEvent;
 use crate::member::{GRACE_PERIOD, Members, SUSPECT_TIMEOUT};
 use crate::member_record::{MemberAction, MemberState};
 use crate::message::Message;
-use crate::note::Note;
 use crate::ping::refutable;
 use crate::rate_limiter::RateLimiter;
 use crate::roster::{MemberIx, OWN};
@@ -151,7 +151,7 @@
     /// Restarts failure detection after a pause of this process, as silence during the
     /// pause proves nothing.
     pub(crate) fn on_pause(&mut self, now: Time, out: &mut Vec<MemberAction>) {
-        out.push(MemberAction::Note(Note::new("member_paused")));
+        out.push(MemberAction::LogEvent(LogEvent::new("member_paused")));
         self.grace_until = now + GRACE_PERIOD;
         self.prober.probes.clear();
         self.prober.queued.clear();
--- a/fireflycroft/src/submit.rs
+++ b/fireflycroft/src/submit.rs
@@ -1,4 +1,4 @@
-//! Checks on a caller's request before any agent hears of it.
+//! Checks on a caller's request before it is offered to any agent.
 
 use crate::burn::{Goal, Measured, Pace, meets};
 use crate::code::Code;
@@ -7,27 +7,27 @@
 use crate::entry_io::{EntryAction, Reply, Submission};
 use crate::ids::{CallId, Digest, Name};
 use crate::inventory::WithoutKey;
-use crate::note::Note;
+use crate::log_event::LogEvent;
 use crate::stream::Chunk;
 use crate::time::Time;
 use crate::work::{Demand, Priority, Work};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Why a request is refused before any agent hears of it.
+/// Refusal of a request before it is offered to any agent.
 struct Refusal {
     code: Code,
     retry_after: Option<Duration>,
 }
 
-const fn final_refusal(code: Code) -> Refusal {
+const fn permanent_refusal(code: Code) -> Refusal {
     Refusal {
         code,
         retry_after: None,
     }
 }
 
-/// What the checks found out of a request.
+/// Properties of a request that passed the checks.
 struct Checked {
     demand: Demand,
     claim_key: Option<Digest>,
@@ -38,11 +38,11 @@
     goal: Option<Goal>,
 }
 
-/// Brand under which a request is counted whose key nobody holds.
+/// Brand under which requests with an unknown key are counted.
 const NO_BRAND: &str = "none";
 
-/// Whether and how a request is claimed.
-struct Repeating {
+/// Whether a request may be retried, and the key under which it is claimed.
+struct RetryRules {
     repeatable: bool,
     claim_key: Option<Digest>,
 }
@@ -62,7 +62,7 @@
                 let call = self.new_call(now, id, submission, checked);
                 match resume {
                     Some(point) => self.begin_resume(now, call, point, out),
-                    None if self.config.is_lagging() => self.begin_behind(now, call, out),
+                    None if self.config.is_lagging() => self.begin_awaiting_config(now, call, out),
                     None => self.begin_offers(now, call, out),
                 }
             }
@@ -76,21 +76,22 @@
                         delivered: 0,
                     },
                 ));
-                out.push(self.measured_refusal(&submission, refusal.code));
-                out.push(EntryAction::Note(
-                    Note::new("request_refused").code(refusal.code),
+                out.push(self.refusal_measurement(&submission, refusal.code));
+                out.push(EntryAction::LogEvent(
+                    LogEvent::new("request_refused").code(refusal.code),
                 ));
             }
         }
     }
 
-    fn measured_refusal(&self, submission: &Submission, code: Code) -> EntryAction {
+    fn refusal_measurement(&self, submission: &Submission, code: Code) -> EntryAction {
         let config = self.config.get();
-        let asker = config.and_then(|c| Some((c, c.workspace_of_key(&submission.key_digest)?)));
-        let brand = asker.map_or_else(|| Name::from(NO_BRAND), |(c, ix)| c.brand_name(ix).clone());
-        let wish = submission.priority;
-        let priority = asker.map_or(Priority::Batch, |(c, ix)| c.priority(ix, wish));
-        let objective = asker.and_then(|(c, _)| c.objective(&brand, priority));
+        let workspace = config.and_then(|c| Some((c, c.workspace_of_key(&submission.key_digest)?)));
+        let brand =
+            workspace.map_or_else(|| Name::from(NO_BRAND), |(c, ix)| c.brand_name(ix).clone());
+        let requested = submission.priority;
+        let priority = workspace.map_or(Priority::Batch, |(c, ix)| c.priority(ix, requested));
+        let objective = workspace.and_then(|(c, _)| c.objective(&brand, priority));
         let goal = objective.map(Goal::of);
         EntryAction::Measured(Measured {
             met: meets(code, &Pace::default(), goal),
@@ -102,41 +103,41 @@
 
     fn check(&mut self, now: Time, submission: &Submission) -> Result<Checked, Refusal> {
         let retry = Some(self.limits.min_retry_after);
-        let later = |code| Refusal {
+        let temporary = |code| Refusal {
             code,
             retry_after: retry,
         };
         if self.leaving {
-            return Err(later(Code::Leaving));
+            return Err(temporary(Code::Leaving));
         }
         let config = self
             .config
             .get()
             .cloned()
-            .ok_or_else(|| later(Code::NotReady))?;
+            .ok_or_else(|| temporary(Code::NotReady))?;
         if self.config.is_lagging() && submission.resume.is_some() {
-            return Err(later(Code::ConfigBehind));
+            return Err(temporary(Code::ConfigBehind));
         }
         if self.calls.len() >= self.limits.max_calls {
-            return Err(later(Code::Overloaded));
+            return Err(temporary(Code::Overloaded));
         }
         let ix = config
             .workspace_of_key(&submission.key_digest)
-            .ok_or_else(|| final_refusal(Code::KeyRefused))?;
+            .ok_or_else(|| permanent_refusal(Code::KeyRefused))?;
         if !config.may_use(ix, &submission.target) {
-            return Err(final_refusal(unknown_target(&submission.work)));
+            return Err(permanent_refusal(unknown_target(&submission.work)));
         }
-        let repeating = check_repeating(&config, ix, submission)?;
-        let demand = self.demand(&config, ix, submission, repeating.repeatable);
+        let retry_rules = check_retry_rules(&config, ix, submission)?;
+        let demand = self.demand(&config, ix, submission, retry_rules.repeatable);
         if self.quarantine.is_refused(demand.content) && submission.resume.is_none() {
-            return Err(final_refusal(Code::Quarantined));
+            return Err(permanent_refusal(Code::Quarantined));
         }
         let charged = self.charge(now, &config, ix, submission)?;
         let max_wait = config.max_wait(demand.priority);
         let brand = config.brand_name(ix).clone();
         Ok(Checked {
             goal: config.objective(&brand, demand.priority).map(Goal::of),
-            claim_key: repeating.claim_key,
+            claim_key: retry_rules.claim_key,
             demand,
             max_wait,
             charged,
@@ -201,14 +202,14 @@
             id,
             request: self.ids.draw(),
             key_digest: submission.key_digest,
-            checked: self.config.version(),
+            checked_version: self.config.version(),
             demand: checked.demand,
             work: submission.work,
             delivery: submission.delivery,
             claim_key: checked.claim_key,
             replace: None,
             phase: Phase::New,
-            behind_since: None,
+            awaiting_config_since: None,
             attempt: 0,
             starts: 0,
             tried: Vec::new(),
@@ -216,8 +217,8 @@
             retry_after: None,
             refusal: None,
             received: now,
-            told_begin: false,
-            held_back: Chunk::default(),
+            begin_sent: false,
+            buffered: Chunk::default(),
             max_wait: checked.max_wait,
             charged: checked.charged,
             brand: checked.brand,
@@ -228,13 +229,13 @@
 }
 
 impl Call {
-    /// Checks again by a later configuration than it was checked by; what it
-    /// forbids is not offered any more.
-    pub(crate) fn check_again(&mut self, config: &Config) -> Result<(), Code> {
-        if self.checked == config.version {
+    /// Repeats the checks if the configuration has changed since; a call that
+    /// it forbids is not offered any more.
+    pub(crate) fn recheck(&mut self, config: &Config) -> Result<(), Code> {
+        if self.checked_version == config.version {
             return Ok(());
         }
-        self.checked = config.version;
+        self.checked_version = config.version;
         let ix = config
             .workspace_of_key(&self.key_digest)
             .filter(|ix| *config.workspace_name(*ix) == self.demand.workspace)
@@ -257,27 +258,27 @@
     }
 }
 
-fn check_repeating(
+fn check_retry_rules(
     config: &Arc<Config>,
     ix: WorkspaceIx,
     submission: &Submission,
-) -> Result<Repeating, Refusal> {
+) -> Result<RetryRules, Refusal> {
     let method = &submission.method;
     let by_rule = config.is_non_retryable(ix, &submission.target, method, &submission.path);
-    let repeatable = !by_rule && !submission.never_repeat;
+    let repeatable = !by_rule && !submission.never_retry;
     let needs_key = by_rule && config.without_key() == WithoutKey::Refuse;
     if let Some(key) = &submission.idempotency_key {
         let workspace = config.workspace_name(ix);
         let claim_key = Digest::of(&[workspace.as_bytes(), key.as_bytes()]);
-        return Ok(Repeating {
+        return Ok(RetryRules {
             repeatable: false,
             claim_key: Some(claim_key),
         });
     }
     if needs_key && submission.resume.is_none() {
-        return Err(final_refusal(Code::IdempotencyKeyRequired));
+        return Err(permanent_refusal(Code::IdempotencyKeyRequired));
     }
-    Ok(Repeating {
+    Ok(RetryRules {
         repeatable,
         claim_key: None,
     })
--- a/fireflycroft/tests/bounds.rs
+++ b/fireflycroft/tests/bounds.rs
@@ -4,7 +4,7 @@
 
 use fireflycroft::{Code, Message, RequestId};
 use support::cases;
-use support::fleet::{AGENTS, Ask, ENGINES, GIANT, MAX_CALLS, MAX_HELD, MAX_OFFERS, Proc};
+use support::fleet::{AGENTS, CallSpec, ENGINES, GIANT, MAX_CALLS, MAX_HELD, MAX_OFFERS, Proc};
 use support::oracle::Outcome;
 use support::upstream::UpstreamMode;
 
@@ -17,7 +17,7 @@
             world.freeze(Proc::Agent(agent));
         }
         let calls: Vec<_> = (0..=MAX_CALLS)
-            .map(|_| world.submit(0, Ask::default()).unwrap())
+            .map(|_| world.submit(0, CallSpec::default()).unwrap())
             .collect();
         let last = world.outcome(calls[MAX_CALLS]);
         assert_eq!(last, Some(Outcome::Failed(Code::Overloaded)));
@@ -26,9 +26,9 @@
     /// A caller that reads nothing is sent at most two windows.
     caller_who_takes_nothing(world) {
         world.stall_callers(true);
-        let call = world.submit(0, Ask { content: GIANT, ..Ask::default() }).unwrap();
+        let call = world.submit(0, CallSpec { content: GIANT, ..CallSpec::default() }).unwrap();
         world.advance(60_000);
-        assert!(world.next(call) <= 2 * WINDOW_TOKENS, "{}", world.next(call));
+        assert!(world.next_token(call) <= 2 * WINDOW_TOKENS, "{}", world.next_token(call));
         assert_eq!(world.outcome(call), None);
         world.stall_callers(false);
         world.advance(20_000);
@@ -37,8 +37,8 @@
 
     /// Each answer is within its own limit, but their total is not.
     whole_answers_held_back_at_once(world) {
-        let ask = Ask { content: 4, whole: true, ..Ask::default() };
-        let calls: Vec<_> = (0..12).map(|_| world.submit(0, ask).unwrap()).collect();
+        let spec = CallSpec { content: 4, whole: true, ..CallSpec::default() };
+        let calls: Vec<_> = (0..12).map(|_| world.submit(0, spec).unwrap()).collect();
         for _ in 0..100 {
             world.advance(50);
             assert!(world.max_held() <= MAX_HELD, "{}", world.max_held());
@@ -57,7 +57,7 @@
         for agent in 0..ENGINES {
             world.set_upstream_mode(agent, UpstreamMode::Full);
         }
-        let call = world.submit(0, Ask { content: 5, ..Ask::default() }).unwrap();
+        let call = world.submit(0, CallSpec { content: 5, ..CallSpec::default() }).unwrap();
         world.advance(59_000);
         assert_eq!(world.outcome(call), None);
         world.advance(2_000);
@@ -67,10 +67,10 @@
 
     /// A generation without readers must not occupy the engine.
     run_that_nobody_reads(world) {
-        let call = world.submit(0, Ask { content: GIANT, ..Ask::default() }).unwrap();
+        let call = world.submit(0, CallSpec { content: GIANT, ..CallSpec::default() }).unwrap();
         world.advance(100);
         let agent = world.agent_of(call).unwrap();
-        world.leave_caller(call);
+        world.disconnect_caller(call);
         world.advance(29_000);
         assert_eq!(world.running(agent), 1);
         world.advance(2_000);
@@ -83,7 +83,7 @@
             world.set_upstream_mode(agent, UpstreamMode::Full);
         }
         for _ in 0..20 {
-            world.submit(0, Ask { content: 5, ..Ask::default() });
+            world.submit(0, CallSpec { content: 5, ..CallSpec::default() });
         }
         world.advance(100);
         assert!(world.max_queued() > 0);
@@ -98,7 +98,7 @@
             world.set_upstream_mode(agent, UpstreamMode::Full);
         }
         for i in 0..1_200 {
-            world.submit(i % 3, Ask { interactive: i % 2 == 0, ..Ask::default() });
+            world.submit(i % 3, CallSpec { interactive: i % 2 == 0, ..CallSpec::default() });
             world.advance(20);
             assert!(world.max_offers() <= MAX_OFFERS, "{}", world.max_offers());
         }
--- a/fireflycroft/tests/lease.rs
+++ b/fireflycroft/tests/lease.rs
@@ -1,8 +1,8 @@
-//! The lease under freezes, outages, lost and late answers, against the plain
-//! rule: never two holders at once, and no fencing number held twice.
+//! The lease under freezes, outages, lost and late answers: there are never
+//! two holders at once, and no fencing number is held by two incarnations.
 
 use fireflycroft::{
-    Lease, LeaseAnswer, LeaseCall, LeaseOp, LeaseRecord, LeaseSpans, Name, RequestId, Time,
+    Lease, LeaseAnswer, LeaseCall, LeaseOp, LeaseRecord, LeaseTimings, Name, RequestId, Time,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
@@ -12,30 +12,30 @@
 
 const NODES: usize = 3;
 
-/// What happens next.
+/// One step of a run.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Time goes on by so many milliseconds, and nodes that are awake tick.
+    /// Time passes, in milliseconds, and running nodes tick.
     Wait(u64),
-    /// The oldest call under way of a node reaches the platform and is answered.
+    /// The oldest pending call of a node reaches the platform and is answered.
     Answer(usize),
-    /// It reaches the platform, and its answer is lost.
-    Lose(usize),
-    /// Its caller is told nothing; it takes effect when this comes up again.
+    /// The oldest pending call reaches the platform, but its answer is lost.
+    LoseAnswer(usize),
+    /// The oldest pending call counts as lost, but takes effect later.
     Delay(usize),
-    /// The oldest delayed call reaches the platform.
-    Effect,
-    /// The platform refuses the call.
+    /// The oldest delayed call takes effect at the platform.
+    ApplyDelayed,
+    /// The platform refuses the oldest pending call.
     Refuse(usize),
-    /// A node stops running, without knowing.
+    /// A node is paused without noticing.
     Freeze(usize),
-    /// It goes on.
+    /// A paused node resumes.
     Thaw(usize),
-    /// It dies and begins a new life.
+    /// A node ends and starts as a new incarnation.
     Restart(usize),
 }
 
-/// The reference has no state: the rule is checked on what the nodes hold.
+/// The reference has no state; the invariants are checked on the nodes' leases.
 struct Steps;
 
 impl ReferenceStateMachine for Steps {
@@ -51,9 +51,9 @@
         prop_oneof![
             8 => prop_oneof![1_u64..400, 400_u64..3_000, 8_000_u64..20_000].prop_map(Step::Wait),
             8 => node.clone().prop_map(Step::Answer),
-            2 => node.clone().prop_map(Step::Lose),
+            2 => node.clone().prop_map(Step::LoseAnswer),
             2 => node.clone().prop_map(Step::Delay),
-            2 => Just(Step::Effect),
+            2 => Just(Step::ApplyDelayed),
             1 => node.clone().prop_map(Step::Refuse),
             1 => node.clone().prop_map(Step::Freeze),
             2 => node.clone().prop_map(Step::Thaw),
@@ -78,8 +78,8 @@
     record: Option<(LeaseRecord, u64)>,
     revision: u64,
     delayed: Vec<LeaseOp>,
-    lives: u128,
-    /// Who acted under each fencing number.
+    incarnations: u128,
+    /// Token of the holder under each fencing number.
     actors: BTreeMap<u64, RequestId>,
     tokens: Vec<RequestId>,
 }
@@ -92,7 +92,7 @@
             record: None,
             revision: 0,
             delayed: Vec::new(),
-            lives: 0,
+            incarnations: 0,
             actors: BTreeMap::new(),
             tokens: Vec::new(),
         };
@@ -105,11 +105,11 @@
     }
 
     fn new_node(&mut self, i: usize) -> (Node, RequestId) {
-        self.lives += 1;
-        let token = RequestId(self.lives);
+        self.incarnations += 1;
+        let token = RequestId(self.incarnations);
         let name = Name::from(format!("node-{i}"));
         let node = Node {
-            lease: Lease::new(name, token, LeaseSpans::default()),
+            lease: Lease::new(name, token, LeaseTimings::default()),
             calls: Vec::new(),
             inbox: Vec::new(),
             frozen: false,
@@ -117,7 +117,7 @@
         (node, token)
     }
 
-    /// What the platform does with a call.
+    /// Performs a call at the platform.
     fn serve(&mut self, op: &LeaseOp) -> LeaseAnswer {
         match (op, self.record.clone()) {
             (LeaseOp::Read, Some((record, version))) => LeaseAnswer::Found(record, version),
@@ -136,7 +136,7 @@
         LeaseAnswer::Written(self.revision)
     }
 
-    fn tell(&mut self, i: usize, call: LeaseCall, answer: LeaseAnswer) {
+    fn deliver_answer(&mut self, i: usize, call: LeaseCall, answer: LeaseAnswer) {
         let node = &mut self.nodes[i];
         if node.frozen {
             node.inbox.push((call, answer));
@@ -162,22 +162,22 @@
             Step::Answer(i) => {
                 if let Some((call, op)) = self.next_call(i) {
                     let answer = self.serve(&op);
-                    self.tell(i, call, answer);
+                    self.deliver_answer(i, call, answer);
                 }
             }
-            Step::Lose(i) => {
+            Step::LoseAnswer(i) => {
                 if let Some((call, op)) = self.next_call(i) {
                     self.serve(&op);
-                    self.tell(i, call, LeaseAnswer::Lost);
+                    self.deliver_answer(i, call, LeaseAnswer::Lost);
                 }
             }
             Step::Delay(i) => {
                 if let Some((call, op)) = self.next_call(i) {
                     self.delayed.push(op);
-                    self.tell(i, call, LeaseAnswer::Lost);
+                    self.deliver_answer(i, call, LeaseAnswer::Lost);
                 }
             }
-            Step::Effect => {
+            Step::ApplyDelayed => {
                 if !self.delayed.is_empty() {
                     let op = self.delayed.remove(0);
                     self.serve(&op);
@@ -185,7 +185,7 @@
             }
             Step::Refuse(i) => {
                 if let Some((call, _)) = self.next_call(i) {
-                    self.tell(i, call, LeaseAnswer::Unavailable);
+                    self.deliver_answer(i, call, LeaseAnswer::Unavailable);
                 }
             }
             Step::Freeze(i) => self.nodes[i].frozen = true,
@@ -206,8 +206,7 @@
     }
 
     fn check(&mut self) {
-        // A frozen node counts too: what it holds at this moment is what it
-        // would act on if it thawed now.
+        // A frozen node counts too: it would act on its lease if it resumed now.
         let held: Vec<(RequestId, u64)> = self
             .nodes
             .iter()
@@ -217,13 +216,16 @@
         assert!(held.len() <= 1, "two holders at once: {held:?}");
         for (token, fence) in held {
             let actor = *self.actors.entry(fence).or_insert(token);
-            assert_eq!(actor, token, "fencing number {fence} was held twice");
+            assert_eq!(
+                actor, token,
+                "fencing number {fence} was held by two incarnations"
+            );
             let highest = *self.actors.keys().next_back().unwrap();
-            assert_eq!(fence, highest, "an old fencing number is held again");
+            assert_eq!(fence, highest, "a lower fencing number is held again");
         }
     }
 
-    /// With all awake and the platform well, somebody must come to hold it.
+    /// Checks that one node acquires the lease once all run and the platform answers.
     fn settle(&mut self) {
         for i in 0..NODES {
             self.apply(&Step::Thaw(i));
@@ -240,7 +242,7 @@
             .iter()
             .filter(|n| n.lease.held(self.now).is_some())
             .count();
-        assert_eq!(holders, 1, "nobody came to hold the lease");
+        assert_eq!(holders, 1, "not exactly one node holds the lease");
     }
 }
 
@@ -291,13 +293,13 @@
 }
 
 #[test]
-fn a_late_answer_to_a_call_given_up_is_not_heard() {
-    let spans = LeaseSpans::default();
-    let mut lease = Lease::new("node".into(), RequestId(1), spans);
+fn a_late_answer_to_an_abandoned_call_is_ignored() {
+    let timings = LeaseTimings::default();
+    let mut lease = Lease::new("node".into(), RequestId(1), timings);
     let (first, _) = lease.on_tick(Time::from_millis(1), true).unwrap();
-    let late = Time::from_millis(1) + spans.answer;
-    let (second, _) = lease.on_tick(late + spans.ttl, true).unwrap();
+    let late = Time::from_millis(1) + timings.call_timeout;
+    let (second, _) = lease.on_tick(late + timings.ttl, true).unwrap();
     assert_ne!(first, second);
-    lease.on_answer(late + spans.ttl, first, LeaseAnswer::Written(9));
-    assert_eq!(lease.held(late + spans.ttl), None);
+    lease.on_answer(late + timings.ttl, first, LeaseAnswer::Written(9));
+    assert_eq!(lease.held(late + timings.ttl), None);
 }
--- a/fireflycroft/tests/member.rs
+++ b/fireflycroft/tests/member.rs
@@ -566,7 +566,7 @@
     process.out.clear();
     process.deliver_record(numbered(MAX_MEMBERS, Alive));
     assert!(process.members.get("numbered-4096").is_none());
-    let full = |action: &MemberAction| matches!(action, MemberAction::Note(note) if note.event == "members_full");
+    let full = |action: &MemberAction| matches!(action, MemberAction::LogEvent(note) if note.event == "members_full");
     assert!(process.out.iter().any(full));
     process.deliver_record(record(51, 1, Dead));
     process.deliver_record(numbered(MAX_MEMBERS, Alive));
@@ -595,7 +595,7 @@
 
 #[test]
 fn later_incarnations_compare_greater() {
-    let earlier = Incarnation::begun(1_780_000_000_000, u64::MAX);
-    let later = Incarnation::begun(1_780_000_000_001, 0);
+    let earlier = Incarnation::started_at(1_780_000_000_000, u64::MAX);
+    let later = Incarnation::started_at(1_780_000_000_001, 0);
     assert!(earlier < later);
 }
--- a/fireflycroft/tests/members/fleet.rs
+++ b/fireflycroft/tests/members/fleet.rs
@@ -145,7 +145,7 @@
         let peer = Peer {
             name: name.into(),
             addr: addr(place),
-            incarnation: Incarnation::begun(millis, self.rng.next()),
+            incarnation: Incarnation::started_at(millis, self.rng.next()),
             role: if is_entry { Role::Entry } else { Role::Agent },
         };
         let serves = if is_entry {
@@ -366,7 +366,7 @@
                 MemberAction::Send(to, message) => self.send(ix, to, message),
                 MemberAction::Changed(record) => self.record_seen(ix, record),
                 MemberAction::Entries(count) => self.nodes[ix.0].entries = count,
-                MemberAction::Note(_) => {}
+                MemberAction::LogEvent(_) => {}
             }
         }
     }
--- a/fireflycroft/tests/point1_tokens.rs
+++ b/fireflycroft/tests/point1_tokens.rs
@@ -4,7 +4,7 @@
 
 use fireflycroft::Code;
 use support::cases;
-use support::fleet::{Ask, ENGINES, HUGE, Kind, MAX_BYTES, Proc};
+use support::fleet::{CallSpec, ENGINES, HUGE, Kind, MAX_BYTES, Proc};
 use support::link::NetworkMode;
 use support::oracle::Outcome;
 use support::scenario;
@@ -14,15 +14,18 @@
 /// Length in tokens of the content requested in most cases.
 const LONG: u64 = 400;
 
-fn long() -> Ask {
-    Ask {
+fn long() -> CallSpec {
+    CallSpec {
         content: 5,
-        ..Ask::default()
+        ..CallSpec::default()
     }
 }
 
-fn whole(ask: Ask) -> Ask {
-    Ask { whole: true, ..ask }
+fn whole(spec: CallSpec) -> CallSpec {
+    CallSpec {
+        whole: true,
+        ..spec
+    }
 }
 
 fn set_upstream_modes(world: &mut World, mode: UpstreamMode) {
@@ -36,20 +39,20 @@
         let first = world.submit(0, long()).unwrap();
         world.advance(200);
         world.kill(Proc::Entry(0));
-        assert!(world.next(first) > 0);
-        let rest = world.resume(1, first, world.next(first)).unwrap();
+        assert!(world.next_token(first) > 0);
+        let rest = world.resume(1, first, world.next_token(first)).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
-        assert_eq!((world.next(rest), world.runs(first)), (LONG, 1));
+        assert_eq!((world.next_token(rest), world.runs(first)), (LONG, 1));
     }
 
     /// A new entry has no record of the agent yet: the caller may retry.
     caller_back_through_an_entry_that_knows_no_agent(world) {
         let first = world.submit(0, long()).unwrap();
         world.advance(100);
-        let next = world.next(first);
+        let next = world.next_token(first);
         world.kill(Proc::Entry(0));
-        world.revive_alone(1, true);
+        world.restart_isolated(1, true);
         let early = world.resume(1, first, next).unwrap();
         world.advance(10);
         assert_eq!(world.outcome(early), Some(Outcome::Failed(Code::StreamUnknown)));
@@ -65,14 +68,14 @@
         let first = world.submit(0, long()).unwrap();
         world.advance(500);
         world.kill(Proc::Entry(0));
-        let rest = world.resume(2, first, world.next(first) / 2).unwrap();
+        let rest = world.resume(2, first, world.next_token(first) / 2).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
 
     /// A caller that resumes with whole delivery gets correctly numbered tokens.
     whole_rest_is_numbered_from_the_resume_point(world) {
-        let first = world.submit(0, whole(Ask::default())).unwrap();
+        let first = world.submit(0, whole(CallSpec::default())).unwrap();
         world.advance(2_000);
         assert_eq!(world.outcome(first), Some(Outcome::Whole));
         let rest = world.resume(1, first, 5).unwrap();
@@ -81,9 +84,9 @@
     }
 
     caller_resumes_an_ended_answer_at_its_end(world) {
-        let first = world.submit(0, Ask::default()).unwrap();
+        let first = world.submit(0, CallSpec::default()).unwrap();
         world.advance(2_000);
-        let rest = world.resume(1, first, world.next(first)).unwrap();
+        let rest = world.resume(1, first, world.next_token(first)).unwrap();
         world.advance(500);
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
@@ -121,7 +124,7 @@
         assert_eq!(world.outcome(call), None, "gave up before the long silence");
         world.advance(2_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::OutcomeUnknown)));
-        let rest = world.resume(1, call, world.next(call)).unwrap();
+        let rest = world.resume(1, call, world.next_token(call)).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
         assert_eq!(world.runs(call), 1);
@@ -147,7 +150,7 @@
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::OutcomeUnknown)));
         world.thaw(agent);
-        let rest = world.resume(2, call, world.next(call)).unwrap();
+        let rest = world.resume(2, call, world.next_token(call)).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
     }
@@ -179,7 +182,7 @@
         let call = world.submit(0, long()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::UpstreamFailed)));
-        assert_eq!((world.next(call), world.runs(call)), (1, 1));
+        assert_eq!((world.next_token(call), world.runs(call)), (1, 1));
     }
 
     engine_killed_after_many_tokens(world) {
@@ -187,12 +190,12 @@
         let call = world.submit(0, long()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::UpstreamFailed)));
-        assert_eq!((world.next(call), world.runs(call)), (50, 1));
+        assert_eq!((world.next_token(call), world.runs(call)), (50, 1));
     }
 
     /// The caller has received nothing, so it restarts without notice.
     engine_killed_under_a_whole_answer(world) {
-        let call = world.submit(0, whole(Ask::default())).unwrap();
+        let call = world.submit(0, whole(CallSpec::default())).unwrap();
         world.advance(5);
         world.set_upstream_mode(world.agent_of(call).unwrap(), UpstreamMode::Die(5));
         world.advance(10_000);
@@ -213,7 +216,7 @@
         let call = world.submit(0, long()).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::UpstreamFailed)));
-        assert_eq!(world.next(call), 50);
+        assert_eq!(world.next_token(call), 50);
     }
 
     tokens_of_a_fenced_generation_come_late(world) {
@@ -235,7 +238,7 @@
 
     /// Only the frame with the end is lost.
     frame_with_the_end_lost(world) {
-        let call = world.submit(0, Ask { content: 0, ..Ask::default() }).unwrap();
+        let call = world.submit(0, CallSpec { content: 0, ..CallSpec::default() }).unwrap();
         world.advance(5);
         let agent = Proc::Agent(world.agent_of(call).unwrap()).addr();
         world.net.cut(agent, Proc::Entry(0).addr());
@@ -246,14 +249,14 @@
     }
 
     whole_answer_over_the_entrys_buffer(world) {
-        let call = world.submit(0, whole(Ask { content: HUGE, ..Ask::default() })).unwrap();
+        let call = world.submit(0, whole(CallSpec { content: HUGE, ..CallSpec::default() })).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(call), Some(Outcome::Failed(Code::AnswerTooLarge)));
     }
 
     /// The stream is longer than the agent's byte limit.
     stream_over_the_agents_buffer(world) {
-        let call = world.submit(0, Ask { content: HUGE, ..Ask::default() }).unwrap();
+        let call = world.submit(0, CallSpec { content: HUGE, ..CallSpec::default() }).unwrap();
         world.advance_until(60_000, |w| {
             assert!(w.max_bytes() <= MAX_BYTES, "{}", w.max_bytes());
             w.outcome(call).is_some()
@@ -263,7 +266,7 @@
 
     /// A slow reader loses its position; the agent stays within its byte limit.
     reader_behind_the_agents_buffer(world) {
-        let call = world.submit(0, Ask { content: HUGE, ..Ask::default() }).unwrap();
+        let call = world.submit(0, CallSpec { content: HUGE, ..CallSpec::default() }).unwrap();
         world.advance(100);
         let agent = Proc::Agent(world.agent_of(call).unwrap()).addr();
         world.net.cut(Proc::Entry(0).addr(), agent);
@@ -275,7 +278,7 @@
 
     /// An answer dropped by the byte limit must not be resumed from its middle.
     ended_answers_dropped_to_make_room(world) {
-        let service = |content| Ask { kind: Kind::Service, content, ..Ask::default() };
+        let service = |content| CallSpec { kind: Kind::Service, content, ..CallSpec::default() };
         let first = world.submit(0, service(3)).unwrap();
         world.advance(1_000);
         world.submit(0, service(HUGE));
@@ -287,11 +290,11 @@
 
     /// The oldest tokens of a running stream were dropped by the byte limit.
     running_stream_has_lost_its_head(world) {
-        let service = Ask { kind: Kind::Service, content: HUGE, ..Ask::default() };
+        let service = CallSpec { kind: Kind::Service, content: HUGE, ..CallSpec::default() };
         let first = world.submit(0, service).unwrap();
-        world.advance_until(10_000, |w| w.next(first) > 200);
+        world.advance_until(10_000, |w| w.next_token(first) > 200);
         let again = world.resume(1, first, 0).unwrap();
-        let rest = world.resume(2, first, world.next(first)).unwrap();
+        let rest = world.resume(2, first, world.next_token(first)).unwrap();
         world.advance(10_000);
         assert_eq!(world.outcome(again), Some(Outcome::Failed(Code::PartGone)));
         assert_eq!(world.outcome(rest), Some(Outcome::Whole));
@@ -299,11 +302,11 @@
 
     /// Nine callers join one keyed generation; the ninth is refused.
     readers_at_their_bound(world) {
-        let ask = Ask { key: Some(1), kind: Kind::Service, ..long() };
+        let spec = CallSpec { key: Some(1), kind: Kind::Service, ..long() };
         let calls: Vec<_> = (0..9)
             .map(|i| {
                 world.advance(20);
-                world.submit(i % 3, ask).unwrap()
+                world.submit(i % 3, spec).unwrap()
             })
             .collect();
         world.advance(10_000);
--- a/fireflycroft/tests/point2_own_answer.rs
+++ b/fireflycroft/tests/point2_own_answer.rs
@@ -4,24 +4,24 @@
 
 use fireflycroft::{Code, GenerationId, Message, RequestId, ResumePoint};
 use support::cases;
-use support::fleet::{Ask, Kind, Proc};
+use support::fleet::{CallSpec, Kind, Proc};
 use support::link::NetworkMode;
 use support::oracle::Outcome;
 
-fn long(workspace: usize) -> Ask {
-    Ask {
+fn long(workspace: usize) -> CallSpec {
+    CallSpec {
         workspace,
         content: 5,
-        ..Ask::default()
+        ..CallSpec::default()
     }
 }
 
-fn keyed(workspace: usize, content: u8) -> Ask {
-    Ask {
+fn keyed(workspace: usize, content: u8) -> CallSpec {
+    CallSpec {
         workspace,
         content,
         key: Some(1),
-        ..Ask::default()
+        ..CallSpec::default()
     }
 }
 
@@ -52,7 +52,7 @@
         let first = world.submit(0, long(0)).unwrap();
         world.advance(200);
         let agent = world.agent_of(first).unwrap();
-        let next = world.next(first);
+        let next = world.next_token(first);
         world.kill(Proc::Agent(agent));
         world.advance(4_000);
         let other = world.submit(1, long(1)).unwrap();
@@ -66,15 +66,15 @@
     /// A start for the former incarnation's first reservation arrives late, while
     /// the new incarnation holds its own first reservation.
     stale_start_reaches_an_agents_new_life(world) {
-        let service = Ask { kind: Kind::Service, ..long(0) };
+        let service = CallSpec { kind: Kind::Service, ..long(0) };
         let first = world.submit(0, service).unwrap();
         world.advance(100);
-        let point = world.point(first).unwrap();
+        let point = world.resume_point(first).unwrap();
         world.kill(Proc::Agent(3));
         world.advance(5_000);
         let (agent, entry) = (Proc::Agent(3).addr(), Proc::Entry(1).addr());
         world.net.cut(agent, entry);
-        world.submit(1, Ask { workspace: 1, ..service }).unwrap();
+        world.submit(1, CallSpec { workspace: 1, ..service }).unwrap();
         world.advance(2);
         let stale = Message::Start {
             request: point.request,
@@ -114,7 +114,7 @@
     workspace_steals_a_running_stream(world) {
         let call = world.submit(0, long(0)).unwrap();
         world.advance(200);
-        let thief = world.steal(call, 1, 1).unwrap();
+        let thief = world.resume_as_other_workspace(call, 1, 1).unwrap();
         world.advance(1_000);
         assert_eq!(world.outcome(thief), UNKNOWN);
         world.advance(10_000);
@@ -124,7 +124,7 @@
     workspace_steals_an_ended_stream(world) {
         let call = world.submit(0, long(0)).unwrap();
         world.advance(10_000);
-        let thief = world.steal(call, 1, 1).unwrap();
+        let thief = world.resume_as_other_workspace(call, 1, 1).unwrap();
         world.advance(1_000);
         assert_eq!(world.outcome(thief), UNKNOWN);
     }
@@ -133,7 +133,7 @@
     workspace_steals_a_forgotten_stream(world) {
         let call = world.submit(0, long(0)).unwrap();
         world.advance(80_000);
-        let thief = world.steal(call, 1, 1).unwrap();
+        let thief = world.resume_as_other_workspace(call, 1, 1).unwrap();
         let owner = world.resume(1, call, 3).unwrap();
         world.advance(1_000);
         assert_eq!(world.outcome(thief), UNKNOWN);
@@ -144,7 +144,7 @@
     workspace_guesses_an_id(world) {
         let call = world.submit(0, long(0)).unwrap();
         world.advance(200);
-        let real = world.point(call).unwrap();
+        let real = world.resume_point(call).unwrap();
         for (request, serial) in [
             (RequestId(7), real.generation.serial),
             (real.request, real.generation.serial + 1),
@@ -166,10 +166,10 @@
 
     /// A cancel for the former incarnation's first generation arrives late.
     stale_cancel_reaches_an_agents_new_life(world) {
-        let service = |content| Ask { kind: Kind::Service, content, ..long(0) };
+        let service = |content| CallSpec { kind: Kind::Service, content, ..long(0) };
         let first = world.submit(0, service(5)).unwrap();
         world.advance(100);
-        let generation = world.point(first).unwrap().generation;
+        let generation = world.resume_point(first).unwrap().generation;
         world.kill(Proc::Agent(3));
         world.advance(5_000);
         let second = world.submit(1, service(4)).unwrap();
@@ -202,11 +202,11 @@
     /// A service's answer is never taken for an engine's with the same serial.
     resume_point_names_another_agent(world) {
         let call = world.submit(0, long(0)).unwrap();
-        world.submit(1, Ask { kind: Kind::Service, ..long(0) });
+        world.submit(1, CallSpec { kind: Kind::Service, ..long(0) });
         world.advance(200);
         let point = ResumePoint {
             agent: Proc::Agent(3).peer(0).name,
-            ..world.point(call).unwrap()
+            ..world.resume_point(call).unwrap()
         };
         let guess = world.submit_from(2, long(0), Some((call, point))).unwrap();
         world.advance(1_000);
--- a/fireflycroft/tests/recheck.rs
+++ b/fireflycroft/tests/recheck.rs
@@ -1,4 +1,4 @@
-//! A call that a configuration overtakes before it is started is checked again.
+//! A call is checked again if the configuration changes before its start.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -66,7 +66,7 @@
         prefix: Digest(0),
         delivery: Delivery::Whole,
         idempotency_key: None,
-        never_repeat: false,
+        never_retry: false,
         resume: None,
     }
 }
@@ -78,8 +78,8 @@
 }
 
 impl World {
-    /// An entry with two agents whose first call is out on offer.
-    fn offered() -> Self {
+    /// Creates an entry with two agents whose first call has a pending offer.
+    fn with_pending_offer() -> Self {
         let entry = Entry::new(EntrySetup {
             data_centre: "dc1".into(),
             policy: RoutePolicy::RoundRobin,
@@ -91,9 +91,9 @@
             entry,
             out: Vec::new(),
         };
-        world.tell(EntryEvent::Config(config(1, &["desk"], &["model"])));
+        world.apply(EntryEvent::Config(config(1, &["desk"], &["model"])));
         for n in [1, 2] {
-            world.tell(EntryEvent::Member(MemberRecord {
+            world.apply(EntryEvent::Member(MemberRecord {
                 peer: peer(n),
                 data_centre: "dc1".into(),
                 state: MemberState::Alive,
@@ -101,23 +101,23 @@
                 serves: vec!["model".into()],
             }));
         }
-        world.tell(EntryEvent::Submit(CALL, Box::new(submission())));
+        world.apply(EntryEvent::Submit(CALL, Box::new(submission())));
         world
     }
 
-    fn tell(&mut self, event: EntryEvent) {
+    fn apply(&mut self, event: EntryEvent) {
         self.entry.on_event(self.now, event, &mut self.out);
     }
 
-    /// Time goes on by so many ticks of 50 ms.
+    /// Advances time by `count` ticks of 50 ms.
     fn ticks(&mut self, count: u32) {
         for _ in 0..count {
             self.now = self.now + Duration::from_millis(50);
-            self.tell(EntryEvent::Tick);
+            self.apply(EntryEvent::Tick);
         }
     }
 
-    /// Request, attempt and agent of the last offer.
+    /// Returns the request, attempt and agent of the last offer.
     fn last_offer(&self) -> (RequestId, u32, u16) {
         let offer = |action: &EntryAction| match action {
             EntryAction::Send(
@@ -133,7 +133,7 @@
 
     fn answer(&mut self, config: u64, body: impl Fn(RequestId, u32) -> Message) {
         let (request, attempt, agent) = self.last_offer();
-        self.tell(EntryEvent::Message(Box::new(Envelope {
+        self.apply(EntryEvent::Message(Box::new(Envelope {
             from: peer(agent),
             config: ConfigVersion(config),
             load: None,
@@ -186,14 +186,14 @@
         $(#[$doc])*
         #[test]
         fn $name() {
-            let mut $world = World::offered();
+            let mut $world = World::with_pending_offer();
             $body
         }
     )*};
 }
 
 cases! {
-    /// The agent knows more: nothing is offered until this entry has caught up.
+    /// The agent has a newer version: nothing is offered until this entry has it too.
     refused_while_behind: |world| {
         world.refuse(2);
         world.ticks(30);
@@ -204,7 +204,7 @@
     }
 
     key_removed_before_the_next_offer: |world| {
-        world.tell(EntryEvent::Config(config(2, &[], &["model"])));
+        world.apply(EntryEvent::Config(config(2, &[], &["model"])));
         world.refuse(2);
         world.ticks(2);
         assert_eq!(world.ended_with(), Some(Code::KeyRefused));
@@ -212,28 +212,28 @@
     }
 
     key_moved_before_the_next_offer: |world| {
-        world.tell(EntryEvent::Config(config(2, &["lab"], &["model"])));
+        world.apply(EntryEvent::Config(config(2, &["lab"], &["model"])));
         world.refuse(2);
         world.ticks(2);
         assert_eq!(world.ended_with(), Some(Code::KeyRefused));
     }
 
     model_removed_before_the_next_offer: |world| {
-        world.tell(EntryEvent::Config(config(2, &["desk"], &["other"])));
+        world.apply(EntryEvent::Config(config(2, &["desk"], &["other"])));
         world.refuse(2);
         world.ticks(2);
         assert_eq!(world.ended_with(), Some(Code::ModelUnknown));
     }
 
     key_removed_before_the_start: |world| {
-        world.tell(EntryEvent::Config(config(2, &[], &["model"])));
+        world.apply(EntryEvent::Config(config(2, &[], &["model"])));
         world.accept(2);
         assert_eq!(world.ended_with(), Some(Code::KeyRefused));
         assert!(!world.started());
     }
 
     still_allowed: |world| {
-        world.tell(EntryEvent::Config(config(2, &["desk"], &["model"])));
+        world.apply(EntryEvent::Config(config(2, &["desk"], &["model"])));
         world.refuse(2);
         world.ticks(2);
         assert_eq!((world.ended_with(), world.offers()), (None, 2));
--- a/fireflycroft/tests/support/op.rs
+++ b/fireflycroft/tests/support/op.rs
@@ -1,6 +1,6 @@
-//! Steps of a test, and how they are drawn.
+//! Steps of a fuzzing script and the strategies that generate them.
 
-use super::fleet::{AGENTS, Ask, CONTENTS, ENTRIES, Kind, Proc, WORKSPACES};
+use super::fleet::{AGENTS, CONTENTS, CallSpec, ENTRIES, Kind, Proc, WORKSPACES};
 use super::link::NetworkMode;
 use super::platform::PlatformMode;
 use super::upstream::UpstreamMode;
@@ -8,61 +8,61 @@
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
 
-/// Most steps of one case.
+/// Largest number of steps in a case.
 pub(crate) const MAX_STEPS: usize = 120;
 
 /// One step.
 #[derive(Clone, Debug)]
 pub(crate) enum Op {
-    /// A caller asks an entry.
-    Submit(usize, Ask),
-    /// Two callers ask two entries at the same instant.
-    Twins(usize, usize, Ask),
-    /// The caller of an earlier call sends it again.
-    Again(prop::sample::Index, usize),
-    /// The caller of an earlier call goes on where it was, or before that.
+    /// A caller sends a request to an entry.
+    Submit(usize, CallSpec),
+    /// The same request is sent to two entries at the same time.
+    SubmitTwice(usize, usize, CallSpec),
+    /// The caller of an earlier call sends the same request again.
+    Resend(prop::sample::Index, usize),
+    /// The caller of an earlier call resumes at its position, or at half of it if `back`.
     Resume {
         call: prop::sample::Index,
         entry: usize,
         back: bool,
     },
     /// Another workspace uses the resume point of an earlier call.
-    Steal {
+    ResumeAsOtherWorkspace {
         call: prop::sample::Index,
         entry: usize,
     },
-    /// The caller goes away.
-    Gone(prop::sample::Index),
-    /// Time goes on, in milliseconds.
+    /// The caller disconnects.
+    CallerGone(prop::sample::Index),
+    /// Time passes, in milliseconds.
     Advance(u64),
     NetworkMode(NetworkMode),
-    /// A link loses all of one direction.
+    /// A link loses all messages in one direction.
     Cut(Proc, Proc),
-    Join(Proc, Proc),
-    /// Dies and comes back with a new life.
+    Reconnect(Proc, Proc),
+    /// The process ends and restarts as a new incarnation.
     Kill(Proc),
     Freeze(Proc),
     Thaw(Proc),
-    /// Planned stop; it ends when it is idle.
+    /// The process leaves as planned and ends when it is idle.
     Leave(Proc),
-    Stay(usize),
+    CancelLeave(usize),
     Upstream(usize, UpstreamMode),
-    /// The upstream dies now.
+    /// The upstream crashes now.
     Crash(usize),
     Platform(PlatformMode),
-    /// A process reads that version, or a rival of it.
+    /// A process reads that version, or a conflicting one of the same number.
     Config {
         to: Proc,
         version: u64,
         other: bool,
     },
-    /// Membership, rightly or wrongly, says that of an agent.
+    /// Membership reports that state of an agent, whether true or not.
     Member {
         entry: usize,
         agent: usize,
         state: MemberState,
     },
-    /// All that is broken is mended.
+    /// All faults are repaired.
     Heal,
 }
 
@@ -81,23 +81,25 @@
     ]
 }
 
-fn any_ask() -> impl Strategy<Value = Ask> {
+fn any_spec() -> impl Strategy<Value = CallSpec> {
     let key = prop_oneof![2 => Just(None), 1 => (0..3_u8).prop_map(Some)];
     let kind = prop_oneof![
         7 => Just(Kind::Plain),
-        1 => Just(Kind::NeverRepeat),
+        1 => Just(Kind::NeverRetry),
         2 => Just(Kind::Service),
     ];
     let whole = prop::bool::weighted(0.3);
     let parts = (0..WORKSPACES, 0..CONTENTS, key, kind, whole, any::<bool>());
-    parts.prop_map(|(workspace, content, key, kind, whole, interactive)| Ask {
-        workspace,
-        content,
-        key,
-        kind,
-        whole,
-        interactive,
-    })
+    parts.prop_map(
+        |(workspace, content, key, kind, whole, interactive)| CallSpec {
+            workspace,
+            content,
+            key,
+            kind,
+            whole,
+            interactive,
+        },
+    )
 }
 
 fn any_network_mode() -> impl Strategy<Value = NetworkMode> {
@@ -145,7 +147,7 @@
     ]
 }
 
-/// Strategy of one step.
+/// Returns the strategy for one step.
 pub(crate) fn any_op() -> impl Strategy<Value = Op> {
     let index = any::<prop::sample::Index>;
     let link = || (any_entry(), any_agent(), any::<bool>());
@@ -154,22 +156,22 @@
         if back { (agent, entry) } else { (entry, agent) }
     };
     prop_oneof![
-        12 => (any_entry(), any_ask()).prop_map(|(entry, ask)| Op::Submit(entry, ask)),
-        2 => (any_entry(), any_entry(), any_ask()).prop_map(|(a, b, ask)| Op::Twins(a, b, ask)),
-        5 => (index(), any_entry()).prop_map(|(call, entry)| Op::Again(call, entry)),
+        12 => (any_entry(), any_spec()).prop_map(|(entry, spec)| Op::Submit(entry, spec)),
+        2 => (any_entry(), any_entry(), any_spec()).prop_map(|(a, b, spec)| Op::SubmitTwice(a, b, spec)),
+        5 => (index(), any_entry()).prop_map(|(call, entry)| Op::Resend(call, entry)),
         5 => (index(), any_entry(), any::<bool>())
             .prop_map(|(call, entry, back)| Op::Resume { call, entry, back }),
-        1 => (index(), any_entry()).prop_map(|(call, entry)| Op::Steal { call, entry }),
-        2 => index().prop_map(Op::Gone),
+        1 => (index(), any_entry()).prop_map(|(call, entry)| Op::ResumeAsOtherWorkspace { call, entry }),
+        2 => index().prop_map(Op::CallerGone),
         20 => any_span().prop_map(Op::Advance),
         2 => any_network_mode().prop_map(Op::NetworkMode),
         2 => link().prop_map(move |l| { let (a, b) = ends(l); Op::Cut(a, b) }),
-        2 => link().prop_map(move |l| { let (a, b) = ends(l); Op::Join(a, b) }),
+        2 => link().prop_map(move |l| { let (a, b) = ends(l); Op::Reconnect(a, b) }),
         2 => any_proc().prop_map(Op::Kill),
         3 => any_proc().prop_map(Op::Freeze),
         4 => any_proc().prop_map(Op::Thaw),
         1 => any_proc().prop_map(Op::Leave),
-        1 => any_agent().prop_map(Op::Stay),
+        1 => any_agent().prop_map(Op::CancelLeave),
         4 => (any_agent(), any_mood()).prop_map(|(agent, mood)| Op::Upstream(agent, mood)),
         1 => any_agent().prop_map(Op::Crash),
         2 => any_platform().prop_map(Op::Platform),
@@ -181,7 +183,7 @@
     ]
 }
 
-/// A script of steps; the oracle itself lives beside the system under test.
+/// A script of steps. Its state is only the seed: the oracle is part of the system under test.
 pub(crate) struct Script;
 
 impl ReferenceStateMachine for Script {
--- a/fireflycroft/tests/support/upstream.rs
+++ b/fireflycroft/tests/support/upstream.rs
@@ -77,7 +77,7 @@
         if active.content == fleet::POISON && active.sent >= 2 {
             return StreamStep::Die;
         }
-        let mut limit = fleet::length(active.content);
+        let mut limit = fleet::answer_tokens(active.content);
         match self.mode {
             UpstreamMode::Full => return StreamStep::Wait,
             UpstreamMode::Die(n) if active.sent == n => {
@@ -96,7 +96,7 @@
             }
             _ => {}
         }
-        if active.sent >= fleet::length(active.content) {
+        if active.sent >= fleet::answer_tokens(active.content) {
             return StreamStep::End;
         }
         if active.content == fleet::POISON {
--- a/fireflycroft/tests/support/world.rs
+++ b/fireflycroft/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! The fleet in one process and in virtual time, driven step by step.
+//! The simulated fleet, run in one process and in virtual time.
 
 mod callers;
 mod messages;
@@ -9,7 +9,7 @@
 use super::link::{MS, Net};
 use super::mutant::Mutant;
 use super::op::Op;
-use super::oracle::{Fault, Oracle};
+use super::oracle::{Oracle, Violation};
 use super::platform::{Platform, PlatformMode};
 use super::rng::Rng;
 use super::upstream::{Upstream, UpstreamMode};
@@ -23,36 +23,37 @@
 /// Time between ticks.
 const TICK: u64 = 100 * MS;
 
-/// Time without any fault before a stop is blamed for what it cut.
-const CALM: u64 = 8_000 * MS;
+/// Time without injected faults after which a stop also counts as cutting calls
+/// with undelivered tokens.
+const FAULT_FREE_SPAN: u64 = 8_000 * MS;
 
-/// Time after all is mended within which every call must end.
+/// Time after all faults are repaired within which every call must end.
 const END_BOUND: u64 = 60_000 * MS;
 
-/// Time after that within which every table must be empty.
+/// Further time within which every table must be empty.
 const DRAIN_BOUND: u64 = 65_000 * MS;
 
-/// One process and its shell.
+/// A process: its core and the state of its shell.
 #[derive(Clone, Debug)]
 struct Node<C, E> {
     core: C,
     alive: bool,
-    life: u64,
-    born: u64,
+    incarnation: u64,
+    started_at: u64,
     frozen: Option<u64>,
     inbox: Vec<E>,
-    /// Told to stop at that time.
+    /// Time of the order to leave.
     leaving: Option<u64>,
     config: ActiveConfig,
 }
 
 impl<C, E> Node<C, E> {
-    fn new(core: C, life: u64, born: u64) -> Self {
+    fn new(core: C, incarnation: u64, started_at: u64) -> Self {
         Self {
             core,
             alive: true,
-            life,
-            born,
+            incarnation,
+            started_at,
             frozen: None,
             inbox: Vec::new(),
             leaving: None,
@@ -60,21 +61,21 @@
         }
     }
 
-    fn local(&self, now: u64) -> Time {
-        Time(now - self.born)
+    fn local_time(&self, now: u64) -> Time {
+        Time(now - self.started_at)
     }
 
-    fn works(&self) -> bool {
+    fn is_running(&self) -> bool {
         self.alive && self.frozen.is_none()
     }
 }
 
-/// What is to happen at a time.
+/// An event scheduled for a time.
 #[derive(Clone, Debug)]
-enum Due {
+enum ScheduledEvent {
     Packet(SocketAddr, Box<Envelope>),
     Tick,
-    Rebirth(Proc),
+    Restart(Proc),
     Entry(usize, u64, EntryEvent),
     Agent(usize, u64, AgentEvent),
     Claim(PlatformCall),
@@ -82,7 +83,11 @@
     Emit(usize, GenerationId, u64),
     Reattach(usize, GenerationId),
     UpstreamUp(usize),
-    Config { to: Proc, life: u64, from: Proc },
+    Config {
+        to: Proc,
+        incarnation: u64,
+        from: Proc,
+    },
     Member(usize, usize, MemberState),
 }
 
@@ -97,43 +102,43 @@
 #[derive(Clone, Debug)]
 struct PlatformCall {
     entry: usize,
-    life: u64,
+    incarnation: u64,
     call: CallId,
     key: Digest,
     op: ClaimOp,
-    /// When the answer comes; `None` when it is lost.
+    /// Time of the answer; `None` if it is lost.
     answer: Option<u64>,
 }
 
-/// The fleet with all that surrounds it.
+/// The fleet and its simulated environment.
 #[derive(Clone, Debug)]
 pub(crate) struct World {
     pub(crate) now: u64,
     pub(crate) oracle: Oracle,
     pub(crate) net: Net,
     pub(crate) platform: Platform,
-    /// Events of any kind that were carried out.
+    /// Number of executed events and steps.
     pub(crate) events: u64,
     mutant: Mutant,
     rng: Rng,
     entries: Vec<Node<Entry, EntryEvent>>,
     agents: Vec<Node<Agent, AgentEvent>>,
     upstreams: Vec<Upstream>,
-    due: BTreeMap<(u64, u64), Due>,
-    drawn: u64,
-    /// Callers take nothing of what they are given.
-    stalled: bool,
-    /// Last time that anything was broken.
-    troubled: u64,
-    /// Highest configuration that any process was given.
-    head: u64,
-    /// Generation that each reader asked for last.
-    wanted: BTreeMap<RequestId, GenerationId>,
-    /// Offers that reached an agent after it was told to leave.
-    too_late: BTreeSet<(usize, u64, RequestId, u32)>,
-    /// Configuration that rode on the first copy of each offer to arrive.
+    queue: BTreeMap<(u64, u64), ScheduledEvent>,
+    sequence: u64,
+    /// Callers don't consume their tokens.
+    callers_stalled: bool,
+    /// Time of the last injected fault.
+    last_fault: u64,
+    /// Highest configuration version sent to any process.
+    highest_version: u64,
+    /// Last generation that each reader attached to.
+    awaited: BTreeMap<RequestId, GenerationId>,
+    /// Offers that reached an agent after its order to leave.
+    offered_after_leave: BTreeSet<(usize, u64, RequestId, u32)>,
+    /// Configuration version carried by the first received copy of each offer.
     offered: BTreeMap<(RequestId, u32), ConfigVersion>,
-    /// Offer that a reservation was made for.
+    /// Offer for which each reservation was made.
     offer_of: BTreeMap<GenerationId, (RequestId, u32)>,
 }
 
@@ -153,13 +158,13 @@
             entries: (0..ENTRIES).map(entry).collect(),
             agents: (0..AGENTS).map(agent).collect(),
             upstreams: vec![Upstream::default(); AGENTS],
-            due: BTreeMap::new(),
-            drawn: 0,
-            stalled: false,
-            troubled: 0,
-            head: 1,
-            wanted: BTreeMap::new(),
-            too_late: BTreeSet::new(),
+            queue: BTreeMap::new(),
+            sequence: 0,
+            callers_stalled: false,
+            last_fault: 0,
+            highest_version: 1,
+            awaited: BTreeMap::new(),
+            offered_after_leave: BTreeSet::new(),
             offered: BTreeMap::new(),
             offer_of: BTreeMap::new(),
         };
@@ -172,61 +177,61 @@
         for entry in 0..ENTRIES {
             world.announce_agents(entry);
         }
-        world.push(0, Due::Tick);
+        world.schedule(0, ScheduledEvent::Tick);
         world
     }
 
-    /// What the oracle found wrong.
-    pub(crate) fn faults(&self) -> &[Fault] {
-        &self.oracle.faults
+    /// Returns the violations that the oracle found.
+    pub(crate) fn violations(&self) -> &[Violation] {
+        &self.oracle.violations
     }
 
-    /// Carries out one step.
+    /// Executes one step.
     pub(crate) fn apply(&mut self, op: &Op) {
         self.events += 1;
         match *op {
-            Op::Submit(entry, ask) => {
-                self.submit(entry, ask);
+            Op::Submit(entry, spec) => {
+                self.submit(entry, spec);
             }
-            Op::Twins(a, b, ask) => {
-                self.submit(a, ask);
-                self.submit(b, ask);
+            Op::SubmitTwice(a, b, spec) => {
+                self.submit(a, spec);
+                self.submit(b, spec);
             }
-            Op::Again(call, entry) => self.again(call, entry),
-            Op::Resume { call, entry, back } => self.resume_one(call, entry, back),
-            Op::Steal { call, entry } => {
+            Op::Resend(call, entry) => self.resend(call, entry),
+            Op::Resume { call, entry, back } => self.resume_indexed(call, entry, back),
+            Op::ResumeAsOtherWorkspace { call, entry } => {
                 if let Some(call) = self.pick(call) {
-                    let owner = self.oracle.calls[call].ask.workspace;
-                    self.steal(call, entry, (owner + 1) % fleet::WORKSPACES);
+                    let owner = self.oracle.calls[call].spec.workspace;
+                    self.resume_as_other_workspace(call, entry, (owner + 1) % fleet::WORKSPACES);
                 }
             }
-            Op::Gone(call) => {
+            Op::CallerGone(call) => {
                 if let Some(call) = self.pick(call) {
-                    self.leave_caller(call);
+                    self.disconnect_caller(call);
                 }
             }
             Op::Advance(millis) => self.advance(millis),
             Op::Heal => self.heal(),
-            _ => self.trouble(op),
+            _ => self.apply_fault(op),
         }
     }
 
-    fn trouble(&mut self, op: &Op) {
-        self.troubled = self.now;
+    fn apply_fault(&mut self, op: &Op) {
+        self.last_fault = self.now;
         match *op {
             Op::NetworkMode(mode) => self.net.mode = mode,
             Op::Cut(from, to) => self.net.cut(from.addr(), to.addr()),
-            Op::Join(from, to) => self.net.reconnect(from.addr(), to.addr()),
+            Op::Reconnect(from, to) => self.net.reconnect(from.addr(), to.addr()),
             Op::Kill(proc) => self.kill(proc),
             Op::Freeze(proc) => self.freeze(proc),
             Op::Thaw(proc) => self.thaw(proc),
             Op::Leave(proc) => self.leave(proc),
-            Op::Stay(agent) => self.stay(agent),
+            Op::CancelLeave(agent) => self.cancel_leave(agent),
             Op::Upstream(agent, mood) => self.set_upstream_mode(agent, mood),
             Op::Crash(agent) => self.crash(agent),
             Op::Platform(mode) => self.platform.mode = mode,
             Op::Config { to, version, other } => {
-                self.head = self.head.max(version);
+                self.highest_version = self.highest_version.max(version);
                 self.configure(to, &fleet::config(version, other));
             }
             Op::Member {
@@ -238,80 +243,86 @@
         }
     }
 
-    /// Lets time go on.
+    /// Advances time and executes the events that fall due.
     pub(crate) fn advance(&mut self, millis: u64) {
         let until = self.now + millis * MS;
-        while let Some(next) = self.due.first_entry() {
+        while let Some(next) = self.queue.first_entry() {
             if next.key().0 > until {
                 break;
             }
-            let ((at, _), due) = next.remove_entry();
+            let ((at, _), queue) = next.remove_entry();
             self.now = at;
             self.events += 1;
-            self.carry_out(due);
+            self.execute(queue);
         }
         self.now = until;
     }
 
-    /// Lets time go on until something holds, for at most that long.
+    /// Advances time until `holds`, for at most that long.
     pub(crate) fn advance_until(&mut self, millis: u64, holds: impl Fn(&Self) -> bool) {
         let until = self.now + millis * MS;
         while !holds(self) {
-            assert!(self.now < until, "it did not come to hold");
+            assert!(self.now < until, "the condition did not hold in time");
             self.advance(10);
         }
     }
 
-    fn push(&mut self, delay: u64, due: Due) {
-        self.drawn += 1;
-        self.due.insert((self.now + delay, self.drawn), due);
+    fn schedule(&mut self, delay: u64, queue: ScheduledEvent) {
+        self.sequence += 1;
+        self.queue.insert((self.now + delay, self.sequence), queue);
     }
 
-    fn carry_out(&mut self, due: Due) {
-        match due {
-            Due::Packet(to, envelope) => self.deliver(to, *envelope),
-            Due::Tick => self.tick(),
-            Due::Rebirth(proc) => self.rebirth(proc),
-            Due::Entry(i, life, event) => {
-                if self.entries[i].life == life {
-                    self.entry(i, event);
+    fn execute(&mut self, queue: ScheduledEvent) {
+        match queue {
+            ScheduledEvent::Packet(to, envelope) => self.deliver(to, *envelope),
+            ScheduledEvent::Tick => self.tick(),
+            ScheduledEvent::Restart(proc) => self.restart(proc),
+            ScheduledEvent::Entry(i, incarnation, event) => {
+                if self.entries[i].incarnation == incarnation {
+                    self.drive_entry(i, event);
                 }
             }
-            Due::Agent(i, life, event) => {
-                if self.agents[i].life == life {
-                    self.agent(i, event);
+            ScheduledEvent::Agent(i, incarnation, event) => {
+                if self.agents[i].incarnation == incarnation {
+                    self.drive_agent(i, event);
                 }
             }
-            Due::Claim(call) => self.apply_claim(call),
-            Due::Begin(agent, life, order) => {
-                if self.agents[agent].life == life && self.agents[agent].alive {
+            ScheduledEvent::Claim(call) => self.apply_claim(call),
+            ScheduledEvent::Begin(agent, incarnation, order) => {
+                if self.agents[agent].incarnation == incarnation && self.agents[agent].alive {
                     self.begin(agent, *order);
                 }
             }
-            Due::Emit(agent, generation, epoch) => self.emit(agent, generation, epoch),
-            Due::Reattach(agent, generation) => self.reattach(agent, generation),
-            Due::UpstreamUp(agent) => self.upstream_up(agent),
-            Due::Config { to, life, from } => self.deliver_config(to, life, from),
-            Due::Member(entry, agent, state) => self.announce_member(entry, agent, state),
+            ScheduledEvent::Emit(agent, generation, epoch) => self.emit(agent, generation, epoch),
+            ScheduledEvent::Reattach(agent, generation) => self.reattach(agent, generation),
+            ScheduledEvent::UpstreamUp(agent) => self.upstream_up(agent),
+            ScheduledEvent::Config {
+                to,
+                incarnation,
+                from,
+            } => self.deliver_config(to, incarnation, from),
+            ScheduledEvent::Member(entry, agent, state) => {
+                self.announce_member(entry, agent, state)
+            }
         }
     }
 
     fn tick(&mut self) {
-        self.push(TICK, Due::Tick);
+        self.schedule(TICK, ScheduledEvent::Tick);
         for i in 0..ENTRIES {
             if self.mutant != Mutant::NoTicks {
-                self.entry(i, EntryEvent::Tick);
+                self.drive_entry(i, EntryEvent::Tick);
             }
         }
         for i in 0..AGENTS {
-            self.agent(i, AgentEvent::Tick);
+            self.drive_agent(i, AgentEvent::Tick);
         }
         for proc in Proc::all() {
             self.stop_if_idle(proc);
         }
     }
 
-    /// Mends all that is broken.
+    /// Repairs all faults.
     pub(crate) fn heal(&mut self) {
         self.net.heal();
         self.platform.mode = PlatformMode::Up;
@@ -322,16 +333,16 @@
         for proc in Proc::all() {
             self.thaw(proc);
         }
-        self.head += 1;
+        self.highest_version += 1;
         for proc in Proc::all() {
-            self.configure(proc, &fleet::config(self.head, false));
+            self.configure(proc, &fleet::config(self.highest_version, false));
         }
         for entry in 0..ENTRIES {
             self.announce_agents(entry);
         }
     }
 
-    /// Mends all, lets time pass and checks that nothing hangs.
+    /// Repairs all faults, then checks that every call ends and no state remains.
     pub(crate) fn settle(&mut self) {
         self.heal();
         self.advance(4_000);
@@ -345,7 +356,7 @@
     fn check_answered(&mut self) {
         let open: Vec<usize> = self.oracle.open().collect();
         if !open.is_empty() {
-            self.oracle.fault(0, format!("calls {open:?} hang"));
+            self.oracle.violation(0, format!("calls {open:?} hang"));
         }
     }
 
@@ -353,9 +364,9 @@
         for i in 0..ENTRIES {
             let core = &self.entries[i].core;
             let held: u32 = core.router().agents().map(|a| a.outstanding).sum();
-            if core.calls() > 0 || !core.is_idle() || held > 0 || core.held() > 0 {
+            if core.calls() > 0 || !core.is_idle() || held > 0 || core.buffered_bytes() > 0 {
                 let text = format!("entry {i} holds {} calls, {held} shares", core.calls());
-                self.oracle.fault(0, text);
+                self.oracle.violation(0, text);
             }
         }
         for i in 0..AGENTS {
@@ -363,7 +374,7 @@
             let idle = self.agents[i].core.is_idle();
             if !idle || load.running > 0 || load.queued > 0 {
                 let text = format!("agent {i} holds {load:?}, idle: {idle}");
-                self.oracle.fault(0, text);
+                self.oracle.violation(0, text);
             }
         }
     }
--- a/fireflycroft/tests/support/world/processes.rs
+++ b/fireflycroft/tests/support/world/processes.rs
@@ -1,6 +1,6 @@
-//! Lives of entries and agents, and what they want done.
+//! Life cycle of entries and agents, and execution of their actions.
 
-use super::{CALM, Due, Node, RunOrder, World};
+use super::{FAULT_FREE_SPAN, Node, RunOrder, ScheduledEvent, World};
 use crate::support::fleet::{self, ENTRIES, Proc};
 use crate::support::link::MS;
 use crate::support::mutant::Mutant;
@@ -10,7 +10,7 @@
 };
 
 impl World {
-    pub(super) fn entry(&mut self, i: usize, event: EntryEvent) {
+    pub(super) fn drive_entry(&mut self, i: usize, event: EntryEvent) {
         let node = &mut self.entries[i];
         if !node.alive {
             return;
@@ -26,9 +26,10 @@
             _ => None,
         };
         let mut out = Vec::new();
-        node.core.on_event(node.local(self.now), event, &mut out);
+        node.core
+            .on_event(node.local_time(self.now), event, &mut out);
         if let Some(call) = submitted {
-            self.number(call, &out);
+            self.record_request_id(call, &out);
         }
         for action in out {
             self.entry_action(i, action);
@@ -36,18 +37,18 @@
         self.check_config(Proc::Entry(i));
     }
 
-    /// Reads from the first message or note which request id the call has.
-    pub(super) fn number(&mut self, call: CallId, out: &[EntryAction]) {
+    /// Reads the call's request id from its first message or log event.
+    pub(super) fn record_request_id(&mut self, call: CallId, out: &[EntryAction]) {
         let request = out.iter().find_map(|action| match action {
             EntryAction::Send(_, Message::Offer { request, .. }) => Some(*request),
             EntryAction::Send(_, Message::Attach { reader, .. }) => Some(*reader),
-            // Held for a configuration: no message yet.
-            EntryAction::Note(note) => note.request,
+            // A call that waits for a configuration sends no message yet.
+            EntryAction::LogEvent(note) => note.request,
             _ => None,
         });
         if let Some(request) = request {
             let call = usize::try_from(call.0).unwrap();
-            self.oracle.numbered(call, request);
+            self.oracle.record_request_id(call, request);
         }
     }
 
@@ -57,18 +58,18 @@
             EntryAction::Send(to, message) => self.send(from, to, message),
             EntryAction::Broadcast(message) => self.broadcast(from, &message),
             EntryAction::Reply(call, reply) => {
-                if self.mutant == Mutant::HandOnTwice && matches!(reply, Reply::Tokens(_)) {
-                    self.reply(i, call, &reply);
+                if self.mutant == Mutant::DeliverTwice && matches!(reply, Reply::Tokens(_)) {
+                    self.deliver_reply(i, call, &reply);
                 }
-                self.reply(i, call, &reply);
+                self.deliver_reply(i, call, &reply);
             }
             EntryAction::Claim(call, key, op) => self.claim(i, call, key, op),
             EntryAction::PullConfig(addr) => self.pull_config(from, addr),
-            EntryAction::Measured(_) | EntryAction::Note(_) => {}
+            EntryAction::Measured(_) | EntryAction::LogEvent(_) => {}
         }
     }
 
-    pub(super) fn agent(&mut self, i: usize, event: AgentEvent) {
+    pub(super) fn drive_agent(&mut self, i: usize, event: AgentEvent) {
         let node = &mut self.agents[i];
         if !node.alive {
             return;
@@ -79,16 +80,17 @@
             }
             return;
         }
-        self.note_offer(i, &event);
+        self.record_offer(i, &event);
         let node = &mut self.agents[i];
         let mut out = Vec::new();
-        node.core.on_event(node.local(self.now), event, &mut out);
+        node.core
+            .on_event(node.local_time(self.now), event, &mut out);
         for action in out {
             self.agent_action(i, action);
         }
     }
 
-    pub(super) fn note_offer(&mut self, i: usize, event: &AgentEvent) {
+    pub(super) fn record_offer(&mut self, i: usize, event: &AgentEvent) {
         let node = &self.agents[i];
         let AgentEvent::Message(envelope) = event else {
             return;
@@ -104,13 +106,14 @@
             .or_insert(envelope.config);
         let known = self.offer_of.values().any(|o| *o == (request, attempt));
         if node.leaving.is_some() && !known {
-            self.too_late.insert((i, node.life, request, attempt));
+            self.offered_after_leave
+                .insert((i, node.incarnation, request, attempt));
         }
     }
 
     pub(super) fn agent_action(&mut self, i: usize, action: AgentAction) {
         let from = Proc::Agent(i);
-        let life = self.agents[i].life;
+        let incarnation = self.agents[i].incarnation;
         match action {
             AgentAction::Send(to, message) => {
                 if let Message::Accept {
@@ -137,21 +140,21 @@
                     demand,
                     work,
                 };
-                self.push(MS, Due::Begin(i, life, Box::new(order)));
+                self.schedule(MS, ScheduledEvent::Begin(i, incarnation, Box::new(order)));
             }
             AgentAction::Resume { generation, .. } => {
-                self.push(5 * MS, Due::Reattach(i, generation));
+                self.schedule(5 * MS, ScheduledEvent::Reattach(i, generation));
             }
             AgentAction::Stop(generation) => {
                 self.upstreams[i].active.remove(&generation);
             }
             AgentAction::PullConfig(addr) => self.pull_config(from, addr),
-            // No orders are given in this world.
-            AgentAction::Order(_) | AgentAction::Note(_) => {}
+            // The simulation gives no orders.
+            AgentAction::Order(_) | AgentAction::LogEvent(_) => {}
         }
     }
 
-    /// A process loses all state and comes back after a while.
+    /// Ends a process, which loses its state and restarts after a delay.
     pub(crate) fn kill(&mut self, proc: Proc) {
         match proc {
             Proc::Entry(i) => {
@@ -170,39 +173,39 @@
             }
         }
         let delay = self.rng.below(3_000) * MS;
-        self.push(delay, Due::Rebirth(proc));
+        self.schedule(delay, ScheduledEvent::Restart(proc));
     }
 
-    pub(super) fn rebirth(&mut self, proc: Proc) {
+    pub(super) fn restart(&mut self, proc: Proc) {
         let now = self.now;
         match proc {
             Proc::Entry(i) => {
-                let life = self.entries[i].life + 1;
-                self.entries[i] = Node::new(fleet::new_entry(i, life), life, now);
+                let incarnation = self.entries[i].incarnation + 1;
+                self.entries[i] = Node::new(fleet::new_entry(i, incarnation), incarnation, now);
                 self.announce_agents(i);
             }
             Proc::Agent(i) => {
-                let life = self.agents[i].life + 1;
-                self.agents[i] = Node::new(fleet::new_agent(i, life), life, now);
+                let incarnation = self.agents[i].incarnation + 1;
+                self.agents[i] = Node::new(fleet::new_agent(i, incarnation), incarnation, now);
                 if self.upstreams[i].up {
-                    self.agent(i, AgentEvent::UpstreamUp);
+                    self.drive_agent(i, AgentEvent::UpstreamUp);
                 }
                 for entry in 0..ENTRIES {
                     let delay = self.rng.below(1_500) * MS;
-                    self.push(delay, Due::Member(entry, i, MemberState::Alive));
+                    self.schedule(delay, ScheduledEvent::Member(entry, i, MemberState::Alive));
                 }
             }
         }
-        let version = 1 + self.rng.below(self.head);
+        let version = 1 + self.rng.below(self.highest_version);
         self.configure(proc, &fleet::config(version, false));
     }
 
-    /// An entry's new life that knows no agents, nor a configuration if so.
-    pub(crate) fn revive_alone(&mut self, i: usize, configured: bool) {
-        let life = self.entries[i].life + 1;
-        self.entries[i] = Node::new(fleet::new_entry(i, life), life, self.now);
+    /// Restarts an entry without agents, and without a configuration unless `configured`.
+    pub(crate) fn restart_isolated(&mut self, i: usize, configured: bool) {
+        let incarnation = self.entries[i].incarnation + 1;
+        self.entries[i] = Node::new(fleet::new_entry(i, incarnation), incarnation, self.now);
         if configured {
-            self.configure(Proc::Entry(i), &fleet::config(self.head, false));
+            self.configure(Proc::Entry(i), &fleet::config(self.highest_version, false));
         }
     }
 
@@ -219,7 +222,7 @@
         }
     }
 
-    /// Goes on with what came meanwhile; its timers may fire first.
+    /// Resumes a process with the events received meanwhile; its timers may fire first.
     pub(crate) fn thaw(&mut self, proc: Proc) {
         let timers_first = self.rng.per_mille(500);
         self.thaw_with(proc, timers_first);
@@ -235,10 +238,10 @@
                     self.oracle.calls[call].frozen += self.now - since;
                 }
                 if timers_first {
-                    self.entry(i, EntryEvent::Tick);
+                    self.drive_entry(i, EntryEvent::Tick);
                 }
                 for event in std::mem::take(&mut self.entries[i].inbox) {
-                    self.entry(i, event);
+                    self.drive_entry(i, event);
                 }
             }
             Proc::Agent(i) => {
@@ -246,37 +249,37 @@
                     return;
                 }
                 if timers_first {
-                    self.agent(i, AgentEvent::Tick);
+                    self.drive_agent(i, AgentEvent::Tick);
                 }
                 for event in std::mem::take(&mut self.agents[i].inbox) {
-                    self.agent(i, event);
+                    self.drive_agent(i, event);
                 }
             }
         }
     }
 
-    /// A planned stop: the process ends once it is idle.
+    /// Orders a process to leave; it ends once it is idle.
     pub(crate) fn leave(&mut self, proc: Proc) {
         let now = self.now;
         match proc {
-            Proc::Entry(i) if self.entries[i].works() => {
+            Proc::Entry(i) if self.entries[i].is_running() => {
                 self.entries[i].leaving.get_or_insert(now);
-                self.entry(i, EntryEvent::Leave);
+                self.drive_entry(i, EntryEvent::Leave);
             }
-            Proc::Agent(i) if self.agents[i].works() => {
+            Proc::Agent(i) if self.agents[i].is_running() => {
                 self.agents[i].leaving.get_or_insert(now);
                 if self.mutant != Mutant::IgnoreLeave {
-                    self.agent(i, AgentEvent::Leave);
+                    self.drive_agent(i, AgentEvent::Leave);
                 }
             }
             _ => {}
         }
     }
 
-    pub(crate) fn stay(&mut self, agent: usize) {
-        if self.agents[agent].works() {
+    pub(crate) fn cancel_leave(&mut self, agent: usize) {
+        if self.agents[agent].is_running() {
             self.agents[agent].leaving = None;
-            self.agent(agent, AgentEvent::Stay);
+            self.drive_agent(agent, AgentEvent::Stay);
         }
     }
 
@@ -285,33 +288,33 @@
         let ready = match proc {
             Proc::Entry(i) => {
                 let node = &self.entries[i];
-                node.works() && node.leaving.is_some() && (at_once || node.core.is_idle())
+                node.is_running() && node.leaving.is_some() && (at_once || node.core.is_idle())
             }
             Proc::Agent(i) => {
                 let node = &self.agents[i];
-                node.works() && node.leaving.is_some() && (at_once || node.core.is_idle())
+                node.is_running() && node.leaving.is_some() && (at_once || node.core.is_idle())
             }
         };
         if ready {
             let cut = self.cut_by_stop(proc);
-            self.oracle.stopped(proc, &cut);
+            self.oracle.record_stop(proc, &cut);
             self.kill(proc);
         }
     }
 
-    /// Calls in progress that the end of the process would cut.
+    /// Returns the calls in progress that the end of the process would cut.
     pub(super) fn cut_by_stop(&self, proc: Proc) -> Vec<usize> {
         match proc {
             Proc::Entry(i) => self.oracle.open_at(i),
             Proc::Agent(i) => {
-                let calm = self.is_calm();
+                let fault_free = self.is_fault_free();
                 let here = |call: &usize| {
                     let record = &self.oracle.calls[*call];
                     let run = record.run.or(record.runs.last().copied());
                     run.is_some_and(|r| {
                         let run = &self.oracle.runs[r];
                         let live = self.upstreams[i].active.contains_key(&run.generation);
-                        live || (calm && run.agent == i && record.next < run.emitted)
+                        live || (fault_free && run.agent == i && record.next < run.emitted)
                     })
                 };
                 self.oracle.open().filter(here).collect()
@@ -319,9 +322,9 @@
         }
     }
 
-    /// Whether nothing has been broken for a while.
-    pub(super) fn is_calm(&self) -> bool {
+    /// Returns whether no fault was injected recently and none is in effect.
+    pub(super) fn is_fault_free(&self) -> bool {
         let frozen = self.entries.iter().any(|e| e.frozen.is_some());
-        self.net.is_reliable() && !frozen && self.now - self.troubled > CALM
+        self.net.is_reliable() && !frozen && self.now - self.last_fault > FAULT_FREE_SPAN
     }
 }
--- a/fireflyd/src/entry.rs
+++ b/fireflyd/src/entry.rs
@@ -5,7 +5,8 @@
 
 use fireflycroft::{
     CallId, Config, ConfigVersion, Entry, EntryAction, EntryEvent, EntrySetup, Envelope,
-    LeaseAnswer, LeaseCall, LeaseSpans, Measured, Message, PlaceLimits, Priority, Reply, Time, Vm,
+    LeaseAnswer, LeaseCall, LeaseTimings, Measured, Message, PlacementLimits, Priority, Reply,
+    Time, Vm,
 };
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
@@ -73,8 +74,8 @@
         let leader = Leader::new(
             node.me.name.clone(),
             rand::random(),
-            LeaseSpans::default(),
-            PlaceLimits::default(),
+            LeaseTimings::default(),
+            PlacementLimits::default(),
         );
         Self {
             core: Entry::new(setup),
@@ -215,7 +216,7 @@
         let news = self.node.fleet.on_tick(now, &mut self.node.outbox);
         self.learn(news);
         let entries = self.node.fleet.entries();
-        self.drive(EntryEvent::Entries(entries));
+        self.drive(EntryEvent::EntryCount(entries));
         self.drive(EntryEvent::Tick);
         self.lead(now);
         self.tell_state();
@@ -312,7 +313,7 @@
             }
             EntryAction::PullConfig(from) => self.feed.pull(from, &mut self.node.outbox),
             EntryAction::Measured(measured) => count(&self.node.metrics, &measured),
-            EntryAction::Note(note) => self.node.note(&note),
+            EntryAction::LogEvent(note) => self.node.note(&note),
         }
     }
 
