--- a/fireflycroft/src/attempt.rs
+++ b/fireflycroft/src/attempt.rs
@@ -5,11 +5,11 @@
 //! route, from what the tries so far may have run, and from the shared budget
 //! of repeats, which the caller of these functions asks.
 
-use crate::catalog::Repeat;
+use crate::catalog::RequestKind;
 
 /// What came of one try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TryOutcome {
+pub enum AttemptOutcome {
     /// No byte of the request left this process.
     NeverSent,
     /// The same, since the upstream may get nothing new.
@@ -30,23 +30,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Send the request to another upstream.
-    TryAgain,
+    Retry,
     /// Give the caller the answer that came.
     Relay,
     /// Tell the caller that the request was not run, and when to come back.
     RefuseNotRun,
     /// Tell the caller that the outcome is not known.
-    TellUnknown,
+    ReportUnknown,
 }
 
 /// Tries of one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Tries {
-    repeat: Repeat,
+pub struct Attempts {
+    kind: RequestKind,
     max_attempts: u32,
     sent: u32,
     may_have_run: bool,
-    might_have_before: bool,
+    may_have_run_before: bool,
     unsent: u32,
 }
 
@@ -54,18 +54,18 @@
 ///
 /// Each costs at most the time limit of a connection; three of them stay well
 /// within the shortest objective of a plain call.
-const MAX_UNSENT: u32 = 3;
+const MAX_UNSENT_ATTEMPTS: u32 = 3;
 
-impl Tries {
+impl Attempts {
     /// A request that was sent nowhere yet.
     #[must_use]
-    pub const fn new(repeat: Repeat, max_attempts: u32) -> Self {
+    pub const fn new(kind: RequestKind, max_attempts: u32) -> Self {
         Self {
-            repeat,
+            kind,
             max_attempts,
             sent: 0,
             may_have_run: false,
-            might_have_before: false,
+            may_have_run_before: false,
             unsent: 0,
         }
     }
@@ -83,52 +83,58 @@
     }
 
     /// Notes that a byte of the request may have reached an upstream.
-    pub const fn note_sent(&mut self) {
+    pub const fn record_sent(&mut self) {
         self.sent += 1;
-        self.might_have_before = self.may_have_run;
+        self.may_have_run_before = self.may_have_run;
         self.may_have_run = true;
     }
 
     /// What follows from the outcome of the try that was sent last.
     ///
     /// `budget` takes one repeat and tells whether there was one.
-    pub fn after(&mut self, outcome: TryOutcome, budget: impl FnOnce() -> bool) -> NextStep {
+    pub fn next_step(
+        &mut self,
+        outcome: AttemptOutcome,
+        budget: impl FnOnce() -> bool,
+    ) -> NextStep {
         match outcome {
-            TryOutcome::Answered => return NextStep::Relay,
-            TryOutcome::NeverSent | TryOutcome::Withheld => {
+            AttemptOutcome::Answered => return NextStep::Relay,
+            AttemptOutcome::NeverSent | AttemptOutcome::Withheld => {
                 self.unsent += 1;
-                if self.unsent < MAX_UNSENT {
-                    return NextStep::TryAgain;
+                if self.unsent < MAX_UNSENT_ATTEMPTS {
+                    return NextStep::Retry;
                 }
             }
-            TryOutcome::NotRun | TryOutcome::WrongInstance => {
-                self.may_have_run = self.might_have_before;
+            AttemptOutcome::NotRun | AttemptOutcome::WrongInstance => {
+                self.may_have_run = self.may_have_run_before;
             }
-            TryOutcome::Failed | TryOutcome::Lost => {}
+            AttemptOutcome::Failed | AttemptOutcome::Lost => {}
         }
-        if self.may_try_again(outcome) && budget() {
-            return NextStep::TryAgain;
+        if self.may_retry(outcome) && budget() {
+            return NextStep::Retry;
         }
-        self.end(outcome)
+        self.final_step(outcome)
     }
 
     /// Whether another upstream may be tried after this outcome, if the budget allows.
     #[must_use]
-    pub const fn may_try_again(&self, outcome: TryOutcome) -> bool {
+    pub const fn may_retry(&self, outcome: AttemptOutcome) -> bool {
         match outcome {
-            TryOutcome::WrongInstance => self.sent <= self.max_attempts,
-            TryOutcome::NotRun => self.sent < self.max_attempts,
-            TryOutcome::Failed | TryOutcome::Lost => {
-                self.sent < self.max_attempts && self.repeat.may_run_again()
+            AttemptOutcome::WrongInstance => self.sent <= self.max_attempts,
+            AttemptOutcome::NotRun => self.sent < self.max_attempts,
+            AttemptOutcome::Failed | AttemptOutcome::Lost => {
+                self.sent < self.max_attempts && self.kind.is_retryable()
+            }
+            AttemptOutcome::NeverSent | AttemptOutcome::Withheld | AttemptOutcome::Answered => {
+                false
             }
-            TryOutcome::NeverSent | TryOutcome::Withheld | TryOutcome::Answered => false,
         }
     }
 
-    const fn end(&self, outcome: TryOutcome) -> NextStep {
+    const fn final_step(&self, outcome: AttemptOutcome) -> NextStep {
         match outcome {
-            TryOutcome::Failed | TryOutcome::Answered => NextStep::Relay,
-            _ if self.may_have_run => NextStep::TellUnknown,
+            AttemptOutcome::Failed | AttemptOutcome::Answered => NextStep::Relay,
+            _ if self.may_have_run => NextStep::ReportUnknown,
             _ => NextStep::RefuseNotRun,
         }
     }
--- a/fireflycroft/src/catalog.rs
+++ b/fireflycroft/src/catalog.rs
@@ -10,7 +10,7 @@
 
 /// How often a request of a route may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RequestKind {
     /// More than once.
     Idempotent,
     /// At most once.
@@ -21,7 +21,7 @@
     ResumableStream,
 }
 
-impl Repeat {
+impl RequestKind {
     /// Whether the answer is a stream of events.
     #[must_use]
     pub const fn is_stream(self) -> bool {
@@ -30,7 +30,7 @@
 
     /// Whether a request that may have run may be sent once more.
     #[must_use]
-    pub const fn may_run_again(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
@@ -54,7 +54,7 @@
     /// Beginning of the path; begins and ends with a slash.
     pub prefix: Name,
     /// How often a request may run.
-    pub repeat: Repeat,
+    pub kind: RequestKind,
     /// Longest time a caller is kept waiting.
     pub timeout: Duration,
     /// Time within which an answer is on time, up to its first event.
@@ -70,7 +70,7 @@
     /// Whether a caller needs no key.
     pub open: bool,
     /// Regions in which its requests may run; any where none is named.
-    pub homes: Vec<Name>,
+    pub allowed_regions: Vec<Name>,
 }
 
 impl RouteSpec {
@@ -100,9 +100,9 @@
     /// Tokens that fit in its memory.
     pub memory_tokens: u64,
     /// Whether the memory of a run can be copied to another engine.
-    pub moves: bool,
+    pub can_migrate: bool,
     /// Whether a run can be backed up on another engine as it grows.
-    pub backups: bool,
+    pub can_back_up: bool,
     /// Tokens that one event holds at most.
     pub tokens_per_event: u32,
     /// Time that the memory of one token takes over an engine's link within a data centre; twice
@@ -146,7 +146,7 @@
     /// Urgency that goes before the route's.
     pub rank: Option<u8>,
     /// Regions in which requests of its callers may run; any where none is named.
-    pub homes: Vec<Name>,
+    pub allowed_regions: Vec<Name>,
 }
 
 /// What a catalog is made of.
@@ -172,7 +172,7 @@
     services: Vec<ServiceSpec>,
     limits: CallerLimits,
     workspaces: Vec<WorkspaceSpec>,
-    asks_keys: bool,
+    requires_keys: bool,
     by_host: HashMap<Name, HashMap<Name, usize>>,
     by_key: HashMap<Name, usize>,
 }
@@ -181,7 +181,7 @@
     /// Indexes the parts of one version.
     #[must_use]
     pub fn new(parts: CatalogParts) -> Self {
-        let asks_keys = parts.workspaces.is_some();
+        let requires_keys = parts.workspaces.is_some();
         let workspaces = parts.workspaces.unwrap_or_default();
         let mut by_host: HashMap<Name, HashMap<Name, usize>> = HashMap::new();
         for (i, route) in parts.routes.iter().enumerate() {
@@ -200,7 +200,7 @@
             services: parts.services,
             limits: parts.limits,
             workspaces,
-            asks_keys,
+            requires_keys,
             by_host,
             by_key,
         }
@@ -237,8 +237,8 @@
 
     /// Whether callers of routes that are not open need a key.
     #[must_use]
-    pub const fn asks_keys(&self) -> bool {
-        self.asks_keys
+    pub const fn requires_keys(&self) -> bool {
+        self.requires_keys
     }
 
     /// The workspace that holds `key`.
--- a/fireflycroft/src/ask.rs
+++ b/fireflycroft/src/http_head.rs
@@ -29,7 +29,7 @@
 
 /// What the head of a request says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestHead {
     /// The caller's id of this attempt.
     pub request_id: Option<Name>,
     /// The caller's key.
@@ -81,18 +81,18 @@
 
 /// What an upstream says in an answer of the requests to come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Conditions {
+pub struct UpstreamConditions {
     /// Whether it leaves.
     pub leaving: bool,
     /// Rate that it takes, while it is in need.
     pub rate_limit: Option<RateLimit>,
     /// Time for which it wants nothing more of the entry that it turned away.
-    pub pause: Option<Duration>,
+    pub backoff: Option<Duration>,
 }
 
 /// What the head of an upstream's answer says of the request, and of the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Whether the answer belongs to the request.
     pub is_own: bool,
     /// What the upstream says of having run the request.
@@ -104,5 +104,5 @@
     /// How long the connection may be idle.
     pub keep_alive: Option<Duration>,
     /// What the upstream says of requests to come.
-    pub conditions: Conditions,
+    pub conditions: UpstreamConditions,
 }
--- a/fireflycroft/tests/catalog.rs
+++ b/fireflycroft/tests/catalog.rs
@@ -5,7 +5,7 @@
 mod cases;
 
 use fireflycroft::{
-    CallerLimits, Catalog, CatalogParts, Name, Repeat, RouteSpec, Target, WorkspaceSpec,
+    CallerLimits, Catalog, CatalogParts, Name, RequestKind, RouteSpec, Target, WorkspaceSpec,
 };
 use proptest::prelude::*;
 use std::time::Duration;
@@ -27,7 +27,7 @@
         name: Name::from(name),
         host: Name::from("host"),
         prefix: Name::from(prefix),
-        repeat: Repeat::Idempotent,
+        kind: RequestKind::Idempotent,
         timeout: Duration::from_secs(1),
         objective: Duration::from_secs(1),
         gap_objective: None,
@@ -35,7 +35,7 @@
         targets: Vec::new(),
         max_attempts: 1,
         open: false,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
     }
 }
 
@@ -54,7 +54,7 @@
             name: Name::from("w"),
             keys: vec![Name::from("k1"), Name::from("k2")],
             rank: None,
-            homes: Vec::new(),
+            allowed_regions: Vec::new(),
         }]),
     }
 }
@@ -96,7 +96,7 @@
         workspaces: None,
         ..parts()
     });
-    assert!(!catalog.asks_keys());
+    assert!(!catalog.requires_keys());
 }
 
 proptest! {
--- a/fireflydirect/src/call.rs
+++ b/fireflydirect/src/call.rs
@@ -8,7 +8,7 @@
 use crate::{repeats, returns};
 use bytes::Bytes;
 use fireflycroft::{
-    Asking, Code, Fill, Mechanism, Need, NextStep, RunClaim, Tries, TryOutcome, UpstreamIx,
+    Asking, AttemptOutcome, Attempts, Code, Fill, Mechanism, Need, NextStep, RunClaim, UpstreamIx,
     WORTH_SAVING_TOKENS, is_room, pick_backup, room_after,
 };
 use hyper::http::response::Parts;
@@ -63,13 +63,13 @@
 
 /// One try at an upstream.
 struct Tried {
-    outcome: TryOutcome,
+    outcome: AttemptOutcome,
     why: String,
     reply: Option<Reply>,
 }
 
 impl Tried {
-    fn failed(outcome: TryOutcome, why: impl Into<String>) -> Self {
+    fn failed(outcome: AttemptOutcome, why: impl Into<String>) -> Self {
         Self {
             outcome,
             why: why.into(),
@@ -80,7 +80,7 @@
 
 /// Gets an answer before the job's time is up.
 pub async fn obtain(job: &Job) -> Reply {
-    let tries = RefCell::new(Tries::new(job.route.repeat, job.route.max_attempts));
+    let tries = RefCell::new(Attempts::new(job.route.kind, job.route.max_attempts));
     let limit = job.node.clock.instant(job.give_up_at);
     match tokio::time::timeout_at(limit, try_all(job, &tries)).await {
         Ok(reply) => reply,
@@ -89,7 +89,7 @@
     }
 }
 
-async fn try_all(job: &Job, tries: &RefCell<Tries>) -> Reply {
+async fn try_all(job: &Job, tries: &RefCell<Attempts>) -> Reply {
     let need = job.need();
     let mut asked = Vec::new();
     let mut failure = None;
@@ -102,19 +102,21 @@
         }
         let one = try_one(job, ix, need, tries).await;
         note(job, ix, &one);
-        if one.outcome == TryOutcome::Lost {
+        if one.outcome == AttemptOutcome::Lost {
             crash::suspect(job, ix);
         }
         asked.push(ix);
-        if tries.borrow().may_try_again(one.outcome) {
+        if tries.borrow().may_retry(one.outcome) {
             repeats::prepare(job).await;
         }
-        let next = tries.borrow_mut().after(one.outcome, || job.take_repeat());
+        let next = tries
+            .borrow_mut()
+            .next_step(one.outcome, || job.take_repeat());
         match (next, one.reply) {
-            (NextStep::TryAgain, reply) => failure = reply.or(failure),
+            (NextStep::Retry, reply) => failure = reply.or(failure),
             (NextStep::Relay, Some(reply)) => return reply,
             (NextStep::RefuseNotRun, _) => return Reply::Own(Code::Overloaded, Some(FULL_RETRY)),
-            (NextStep::TellUnknown | NextStep::Relay, _) => {
+            (NextStep::ReportUnknown | NextStep::Relay, _) => {
                 return failure.unwrap_or(Reply::Own(Code::OutcomeUnknown, None));
             }
         }
@@ -161,7 +163,7 @@
     is_room(&asking, &fill)
 }
 
-fn refuse_for_room(job: &Job, ix: UpstreamIx, tries: &RefCell<Tries>, wait: Duration) -> Reply {
+fn refuse_for_room(job: &Job, ix: UpstreamIx, tries: &RefCell<Attempts>, wait: Duration) -> Reply {
     let pool = job.node.pool.borrow();
     let view = pool.view(job.now(), ix);
     let of_service = pool.runs_fill_of(job.now(), &job.service);
@@ -180,7 +182,7 @@
     }
 }
 
-fn nobody(job: &Job, need: &Need, tries: &RefCell<Tries>) -> Reply {
+fn nobody(job: &Job, need: &Need, tries: &RefCell<Attempts>) -> Reply {
     let free_in = job.until_any_is_free(need);
     log::warn!(
         event = "no_upstream", req = &*job.request_id, service = &*job.service,
@@ -196,7 +198,7 @@
     }
 }
 
-async fn try_one(job: &Job, ix: UpstreamIx, need: Need, tries: &RefCell<Tries>) -> Tried {
+async fn try_one(job: &Job, ix: UpstreamIx, need: Need, tries: &RefCell<Attempts>) -> Tried {
     note_choice(job, ix);
     let placed = job.node.place(ix, need);
     let backup = place_backup(job, ix, need);
@@ -208,7 +210,7 @@
         memory: None,
         last_event_id: job.ask.last_event_id,
     };
-    let sending = send(job, ix, &extras, || tries.borrow_mut().note_sent());
+    let sending = send(job, ix, &extras, || tries.borrow_mut().record_sent());
     let sent = match silence_limit(job) {
         Some(limit) => match tokio::time::timeout(limit, sending).await {
             Ok(sent) => sent,
@@ -218,9 +220,9 @@
     };
     match sent {
         Ok(opened) => judge(job, ix, opened, placed, backup).await,
-        Err(Unanswered::NeverSent(why)) => Tried::failed(TryOutcome::NeverSent, why),
-        Err(Unanswered::Withheld(why)) => Tried::failed(TryOutcome::Withheld, why),
-        Err(Unanswered::Lost(why)) => Tried::failed(TryOutcome::Lost, why),
+        Err(Unanswered::NeverSent(why)) => Tried::failed(AttemptOutcome::NeverSent, why),
+        Err(Unanswered::Withheld(why)) => Tried::failed(AttemptOutcome::Withheld, why),
+        Err(Unanswered::Lost(why)) => Tried::failed(AttemptOutcome::Lost, why),
     }
 }
 
@@ -242,13 +244,13 @@
 
 /// Longest wait for a head when another upstream may be asked instead.
 fn silence_limit(job: &Job) -> Option<Duration> {
-    let plain = job.engine.is_none() && job.route.repeat.may_run_again();
+    let plain = job.engine.is_none() && job.route.kind.is_retryable();
     plain.then(|| job.route.objective * SILENT_OBJECTIVES)
 }
 
 /// Place for a copy of a long stream, if memory is plentiful.
 pub fn place_backup(job: &Job, at: UpstreamIx, need: Need) -> Option<PlacedGuard> {
-    let can_keep = job.engine.is_some_and(|e| e.backups) && job.route.repeat.is_stream();
+    let can_keep = job.engine.is_some_and(|e| e.can_back_up) && job.route.kind.is_stream();
     let keeps = can_keep && job.node.policy.uses(Mechanism::Copies);
     if !keeps || job.expected_tokens() < WORTH_SAVING_TOKENS {
         return None;
@@ -276,23 +278,23 @@
     match head.claim {
         RunClaim::MayHaveRun => {}
         RunClaim::NotRun => {
-            return Tried::failed(TryOutcome::NotRun, format!("turned away with {status}"));
+            return Tried::failed(AttemptOutcome::NotRun, format!("turned away with {status}"));
         }
         RunClaim::WrongInstance => {
-            return Tried::failed(TryOutcome::WrongInstance, "another instance is there");
+            return Tried::failed(AttemptOutcome::WrongInstance, "another instance is there");
         }
     }
     if status.is_success() && !head.sealed {
-        return Tried::failed(TryOutcome::Lost, "an answer without a seal");
+        return Tried::failed(AttemptOutcome::Lost, "an answer without a seal");
     }
-    if status.is_success() && job.route.repeat.is_stream() {
+    if status.is_success() && job.route.kind.is_stream() {
         let begun = Begun {
             opened,
             placed,
             backup,
         };
         return Tried {
-            outcome: TryOutcome::Answered,
+            outcome: AttemptOutcome::Answered,
             why: String::new(),
             reply: Some(Reply::Stream(Box::new(begun))),
         };
@@ -300,14 +302,14 @@
     match read_whole(job, ix, opened).await {
         Ok((parts, bytes)) => Tried {
             outcome: if status.is_server_error() {
-                TryOutcome::Failed
+                AttemptOutcome::Failed
             } else {
-                TryOutcome::Answered
+                AttemptOutcome::Answered
             },
             why: status.to_string(),
             reply: Some(Reply::Whole(parts, bytes)),
         },
-        Err(why) => Tried::failed(TryOutcome::Lost, why),
+        Err(why) => Tried::failed(AttemptOutcome::Lost, why),
     }
 }
 
@@ -315,21 +317,21 @@
 fn note(job: &Job, ix: UpstreamIx, tried: &Tried) {
     let now = job.now();
     let outcome = format!("{:?}", tried.outcome);
-    if tried.outcome == TryOutcome::NeverSent {
+    if tried.outcome == AttemptOutcome::NeverSent {
         job.node.note_unreachable(ix);
     }
     job.node.metrics.tries.with_label_values(&[&outcome]).inc();
     let mut pool = job.node.pool.borrow_mut();
-    if tried.outcome != TryOutcome::Withheld {
-        pool.note_outcome(ix, tried.outcome != TryOutcome::Answered);
+    if tried.outcome != AttemptOutcome::Withheld {
+        pool.note_outcome(ix, tried.outcome != AttemptOutcome::Answered);
     }
     match tried.outcome {
-        TryOutcome::NeverSent | TryOutcome::Lost => pool.avoid(now, ix, AVOID_UNREACHABLE),
-        TryOutcome::NotRun => pool.avoid(now, ix, AVOID_FULL),
-        TryOutcome::WrongInstance => pool.avoid(now, ix, AVOID_MISTAKEN),
-        TryOutcome::Withheld | TryOutcome::Failed | TryOutcome::Answered => {}
+        AttemptOutcome::NeverSent | AttemptOutcome::Lost => pool.avoid(now, ix, AVOID_UNREACHABLE),
+        AttemptOutcome::NotRun => pool.avoid(now, ix, AVOID_FULL),
+        AttemptOutcome::WrongInstance => pool.avoid(now, ix, AVOID_MISTAKEN),
+        AttemptOutcome::Withheld | AttemptOutcome::Failed | AttemptOutcome::Answered => {}
     }
-    if tried.outcome != TryOutcome::Answered {
+    if tried.outcome != AttemptOutcome::Answered {
         log::warn!(
             event = "try_failed", req = &*job.request_id, route = &*job.route.name,
             instance = &*pool.record(ix).instance, outcome = outcome,
--- a/fireflydirect/src/conditions.rs
+++ b/fireflydirect/src/conditions.rs
@@ -3,18 +3,20 @@
 use crate::figure::or_empty;
 use crate::job::Job;
 use crate::node::Node;
-use fireflycroft::{AnswerHead, Life, RateChange, RateLimit, RunClaim, Time, ToldRate, UpstreamIx};
+use fireflycroft::{
+    Life, RateChange, RateLimit, ResponseHead, RunClaim, Time, ToldRate, UpstreamIx,
+};
 use hyper::StatusCode;
 use std::time::Duration;
 
 /// Takes what the head of an answer to a request of `sent` says of the upstream.
-pub fn take(job: &Job, ix: UpstreamIx, sent: Time, status: StatusCode, head: &AnswerHead) {
+pub fn take(job: &Job, ix: UpstreamIx, sent: Time, status: StatusCode, head: &ResponseHead) {
     if head.claim == RunClaim::WrongInstance {
         return;
     }
     let node = &job.node;
     let said = &head.conditions;
-    if let Some(span) = said.pause {
+    if let Some(span) = said.backoff {
         node.pool.borrow_mut().pause(node.now(), ix, span);
         say_paused(node, ix, span);
     }
--- a/fireflydirect/src/exchange.rs
+++ b/fireflydirect/src/exchange.rs
@@ -4,7 +4,7 @@
 use crate::job::Job;
 use crate::links::Link;
 use bytes::Bytes;
-use fireflycroft::{AnswerHead, Dispatch, MemoryCopy, RunClaim, UpstreamIx};
+use fireflycroft::{Dispatch, MemoryCopy, ResponseHead, RunClaim, UpstreamIx};
 use fireflycroft_platform::{read_answer_head, upstream_headers};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::Request;
@@ -44,7 +44,7 @@
     /// Status and headers.
     pub parts: Parts,
     /// What they say of the request.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// The body, still to come.
     pub body: Incoming,
     /// The connection; dropping it ends the upstream's work.
@@ -86,7 +86,7 @@
     on_sent: impl FnOnce(),
 ) -> Result<Opened, Unanswered> {
     let record = job.node.pool.borrow().record(ix).clone();
-    let most_idle = if job.route.repeat.may_run_again() {
+    let most_idle = if job.route.kind.is_retryable() {
         REPEATABLE_IDLE
     } else {
         ONCE_IDLE
@@ -191,7 +191,7 @@
 }
 
 /// Hands a connection back after a whole answer, unless the upstream closes it.
-pub fn give_back(job: &Job, ix: UpstreamIx, head: &AnswerHead, link: Link) {
+pub fn give_back(job: &Job, ix: UpstreamIx, head: &ResponseHead, link: Link) {
     if head.closes || head.claim != RunClaim::MayHaveRun {
         return;
     }
--- a/fireflydirect/src/generation.rs
+++ b/fireflydirect/src/generation.rs
@@ -16,7 +16,7 @@
 use crate::repeats;
 use crate::runs::Run;
 use bytes::Bytes;
-use fireflycroft::{AnswerHead, Code, EventRelay, MemoryCopy, Need, Time, UpstreamIx};
+use fireflycroft::{Code, EventRelay, MemoryCopy, Need, ResponseHead, Time, UpstreamIx};
 use futures_util::stream::unfold;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
@@ -45,7 +45,7 @@
 struct Source {
     body: Incoming,
     link: crate::links::Link,
-    head: AnswerHead,
+    head: ResponseHead,
 }
 
 /// A stream on its way to the caller.
@@ -136,7 +136,7 @@
             unread: 0,
             ..job.need()
         }),
-        can_move: job.engine.is_some_and(|e| e.moves),
+        can_move: job.engine.is_some_and(|e| e.can_migrate),
         token_copy_time: job.engine.map_or(Duration::ZERO, |e| e.token_copy_time),
     });
     // Notice may have come between the choice of the upstream and the head of its answer.
@@ -259,7 +259,7 @@
     fn note_end(&self, end: &str) {
         let metrics = &self.job.node.metrics;
         metrics.streams.with_label_values(&[end]).inc();
-        let kind = kind_word(self.job.route.repeat);
+        let kind = kind_word(self.job.route.kind);
         let pauses = metrics.pause_seconds.with_label_values(&[kind]);
         pauses.observe(self.pauses.longest.as_secs_f64());
     }
@@ -361,7 +361,7 @@
                 placed: None,
             });
         }
-        if !self.job.route.repeat.may_run_again() || self.breaks > self.job.route.max_attempts {
+        if !self.job.route.kind.is_retryable() || self.breaks > self.job.route.max_attempts {
             return None;
         }
         let pool = self.job.node.pool.borrow();
--- a/fireflydirect/src/job.rs
+++ b/fireflydirect/src/job.rs
@@ -3,7 +3,9 @@
 use crate::loads;
 use crate::node::Node;
 use bytes::Bytes;
-use fireflycroft::{Ask, Digest, EngineSpec, Name, Need, RegionSet, RouteSpec, Time, UpstreamIx};
+use fireflycroft::{
+    Digest, EngineSpec, Name, Need, RegionSet, RequestHead, RouteSpec, Time, UpstreamIx,
+};
 use hyper::{HeaderMap, Method, Uri};
 use rand::Rng;
 use std::rc::Rc;
@@ -29,7 +31,7 @@
     /// Urgency that the operator gave workspace or route; 0 goes first.
     pub rank: u8,
     /// What the head says.
-    pub ask: Ask,
+    pub ask: RequestHead,
     /// Worth for the memory that it holds, as the logarithm against its kind.
     pub yields: f64,
     /// The caller's id of this attempt.
--- a/fireflydirect/src/metrics.rs
+++ b/fireflydirect/src/metrics.rs
@@ -5,7 +5,7 @@
 
 use crate::node::Node;
 use crate::store_call::StoreCall;
-use fireflycroft::{Code, Pool, Repeat, Time};
+use fireflycroft::{Code, Pool, RequestKind, Time};
 use fireflycroft_platform::Kind;
 use prometheus::core::Collector;
 use prometheus::{
@@ -60,12 +60,12 @@
 
 /// Word of a kind of request, in labels.
 #[must_use]
-pub const fn kind_word(repeat: Repeat) -> &'static str {
+pub const fn kind_word(repeat: RequestKind) -> &'static str {
     match repeat {
-        Repeat::Idempotent => "idempotent",
-        Repeat::Once => "once",
-        Repeat::Stream => "stream",
-        Repeat::ResumableStream => "resumable_stream",
+        RequestKind::Idempotent => "idempotent",
+        RequestKind::Once => "once",
+        RequestKind::Stream => "stream",
+        RequestKind::ResumableStream => "resumable_stream",
     }
 }
 
@@ -191,7 +191,7 @@
     }
 
     /// Notes an answer to a caller.
-    pub fn note_answer(&self, repeat: Option<Repeat>, code: Code, age: Duration) {
+    pub fn note_answer(&self, repeat: Option<RequestKind>, code: Code, age: Duration) {
         let kind = repeat.map_or("none", kind_word);
         let code = code.number().to_string();
         self.answers.with_label_values(&[kind, &code]).inc();
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -9,7 +9,8 @@
 use crate::node::{Node, Stage};
 use bytes::Bytes;
 use fireflycroft::{
-    Ask, Catalog, Code, Digest, Mechanism, Name, RouteSpec, SOON, Time, WorkspaceSpec, back_after,
+    Catalog, Code, Digest, Mechanism, Name, RequestHead, RouteSpec, SOON, Time, WorkspaceSpec,
+    back_after,
 };
 use fireflycroft_platform::read_ask;
 use http_body_util::{BodyExt, Limited};
@@ -78,7 +79,7 @@
         Reply::Stream(begun) => (Code::Ok, begun.opened.parts.status.as_u16()),
         Reply::Own(code, _) => (*code, code.status()),
     };
-    let repeat = Some(job.route.repeat);
+    let repeat = Some(job.route.kind);
     job.node.metrics.note_answer(repeat, code, job.age());
     // What failed is kept before what was served when lines have to be dropped.
     let level = if code == Code::Ok && status < 500 {
@@ -104,7 +105,7 @@
     node: &Rc<Node>,
     arrival: Time,
     parts: Parts,
-    ask: Ask,
+    ask: RequestHead,
     body: Incoming,
 ) -> Result<Job, Refusal> {
     if node.stage() == Stage::Closing {
@@ -132,8 +133,11 @@
     }
     node.budget.borrow_mut().note_request(node.now(), &service);
     let engine = catalog.service(&service).and_then(|s| s.engine);
-    let workspace_homes = workspace.map_or(&[][..], |w| &w.homes);
-    let homes = node.pool.borrow().homes(&route.homes, workspace_homes);
+    let workspace_homes = workspace.map_or(&[][..], |w| &w.allowed_regions);
+    let homes = node
+        .pool
+        .borrow()
+        .homes(&route.allowed_regions, workspace_homes);
     let workspace_rank = workspace.and_then(|w| w.rank);
     let patience = ask.deadline.map_or(route.timeout, |d| d.min(route.timeout));
     let mut job = Job {
@@ -183,10 +187,10 @@
 fn check_key<'a>(
     catalog: &'a Catalog,
     route: &RouteSpec,
-    ask: &Ask,
+    ask: &RequestHead,
 ) -> Result<Option<&'a WorkspaceSpec>, Refusal> {
     let workspace = ask.key.as_ref().and_then(|key| catalog.workspace(key));
-    if workspace.is_none() && catalog.asks_keys() && !route.open {
+    if workspace.is_none() && catalog.requires_keys() && !route.open {
         return Err(refusal(Code::KeyRefused));
     }
     Ok(workspace)
@@ -202,7 +206,7 @@
 }
 
 /// Digest by which a request that comes again is known, whatever its id.
-fn digest(parts: &Parts, ask: &Ask, body: &Bytes) -> Digest {
+fn digest(parts: &Parts, ask: &RequestHead, body: &Bytes) -> Digest {
     let path = parts.uri.path_and_query().map_or("", |p| p.as_str());
     let key: Name = ask.key.clone().unwrap_or_default();
     Digest::of(&[path.as_bytes(), key.as_bytes(), body])
