--- a/fireflycroft/src/fleet_view.rs
+++ b/fireflycroft/src/fleet_view.rs
@@ -11,25 +11,25 @@
 
 /// Time after its start in which an entry hears of nearly all others: those that watch the store have
 /// heard from each of them, and name them all.
-pub const ALL_HEARD_AFTER: Duration = Duration::from_secs(2);
+pub const FULL_VIEW_AFTER: Duration = Duration::from_secs(2);
 
 /// The entries that an entry knows, by hearsay too.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetView {
-    me: Ipv4Addr,
+    own_addr: Ipv4Addr,
     others: Vec<Ipv4Addr>,
     /// Entries that are taken to be there without having been heard of.
-    unheard: usize,
+    assumed: usize,
 }
 
 impl FleetView {
     /// The fleet of this entry and `others`.
     #[must_use]
-    pub fn new(me: Ipv4Addr, others: impl IntoIterator<Item = Ipv4Addr>) -> Self {
+    pub fn new(own_addr: Ipv4Addr, others: impl IntoIterator<Item = Ipv4Addr>) -> Self {
         Self {
-            me,
+            own_addr,
             others: others.into_iter().collect(),
-            unheard: 0,
+            assumed: 0,
         }
     }
 
@@ -38,33 +38,33 @@
     /// An entry that has just started has heard of few, and in a fleet that starts as a whole so have
     /// the others.
     #[must_use]
-    pub fn unknown(me: Ipv4Addr) -> Self {
-        Self::new(me, []).at_least(usize::MAX)
+    pub fn unknown(own_addr: Ipv4Addr) -> Self {
+        Self::new(own_addr, []).at_least(usize::MAX)
     }
 
     /// The same fleet, taken to have at least so many entries.
     #[must_use]
     pub fn at_least(mut self, entries: usize) -> Self {
-        self.unheard = entries.saturating_sub(1 + self.others.len());
+        self.assumed = entries.saturating_sub(1 + self.others.len());
         self
     }
 
     /// Number of entries, this one included.
     #[must_use]
     pub const fn entries(&self) -> usize {
-        (1 + self.others.len()).saturating_add(self.unheard)
+        (1 + self.others.len()).saturating_add(self.assumed)
     }
 
     /// This entry's part of `whole`; those that weren't heard of are taken to rank before it.
-    pub(crate) fn part(&self, key: OwnedKey, whole: usize) -> usize {
+    pub(crate) fn share_of(&self, key: OwnedKey, whole: usize) -> usize {
         let each = whole / self.entries();
-        let left = whole % self.entries();
-        if left <= self.unheard {
+        let remainder = whole % self.entries();
+        if remainder <= self.assumed {
             return each;
         }
-        let before = self.others.iter();
-        let before = before.filter(|ip| key.rank(**ip) > key.rank(self.me));
-        each + usize::from(before.count() + self.unheard < left)
+        let ranked_before = self.others.iter();
+        let ranked_before = ranked_before.filter(|ip| key.rank(**ip) > key.rank(self.own_addr));
+        each + usize::from(ranked_before.count() + self.assumed < remainder)
     }
 }
 
--- a/fireflycroft/src/overlap.rs
+++ b/fireflycroft/src/hedging.rs
@@ -15,22 +15,22 @@
 
 /// Tries of one call at a time: two may hang beside one that is answered, and a page of a megabyte
 /// is held no more than three times.
-pub const MOST_TRIES: usize = 3;
+pub const MAX_HEDGED_ATTEMPTS: usize = 3;
 
 /// Factor by which each further try waits longer than the one before.
-const GAP_GROWTH: f64 = 1.5;
+const HEDGE_DELAY_GROWTH: f64 = 1.5;
 
 /// One of the tries of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct TryId(u64);
+pub struct AttemptId(u64);
 
 /// What is to be done about a call now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OverlapStep {
+pub enum HedgeStep {
     /// Begin another try.
-    Start(TryId),
+    Start(AttemptId),
     /// Drop a try that hangs, to make room for another.
-    Abandon(TryId),
+    Abandon(AttemptId),
     /// Wait for an answer until then.
     Wait(Time),
     /// Nothing came for too long, and no further try is allowed.
@@ -39,25 +39,25 @@
 
 /// The tries of one call.
 #[derive(Clone, Debug)]
-pub struct Overlap {
-    patience: Duration,
-    longest_gap: Duration,
-    gap: Duration,
-    most: usize,
-    running: Vec<(TryId, Time)>,
+pub struct HedgedCall {
+    progress_timeout: Duration,
+    max_delay: Duration,
+    delay: Duration,
+    max_attempts: usize,
+    running: Vec<(AttemptId, Time)>,
     started: u64,
 }
 
-impl Overlap {
+impl HedgedCall {
     /// Tries that begin `patience` after the last sign of progress, further ones later, up to
     /// `longest_gap`.
     #[must_use]
-    pub fn new(patience: Duration, longest_gap: Duration) -> Self {
+    pub fn new(progress_timeout: Duration, max_delay: Duration) -> Self {
         Self {
-            patience,
-            longest_gap: longest_gap.max(patience),
-            gap: patience,
-            most: MOST_TRIES,
+            progress_timeout,
+            max_delay: max_delay.max(progress_timeout),
+            delay: progress_timeout,
+            max_attempts: MAX_HEDGED_ATTEMPTS,
             running: Vec::new(),
             started: 0,
         }
@@ -65,51 +65,51 @@
 
     /// A single try, given up after `patience` without progress.
     #[must_use]
-    pub fn single(patience: Duration) -> Self {
+    pub fn single(progress_timeout: Duration) -> Self {
         Self {
-            most: 1,
-            ..Self::new(patience, patience)
+            max_attempts: 1,
+            ..Self::new(progress_timeout, progress_timeout)
         }
     }
 
     /// Decides what to do now.
-    pub fn next(&mut self, now: Time) -> OverlapStep {
-        let Some(moved_at) = self.running.iter().map(|(_, at)| *at).max() else {
+    pub fn next(&mut self, now: Time) -> HedgeStep {
+        let Some(progress_at) = self.running.iter().map(|(_, at)| *at).max() else {
             return self.start(now);
         };
-        if now.since(moved_at) < self.gap {
-            return OverlapStep::Wait(moved_at + self.gap);
+        if now.since(progress_at) < self.delay {
+            return HedgeStep::Wait(progress_at + self.delay);
         }
-        if self.most == 1 {
-            return OverlapStep::GiveUp;
+        if self.max_attempts == 1 {
+            return HedgeStep::GiveUp;
         }
-        if self.running.len() < self.most {
+        if self.running.len() < self.max_attempts {
             return self.start(now);
         }
         let (oldest, _) = self.running.remove(0);
-        OverlapStep::Abandon(oldest)
+        HedgeStep::Abandon(oldest)
     }
 
-    fn start(&mut self, now: Time) -> OverlapStep {
+    fn start(&mut self, now: Time) -> HedgeStep {
         if self.started > 0 {
-            self.gap = self.gap.mul_f64(GAP_GROWTH).min(self.longest_gap);
+            self.delay = self.delay.mul_f64(HEDGE_DELAY_GROWTH).min(self.max_delay);
         }
         self.started += 1;
-        let id = TryId(self.started);
+        let id = AttemptId(self.started);
         self.running.push((id, now));
-        OverlapStep::Start(id)
+        HedgeStep::Start(id)
     }
 
     /// Notes that bytes came for a try.
-    pub fn note_progress(&mut self, now: Time, id: TryId) {
-        self.gap = self.patience;
+    pub fn record_progress(&mut self, now: Time, id: AttemptId) {
+        self.delay = self.progress_timeout;
         if let Some((_, at)) = self.running.iter_mut().find(|(i, _)| *i == id) {
             *at = now;
         }
     }
 
     /// Notes that a try has failed; true when it was the last one running.
-    pub fn note_failed(&mut self, id: TryId) -> bool {
+    pub fn record_failure(&mut self, id: AttemptId) -> bool {
         self.running.retain(|(i, _)| *i != id);
         self.running.is_empty()
     }
--- a/fireflycroft/src/missing.rs
+++ b/fireflycroft/src/missing.rs
@@ -4,10 +4,10 @@
 //! upstream that isn't there any more is gone is decided here, by [`StoreContact`].
 //! What another entry tells as removed is gone: it has decided the same.
 
-use crate::contact::StoreContact;
 use crate::ids::Name;
 use crate::listing::PoolChange;
 use crate::pool::Pool;
+use crate::store_connectivity::StoreConnectivity;
 use crate::time::Time;
 use crate::upstream::{UpstreamIx, UpstreamRecord};
 use std::collections::HashSet;
@@ -25,27 +25,27 @@
 impl Pool {
     /// Sets the time between two heartbeats of an upstream.
     pub const fn set_heartbeat(&mut self, heartbeat: Duration) {
-        self.contact = StoreContact::new(heartbeat);
+        self.contact = StoreConnectivity::new(heartbeat);
     }
 
     /// Notes that the store answered; true when records may have lapsed before.
     pub fn note_contact(&mut self, at: Time) -> bool {
-        self.contact.note(at)
+        self.contact.record_answer(at)
     }
 
     /// Notes that it has come back from a copy.
     pub const fn note_restored(&mut self, at: Time) {
-        self.contact.note_restored(at);
+        self.contact.record_restored(at);
     }
 
     /// Notes that it didn't.
     pub const fn note_no_contact(&mut self) {
-        self.contact.note_failure();
+        self.contact.record_failure();
     }
 
     /// When the store answered, as far as is known.
     #[must_use]
-    pub const fn contact(&self) -> &StoreContact {
+    pub const fn contact(&self) -> &StoreConnectivity {
         &self.contact
     }
 
@@ -57,7 +57,7 @@
 
     /// Takes the removal of a record, read from the store.
     pub fn remove(&mut self, now: Time, instance: &str, revision: u64) -> Option<PoolChange> {
-        let is_gone = self.contact.believes_removals(now);
+        let is_gone = self.contact.confirms_removals(now);
         self.lose(now, instance, revision, is_gone)
     }
 
--- a/fireflycroft/src/pool.rs
+++ b/fireflycroft/src/pool.rs
@@ -6,7 +6,6 @@
 //! of. A generation goes where the least of the memory is spoken for.
 
 use crate::cold::{COLD_SPAN, ColdShare};
-use crate::contact::StoreContact;
 use crate::evacuation::Evacuations;
 use crate::fleet_view::FleetView;
 use crate::ids::Name;
@@ -17,6 +16,7 @@
 use crate::placed::{Need, Placed};
 use crate::rate_limit::LONGEST_RATE_SPAN;
 use crate::region::Regions;
+use crate::store_connectivity::StoreConnectivity;
 use crate::time::Time;
 use crate::upstream::{
     FAR_COPY_COST, LIMITED_COPY_COST, READ_FOR, SeenBy, Upstream, UpstreamIx, UpstreamRecord,
@@ -36,7 +36,7 @@
     pub(crate) complete_to: u64,
     /// Revision of the last whole list that was read from the store.
     pub(crate) listed_at: u64,
-    pub(crate) contact: StoreContact,
+    pub(crate) contact: StoreConnectivity,
     /// Time for which an upstream that leaves may get requests; none until it is set.
     pub(crate) drain_timeout: Duration,
     pub(crate) changes: VecDeque<(Time, ListChange)>,
--- a/fireflycroft/src/rate_limit.rs
+++ b/fireflycroft/src/rate_limit.rs
@@ -90,7 +90,7 @@
 
     /// Requests of one entry in the span.
     fn share(&self, fleet: &FleetView, upstream: &Name) -> usize {
-        fleet.part(OwnedKey::of_upstream(upstream), self.requests)
+        fleet.share_of(OwnedKey::of_upstream(upstream), self.requests)
     }
 }
 
--- a/fireflycroft/src/relay.rs
+++ b/fireflycroft/src/relay.rs
@@ -6,7 +6,7 @@
 //! and an event that is missing ends the stream instead of leaving a hole.
 
 /// Longest event that is held back, in bytes.
-pub const MAX_EVENT: usize = 1 << 20;
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Why a stream can't go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,10 +25,10 @@
 /// Whole events relayed so far, and the beginning of the next.
 #[derive(Clone, Debug, Default)]
 pub struct EventRelay {
-    held: Vec<u8>,
+    buffer: Vec<u8>,
     last: Option<u64>,
     relayed: u64,
-    numbered: bool,
+    has_ids: bool,
 }
 
 impl EventRelay {
@@ -47,24 +47,24 @@
     /// Whether bytes of an event that isn't complete are held.
     #[must_use]
     pub const fn is_mid_event(&self) -> bool {
-        !self.held.is_empty()
+        !self.buffer.is_empty()
     }
 
     /// Whether every event so far had an id, so that another run can go on.
     #[must_use]
-    pub const fn can_go_on(&self) -> bool {
-        self.relayed == 0 || self.numbered
+    pub const fn can_resume(&self) -> bool {
+        self.relayed == 0 || self.has_ids
     }
 
     /// Begins with a caller that has seen the event `last` already.
-    pub const fn start_after(&mut self, last: u64) {
+    pub const fn resume_after(&mut self, last: u64) {
         self.last = Some(last);
-        self.numbered = true;
+        self.has_ids = true;
     }
 
     /// Drops what is held of an event that broke off.
-    pub fn break_off(&mut self) {
-        self.held.clear();
+    pub fn discard_partial(&mut self) {
+        self.buffer.clear();
     }
 
     /// Takes bytes of the upstream; gives those of whole events to relay.
@@ -73,22 +73,22 @@
     ///
     /// A fault after which nothing more may be relayed.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<u8>, RelayFault> {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         let mut out = Vec::new();
-        let mut from = 0;
-        while let Some(len) = event_len(&self.held[from..]) {
-            let event = &self.held[from..from + len];
-            let id = event_id_of(event);
-            if is_next(self.last, id)? {
+        let mut start = 0;
+        while let Some(len) = event_len(&self.buffer[start..]) {
+            let event = &self.buffer[start..start + len];
+            let id = parse_event_id(event);
+            if is_new(self.last, id)? {
                 out.extend_from_slice(event);
                 self.relayed += 1;
-                self.numbered = id.is_some();
+                self.has_ids = id.is_some();
                 self.last = id.or(self.last);
             }
-            from += len;
+            start += len;
         }
-        self.held.drain(..from);
-        if self.held.len() > MAX_EVENT {
+        self.buffer.drain(..start);
+        if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(RelayFault::TooLong);
         }
         Ok(out)
@@ -97,12 +97,12 @@
     /// What is held when the upstream ended the stream properly.
     #[must_use]
     pub fn finish(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.held)
+        std::mem::take(&mut self.buffer)
     }
 }
 
 /// Whether an event comes after `last`; not so when it was relayed before.
-fn is_next(last: Option<u64>, id: Option<u64>) -> Result<bool, RelayFault> {
+fn is_new(last: Option<u64>, id: Option<u64>) -> Result<bool, RelayFault> {
     let (Some(last), Some(next)) = (last, id) else {
         return Ok(true);
     };
@@ -129,7 +129,7 @@
 }
 
 /// Number that the `id` line of an event gives.
-fn event_id_of(event: &[u8]) -> Option<u64> {
+fn parse_event_id(event: &[u8]) -> Option<u64> {
     event.split(|b| *b == b'\n').find_map(|line| {
         let value = line.strip_prefix(b"id:")?;
         std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/fireflycroft/src/contact.rs
+++ b/fireflycroft/src/store_connectivity.rs
@@ -24,39 +24,39 @@
 pub const SETTLE_TIME: Duration = Duration::from_millis(2_500);
 
 /// Time between two heartbeats of an upstream, where nothing else is told: the platform's own.
-const HEARTBEAT: Duration = Duration::from_millis(1_200);
+const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
 /// Heartbeats that the store may be silent for before a record can lapse.
 ///
 /// Three in a row have to be missing, and the last one before the silence is up to one old, so two
 /// pass at least. The silence that an entry sees is longer than the outage. A connection that hangs shows after 1.4 s, the loss of all entries that watch after 2.1 s
 /// at most; neither may pass for an outage.
-const HARMLESS_HEARTBEATS: u32 = 2;
+const TOLERATED_HEARTBEATS: u32 = 2;
 
 /// When the store answered, as far as its records depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StoreContact {
-    heartbeat: Duration,
+pub struct StoreConnectivity {
+    heartbeat_interval: Duration,
     answered_at: Option<Time>,
-    unbroken_since: Option<Time>,
+    connected_since: Option<Time>,
     /// Whether it is known to have been silent before that.
     was_silent: bool,
 }
 
-impl Default for StoreContact {
+impl Default for StoreConnectivity {
     fn default() -> Self {
-        Self::new(HEARTBEAT)
+        Self::new(DEFAULT_HEARTBEAT_INTERVAL)
     }
 }
 
-impl StoreContact {
+impl StoreConnectivity {
     /// A store that hasn't answered yet, whose upstreams send a heartbeat so often.
     #[must_use]
-    pub const fn new(heartbeat: Duration) -> Self {
+    pub const fn new(heartbeat_interval: Duration) -> Self {
         Self {
-            heartbeat,
+            heartbeat_interval,
             answered_at: None,
-            unbroken_since: None,
+            connected_since: None,
             was_silent: false,
         }
     }
@@ -64,14 +64,14 @@
     /// Notes that the store has come back from a copy, which lacks the newest records.
     ///
     /// Their upstreams write them again, as after an outage.
-    pub const fn note_restored(&mut self, at: Time) {
+    pub const fn record_restored(&mut self, at: Time) {
         self.answered_at = Some(at);
-        self.unbroken_since = Some(at);
+        self.connected_since = Some(at);
         self.was_silent = true;
     }
 
     /// Notes that a call was not answered.
-    pub const fn note_failure(&mut self) {
+    pub const fn record_failure(&mut self) {
         // Once it has answered, the time to the next answer tells.
         if self.answered_at.is_none() {
             self.was_silent = true;
@@ -80,28 +80,28 @@
 
     /// Notes that the store answered somebody; true when it had been silent for so long that records
     /// may have lapsed.
-    pub fn note(&mut self, at: Time) -> bool {
+    pub fn record_answer(&mut self, at: Time) -> bool {
         let last = self.answered_at.replace(at);
         let Some(last) = last else {
-            self.unbroken_since = Some(at);
+            self.connected_since = Some(at);
             return self.was_silent;
         };
         self.answered_at = Some(last.max(at));
-        let breaks = self.may_lapse(last, at);
-        if breaks {
-            self.unbroken_since = Some(at);
+        let was_interrupted = self.may_expire(last, at);
+        if was_interrupted {
+            self.connected_since = Some(at);
             self.was_silent = true;
         }
-        breaks
+        was_interrupted
     }
 
     /// Time since the first answer after the last silence in which records may have lapsed; none in
     /// such a silence.
     #[must_use]
-    pub fn unbroken_for(&self, now: Time) -> Option<Duration> {
+    pub fn connected_for(&self, now: Time) -> Option<Duration> {
         let last = self.answered_at?;
-        let since = self.unbroken_since?;
-        (!self.may_lapse(last, now)).then(|| now.since(since))
+        let since = self.connected_since?;
+        (!self.may_expire(last, now)).then(|| now.since(since))
     }
 
     /// Whether a removal read now is that of an upstream that is gone.
@@ -109,24 +109,24 @@
     /// That is believed by an entry that has just started, too: the record was there when it listed
     /// the store, and what runs on the upstream has to be saved soon.
     #[must_use]
-    pub fn believes_removals(&self, now: Time) -> bool {
+    pub fn confirms_removals(&self, now: Time) -> bool {
         !self.was_silent || self.is_settled(now)
     }
 
     /// Whether what the list lacks is gone.
     #[must_use]
     pub fn is_settled(&self, now: Time) -> bool {
-        let unbroken = self.unbroken_for(now);
-        unbroken.is_some_and(|span| span >= SETTLE_TIME)
+        let connected_for = self.connected_for(now);
+        connected_for.is_some_and(|span| span >= SETTLE_TIME)
     }
 
     /// When that is so, if the store goes on answering.
     #[must_use]
     pub fn settles_at(&self) -> Option<Time> {
-        self.unbroken_since.map(|since| since + SETTLE_TIME)
+        self.connected_since.map(|since| since + SETTLE_TIME)
     }
 
-    fn may_lapse(&self, from: Time, to: Time) -> bool {
-        to.since(from) >= self.heartbeat * HARMLESS_HEARTBEATS
+    fn may_expire(&self, from: Time, to: Time) -> bool {
+        to.since(from) >= self.heartbeat_interval * TOLERATED_HEARTBEATS
     }
 }
--- /dev/null
+++ b/fireflycroft/tests/hedging.rs
@@ -0,0 +1,125 @@
+//! Tries that overlap: when another begins, when one is dropped, and how many there are.
+
+#[macro_use]
+#[path = "support/cases.rs"]
+mod cases;
+
+use fireflycroft::{AttemptId, HedgeStep, HedgedCall, MAX_HEDGED_ATTEMPTS, Time};
+use std::time::Duration;
+
+const PROGRESS_TIMEOUT: Duration = Duration::from_millis(450);
+const MAX_DELAY: Duration = Duration::from_millis(700);
+
+cases! {
+    first_try_begins_at_once => assert!(matches!(hedged_call().next(at(0)), HedgeStep::Start(_)));
+    silence_begins_another_beside_it => begins_another();
+    bytes_that_come_begin_no_other => nothing_beside_progress();
+    full_set_drops_its_oldest => drops_oldest();
+    single_try_is_given_up => gives_up();
+    failed_try_leaves_the_others => leaves_others();
+    progress_shortens_the_gap_again => shortens_delay();
+    minute_of_silence_takes_bounded_tries => bounded();
+    back_store_is_asked_within_the_longest_gap => asked_soon();
+}
+
+fn at(millis: u64) -> Time {
+    Time::from_millis(millis)
+}
+
+fn hedged_call() -> HedgedCall {
+    HedgedCall::new(PROGRESS_TIMEOUT, MAX_DELAY)
+}
+
+fn begin(call: &mut HedgedCall, now: Time) -> AttemptId {
+    match call.next(now) {
+        HedgeStep::Start(id) => id,
+        other => panic!("{other:?}"),
+    }
+}
+
+fn begins_another() {
+    let mut call = hedged_call();
+    let first = begin(&mut call, at(0));
+    assert_eq!(call.next(at(449)), HedgeStep::Wait(at(450)));
+    let second = begin(&mut call, at(450));
+    assert_ne!(first, second);
+    // The first still runs: its failure alone ends nothing.
+    assert!(!call.record_failure(first));
+}
+
+fn nothing_beside_progress() {
+    let mut call = hedged_call();
+    let first = begin(&mut call, at(0));
+    for tenth in 1..100 {
+        let now = at(tenth * 400);
+        call.record_progress(now, first);
+        assert_eq!(call.next(now), HedgeStep::Wait(now + PROGRESS_TIMEOUT));
+    }
+    assert_eq!(call.started(), 1);
+}
+
+fn drops_oldest() {
+    let mut call = hedged_call();
+    let first = begin(&mut call, at(0));
+    begin(&mut call, at(1_000));
+    begin(&mut call, at(2_000));
+    assert_eq!(call.next(at(3_000)), HedgeStep::Abandon(first));
+    begin(&mut call, at(3_000));
+}
+
+fn gives_up() {
+    let mut call = HedgedCall::single(PROGRESS_TIMEOUT);
+    let only = begin(&mut call, at(0));
+    call.record_progress(at(400), only);
+    assert_eq!(call.next(at(449)), HedgeStep::Wait(at(850)));
+    assert_eq!(call.next(at(850)), HedgeStep::GiveUp);
+}
+
+fn leaves_others() {
+    let mut call = hedged_call();
+    let first = begin(&mut call, at(0));
+    let second = begin(&mut call, at(450));
+    assert!(!call.record_failure(second));
+    assert!(call.record_failure(first));
+}
+
+fn shortens_delay() {
+    let mut call = hedged_call();
+    begin(&mut call, at(0));
+    let second = begin(&mut call, at(450));
+    assert_eq!(call.next(at(451)), HedgeStep::Wait(at(450 + 675)));
+    call.record_progress(at(500), second);
+    assert_eq!(call.next(at(501)), HedgeStep::Wait(at(950)));
+}
+
+/// Plays silence until `end`; gives the moments at which tries began.
+fn silence(end: u64) -> Vec<Time> {
+    let mut call = hedged_call();
+    let (mut now, mut begun) = (at(0), Vec::new());
+    let mut running = 0;
+    while now < at(end) {
+        match call.next(now) {
+            HedgeStep::Start(_) => {
+                begun.push(now);
+                running += 1;
+            }
+            HedgeStep::Abandon(_) => running -= 1,
+            HedgeStep::Wait(until) => now = until,
+            HedgeStep::GiveUp => panic!("gave up"),
+        }
+        assert!(running <= MAX_HEDGED_ATTEMPTS);
+    }
+    begun
+}
+
+fn bounded() {
+    let attempts = silence(60_000).len();
+    assert!((80..=90).contains(&attempts), "{attempts} attempts in a minute");
+}
+
+/// However long the silence lasts, a try begins within the longest gap after its end.
+fn asked_soon() {
+    let begun = silence(30_000);
+    let delays = begun.windows(2).map(|pair| pair[1].since(pair[0]));
+    assert!(delays.max().unwrap() <= MAX_DELAY);
+}
--- a/fireflycroft/tests/relay.rs
+++ b/fireflycroft/tests/relay.rs
@@ -4,7 +4,7 @@
 #[path = "support/cases.rs"]
 mod cases;
 
-use fireflycroft::{EventRelay, MAX_EVENT, RelayFault};
+use fireflycroft::{EventRelay, MAX_EVENT_BYTES, RelayFault};
 use proptest::prelude::*;
 
 cases! {
@@ -13,10 +13,10 @@
     overlap_is_dropped => drops_overlap();
     gap_ends_the_stream => gap_ends();
     events_without_ids_pass => without_ids_pass();
-    stream_without_ids_cannot_go_on => assert!(!relayed("data: x\n\n").can_go_on());
-    stream_with_ids_can_go_on => assert!(relayed("id: 1\ndata: x\n\n").can_go_on());
+    stream_without_ids_cannot_go_on => assert!(!relayed("data: x\n\n").can_resume());
+    stream_with_ids_can_go_on => assert!(relayed("id: 1\ndata: x\n\n").can_resume());
     lines_may_end_with_carriage_return => assert_eq!(relayed("id: 7\r\ndata: x\r\n\r\n").last_id(), Some(7));
-    caller_that_comes_back_gets_the_rest => comes_back();
+    caller_that_comes_back_gets_the_rest => caller_resumes();
     endless_event_is_a_fault => endless_is_a_fault();
     rest_after_a_proper_end_is_relayed => rest_is_relayed();
 }
@@ -42,7 +42,7 @@
 fn broken_is_not_relayed() {
     let mut relay = relayed(&event(1));
     assert!(relay.push(b"id: 2\ndata: hal").unwrap().is_empty());
-    relay.break_off();
+    relay.discard_partial();
     assert_eq!(
         relay.push(event(2).as_bytes()).unwrap(),
         event(2).as_bytes()
@@ -68,16 +68,16 @@
     assert_eq!(relay.relayed(), 2);
 }
 
-fn comes_back() {
+fn caller_resumes() {
     let mut relay = EventRelay::default();
-    relay.start_after(4);
+    relay.resume_after(4);
     let text = event(4) + &event(5);
     assert_eq!(relay.push(text.as_bytes()).unwrap(), event(5).as_bytes());
 }
 
 fn endless_is_a_fault() {
     let mut relay = EventRelay::default();
-    let endless = vec![b'x'; MAX_EVENT + 1];
+    let endless = vec![b'x'; MAX_EVENT_BYTES + 1];
     assert_eq!(relay.push(&endless), Err(RelayFault::TooLong));
 }
 
@@ -108,7 +108,7 @@
             for part in text.as_bytes()[..cut].chunks(piece) {
                 got.extend(relay.push(part).unwrap());
             }
-            relay.break_off();
+            relay.discard_partial();
         }
         let all: String = (1..=total).map(event).collect();
         prop_assert_eq!(String::from_utf8(got).unwrap(), all);
--- a/fireflycroft/tests/outage.rs
+++ b/fireflycroft/tests/unconfigured.rs
@@ -4,13 +4,13 @@
 #[path = "support/cases.rs"]
 mod cases;
 
-use fireflycroft::{SOON, START_TAKES, back_after};
+use fireflycroft::{STARTUP_RETRY_AFTER, STARTUP_TIME, unconfigured_retry_after};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use std::time::Duration;
 
 cases! {
-    entry_that_may_only_be_starting_is_tried_again_soon => assert_eq!(back_after(Duration::ZERO, 0.5), SOON);
+    entry_that_may_only_be_starting_is_tried_again_soon => assert_eq!(unconfigured_retry_after(Duration::ZERO, 0.5), STARTUP_RETRY_AFTER);
     wait_has_bounds => has_bounds();
     callers_are_spread => spreads();
     more_callers_are_served_after_short_and_long_outages => serves_more();
@@ -18,14 +18,14 @@
 
 fn has_bounds() {
     for draw in [-3.0, 0.0, 1.0, 70.0] {
-        assert!(back_after(START_TAKES, draw) >= millis(800));
-        assert!(back_after(Duration::from_hours(9), draw) <= millis(1_200));
+        assert!(unconfigured_retry_after(STARTUP_TIME, draw) >= millis(800));
+        assert!(unconfigured_retry_after(Duration::from_hours(9), draw) <= millis(1_200));
     }
 }
 
 fn spreads() {
     let age = millis(2_000);
-    assert!(back_after(age, 1.0) >= back_after(age, 0.0) + millis(250));
+    assert!(unconfigured_retry_after(age, 1.0) >= unconfigured_retry_after(age, 0.0) + millis(250));
 }
 
 fn millis(millis: u64) -> Duration {
@@ -62,10 +62,13 @@
 fn serves_more() {
     for outage in [millis(900), millis(1_800), millis(5_000), millis(20_000)] {
         let before = play(outage, |_, _| millis(100));
-        let now = play(outage, back_after);
+        let now = play(outage, unconfigured_retry_after);
         assert!(now.0 > 2 * before.0, "{outage:?}: {before:?}, then {now:?}");
         assert!(now.1 > 2 * before.1, "{outage:?}: {before:?}, then {now:?}");
     }
     assert_eq!(play(millis(1_800), |_, _| millis(100)), (166, 113));
-    assert_eq!(play(millis(1_800), back_after), (1_383, 1_119));
+    assert_eq!(
+        play(millis(1_800), unconfigured_retry_after),
+        (1_383, 1_119)
+    );
 }
--- a/fireflydirect/src/client.rs
+++ b/fireflydirect/src/client.rs
@@ -6,7 +6,7 @@
 use crate::clock::Clock;
 use crate::links::{Answered, Link, call_watched, open};
 use bytes::Bytes;
-use fireflycroft::{Overlap, OverlapStep, TryId};
+use fireflycroft::{AttemptId, HedgeStep, HedgedCall};
 use http_body_util::Full;
 use hyper::Request;
 use hyper::header::HOST;
@@ -17,7 +17,7 @@
 use tokio::task::{AbortHandle, JoinSet};
 
 /// What one try came to.
-type TryEnd = (TryId, anyhow::Result<(Link, Answered)>);
+type TryEnd = (AttemptId, anyhow::Result<(Link, Answered)>);
 
 /// A client of one address; one call at a time.
 pub struct Client {
@@ -28,9 +28,9 @@
 
 /// The tries of one call that are running.
 struct Running {
-    overlap: Rc<RefCell<Overlap>>,
+    overlap: Rc<RefCell<HedgedCall>>,
     tasks: JoinSet<TryEnd>,
-    handles: HashMap<TryId, AbortHandle>,
+    handles: HashMap<AttemptId, AbortHandle>,
 }
 
 impl Client {
@@ -54,7 +54,7 @@
     pub async fn get(
         &mut self,
         path: &str,
-        overlap: Overlap,
+        overlap: HedgedCall,
         on_hang: impl Fn(),
     ) -> anyhow::Result<Answered> {
         let mut running = Running {
@@ -65,15 +65,15 @@
         loop {
             let step = running.overlap.borrow_mut().next(self.clock.now());
             match step {
-                OverlapStep::Start(id) => {
+                HedgeStep::Start(id) => {
                     if running.overlap.borrow().started() > 1 {
                         on_hang();
                     }
                     self.start(&mut running, id, path)?;
                 }
-                OverlapStep::Abandon(id) => running.abandon(id),
-                OverlapStep::GiveUp => anyhow::bail!("no progress"),
-                OverlapStep::Wait(until) => {
+                HedgeStep::Abandon(id) => running.abandon(id),
+                HedgeStep::GiveUp => anyhow::bail!("no progress"),
+                HedgeStep::Wait(until) => {
                     let until = tokio::time::sleep_until(self.clock.instant(until));
                     let ended = tokio::select! {
                         ended = running.tasks.join_next() => ended,
@@ -88,15 +88,15 @@
         }
     }
 
-    fn start(&mut self, running: &mut Running, id: TryId, path: &str) -> anyhow::Result<()> {
+    fn start(&mut self, running: &mut Running, id: AttemptId, path: &str) -> anyhow::Result<()> {
         let req = Request::get(path)
             .header(HOST, self.addr.to_string())
             .body(Full::default())?;
         let (addr, clock, link) = (self.addr, self.clock, self.link.take());
         let overlap = running.overlap.clone();
         let handle = running.tasks.spawn_local(async move {
-            let note_progress = || overlap.borrow_mut().note_progress(clock.now(), id);
-            (id, exchange(addr, link, req, note_progress).await)
+            let record_progress = || overlap.borrow_mut().record_progress(clock.now(), id);
+            (id, exchange(addr, link, req, record_progress).await)
         });
         running.handles.insert(id, handle);
         Ok(())
@@ -104,7 +104,7 @@
 }
 
 impl Running {
-    fn abandon(&mut self, id: TryId) {
+    fn abandon(&mut self, id: AttemptId) {
         if let Some(handle) = self.handles.remove(&id) {
             handle.abort();
         }
@@ -118,7 +118,7 @@
         match ended {
             Some(Ok((_, Ok(answer)))) => Ok(Some(answer)),
             Some(Ok((id, Err(e)))) => {
-                let was_last = self.overlap.borrow_mut().note_failed(id);
+                let was_last = self.overlap.borrow_mut().record_failure(id);
                 if was_last { Err(e) } else { Ok(None) }
             }
             // A try that was dropped has nothing to say.
--- a/fireflydirect/src/config_read.rs
+++ b/fireflydirect/src/config_read.rs
@@ -4,7 +4,7 @@
 use crate::feed::decode_page;
 use crate::node::Node;
 use crate::store_call::{StoreCall, page_path};
-use fireflycroft::Overlap;
+use fireflycroft::HedgedCall;
 use fireflycroft_platform::Kind;
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
 async fn read_config_by(node: &Node, call: StoreCall) -> bool {
     let mut client = Client::new(node.place.store.addr, node.clock);
     let path = page_path(call, Kind::Config, None);
-    let overlap = Overlap::single(CONFIG_PATIENCE);
+    let overlap = HedgedCall::single(CONFIG_PATIENCE);
     let answer = client.get(&path, overlap, || ()).await;
     let metrics = &node.metrics;
     metrics.note_store_call(Kind::Config, call, answer.is_ok());
--- a/fireflydirect/src/contact.rs
+++ b/fireflydirect/src/contact.rs
@@ -89,7 +89,7 @@
     #[must_use]
     pub fn contact_ms(&self) -> Option<u128> {
         let pool = self.pool.borrow();
-        let unbroken = pool.contact().unbroken_for(self.now());
+        let unbroken = pool.contact().connected_for(self.now());
         unbroken.map(|span| span.as_millis())
     }
 
--- a/fireflydirect/src/feed.rs
+++ b/fireflydirect/src/feed.rs
@@ -13,7 +13,7 @@
 use crate::links::Answered;
 use crate::node::Node;
 use crate::store_call::{StoreCall, page_path};
-use fireflycroft::{Mechanism, Name, Overlap, era_of};
+use fireflycroft::{HedgedCall, Mechanism, Name, era_of};
 use fireflycroft_platform::{
     Kind, StoreFault, StoreObject, StorePage, read_era, read_events, read_page, watch_path,
 };
@@ -244,11 +244,11 @@
     }
 
     /// Tries that overlap, as often as this entry may call a store that is away.
-    fn patient(&self) -> Overlap {
+    fn patient(&self) -> HedgedCall {
         if self.kind == Kind::Evacuations || !self.node.policy.uses(Mechanism::Overlap) {
-            return Overlap::single(HANG_LIMIT);
+            return HedgedCall::single(HANG_LIMIT);
         }
-        Overlap::new(PATIENCE, self.node.duty.borrow().longest_pause())
+        HedgedCall::new(PATIENCE, self.node.duty.borrow().longest_pause())
     }
 
     /// Sends a call to the store; an answer that the store gave before it came back from a copy is none.
@@ -256,7 +256,7 @@
         &mut self,
         call: StoreCall,
         path: &str,
-        overlap: Overlap,
+        overlap: HedgedCall,
     ) -> anyhow::Result<Answered> {
         let contact = &self.contact;
         let on_hang = || {
@@ -375,7 +375,7 @@
 
     async fn watch(&mut self, revision: u64, wait: Duration) -> anyhow::Result<Answered> {
         let path = watch_path(self.kind, revision, wait);
-        let overlap = Overlap::single(wait + WATCH_MARGIN);
+        let overlap = HedgedCall::single(wait + WATCH_MARGIN);
         self.get(StoreCall::Watch, &path, overlap).await
     }
 
--- a/fireflydirect/src/generation.rs
+++ b/fireflydirect/src/generation.rs
@@ -121,7 +121,7 @@
     } = opened;
     let mut events = EventRelay::default();
     if let Some(last) = job.ask.last_event_id {
-        events.start_after(last);
+        events.resume_after(last);
     }
     let run = job.node.runs.enter(Run {
         request_id: job.request_id.clone(),
@@ -307,11 +307,11 @@
     async fn go_on_elsewhere(&mut self, why: &str) -> bool {
         self.source = None;
         self.paced = None;
-        self.events.break_off();
+        self.events.discard_partial();
         self.breaks += 1;
         self.say("stream_broke", why);
         crash::suspect(&self.job, self.placed.ix);
-        if self.breaks > MAX_BREAKS || !self.events.can_go_on() {
+        if self.breaks > MAX_BREAKS || !self.events.can_resume() {
             return false;
         }
         self.wait_for_copy().await;
--- a/fireflydirect/src/hear.rs
+++ b/fireflydirect/src/hear.rs
@@ -9,7 +9,7 @@
 use crate::questions;
 use crate::state_page::{Asked, PeerState, state_path};
 use crate::tell;
-use fireflycroft::{CrashCount, EntryMessage, EntryNews, Overlap, Time, era_of};
+use fireflycroft::{CrashCount, EntryMessage, EntryNews, HedgedCall, Time, era_of};
 use fireflycroft_wire::decode_datagram;
 use rand::RngExt;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -221,7 +221,7 @@
 async fn get_state(node: &Node, from: Ipv4Addr, asked: &Asked) -> anyhow::Result<PeerState> {
     let addr = SocketAddr::from((from, node.place.peer_ports.0));
     let mut client = Client::new(addr, node.clock);
-    let overlap = Overlap::single(FETCH_PATIENCE);
+    let overlap = HedgedCall::single(FETCH_PATIENCE);
     let answered = client.get(&state_path(asked), overlap, || ()).await?;
     anyhow::ensure!(answered.status == 200, "status {}", answered.status);
     Ok(serde_json::from_slice(&answered.body)?)
--- a/fireflydirect/src/intake.rs
+++ b/fireflydirect/src/intake.rs
@@ -144,7 +144,7 @@
         let now = node.now();
         log::info!(
             event = "upstream_removed", instance = &**instance, revision = revision,
-            contact_ms = or_empty(node.contact_ms()), sure = node.pool.borrow().contact().believes_removals(now);
+            contact_ms = or_empty(node.contact_ms()), sure = node.pool.borrow().contact().confirms_removals(now);
             ""
         );
         let change = node.pool.borrow_mut().remove(now, instance, revision);
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -11,7 +11,7 @@
 use crate::questions::Questions;
 use crate::runs::Runs;
 use fireflycroft::{
-    ALL_HEARD_AFTER, Catalog, Digest, Evacuations, FleetView, LengthGuess, Life, Policy, Pool,
+    Catalog, Digest, Evacuations, FULL_VIEW_AFTER, FleetView, LengthGuess, Life, Policy, Pool,
     PoolChange, Quarantine, QueryBreadth, Refusal, Regions, RepeatBudget, Returns, Time,
     UpstreamIx, WatchDuty, Yields,
 };
@@ -233,7 +233,7 @@
 
     /// Tells the pool who the entries are.
     pub fn review_fleet(&self) {
-        let has_just_started = self.now().since(Time::default()) < ALL_HEARD_AFTER;
+        let has_just_started = self.now().since(Time::default()) < FULL_VIEW_AFTER;
         let fleet = if has_just_started {
             FleetView::unknown(self.place.ip)
         } else {
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -9,8 +9,8 @@
 use crate::node::{Node, Stage};
 use bytes::Bytes;
 use fireflycroft::{
-    Catalog, Code, Digest, Mechanism, Name, RequestHead, RouteSpec, SOON, Time, WorkspaceSpec,
-    back_after,
+    Catalog, Code, Digest, Mechanism, Name, RequestHead, RouteSpec, STARTUP_RETRY_AFTER, Time,
+    WorkspaceSpec, unconfigured_retry_after,
 };
 use fireflycroft_platform::read_ask;
 use http_body_util::{BodyExt, Limited};
@@ -109,7 +109,7 @@
     body: Incoming,
 ) -> Result<Job, Refusal> {
     if node.stage() == Stage::Closing {
-        return Err(come_back(Code::Leaving, SOON));
+        return Err(come_back(Code::Leaving, STARTUP_RETRY_AFTER));
     }
     until_begun(node, ask.deadline).await;
     let catalog = node.catalog.borrow().clone();
@@ -119,13 +119,16 @@
         } else {
             Duration::ZERO
         };
-        come_back(Code::NotReady, back_after(age, rand::rng().random()))
+        come_back(
+            Code::NotReady,
+            unconfigured_retry_after(age, rand::rng().random()),
+        )
     })?;
     let route = find_route(&catalog, &parts).ok_or(refusal(Code::RouteUnknown))?;
     let workspace = check_key(&catalog, &route, &ask)?;
     let request_id = ask.request_id.clone().ok_or(refusal(Code::BadRequest))?;
     let service = route.target(rand::rng().next_u32()).cloned();
-    let service = service.ok_or(come_back(Code::NoUpstream, SOON))?;
+    let service = service.ok_or(come_back(Code::NoUpstream, STARTUP_RETRY_AFTER))?;
     let body = read_body(&catalog, body).await?;
     let content = digest(&parts, &ask, &body);
     if crash::is_refused(node, content) {
