--- a/fireflycroft-wire/src/entry_message.rs
+++ b/fireflycroft-wire/src/entry_message.rs
@@ -14,7 +14,7 @@
 #[must_use]
 pub fn encode_datagram(message: &EntryMessage) -> Vec<u8> {
     let body = match message {
-        EntryMessage::News(it) => Body::News(news(it)),
+        EntryMessage::Announcement(it) => Body::News(news(it)),
         EntryMessage::Report(it) => Body::Report(report(it)),
         EntryMessage::Query(it) => Body::Query(query(it)),
         EntryMessage::Reply(it) => Body::Reply(reply(it)),
@@ -34,7 +34,7 @@
     check_count(bytes.len(), MAX_DATAGRAM_BYTES, "datagram")?;
     let message = pb::EntryMessage::decode(bytes)?;
     Ok(match message.message {
-        Some(Body::News(it)) => EntryMessage::News(Box::new(read_news(&it)?)),
+        Some(Body::News(it)) => EntryMessage::Announcement(Box::new(read_news(&it)?)),
         Some(Body::Report(it)) => EntryMessage::Report(read_report(&it)?),
         Some(Body::Query(it)) => EntryMessage::Query(read_query(&it)?),
         Some(Body::Reply(it)) => EntryMessage::Reply(read_reply(&it)?),
--- a/fireflycroft-wire/src/entry_news.rs
+++ b/fireflycroft-wire/src/entry_news.rs
@@ -5,13 +5,13 @@
 use crate::generated as pb;
 use crate::owner_news::{life, read_life};
 use fireflycroft::{
-    CrashCount, EntryNews, Evacuations, Incarnation, ListChange, RateLimit, RepeatCount, ToldRate,
-    UpstreamRecord, UpstreamState,
+    CrashCount, EntryAnnouncement, Evacuations, Incarnation, ListChange, RateLimit, RetryCount,
+    ToldRate, UpstreamRecord, UpstreamState,
 };
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-pub(crate) fn news(news: &EntryNews) -> pb::EntryNews {
+pub(crate) fn news(news: &EntryAnnouncement) -> pb::EntryNews {
     pb::EntryNews {
         name: news.name.to_string(),
         incarnation: news.incarnation.0,
@@ -24,19 +24,19 @@
         upstreams_complete: news.upstreams_complete,
         data_centre: news.data_centre.to_string(),
         list_changes: news.list_changes.iter().map(list_change).collect(),
-        repeats: news.repeats.iter().map(repeats).collect(),
+        repeats: news.retries.iter().map(repeats).collect(),
         crashes: news.crashes.iter().map(crash).collect(),
         peers: news.peers.iter().map(|ip| ip.to_bits()).collect(),
         leaving: news.leaving,
         evacuations: Some(evacuations(&news.evacuations)),
         rate_limits: news.rate_limits.iter().map(told_rate).collect(),
-        said_leaving: news.said_leaving.iter().map(life).collect(),
+        said_leaving: news.departing.iter().map(life).collect(),
     }
 }
 
-pub(crate) fn read_news(news: &pb::EntryNews) -> Result<EntryNews, WireError> {
+pub(crate) fn read_news(news: &pb::EntryNews) -> Result<EntryAnnouncement, WireError> {
     let peers = news.peers.iter().copied();
-    Ok(EntryNews {
+    Ok(EntryAnnouncement {
         name: read_name(&news.name, "news.name")?,
         incarnation: Incarnation(news.incarnation),
         config: news.config,
@@ -48,7 +48,7 @@
         upstreams_complete: news.upstreams_complete,
         data_centre: read_name(&news.data_centre, "news.data_centre")?,
         list_changes: read_all(&news.list_changes, read_list_change)?,
-        repeats: read_all(&news.repeats, read_repeats)?,
+        retries: read_all(&news.repeats, read_repeats)?,
         crashes: read_all(&news.crashes, read_crash)?,
         peers: peers.map(Ipv4Addr::from_bits).collect(),
         leaving: news.leaving,
@@ -59,7 +59,7 @@
             .transpose()?
             .unwrap_or_default(),
         rate_limits: read_all(&news.rate_limits, read_told_rate)?,
-        said_leaving: read_all(&news.said_leaving, read_life)?,
+        departing: read_all(&news.said_leaving, read_life)?,
     })
 }
 
@@ -149,19 +149,19 @@
     }))
 }
 
-fn repeats(count: &RepeatCount) -> pb::RepeatCount {
+fn repeats(count: &RetryCount) -> pb::RepeatCount {
     pb::RepeatCount {
         service: count.service.to_string(),
         requests: count.requests,
-        repeats: count.repeats,
+        repeats: count.retries,
     }
 }
 
-fn read_repeats(count: &pb::RepeatCount) -> Result<RepeatCount, WireError> {
-    Ok(RepeatCount {
+fn read_repeats(count: &pb::RepeatCount) -> Result<RetryCount, WireError> {
+    Ok(RetryCount {
         service: read_name(&count.service, "repeats.service")?,
         requests: count.requests,
-        repeats: count.repeats,
+        retries: count.repeats,
     })
 }
 
--- a/fireflycroft-wire/src/owner_news.rs
+++ b/fireflycroft-wire/src/owner_news.rs
@@ -6,8 +6,8 @@
 use crate::generated as pb;
 use crate::limits::MAX_RECORDS;
 use fireflycroft::{
-    Incarnation, Life, OwnedLoad, OwnerAnswer, OwnerAsk, OwnerQuery, OwnerReply, OwnerReport, Pace,
-    Placed, PlacedAt, Refusal,
+    Incarnation, Life, OwnedLoad, OwnerQuery, OwnerQueryBody, OwnerReply, OwnerReplyBody,
+    OwnerReport, Pace, Placed, PlacedAt, Refusal,
 };
 use pb::owner_query::Ask;
 use pb::owner_reply::Answer;
@@ -44,12 +44,12 @@
 }
 
 pub(crate) fn query(query: &OwnerQuery) -> pb::OwnerQuery {
-    let ask = match &query.ask {
-        OwnerAsk::Loads(lives) => Ask::Loads(pb::Lives {
+    let ask = match &query.body {
+        OwnerQueryBody::Loads(lives) => Ask::Loads(pb::Lives {
             lives: lives.iter().map(life).collect(),
         }),
-        OwnerAsk::Repeat(service) => Ask::Repeat(service.to_string()),
-        OwnerAsk::Refused(content) => Ask::Refused(id_bytes(content.0)),
+        OwnerQueryBody::Retry(service) => Ask::Repeat(service.to_string()),
+        OwnerQueryBody::Refused(content) => Ask::Refused(id_bytes(content.0)),
     };
     pb::OwnerQuery {
         entry: query.entry.to_string(),
@@ -59,32 +59,34 @@
 }
 
 pub(crate) fn read_query(query: &pb::OwnerQuery) -> Result<OwnerQuery, WireError> {
-    let ask = match &query.ask {
+    let body = match &query.ask {
         Some(Ask::Loads(it)) => {
             check_count(it.lives.len(), MAX_RECORDS, "query.lives")?;
-            OwnerAsk::Loads(read_all(&it.lives, read_life)?)
+            OwnerQueryBody::Loads(read_all(&it.lives, read_life)?)
+        }
+        Some(Ask::Repeat(service)) => OwnerQueryBody::Retry(read_name(service, "query.repeat")?),
+        Some(Ask::Refused(content)) => {
+            OwnerQueryBody::Refused(read_digest(content, "query.refused")?)
         }
-        Some(Ask::Repeat(service)) => OwnerAsk::Repeat(read_name(service, "query.repeat")?),
-        Some(Ask::Refused(content)) => OwnerAsk::Refused(read_digest(content, "query.refused")?),
         None => return Err(WireError::Missing("query.ask")),
     };
     Ok(OwnerQuery {
         entry: read_name(&query.entry, "query.entry")?,
         id: query.id,
-        ask,
+        body,
     })
 }
 
 pub(crate) fn reply(reply: &OwnerReply) -> pb::OwnerReply {
-    let answer = match &reply.answer {
-        OwnerAnswer::Loads(loads) => Answer::Loads(pb::OwnedLoads {
+    let answer = match &reply.body {
+        OwnerReplyBody::Loads(loads) => Answer::Loads(pb::OwnedLoads {
             loads: loads.iter().map(owned).collect(),
         }),
-        OwnerAnswer::Repeat { service, lent } => Answer::Repeat(pb::Loan {
+        OwnerReplyBody::Retry { service, granted } => Answer::Repeat(pb::Loan {
             service: service.to_string(),
-            lent: *lent,
+            lent: *granted,
         }),
-        OwnerAnswer::Refused { content, age } => Answer::Refused(pb::Refused {
+        OwnerReplyBody::Refused { content, age } => Answer::Refused(pb::Refused {
             content: id_bytes(content.0),
             age_ms: age.map(millis_of),
         }),
@@ -97,16 +99,16 @@
 }
 
 pub(crate) fn read_reply(reply: &pb::OwnerReply) -> Result<OwnerReply, WireError> {
-    let answer = match &reply.answer {
+    let body = match &reply.answer {
         Some(Answer::Loads(it)) => {
             check_count(it.loads.len(), MAX_RECORDS, "reply.loads")?;
-            OwnerAnswer::Loads(read_all(&it.loads, read_owned)?)
+            OwnerReplyBody::Loads(read_all(&it.loads, read_owned)?)
         }
-        Some(Answer::Repeat(loan)) => OwnerAnswer::Repeat {
+        Some(Answer::Repeat(loan)) => OwnerReplyBody::Retry {
             service: read_name(&loan.service, "reply.service")?,
-            lent: loan.lent,
+            granted: loan.lent,
         },
-        Some(Answer::Refused(it)) => OwnerAnswer::Refused {
+        Some(Answer::Refused(it)) => OwnerReplyBody::Refused {
             content: read_digest(&it.content, "reply.content")?,
             age: it.age_ms.map(|ms| Duration::from_millis(ms.into())),
         },
@@ -115,7 +117,7 @@
     Ok(OwnerReply {
         entry: read_name(&reply.entry, "reply.entry")?,
         id: reply.id,
-        answer,
+        body,
     })
 }
 
--- a/fireflycroft-wire/tests/entry_news.rs
+++ b/fireflycroft-wire/tests/entry_news.rs
@@ -1,9 +1,10 @@
 //! Messages of direct entries to bytes and back, and bytes that are none.
 
 use fireflycroft::{
-    CrashCount, Digest, EntryMessage, EntryNews, Evacuations, Incarnation, Life, ListChange, Name,
-    OwnedLoad, OwnerAnswer, OwnerAsk, OwnerQuery, OwnerReply, OwnerReport, Pace, Placed, PlacedAt,
-    RateLimit, Refusal, RepeatCount, ToldRate, UpstreamRecord, UpstreamState,
+    CrashCount, Digest, EntryAnnouncement, EntryMessage, Evacuations, Incarnation, Life,
+    ListChange, Name, OwnedLoad, OwnerQuery, OwnerQueryBody, OwnerReply, OwnerReplyBody,
+    OwnerReport, Pace, Placed, PlacedAt, RateLimit, Refusal, RetryCount, ToldRate, UpstreamRecord,
+    UpstreamState,
 };
 use fireflycroft_wire::{MAX_DATAGRAM_BYTES, WireError, decode_datagram, encode_datagram};
 use proptest::prelude::*;
@@ -23,7 +24,7 @@
 
 cases! {
     news_come_back_as_they_were => comes_back(of_news(news()));
-    empty_news_come_back => comes_back(of_news(EntryNews::default()));
+    empty_news_come_back => comes_back(of_news(EntryAnnouncement::default()));
     report_comes_back_as_it_was => comes_back(EntryMessage::Report(report()));
     empty_report_comes_back => comes_back(EntryMessage::Report(OwnerReport::default()));
     queries_come_back_as_they_were => queries().into_iter().for_each(comes_back);
@@ -38,8 +39,8 @@
     assert_eq!(decode_datagram(&encode_datagram(&message)), Ok(message));
 }
 
-fn of_news(news: EntryNews) -> EntryMessage {
-    EntryMessage::News(Box::new(news))
+fn of_news(news: EntryAnnouncement) -> EntryMessage {
+    EntryMessage::Announcement(Box::new(news))
 }
 
 fn placed() -> PlacedAt {
@@ -81,15 +82,15 @@
 
 fn queries() -> [EntryMessage; 3] {
     let asks = [
-        OwnerAsk::Loads(vec![life()]),
-        OwnerAsk::Repeat(Name::from("s")),
-        OwnerAsk::Refused(Digest(u128::MAX)),
+        OwnerQueryBody::Loads(vec![life()]),
+        OwnerQueryBody::Retry(Name::from("s")),
+        OwnerQueryBody::Refused(Digest(u128::MAX)),
     ];
-    asks.map(|ask| {
+    asks.map(|body| {
         EntryMessage::Query(OwnerQuery {
             entry: Name::from("front-a-1"),
             id: u64::MAX,
-            ask,
+            body,
         })
     })
 }
@@ -101,24 +102,24 @@
         placed: placed().placed,
         pace: placed().pace,
     };
-    let refused = |age| OwnerAnswer::Refused {
+    let refused = |age| OwnerReplyBody::Refused {
         content: Digest(3),
         age,
     };
     let answers = [
-        OwnerAnswer::Loads(vec![load]),
-        OwnerAnswer::Repeat {
+        OwnerReplyBody::Loads(vec![load]),
+        OwnerReplyBody::Retry {
             service: Name::from("s"),
-            lent: true,
+            granted: true,
         },
         refused(Some(Duration::from_millis(310))),
         refused(None),
     ];
-    answers.map(|answer| {
+    answers.map(|body| {
         EntryMessage::Reply(OwnerReply {
             entry: Name::from("front-a-2"),
             id: 7,
-            answer,
+            body,
         })
     })
 }
@@ -130,8 +131,8 @@
     assert_eq!(decode_datagram(&bytes), Err(WireError::TooLong("placed")));
 }
 
-fn news() -> EntryNews {
-    EntryNews {
+fn news() -> EntryAnnouncement {
+    EntryAnnouncement {
         name: Name::from("front-a-1"),
         incarnation: Incarnation(5),
         config: 7,
@@ -163,12 +164,12 @@
                 revision: 31,
             },
         ],
-        repeats: vec![RepeatCount {
+        retries: vec![RetryCount {
             service: Name::from("s"),
             requests: 40,
-            repeats: 2,
+            retries: 2,
         }],
-        said_leaving: vec![life()],
+        departing: vec![life()],
         rate_limits: vec![
             ToldRate {
                 life: life(),
--- a/fireflycroft/src/breadth.rs
+++ b/fireflycroft/src/breadth.rs
@@ -42,7 +42,7 @@
         self.at = now;
         self.saved = (self.saved + gained).min(MOST_SAVED);
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let affordable = self.saved as usize / crate::owners::OWNERS;
+        let affordable = self.saved as usize / crate::owners::OWNERS_PER_KEY;
         affordable.clamp(LEAST, MOST)
     }
 
--- a/fireflycroft/src/entry_news.rs
+++ b/fireflycroft/src/entry_announcement.rs
@@ -4,7 +4,7 @@
 use crate::ids::{Digest, Incarnation, Name};
 use crate::listing::ListChange;
 use crate::rate_limit::ToldRate;
-use crate::repeat::RepeatCount;
+use crate::retry_budget::RetryCount;
 use crate::upstream::Life;
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 
 /// State of one direct entry, as it tells the others several times a second.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct EntryNews {
+pub struct EntryAnnouncement {
     /// Name of the sender.
     pub name: Name,
     /// Data centre of the sender.
@@ -44,7 +44,7 @@
     /// Changes of the list of late, from those that watch.
     pub list_changes: Vec<ListChange>,
     /// Requests and repeats of the sender, by service.
-    pub repeats: Vec<RepeatCount>,
+    pub retries: Vec<RetryCount>,
     /// Content that crashed upstreams of late.
     pub crashes: Vec<CrashCount>,
     /// Some other entries that the sender knows.
@@ -52,7 +52,7 @@
     /// Data centres that are evacuated.
     pub evacuations: Evacuations,
     /// Upstreams that said in their answers that they leave, and that the list has as serving.
-    pub said_leaving: Vec<Life>,
+    pub departing: Vec<Life>,
     /// Rates that upstreams name, or named until a short while ago.
     pub rate_limits: Vec<ToldRate>,
     /// Whether the sender is stopping.
--- a/fireflycroft/src/loads.rs
+++ b/fireflycroft/src/loads.rs
@@ -5,7 +5,7 @@
 //! it asks the owners of some upstreams, and chooses by what they reply.
 
 use crate::ids::Name;
-use crate::owner_news::OwnedLoad;
+use crate::owner_messages::OwnedLoad;
 use crate::placed::{LoadView, Need, Placed, PlacedAt};
 use crate::pool::Pool;
 use crate::time::Time;
--- a/fireflycroft/src/owner_news.rs
+++ b/fireflycroft/src/owner_messages.rs
@@ -1,10 +1,10 @@
 //! What direct entries tell the owners of a key, and ask them.
 
-use crate::entry_news::EntryNews;
+use crate::entry_announcement::EntryAnnouncement;
 use crate::ids::{Digest, Name};
 use crate::pace::Pace;
 use crate::placed::{Placed, PlacedAt};
-use crate::returns::Refusal;
+use crate::returning_callers::Refusal;
 use crate::upstream::Life;
 use std::time::Duration;
 
@@ -31,16 +31,16 @@
     /// Number by which the sender knows the reply.
     pub id: u64,
     /// What it asks.
-    pub ask: OwnerAsk,
+    pub body: OwnerQueryBody,
 }
 
 /// What an owner is asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OwnerAsk {
+pub enum OwnerQueryBody {
     /// The load of upstreams, but for the work of the entry that asks.
     Loads(Vec<Life>),
     /// Leave to send one request to this service once more.
-    Repeat(Name),
+    Retry(Name),
     /// Whether a caller who asks this was refused of late.
     Refused(Digest),
 }
@@ -66,20 +66,20 @@
     /// Number of the query.
     pub id: u64,
     /// What it knows.
-    pub answer: OwnerAnswer,
+    pub body: OwnerReplyBody,
 }
 
 /// What an owner answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OwnerAnswer {
+pub enum OwnerReplyBody {
     /// The loads of those upstreams that it knows.
     Loads(Vec<OwnedLoad>),
     /// Whether one repeat is lent.
-    Repeat {
+    Retry {
         /// The service.
         service: Name,
         /// Whether there was one left.
-        lent: bool,
+        granted: bool,
     },
     /// Time since the caller was refused, if it was.
     Refused {
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryMessage {
     /// The sender's state.
-    News(Box<EntryNews>),
+    Announcement(Box<EntryAnnouncement>),
     /// What it did.
     Report(OwnerReport),
     /// A question to an owner.
@@ -108,7 +108,7 @@
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
-            Self::News(_) => "news",
+            Self::Announcement(_) => "news",
             Self::Report(_) => "report",
             Self::Query(_) => "query",
             Self::Reply(_) => "reply",
--- a/fireflycroft/src/owners.rs
+++ b/fireflycroft/src/owners.rs
@@ -16,7 +16,7 @@
 use std::net::Ipv4Addr;
 
 /// Owners of a key.
-pub const OWNERS: usize = 2;
+pub const OWNERS_PER_KEY: usize = 2;
 
 /// What has owners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -31,7 +31,7 @@
 
     /// The repeats of a service.
     #[must_use]
-    pub fn of_repeats(service: &str) -> Self {
+    pub fn of_retries(service: &str) -> Self {
         Self::folded(Digest::of(&[b"repeats", service.as_bytes()]))
     }
 
@@ -66,14 +66,14 @@
     key: OwnedKey,
     entries: impl IntoIterator<Item = Ipv4Addr>,
 ) -> impl Iterator<Item = Ipv4Addr> {
-    let mut first: [Option<(u64, Ipv4Addr)>; OWNERS] = [None; OWNERS];
+    let mut owners: [Option<(u64, Ipv4Addr)>; OWNERS_PER_KEY] = [None; OWNERS_PER_KEY];
     for entry in entries {
         let mut ranked = Some((key.rank(entry), entry));
-        for place in &mut first {
-            if ranked > *place {
-                std::mem::swap(place, &mut ranked);
+        for slot in &mut owners {
+            if ranked > *slot {
+                std::mem::swap(slot, &mut ranked);
             }
         }
     }
-    first.into_iter().flatten().map(|(_, entry)| entry)
+    owners.into_iter().flatten().map(|(_, entry)| entry)
 }
--- a/fireflycroft/src/repeat.rs
+++ b/fireflycroft/src/retry_budget.rs
@@ -21,7 +21,7 @@
 
 /// Bound on the repeats of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatLimits {
+pub struct RetryLimits {
     /// Repeats for each request.
     pub ratio: f64,
     /// Span in which requests and repeats are counted.
@@ -36,91 +36,91 @@
 
 /// Share of the bound up to which repeats are lent. With the parts of a large fleet, half of
 /// [`USED_SHARE`], it makes up the bound.
-const LENT_SHARE: f64 = 0.65;
+const GRANTED_SHARE: f64 = 0.65;
 
 /// Time until the count of an entry includes what it was lent: two tellings, of which one may be
 /// lost.
-const LENT_UNTOLD: Duration = Duration::from_secs(1);
+const GRANT_UNREPORTED_FOR: Duration = Duration::from_secs(1);
 
 /// Time for which what was lent may be used.
-const LOAN_HOLDS: Duration = Duration::from_millis(500);
+const GRANT_VALID_FOR: Duration = Duration::from_millis(500);
 
 /// Parts of a window that are counted apart.
-const STEPS: u32 = 20;
+const STEPS_PER_WINDOW: u32 = 20;
 
 #[derive(Clone, Copy, Debug)]
 struct Count {
     step: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// Requests and repeats of one service within the window.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RepeatCount {
+pub struct RetryCount {
     /// The service.
     pub service: Name,
     /// Requests of callers.
     pub requests: u32,
     /// Repeats.
-    pub repeats: u32,
+    pub retries: u32,
 }
 
 /// Time for which what another entry told counts.
-const TOLD_FOR: Duration = Duration::from_secs(2);
+const REPORT_VALID_FOR: Duration = Duration::from_secs(2);
 
 /// What this entry took and repeated, by service.
 #[derive(Clone, Debug)]
-pub struct RepeatBudget {
-    limits: RepeatLimits,
+pub struct SharedRetryBudget {
+    limits: RetryLimits,
     counts: HashMap<Name, VecDeque<Count>>,
-    others: HashMap<Name, (Time, Vec<RepeatCount>)>,
-    since_told: HashMap<Name, u32>,
+    reported: HashMap<Name, (Time, Vec<RetryCount>)>,
+    since_report: HashMap<Name, u32>,
     /// When this entry lent repeats that the counts of others may not include yet.
-    lent: HashMap<Name, VecDeque<Time>>,
+    granted: HashMap<Name, VecDeque<Time>>,
     /// When repeats were lent to this entry that it hasn't used.
     borrowed: HashMap<Name, VecDeque<Time>>,
 }
 
-impl RepeatBudget {
+impl SharedRetryBudget {
     /// An empty record under `limits`.
     #[must_use]
-    pub fn new(limits: RepeatLimits) -> Self {
+    pub fn new(limits: RetryLimits) -> Self {
         Self {
             limits,
             counts: HashMap::new(),
-            others: HashMap::new(),
-            since_told: HashMap::new(),
-            lent: HashMap::new(),
+            reported: HashMap::new(),
+            since_report: HashMap::new(),
+            granted: HashMap::new(),
             borrowed: HashMap::new(),
         }
     }
 
     /// Sets other limits, from now on.
-    pub const fn set_limits(&mut self, limits: RepeatLimits) {
+    pub const fn set_limits(&mut self, limits: RetryLimits) {
         self.limits = limits;
     }
 
     /// Notes a request of a caller.
-    pub fn note_request(&mut self, now: Time, service: &Name) {
+    pub fn record_request(&mut self, now: Time, service: &Name) {
         self.count(now, service).requests += 1;
     }
 
     /// Takes one repeat if the budget holds it or one was lent.
     pub fn take(&mut self, now: Time, service: &Name, entries: usize) -> bool {
-        if self.left(now, service, entries) < 1.0 && !self.use_loan(now, service) {
+        if self.remaining(now, service, entries) < 1.0 && !self.use_grant(now, service) {
             return false;
         }
-        self.count(now, service).repeats += 1;
-        *self.since_told.entry(service.clone()).or_default() += 1;
+        self.count(now, service).retries += 1;
+        *self.since_report.entry(service.clone()).or_default() += 1;
         true
     }
 
     /// Repeats that this entry may still send in the window.
-    pub fn left(&mut self, now: Time, service: &Name, entries: usize) -> f64 {
-        let mine = self.mine(now, service);
-        let part = self.part(mine.requests, entries) - f64::from(mine.repeats);
-        part.max(self.left_by_others(now, &mine, entries))
+    pub fn remaining(&mut self, now: Time, service: &Name, entries: usize) -> f64 {
+        let own_count = self.own_count(now, service);
+        let own_share = self.own_share(own_count.requests, entries) - f64::from(own_count.retries);
+        own_share.max(self.unused_by_others(now, &own_count, entries))
     }
 
     /// Lends one repeat to another entry, as an owner of the service.
@@ -128,79 +128,89 @@
     /// Counts everything that is known to be spent, and what was lent since. What a fleet spent
     /// before this entry heard of it is unknown, so nothing is lent within a window of its start,
     /// which is the zero of `now`.
-    pub fn lend(&mut self, now: Time, service: &Name) -> bool {
+    pub fn grant(&mut self, now: Time, service: &Name) -> bool {
         if now.since(Time::default()) < self.limits.window {
             return false;
         }
-        let mine = self.mine(now, service);
-        let untold = self.untold_loans(now, service);
-        let of_service = self.heard_within(now, self.limits.window, service);
-        let repeats = of_service.fold(mine.repeats + untold, |sum, c| sum + c.repeats);
-        let of_service = self.heard_within(now, TOLD_FOR, service);
-        let requests = of_service.fold(mine.requests, |sum, c| sum + c.requests);
-        if f64::from(repeats) + 1.0 > LENT_SHARE * self.bound(requests, 1) {
+        let own_count = self.own_count(now, service);
+        let unreported = self.unreported_grants(now, service);
+        let of_service = self.reported_within(now, self.limits.window, service);
+        let retries = of_service.fold(own_count.retries + unreported, |total, c| total + c.retries);
+        let of_service = self.reported_within(now, REPORT_VALID_FOR, service);
+        let requests = of_service.fold(own_count.requests, |total, c| total + c.requests);
+        if f64::from(retries) + 1.0 > GRANTED_SHARE * self.bound(requests, 1) {
             return false;
         }
-        self.lent.entry(service.clone()).or_default().push_back(now);
+        self.granted
+            .entry(service.clone())
+            .or_default()
+            .push_back(now);
         true
     }
 
     /// Takes a repeat that an owner lent.
-    pub fn note_loan(&mut self, now: Time, service: &Name) {
-        let loans = self.borrowed.entry(service.clone()).or_default();
-        loans.push_back(now);
+    pub fn record_grant(&mut self, now: Time, service: &Name) {
+        let grants = self.borrowed.entry(service.clone()).or_default();
+        grants.push_back(now);
     }
 
-    fn use_loan(&mut self, now: Time, service: &Name) -> bool {
-        let Some(loans) = self.borrowed.get_mut(service) else {
+    fn use_grant(&mut self, now: Time, service: &Name) -> bool {
+        let Some(grants) = self.borrowed.get_mut(service) else {
             return false;
         };
-        loans.retain(|at| now.since(*at) < LOAN_HOLDS);
-        loans.pop_front().is_some()
+        grants.retain(|at| now.since(*at) < GRANT_VALID_FOR);
+        grants.pop_front().is_some()
     }
 
-    fn untold_loans(&mut self, now: Time, service: &Name) -> u32 {
-        let Some(lent) = self.lent.get_mut(service) else {
+    fn unreported_grants(&mut self, now: Time, service: &Name) -> u32 {
+        let Some(granted) = self.granted.get_mut(service) else {
             return 0;
         };
-        lent.retain(|at| now.since(*at) < LENT_UNTOLD);
-        u32::try_from(lent.len()).unwrap_or(u32::MAX)
+        granted.retain(|at| now.since(*at) < GRANT_UNREPORTED_FOR);
+        u32::try_from(granted.len()).unwrap_or(u32::MAX)
     }
 
     /// Counts of a service that other entries told within `span`.
-    fn heard_within<'a>(
+    fn reported_within<'a>(
         &'a self,
         now: Time,
         span: Duration,
         service: &'a Name,
-    ) -> impl Iterator<Item = &'a RepeatCount> {
-        let heard = self.others.values();
-        let heard = heard.filter(move |(at, _)| now.since(*at) < span);
-        let counts = heard.flat_map(|(_, counts)| counts);
+    ) -> impl Iterator<Item = &'a RetryCount> {
+        let reports = self.reported.values();
+        let reports = reports.filter(move |(at, _)| now.since(*at) < span);
+        let counts = reports.flat_map(|(_, counts)| counts);
         counts.filter(move |c| c.service == *service)
     }
 
     /// What the entries known leave of the whole bound.
-    fn left_by_others(&self, now: Time, mine: &RepeatCount, entries: usize) -> f64 {
-        let mut fresh = self.others.values();
-        let fresh = fresh.by_ref().filter(|(at, _)| now.since(*at) < TOLD_FOR);
-        let fresh = fresh.count();
-        if fresh + 1 < entries {
+    fn unused_by_others(&self, now: Time, own_count: &RetryCount, entries: usize) -> f64 {
+        let mut fresh_reports = self.reported.values();
+        let fresh_reports = fresh_reports
+            .by_ref()
+            .filter(|(at, _)| now.since(*at) < REPORT_VALID_FOR);
+        let fresh_reports = fresh_reports.count();
+        if fresh_reports + 1 < entries {
             return 0.0;
         }
-        let of_service = self.heard_within(now, TOLD_FOR, &mine.service);
-        let (requests, repeats) = of_service.fold((mine.requests, mine.repeats), |sum, c| {
-            (sum.0 + c.requests, sum.1 + c.repeats)
-        });
-        let untold = self.since_told.get(&mine.service).copied().unwrap_or(0);
+        let of_service = self.reported_within(now, REPORT_VALID_FOR, &own_count.service);
+        let (requests, retries) = of_service
+            .fold((own_count.requests, own_count.retries), |total, c| {
+                (total.0 + c.requests, total.1 + c.retries)
+            });
+        let unreported = self
+            .since_report
+            .get(&own_count.service)
+            .copied()
+            .unwrap_or(0);
         #[allow(clippy::cast_precision_loss)]
-        let untold = f64::from(untold) * fresh as f64;
-        USED_SHARE * self.bound(requests, 1) - f64::from(repeats) - untold
+        let unreported = f64::from(unreported) * fresh_reports as f64;
+        USED_SHARE * self.bound(requests, 1) - f64::from(retries) - unreported
     }
 
     /// The part of one of so many entries.
     #[allow(clippy::cast_precision_loss)]
-    fn part(&self, requests: u32, entries: usize) -> f64 {
+    fn own_share(&self, requests: u32, entries: usize) -> f64 {
         let share = USED_SHARE * (0.5 + 0.5 / entries.max(1) as f64);
         share * self.bound(requests, entries)
     }
@@ -213,42 +223,45 @@
     }
 
     /// Counts of the window, to tell the others.
-    pub fn tell(&mut self, now: Time) -> Vec<RepeatCount> {
-        self.since_told.clear();
+    pub fn report(&mut self, now: Time) -> Vec<RetryCount> {
+        self.since_report.clear();
         let services: Vec<Name> = self.counts.keys().cloned().collect();
-        services.iter().map(|name| self.mine(now, name)).collect()
+        services
+            .iter()
+            .map(|name| self.own_count(now, name))
+            .collect()
     }
 
     /// Takes the counts that another entry told.
-    pub fn note_others(&mut self, now: Time, entry: &Name, counts: Vec<RepeatCount>) {
+    pub fn apply_report(&mut self, now: Time, entry: &Name, counts: Vec<RetryCount>) {
         // What an entry that has died spent still counts within the window.
         let window = self.limits.window;
-        self.others.retain(|_, (at, _)| now.since(*at) < window);
-        self.others.insert(entry.clone(), (now, counts));
+        self.reported.retain(|_, (at, _)| now.since(*at) < window);
+        self.reported.insert(entry.clone(), (now, counts));
     }
 
-    fn mine(&mut self, now: Time, service: &Name) -> RepeatCount {
+    fn own_count(&mut self, now: Time, service: &Name) -> RetryCount {
         self.count(now, service);
         let counts = self.counts.get(service).into_iter().flatten();
-        let empty = RepeatCount {
+        let empty = RetryCount {
             service: service.clone(),
-            ..RepeatCount::default()
+            ..RetryCount::default()
         };
-        counts.fold(empty, |sum, c| RepeatCount {
-            requests: sum.requests + c.requests,
-            repeats: sum.repeats + c.repeats,
-            ..sum
+        counts.fold(empty, |total, c| RetryCount {
+            requests: total.requests + c.requests,
+            retries: total.retries + c.retries,
+            ..total
         })
     }
 
     fn count(&mut self, now: Time, service: &Name) -> &mut Count {
-        let width = (self.limits.window / STEPS).max(Duration::from_millis(1));
+        let width = (self.limits.window / STEPS_PER_WINDOW).max(Duration::from_millis(1));
         let step = now.since(Time::default()).as_nanos() / width.as_nanos();
         let step = u64::try_from(step).unwrap_or(u64::MAX);
         let counts = self.counts.entry(service.clone()).or_default();
         while counts
             .front()
-            .is_some_and(|c| c.step + u64::from(STEPS) < step)
+            .is_some_and(|c| c.step + u64::from(STEPS_PER_WINDOW) < step)
         {
             counts.pop_front();
         }
@@ -256,7 +269,7 @@
             counts.push_back(Count {
                 step,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
         let last = counts.len() - 1;
--- a/fireflycroft/src/returns.rs
+++ b/fireflycroft/src/returning_callers.rs
@@ -16,16 +16,16 @@
 const REMEMBER_FOR: Duration = Duration::from_secs(4);
 
 /// Time for which a refusal is told again and again: two tellings, of which one may be lost.
-const TELL_FOR: Duration = Duration::from_millis(600);
+const REPORT_FOR: Duration = Duration::from_millis(600);
 
 /// Refusals told at a time, the newest first.
-const MOST_TOLD: usize = 24;
+const MAX_REPORTED: usize = 24;
 
 /// Time between two looks for those to forget, once as many as allowed are remembered.
-const SWEEP_EVERY: Duration = Duration::from_millis(500);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Refused callers remembered.
-const MOST_REMEMBERED: usize = 4_096;
+const MAX_REMEMBERED: usize = 4_096;
 
 /// A refusal for lack of room, as entries tell it each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -39,43 +39,43 @@
 #[derive(Clone, Copy, Debug)]
 struct Refused {
     since: Time,
-    is_mine: bool,
+    is_own: bool,
 }
 
 /// Callers who were refused of late, by what they asked.
 #[derive(Clone, Debug, Default)]
-pub struct Returns {
+pub struct ReturningCallers {
     refused: HashMap<Digest, Refused>,
     swept: Time,
 }
 
-impl Returns {
+impl ReturningCallers {
     /// Notes that a caller was refused and told to come back; the first time counts.
-    pub fn note_refused(&mut self, now: Time, content: Digest) {
+    pub fn record_refusal(&mut self, now: Time, content: Digest) {
         let refused = Refused {
             since: now,
-            is_mine: true,
+            is_own: true,
         };
         self.remember(now, content, refused);
     }
 
     /// Takes a refusal that another entry told.
-    pub fn learn(&mut self, now: Time, told: &Refusal) {
+    pub fn apply_refusal(&mut self, now: Time, reported: &Refusal) {
         let refused = Refused {
-            since: now - told.age,
-            is_mine: false,
+            since: now - reported.age,
+            is_own: false,
         };
-        self.remember(now, told.content, refused);
+        self.remember(now, reported.content, refused);
     }
 
     fn remember(&mut self, now: Time, content: Digest, refused: Refused) {
-        let is_full = self.refused.len() >= MOST_REMEMBERED;
-        if is_full && now.since(self.swept) >= SWEEP_EVERY {
+        let is_full = self.refused.len() >= MAX_REMEMBERED;
+        if is_full && now.since(self.swept) >= SWEEP_INTERVAL {
             self.swept = now;
             self.refused
                 .retain(|_, r| now.since(r.since) < REMEMBER_FOR);
         }
-        if self.refused.len() >= MOST_REMEMBERED {
+        if self.refused.len() >= MAX_REMEMBERED {
             return;
         }
         let known = self.refused.entry(content).or_insert(refused);
@@ -94,17 +94,17 @@
 
     /// Refusals of this entry, to tell the others.
     #[must_use]
-    pub fn tell(&self, now: Time) -> Vec<Refusal> {
-        let fresh = |r: &Refused| r.is_mine && now.since(r.since) < TELL_FOR;
-        let mine = self.refused.iter().filter(|(_, r)| fresh(r));
-        let mut told: Vec<Refusal> = mine
+    pub fn own_refusals(&self, now: Time) -> Vec<Refusal> {
+        let fresh = |r: &Refused| r.is_own && now.since(r.since) < REPORT_FOR;
+        let own = self.refused.iter().filter(|(_, r)| fresh(r));
+        let mut reported: Vec<Refusal> = own
             .map(|(content, r)| Refusal {
                 content: *content,
                 age: now.since(r.since),
             })
             .collect();
-        told.sort_by_key(|r| r.age);
-        told.truncate(MOST_TOLD);
-        told
+        reported.sort_by_key(|r| r.age);
+        reported.truncate(MAX_REPORTED);
+        reported
     }
 }
--- a/fireflycroft/tests/hedging.rs
+++ b/fireflycroft/tests/hedging.rs
@@ -114,7 +114,10 @@
 
 fn bounded() {
     let attempts = silence(60_000).len();
-    assert!((80..=90).contains(&attempts), "{attempts} attempts in a minute");
+    assert!(
+        (80..=90).contains(&attempts),
+        "{attempts} attempts in a minute"
+    );
 }
 
 /// However long the silence lasts, a try begins within the longest gap after its end.
--- a/fireflycroft/tests/owners.rs
+++ b/fireflycroft/tests/owners.rs
@@ -8,7 +8,7 @@
 mod pools;
 
 use fireflycroft::{
-    Digest, Incarnation, Life, Name, Need, OWNERS, OwnedKey, OwnedLoad, Pace, Placed, Pool,
+    Digest, Incarnation, Life, Name, Need, OWNERS_PER_KEY, OwnedKey, OwnedLoad, Pace, Placed, Pool,
     QueryBreadth, Time, UpstreamIx, owners_of,
 };
 use pools::{at, chosen, ix, leaving, need, pool, told};
@@ -54,7 +54,7 @@
     let mut owned: HashMap<Ipv4Addr, usize> = HashMap::new();
     for n in 0..6_800 {
         let of_one = owners(&entries, &format!("i-{n}"));
-        assert_eq!(of_one.len(), OWNERS);
+        assert_eq!(of_one.len(), OWNERS_PER_KEY);
         assert_ne!(of_one[0], of_one[1]);
         for owner in of_one {
             *owned.entry(owner).or_default() += 1;
@@ -69,7 +69,7 @@
     let of = |key| owners_of(key, all.iter().copied()).collect::<Vec<_>>();
     assert_ne!(
         of(OwnedKey::of_upstream("s")),
-        of(OwnedKey::of_repeats("s"))
+        of(OwnedKey::of_retries("s"))
     );
     assert_eq!(
         of(OwnedKey::of_content(Digest(7))),
@@ -257,7 +257,7 @@
     let first = breadth.upstreams(at(0));
     for n in 0..100 {
         let asked = breadth.upstreams(at(n * 10));
-        breadth.note_sent(asked * OWNERS);
+        breadth.note_sent(asked * OWNERS_PER_KEY);
     }
     let busy = breadth.upstreams(at(1_000));
     assert!(busy < first && busy > 1, "{first} {busy}");
@@ -379,7 +379,7 @@
         let left: Vec<Ipv4Addr> = all.iter().rev().filter(|ip| **ip != gone).copied().collect();
         let before = owners(&all, &key.to_string());
         let after = owners(&left, &key.to_string());
-        prop_assert_eq!(after.len(), OWNERS);
+        prop_assert_eq!(after.len(), OWNERS_PER_KEY);
         let stays: Vec<Ipv4Addr> = before.iter().filter(|ip| **ip != gone).copied().collect();
         prop_assert_eq!(&after[..stays.len()], &stays[..]);
     }
--- a/fireflydirect/src/hear.rs
+++ b/fireflydirect/src/hear.rs
@@ -9,7 +9,7 @@
 use crate::questions;
 use crate::state_page::{Asked, PeerState, state_path};
 use crate::tell;
-use fireflycroft::{CrashCount, EntryMessage, EntryNews, HedgedCall, Time, era_of};
+use fireflycroft::{CrashCount, EntryAnnouncement, EntryMessage, HedgedCall, Time, era_of};
 use fireflycroft_wire::decode_datagram;
 use rand::RngExt;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -56,14 +56,14 @@
     }
     node.peers.borrow_mut().note_heard(node.now(), from);
     match message {
-        EntryMessage::News(news) => take_news(node, from, *news),
+        EntryMessage::Announcement(news) => take_news(node, from, *news),
         EntryMessage::Report(report) => questions::take_report(node, &report),
         EntryMessage::Query(query) => questions::reply(node, from, query).await,
         EntryMessage::Reply(reply) => questions::take_reply(node, reply),
     }
 }
 
-fn take_news(node: &Rc<Node>, from: Ipv4Addr, news: EntryNews) {
+fn take_news(node: &Rc<Node>, from: Ipv4Addr, news: EntryAnnouncement) {
     if news.name == node.place.vm {
         return;
     }
@@ -89,7 +89,7 @@
         node.take_evacuations(news.evacuations.clone(), "peer");
     }
     conditions::take_told_rates(node, &news.rate_limits);
-    conditions::take_told_leaving(node, &news.said_leaving);
+    conditions::take_told_leaving(node, &news.departing);
     for crash in &news.crashes {
         learn_crash(node, now, crash);
     }
@@ -101,11 +101,11 @@
         fetch(node, from, behind);
     }
     let mut budget = node.budget.borrow_mut();
-    budget.note_others(now, &news.name, news.repeats);
+    budget.apply_report(now, &news.name, news.retries);
 }
 
 /// What this entry has to fetch of what another one tells.
-fn behind(node: &Node, now: Time, news: &EntryNews) -> Behind {
+fn behind(node: &Node, now: Time, news: &EntryAnnouncement) -> Behind {
     let mut pool = node.pool.borrow_mut();
     let mut peers = node.peers.borrow_mut();
     let is_same = pool.digest() == news.upstreams_digest;
--- a/fireflydirect/src/loads.rs
+++ b/fireflydirect/src/loads.rs
@@ -2,7 +2,7 @@
 
 use crate::node::Node;
 use crate::questions;
-use fireflycroft::{Life, Mechanism, Name, Need, OwnedKey, OwnerAsk, UpstreamIx};
+use fireflycroft::{Life, Mechanism, Name, Need, OwnedKey, OwnerQueryBody, UpstreamIx};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 
@@ -18,7 +18,7 @@
     let asks = queries.into_iter();
     questions::ask(
         node,
-        asks.map(|(owner, lives)| (owner, OwnerAsk::Loads(lives))),
+        asks.map(|(owner, lives)| (owner, OwnerQueryBody::Loads(lives))),
     )
     .await;
 }
--- a/fireflydirect/src/metrics.rs
+++ b/fireflydirect/src/metrics.rs
@@ -245,7 +245,10 @@
             #[allow(clippy::cast_precision_loss)]
             let count = pool.count(name) as f64;
             self.upstreams.with_label_values(&[name]).set(count);
-            let left = node.budget.borrow_mut().left(now, name, node.entries());
+            let left = node
+                .budget
+                .borrow_mut()
+                .remaining(now, name, node.entries());
             self.repeats_left.with_label_values(&[name]).set(left);
         }
     }
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -12,8 +12,8 @@
 use crate::runs::Runs;
 use fireflycroft::{
     Catalog, Digest, Evacuations, FULL_VIEW_AFTER, FleetView, LengthGuess, Life, Policy, Pool,
-    PoolChange, Quarantine, QueryBreadth, Refusal, Regions, RepeatBudget, Returns, Time,
-    UpstreamIx, WatchDuty, Yields,
+    PoolChange, Quarantine, QueryBreadth, Refusal, Regions, ReturningCallers, SharedRetryBudget,
+    Time, UpstreamIx, WatchDuty, Yields,
 };
 use fireflycroft_platform::{Place, StoreObject};
 use std::cell::{Cell, RefCell};
@@ -55,11 +55,11 @@
     /// Upstreams.
     pub pool: RefCell<Pool>,
     /// Budget of repeats.
-    pub budget: RefCell<RepeatBudget>,
+    pub budget: RefCell<SharedRetryBudget>,
     /// Content that crashes upstreams.
     pub quarantine: RefCell<Quarantine>,
     /// Callers who were refused and come back.
-    pub returns: RefCell<Returns>,
+    pub returns: RefCell<ReturningCallers>,
     /// Lengths of answers.
     pub lengths: RefCell<LengthGuess>,
     /// What generations bring for the memory that they hold.
@@ -142,7 +142,7 @@
         if let Some(limits) = place.bounds.cold {
             pool.set_cold_limits(&place.vm, limits);
         }
-        let budget = RepeatBudget::new(place.bounds.repeats);
+        let budget = SharedRetryBudget::new(place.bounds.repeats);
         let peers = Peers::new(&place);
         let metrics = Metrics::new()?;
         Ok(Self {
@@ -387,7 +387,7 @@
     /// Notes that a caller was refused for lack of room and told to come back.
     pub fn note_refused(&self, content: Digest) {
         let now = self.now();
-        self.returns.borrow_mut().note_refused(now, content);
+        self.returns.borrow_mut().record_refusal(now, content);
         let age = Duration::ZERO;
         self.refused.borrow_mut().push(Refusal { content, age });
         self.to_report.notify_one();
--- a/fireflydirect/src/peers.rs
+++ b/fireflydirect/src/peers.rs
@@ -10,8 +10,8 @@
 //! be lost needs neither.
 
 use fireflycroft::{
-    CrashCount, Digest, EntryNews, Incarnation, Name, OwnedKey, PeerOverview, Time, WATCHERS,
-    WatchView, owners_of, whole_millis,
+    CrashCount, Digest, EntryAnnouncement, Incarnation, Name, OwnedKey, PeerOverview, Time,
+    WATCHERS, WatchView, owners_of, whole_millis,
 };
 use fireflycroft_platform::Place;
 use rand::Rng;
@@ -235,7 +235,7 @@
 
     /// Whether an entry that all others tell knows of far more of them than this one, beyond what a
     /// datagram or two would name.
-    pub(crate) fn lacks_entries(&self, now: Time, news: &EntryNews) -> bool {
+    pub(crate) fn lacks_entries(&self, now: Time, news: &EntryAnnouncement) -> bool {
         let told = usize::try_from(news.entries).unwrap_or(usize::MAX);
         let known = 1 + self.known.values().filter(|k| k.stays(now)).count();
         news.watches && told > known + known / LACKING_PART + MAX_NAMED
@@ -280,7 +280,7 @@
     }
 
     /// Takes the sender of news and those whom it names.
-    pub(crate) fn learn(&mut self, now: Time, from: Ipv4Addr, news: &EntryNews) {
+    pub(crate) fn learn(&mut self, now: Time, from: Ipv4Addr, news: &EntryAnnouncement) {
         let known = Known {
             name: Some(news.name.clone()),
             heard: Some(now),
--- a/fireflydirect/src/questions.rs
+++ b/fireflydirect/src/questions.rs
@@ -6,7 +6,7 @@
 
 use crate::node::Node;
 use fireflycroft::{
-    EntryMessage, OwnerAnswer, OwnerAsk, OwnerQuery, OwnerReply, OwnerReport, Refusal,
+    EntryMessage, OwnerQuery, OwnerQueryBody, OwnerReply, OwnerReplyBody, OwnerReport, Refusal,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -77,17 +77,20 @@
 }
 
 /// Asks owners; returns once all have replied, with true, or when the wait is over.
-pub async fn ask(node: &Node, asks: impl ExactSizeIterator<Item = (Ipv4Addr, OwnerAsk)>) -> bool {
+pub async fn ask(
+    node: &Node,
+    asks: impl ExactSizeIterator<Item = (Ipv4Addr, OwnerQueryBody)>,
+) -> bool {
     if asks.len() == 0 {
         return true;
     }
     let mut question = node.questions.begin(asks.len());
-    for (owner, ask) in asks {
+    for (owner, body) in asks {
         node.peers.borrow_mut().note_asked(node.now(), owner);
         let query = OwnerQuery {
             entry: node.place.vm.clone(),
             id: question.id,
-            ask,
+            body,
         };
         let message = EntryMessage::Query(query);
         node.datagrams.send_all([owner], &message).await;
@@ -102,28 +105,28 @@
     let reply = OwnerReply {
         entry: node.place.vm.clone(),
         id: query.id,
-        answer: answer(node, query),
+        body: answer(node, query),
     };
     let message = EntryMessage::Reply(reply);
     node.datagrams.send_all([to], &message).await;
 }
 
-fn answer(node: &Node, query: OwnerQuery) -> OwnerAnswer {
+fn answer(node: &Node, query: OwnerQuery) -> OwnerReplyBody {
     let now = node.now();
-    match query.ask {
-        OwnerAsk::Loads(lives) => {
+    match query.body {
+        OwnerQueryBody::Loads(lives) => {
             let pool = node.pool.borrow();
-            OwnerAnswer::Loads(pool.loads_for(now, &query.entry, &lives))
+            OwnerReplyBody::Loads(pool.loads_for(now, &query.entry, &lives))
         }
-        OwnerAsk::Repeat(service) => {
-            let lent = node.budget.borrow_mut().lend(now, &service);
+        OwnerQueryBody::Retry(service) => {
+            let granted = node.budget.borrow_mut().grant(now, &service);
             log::info!(
-                event = "repeat_asked", by = &*query.entry, service = &*service, lent = lent;
+                event = "repeat_asked", by = &*query.entry, service = &*service, lent = granted;
                 ""
             );
-            OwnerAnswer::Repeat { service, lent }
+            OwnerReplyBody::Retry { service, granted }
         }
-        OwnerAsk::Refused(content) => OwnerAnswer::Refused {
+        OwnerQueryBody::Refused(content) => OwnerReplyBody::Refused {
             content,
             age: node.returns.borrow().waited(now, content),
         },
@@ -133,20 +136,20 @@
 /// Takes what an owner replied.
 pub fn take_reply(node: &Node, reply: OwnerReply) {
     let now = node.now();
-    match reply.answer {
-        OwnerAnswer::Loads(loads) => {
+    match reply.body {
+        OwnerReplyBody::Loads(loads) => {
             let mut pool = node.pool.borrow_mut();
             pool.note_reply(now, &reply.entry, &loads);
         }
-        OwnerAnswer::Repeat { service, lent } => {
-            if lent {
-                node.budget.borrow_mut().note_loan(now, &service);
+        OwnerReplyBody::Retry { service, granted } => {
+            if granted {
+                node.budget.borrow_mut().record_grant(now, &service);
             }
         }
-        OwnerAnswer::Refused { content, age } => {
+        OwnerReplyBody::Refused { content, age } => {
             if let Some(age) = age {
                 let mut returns = node.returns.borrow_mut();
-                returns.learn(now, &Refusal { content, age });
+                returns.apply_refusal(now, &Refusal { content, age });
             }
         }
     }
@@ -163,6 +166,6 @@
     }
     drop(pool);
     for refusal in &report.refused {
-        node.returns.borrow_mut().learn(now, refusal);
+        node.returns.borrow_mut().apply_refusal(now, refusal);
     }
 }
--- a/fireflydirect/src/repeats.rs
+++ b/fireflydirect/src/repeats.rs
@@ -2,7 +2,7 @@
 
 use crate::job::Job;
 use crate::questions;
-use fireflycroft::{OwnedKey, OwnerAsk};
+use fireflycroft::{OwnedKey, OwnerQueryBody};
 
 /// Takes one repeat from the shared budget, borrowing it if need be.
 pub async fn take(job: &Job) -> bool {
@@ -17,18 +17,18 @@
         return;
     }
     let node = &job.node;
-    let key = OwnedKey::of_repeats(&job.service);
+    let key = OwnedKey::of_retries(&job.service);
     let owners: Vec<_> = node.peers.borrow().owners(node.now(), key).collect();
     for owner in owners {
         if owner == node.place.ip {
             let mut budget = node.budget.borrow_mut();
-            if budget.lend(job.now(), &job.service) {
-                budget.note_loan(job.now(), &job.service);
+            if budget.grant(job.now(), &job.service) {
+                budget.record_grant(job.now(), &job.service);
                 return;
             }
             continue;
         }
-        let ask = OwnerAsk::Repeat(job.service.clone());
+        let ask = OwnerQueryBody::Retry(job.service.clone());
         // An owner that replied has said all there is to say.
         if questions::ask(node, [(owner, ask)].into_iter()).await {
             return;
@@ -39,5 +39,5 @@
 fn has_one(job: &Job) -> bool {
     let entries = job.node.entries();
     let mut budget = job.node.budget.borrow_mut();
-    budget.left(job.now(), &job.service, entries) >= 1.0
+    budget.remaining(job.now(), &job.service, entries) >= 1.0
 }
--- a/fireflydirect/src/reports.rs
+++ b/fireflydirect/src/reports.rs
@@ -37,7 +37,7 @@
 
 async fn report_all(node: &Node) {
     let placed = node.pool.borrow().placed();
-    let refused = node.returns.borrow().tell(node.now());
+    let refused = node.returns.borrow().own_refusals(node.now());
     let news = News {
         placed,
         refused,
--- a/fireflydirect/src/returns.rs
+++ b/fireflydirect/src/returns.rs
@@ -2,7 +2,7 @@
 
 use crate::job::Job;
 use crate::questions;
-use fireflycroft::{Coming, Mechanism, OwnedKey, OwnerAsk};
+use fireflycroft::{Coming, Mechanism, OwnedKey, OwnerQueryBody};
 
 /// Whether the caller comes back, as far as is known here.
 #[must_use]
@@ -25,7 +25,7 @@
         .collect();
     let asks = owners
         .into_iter()
-        .map(|o| (o, OwnerAsk::Refused(job.content)));
+        .map(|o| (o, OwnerQueryBody::Refused(job.content)));
     questions::ask(&job.node, asks).await;
     coming(job) != Coming::First
 }
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -134,7 +134,9 @@
     if crash::is_refused(node, content) {
         return Err(come_back(Code::Overloaded, QUARANTINE_RETRY));
     }
-    node.budget.borrow_mut().note_request(node.now(), &service);
+    node.budget
+        .borrow_mut()
+        .record_request(node.now(), &service);
     let engine = catalog.service(&service).and_then(|s| s.engine);
     let workspace_homes = workspace.map_or(&[][..], |w| &w.allowed_regions);
     let homes = node
--- a/fireflydirect/src/tell.rs
+++ b/fireflydirect/src/tell.rs
@@ -1,7 +1,7 @@
 //! Telling the other entries, and deciding who watches the store for all.
 
 use crate::node::{Node, Stage};
-use fireflycroft::{EntryMessage, EntryNews, ListChange, OwnedKey};
+use fireflycroft::{EntryAnnouncement, EntryMessage, ListChange, OwnedKey};
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -73,32 +73,32 @@
     let mut targets: BTreeSet<Ipv4Addr> = BTreeSet::new();
     targets.extend(node.peers.borrow_mut().targets(node.now(), all));
     targets.extend(lenders(node, &news));
-    let message = EntryMessage::News(Box::new(news));
+    let message = EntryMessage::Announcement(Box::new(news));
     node.datagrams.send_all(targets, &message).await;
 }
 
 /// Tells one entry that has just started.
 pub(crate) async fn greet(node: &Node, newcomer: Ipv4Addr) {
-    let message = EntryMessage::News(Box::new(news(node)));
+    let message = EntryMessage::Announcement(Box::new(news(node)));
     node.datagrams.send_all([newcomer], &message).await;
 }
 
 /// Owners of the services that this entry repeats requests to: they lend what is left, and have to
 /// know what was spent.
-fn lenders(node: &Node, news: &EntryNews) -> Vec<Ipv4Addr> {
+fn lenders(node: &Node, news: &EntryAnnouncement) -> Vec<Ipv4Addr> {
     let peers = node.peers.borrow();
-    let services = news.repeats.iter().map(|c| &c.service);
-    let owners = services.flat_map(|s| peers.other_owners(node.now(), OwnedKey::of_repeats(s)));
+    let services = news.retries.iter().map(|c| &c.service);
+    let owners = services.flat_map(|s| peers.other_owners(node.now(), OwnedKey::of_retries(s)));
     owners.collect()
 }
 
-fn news(node: &Node) -> EntryNews {
+fn news(node: &Node) -> EntryAnnouncement {
     let now = node.now();
-    let repeats = node.budget.borrow_mut().tell(now);
+    let retries = node.budget.borrow_mut().report(now);
     let rate_limits = node.pool.borrow_mut().tell_rates(now);
-    let said_leaving = node.pool.borrow_mut().tell_said_leaving(now);
+    let departing = node.pool.borrow_mut().tell_said_leaving(now);
     let peers = node.peers.borrow();
-    EntryNews {
+    EntryAnnouncement {
         name: node.place.vm.clone(),
         incarnation: peers.incarnation,
         config: node.version(),
@@ -110,12 +110,12 @@
         watches: node.watches_store(),
         store_age: store_age(node),
         list_changes: list_changes(node),
-        repeats,
+        retries,
         crashes: peers.crashes.iter().copied().collect(),
         peers: peers.named(now),
         evacuations: node.pool.borrow().evacuations().clone(),
         rate_limits,
-        said_leaving,
+        departing,
         leaving: node.stage() != Stage::Serving,
     }
 }
