--- a/fireflycroft-wire/src/owner_news.rs
+++ b/fireflycroft-wire/src/owner_news.rs
@@ -151,8 +151,8 @@
 
 fn owned(load: &OwnedLoad) -> pb::OwnedLoad {
     let at = PlacedAt {
-        instance: load.life.instance.clone(),
-        incarnation: load.life.incarnation,
+        instance: load.upstream.instance.clone(),
+        incarnation: load.upstream.incarnation,
         placed: load.placed,
         pace: load.pace,
     };
@@ -166,7 +166,7 @@
     let at = load.placed.as_ref();
     let at = read_placed(at.ok_or(WireError::Missing("owned.placed"))?)?;
     Ok(OwnedLoad {
-        life: Life {
+        upstream: Life {
             instance: at.instance,
             incarnation: at.incarnation,
         },
--- a/fireflycroft-wire/tests/entry_news.rs
+++ b/fireflycroft-wire/tests/entry_news.rs
@@ -97,7 +97,7 @@
 
 fn replies() -> [EntryMessage; 4] {
     let load = OwnedLoad {
-        life: life(),
+        upstream: life(),
         serves: true,
         placed: placed().placed,
         pace: placed().pace,
--- a/fireflycroft/src/catch_up.rs
+++ b/fireflycroft/src/catch_up.rs
@@ -34,7 +34,7 @@
         call.phase = Phase::Behind { again: now + retry };
         if now.since(since) >= self.limits.config_wait {
             let wait = Some(self.limits.min_retry_after);
-            self.fail(id, Code::ConfigBehind, wait, out);
+            self.fail(id, Code::ConfigOutdated, wait, out);
         }
     }
 
--- a/fireflycroft/src/code.rs
+++ b/fireflycroft/src/code.rs
@@ -109,9 +109,9 @@
     /// The caller left before the request began.
     Withdrawn = 2018, 499, "the caller left before the request began";
     /// The reservation lapsed before the start came.
-    ReservationLapsed = 2019, 503, "the reservation lapsed";
+    ReservationExpired = 2019, 503, "the reservation lapsed";
     /// The other side holds an older configuration.
-    ConfigBehind = 2020, 503, "the configuration is being brought up to date";
+    ConfigOutdated = 2020, 503, "the configuration is being brought up to date";
     /// No route of the configuration leads there.
     RouteUnknown = 2021, 404, "no route leads there";
     /// The whole answer was delivered.
--- a/fireflycroft/src/deliver.rs
+++ b/fireflycroft/src/deliver.rs
@@ -120,7 +120,8 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.pace.note(now, call.received, chunk.count(), call.goal);
+        call.pace
+            .record(now, call.received, chunk.count(), call.goal);
         match call.delivery {
             Delivery::Stream => {
                 if !call.told_begin {
@@ -298,7 +299,7 @@
         match (standing, origin) {
             (Standing::Reserved, _) => {}
             (Standing::NeverStarted, _) => {
-                self.on_not_run(now, id, Code::ReservationLapsed, out);
+                self.on_not_run(now, id, Code::ReservationExpired, out);
             }
             (Standing::Unknown, Origin::Own) => self.on_lost(now, id, Code::OutcomeUnknown, out),
             (Standing::Unknown, Origin::Joined(_)) => {
--- a/fireflycroft/src/dispatch.rs
+++ b/fireflycroft/src/dispatch.rs
@@ -211,7 +211,7 @@
             return;
         }
         let id = call.id;
-        if code == Code::ConfigBehind {
+        if code == Code::ConfigOutdated {
             self.hold_for_config(now, id, out);
             return;
         }
--- a/fireflycroft/src/entry.rs
+++ b/fireflycroft/src/entry.rs
@@ -6,7 +6,6 @@
 //! `submit` holds the checks, `dispatch` the way to a start, `deliver` the
 //! reading.
 
-use crate::burn::{Goal, Measured, Pace, meets};
 use crate::claim::ClaimRun;
 use crate::code::{Class, Code};
 use crate::config::{Adopted, Config, InForce};
@@ -15,9 +14,10 @@
 use crate::member_record::{MemberRecord, MemberState};
 use crate::message::{ConfigVersion, Envelope, Load, Message};
 use crate::note::Note;
+use crate::objective::{LatencyGoal, MeasuredRequest, TokenTiming, met_objective};
 use crate::quarantine::Quarantine;
 use crate::quota::Quotas;
-use crate::retry::RetryBudget;
+use crate::restart_budget::RestartBudget;
 use crate::route::{AgentView, Router};
 use crate::stream::{Chunk, Cursor};
 use crate::time::Time;
@@ -114,8 +114,8 @@
     pub(crate) behind_since: Option<Time>,
     pub(crate) received: Time,
     pub(crate) brand: Name,
-    pub(crate) goal: Option<Goal>,
-    pub(crate) pace: Pace,
+    pub(crate) goal: Option<LatencyGoal>,
+    pub(crate) pace: TokenTiming,
     /// Whether the caller was told which generation it is given.
     pub(crate) told_begin: bool,
     pub(crate) held_back: Chunk,
@@ -137,7 +137,7 @@
     pub(crate) held: usize,
     pub(crate) quarantine: Quarantine,
     pub(crate) quotas: Quotas,
-    pub(crate) retries: RetryBudget,
+    pub(crate) retries: RestartBudget,
     pub(crate) entries: u32,
     pub(crate) leaving: bool,
     /// Time of the last tick.
@@ -158,7 +158,7 @@
             held: 0,
             quarantine: Quarantine::default(),
             quotas: Quotas::default(),
-            retries: RetryBudget::default(),
+            retries: RestartBudget::default(),
             entries: 1,
             leaving: false,
             ticked: None,
@@ -410,11 +410,11 @@
 impl Call {
     /// The request as it is counted when it ends with `code`.
     pub(crate) fn measured(&self, code: Code) -> EntryAction {
-        EntryAction::Measured(Measured {
+        EntryAction::Measured(MeasuredRequest {
             brand: self.brand.clone(),
             priority: self.demand.priority,
             code,
-            met: meets(code, &self.pace, self.goal),
+            met: met_objective(code, &self.pace, self.goal),
         })
     }
 
--- a/fireflycroft/src/entry_io.rs
+++ b/fireflycroft/src/entry_io.rs
@@ -1,6 +1,5 @@
 //! What goes into an entry and comes out: limits, requests, events, replies, actions.
 
-use crate::burn::Measured;
 use crate::claim::{ClaimAnswer, ClaimOp};
 use crate::code::Code;
 use crate::config::Config;
@@ -8,6 +7,7 @@
 use crate::member_record::MemberRecord;
 use crate::message::{Envelope, Finish, Message};
 use crate::note::Note;
+use crate::objective::MeasuredRequest;
 use crate::route::RoutePolicy;
 use crate::stream::Chunk;
 use crate::work::{Priority, Work};
@@ -203,7 +203,7 @@
     /// Ask the sender for its configuration.
     PullConfig(SocketAddr),
     /// Count a request that has ended.
-    Measured(Measured),
+    Measured(MeasuredRequest),
     /// Something to log and count.
     Note(Note),
 }
--- a/fireflycroft/src/loads.rs
+++ b/fireflycroft/src/loads.rs
@@ -135,7 +135,7 @@
         let known = lives.iter().filter_map(|life| {
             let u = &self.upstreams[self.find(&life.instance)?.0];
             (u.record.incarnation == life.incarnation).then(|| OwnedLoad {
-                life: life.clone(),
+                upstream: life.clone(),
                 serves: u.is_serving() && u.witnesses(now) < WITNESSES,
                 placed: u.mine.plus(u.told(now, Some(entry))),
                 pace: u.pace.but_of(entry),
@@ -166,11 +166,11 @@
     /// only now, or a report to it was lost.
     pub fn note_reply(&mut self, now: Time, owner: &Name, loads: &[OwnedLoad]) {
         for load in loads {
-            let Some(ix) = self.find(&load.life.instance) else {
+            let Some(ix) = self.find(&load.upstream.instance) else {
                 continue;
             };
             let u = &mut self.upstreams[ix.0];
-            if u.record.incarnation != load.life.incarnation {
+            if u.record.incarnation != load.upstream.incarnation {
                 continue;
             }
             u.note_reply(now, load.placed);
--- a/fireflycroft/src/mechanism.rs
+++ b/fireflycroft/src/mechanism.rs
@@ -9,15 +9,15 @@
 /// A mechanism that can be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Copies of runs that are kept as they grow ([`crate::pick_backup`]).
+    /// Copies of runs that are kept as they grow ([`crate::pick_backup_holder`]).
     Copies,
-    /// Moving runs off upstreams that leave ([`crate::on_notice`]).
+    /// Moving runs off upstreams that leave ([`crate::departure_action`]).
     Moves,
     /// Asking upstreams that leave when they are gone ([`crate::Departure`]).
     Departures,
     /// Refusing generations for which there is no room ([`crate::is_room`]).
     Door,
-    /// Knowing refused callers when they come back ([`crate::Returns`]).
+    /// Knowing refused callers when they come back ([`crate::ReturningCallers`]).
     Returns,
     /// Letting in first what brings more for its memory ([`crate::Yields`]).
     Yields,
@@ -29,9 +29,9 @@
     Shared,
     /// Leaving upstreams alone that fail.
     Failing,
-    /// Trying a call to the store beside one that hangs ([`crate::Overlap`]).
+    /// Trying a call to the store beside one that hangs ([`crate::HedgedCall`]).
     Overlap,
-    /// Sending callers back after an outage ([`crate::back_after`]).
+    /// Sending callers back after an outage ([`crate::unconfigured_retry_after`]).
     Outage,
     /// Asking the owners of upstreams for their load ([`crate::owners_of`]).
     Owners,
--- a/fireflycroft/src/missing.rs
+++ b/fireflycroft/src/missing.rs
@@ -1,7 +1,7 @@
 //! Upstreams that the list lacks: gone, or missing until the store has answered for long enough.
 //!
 //! Whoever reads the store says what it read and when it answered; whether an
-//! upstream that isn't there any more is gone is decided here, by [`StoreContact`].
+//! upstream that isn't there any more is gone is decided here, by [`StoreConnectivity`].
 //! What another entry tells as removed is gone: it has decided the same.
 
 use crate::ids::Name;
--- a/fireflycroft/src/burn.rs
+++ b/fireflycroft/src/objective.rs
@@ -14,7 +14,7 @@
 
 /// One request that has ended, for counting.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Measured {
+pub struct MeasuredRequest {
     /// Brand of the workspace that asked.
     pub brand: Name,
     /// How urgent it was.
@@ -27,65 +27,77 @@
 
 /// What is asked of one request's pace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Goal {
-    first: Duration,
-    between: Duration,
+pub(crate) struct LatencyGoal {
+    first_token: Duration,
+    between_tokens: Duration,
 }
 
 /// Late tokens allowed in a hundred.
-const LATE_IN_HUNDRED: u64 = 5;
+const MAX_LATE_PERCENT: u64 = 5;
 
-impl Goal {
+impl LatencyGoal {
     pub(crate) const fn of(objective: &Objective) -> Self {
         Self {
-            first: Duration::from_millis(objective.first_token_ms),
-            between: Duration::from_millis(objective.between_tokens_ms),
+            first_token: Duration::from_millis(objective.first_token_ms),
+            between_tokens: Duration::from_millis(objective.between_tokens_ms),
         }
     }
 }
 
 /// Pace of one request's tokens.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Pace {
-    first: Option<Duration>,
-    last: Time,
-    gaps: u64,
+pub(crate) struct TokenTiming {
+    first_token: Option<Duration>,
+    last_at: Time,
+    tokens: u64,
     late: u64,
 }
 
-impl Pace {
+impl TokenTiming {
     /// Notes tokens that were handed on at `now`.
-    pub(crate) fn note(&mut self, now: Time, received: Time, count: u64, goal: Option<Goal>) {
+    pub(crate) fn record(
+        &mut self,
+        now: Time,
+        received: Time,
+        count: u64,
+        goal: Option<LatencyGoal>,
+    ) {
         let Some(goal) = goal.filter(|_| count > 0) else {
             return;
         };
-        if self.first.is_none() {
-            self.first = Some(now.since(received));
+        if self.first_token.is_none() {
+            self.first_token = Some(now.since(received));
         } else {
-            self.late += u64::from(now.since(self.last) > goal.between);
+            self.late += u64::from(now.since(self.last_at) > goal.between_tokens);
         }
-        self.gaps += count;
-        self.last = now;
+        self.tokens += count;
+        self.last_at = now;
     }
 
-    fn meets(&self, goal: Goal) -> bool {
-        let first = self.first.is_none_or(|first| first <= goal.first);
-        first && self.late * 100 <= self.gaps * LATE_IN_HUNDRED
+    fn meets(&self, goal: LatencyGoal) -> bool {
+        let is_first_in_time = self
+            .first_token
+            .is_none_or(|first_token| first_token <= goal.first_token);
+        is_first_in_time && self.late * 100 <= self.tokens * MAX_LATE_PERCENT
     }
 }
 
 /// Whether a request that ended so met its goal.
-pub(crate) fn meets(code: Code, pace: &Pace, goal: Option<Goal>) -> Option<bool> {
+pub(crate) fn met_objective(
+    code: Code,
+    timing: &TokenTiming,
+    goal: Option<LatencyGoal>,
+) -> Option<bool> {
     let goal = goal?;
     match code {
-        Code::Ok => Some(pace.meets(goal)),
-        code if is_the_callers(code) => None,
+        Code::Ok => Some(timing.meets(goal)),
+        code if is_caller_error(code) => None,
         _ => Some(false),
     }
 }
 
 /// Codes that the caller brought upon itself.
-const fn is_the_callers(code: Code) -> bool {
+const fn is_caller_error(code: Code) -> bool {
     matches!(
         code,
         Code::BadRequest
--- a/fireflycroft/src/owner_messages.rs
+++ b/fireflycroft/src/owner_messages.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnedLoad {
     /// The upstream.
-    pub life: Life,
+    pub upstream: Life,
     /// Whether it takes new work and can be reached, as far as the owner knows.
     pub serves: bool,
     /// Work of all entries but the one that asks.
--- a/fireflycroft/src/part_name.rs
+++ b/fireflycroft/src/part_name.rs
@@ -21,7 +21,7 @@
 
     /// Reads a name written by its `Display`.
     #[must_use]
-    pub fn scan(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         let hash = blake3::Hash::from_hex(text).ok()?;
         Some(Self(*hash.as_bytes()))
     }
@@ -48,6 +48,6 @@
 impl<'de> Deserialize<'de> for PartName {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        Self::scan(&text).ok_or_else(|| serde::de::Error::custom("no name of a part"))
+        Self::parse(&text).ok_or_else(|| serde::de::Error::custom("no name of a part"))
     }
 }
--- a/fireflycroft/src/relay.rs
+++ b/fireflycroft/src/relay.rs
@@ -78,7 +78,7 @@
         let mut start = 0;
         while let Some(len) = event_len(&self.buffer[start..]) {
             let event = &self.buffer[start..start + len];
-            let id = parse_event_id(event);
+            let id = read_event_id(event);
             if is_new(self.last, id)? {
                 out.extend_from_slice(event);
                 self.relayed += 1;
@@ -129,7 +129,7 @@
 }
 
 /// Number that the `id` line of an event gives.
-fn parse_event_id(event: &[u8]) -> Option<u64> {
+fn read_event_id(event: &[u8]) -> Option<u64> {
     event.split(|b| *b == b'\n').find_map(|line| {
         let value = line.strip_prefix(b"id:")?;
         std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/fireflycroft/src/reserve.rs
+++ b/fireflycroft/src/reserve.rs
@@ -76,7 +76,7 @@
             Some(Stage::Reserved(until)) => until.since(now),
             Some(Stage::Running | Stage::Finished(_)) => Duration::ZERO,
             Some(Stage::Lapsed(_)) | None => {
-                return refused(offer, Code::ReservationLapsed, Duration::ZERO);
+                return refused(offer, Code::ReservationExpired, Duration::ZERO);
             }
         };
         Message::Accept {
@@ -102,7 +102,7 @@
             return Some((Code::Quarantined, Duration::ZERO));
         }
         if differs {
-            return Some((Code::ConfigBehind, LEAVING_RETRY));
+            return Some((Code::ConfigOutdated, LEAVING_RETRY));
         }
         if self.offers.len() >= self.limits.max_offers {
             return Some((Code::Overloaded, DOWN_RETRY));
--- a/fireflycroft/src/retry.rs
+++ b/fireflycroft/src/restart_budget.rs
@@ -2,33 +2,33 @@
 
 /// Restarts allowed: a share of the requests, with a small reserve.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryBudget {
-    tenths: u32,
+pub struct RestartBudget {
+    credit_tenths: u32,
 }
 
 const RESERVE_TENTHS: u32 = 200;
 const COST_TENTHS: u32 = 10;
 
-impl Default for RetryBudget {
+impl Default for RestartBudget {
     fn default() -> Self {
         Self {
-            tenths: RESERVE_TENTHS,
+            credit_tenths: RESERVE_TENTHS,
         }
     }
 }
 
-impl RetryBudget {
+impl RestartBudget {
     /// Notes a new request, which earns a tenth of a restart.
     pub fn earn(&mut self) {
-        self.tenths = (self.tenths + 1).min(RESERVE_TENTHS);
+        self.credit_tenths = (self.credit_tenths + 1).min(RESERVE_TENTHS);
     }
 
     /// Takes one restart if the budget holds it.
     pub fn spend(&mut self) -> bool {
-        let Some(left) = self.tenths.checked_sub(COST_TENTHS) else {
+        let Some(left) = self.credit_tenths.checked_sub(COST_TENTHS) else {
             return false;
         };
-        self.tenths = left;
+        self.credit_tenths = left;
         true
     }
 }
--- a/fireflycroft/src/resume.rs
+++ b/fireflycroft/src/resume.rs
@@ -7,7 +7,7 @@
 use crate::ids::{Name, scan_generation_id, scan_request_id};
 
 /// Longest event id that is read.
-pub const MAX_EVENT_ID: usize = 256;
+pub const MAX_EVENT_ID_BYTES: usize = 256;
 
 /// Writes the id of the event after which `next` comes.
 #[must_use]
@@ -20,8 +20,8 @@
 
 /// Reads an id written by [`event_id`].
 #[must_use]
-pub fn scan_event_id(text: &str) -> Option<ResumePoint> {
-    if text.len() > MAX_EVENT_ID {
+pub fn parse_event_id(text: &str) -> Option<ResumePoint> {
+    if text.len() > MAX_EVENT_ID_BYTES {
         return None;
     }
     let (request, rest) = text.split_once('.')?;
--- a/fireflycroft/src/submit.rs
+++ b/fireflycroft/src/submit.rs
@@ -1,6 +1,5 @@
 //! Checks on a caller's request before any agent hears of it.
 
-use crate::burn::{Goal, Measured, Pace, meets};
 use crate::code::Code;
 use crate::config::{Config, WorkspaceIx};
 use crate::entry::{Call, Entry, Phase};
@@ -8,6 +7,7 @@
 use crate::ids::{CallId, Digest, Name};
 use crate::inventory::WithoutKey;
 use crate::note::Note;
+use crate::objective::{LatencyGoal, MeasuredRequest, TokenTiming, met_objective};
 use crate::stream::Chunk;
 use crate::time::Time;
 use crate::work::{Demand, Priority, Work};
@@ -35,7 +35,7 @@
     /// Tokens charged to the quota.
     charged: u64,
     brand: Name,
-    goal: Option<Goal>,
+    goal: Option<LatencyGoal>,
 }
 
 /// Brand under which a request is counted whose key nobody holds.
@@ -91,9 +91,9 @@
         let wish = submission.priority;
         let priority = asker.map_or(Priority::Batch, |(c, ix)| c.priority(ix, wish));
         let objective = asker.and_then(|(c, _)| c.objective(&brand, priority));
-        let goal = objective.map(Goal::of);
-        EntryAction::Measured(Measured {
-            met: meets(code, &Pace::default(), goal),
+        let goal = objective.map(LatencyGoal::of);
+        EntryAction::Measured(MeasuredRequest {
+            met: met_objective(code, &TokenTiming::default(), goal),
             brand,
             priority,
             code,
@@ -115,7 +115,7 @@
             .cloned()
             .ok_or_else(|| later(Code::NotReady))?;
         if self.config.is_behind() && submission.resume.is_some() {
-            return Err(later(Code::ConfigBehind));
+            return Err(later(Code::ConfigOutdated));
         }
         if self.calls.len() >= self.limits.max_calls {
             return Err(later(Code::Overloaded));
@@ -135,7 +135,9 @@
         let max_wait = config.max_wait(demand.priority);
         let brand = config.brand_name(ix).clone();
         Ok(Checked {
-            goal: config.objective(&brand, demand.priority).map(Goal::of),
+            goal: config
+                .objective(&brand, demand.priority)
+                .map(LatencyGoal::of),
             claim_key: repeating.claim_key,
             demand,
             max_wait,
@@ -222,7 +224,7 @@
             charged: checked.charged,
             brand: checked.brand,
             goal: checked.goal,
-            pace: Pace::default(),
+            pace: TokenTiming::default(),
         }
     }
 }
--- a/fireflycroft/src/text_change.rs
+++ b/fireflycroft/src/text_change.rs
@@ -10,16 +10,16 @@
 use std::collections::HashMap;
 
 /// Bytes of the blocks by which equal runs are found.
-const BLOCK: usize = 32;
+const BLOCK_BYTES: usize = 32;
 
 /// Places of one block in the old text that are tried for the longest run.
-const MAX_PLACES: usize = 8;
+const MAX_BLOCK_POSITIONS: usize = 8;
 
 /// Part of the new text that a change may take, as a divisor: beyond it a change saves little.
-const TOLD_PART: usize = 4;
+const MAX_SIZE_DIVISOR: usize = 4;
 
 /// Bytes that a step takes beside its text.
-const STEP_BYTES: usize = 32;
+const STEP_OVERHEAD_BYTES: usize = 32;
 
 /// One step of making the new text.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
@@ -42,28 +42,28 @@
     /// What leads from `old` to `new`; none where it would save little.
     #[must_use]
     pub fn between(old: &str, new: &str) -> Option<Self> {
-        let runs = equal_runs(old.as_bytes(), new.as_bytes());
+        let found_matches = find_matches(old.as_bytes(), new.as_bytes());
         let mut steps = Vec::new();
         let mut done = 0;
         let mut added = 0;
-        for run in runs {
+        for matched in found_matches {
             // A run may begin or end inside a character, which can't be told by itself.
-            let gap = new.get(done..run.at)?;
+            let gap = new.get(done..matched.at)?;
             if !gap.is_empty() {
                 added += gap.len();
                 steps.push(Step::Add(gap.to_owned()));
             }
-            let (from, len) = (run.from, run.len);
+            let (from, len) = (matched.from, matched.len);
             steps.push(Step::Copy { from, len });
-            done = run.at + len;
+            done = matched.at + len;
         }
         let rest = new.get(done..)?;
         if !rest.is_empty() {
             steps.push(Step::Add(rest.to_owned()));
         }
-        let told = added + rest.len() + steps.len() * STEP_BYTES;
-        let is_small = told * TOLD_PART <= new.len();
-        is_small.then(|| Self {
+        let encoded_len = added + rest.len() + steps.len() * STEP_OVERHEAD_BYTES;
+        let is_worthwhile = encoded_len * MAX_SIZE_DIVISOR <= new.len();
+        is_worthwhile.then(|| Self {
             steps,
             digest: digest_of(new.as_bytes()),
         })
@@ -91,51 +91,51 @@
 
 /// Bytes of the new text, at `at`, that stand in the old one, at `from`.
 #[derive(Clone, Copy)]
-struct Run {
+struct Match {
     at: usize,
     from: usize,
     len: usize,
 }
 
-fn equal_runs(old: &[u8], new: &[u8]) -> Vec<Run> {
-    let places = places_of_blocks(old);
-    let mut runs: Vec<Run> = Vec::new();
+fn find_matches(old: &[u8], new: &[u8]) -> Vec<Match> {
+    let positions = index_blocks(old);
+    let mut found_matches: Vec<Match> = Vec::new();
     let mut at = 0;
     let mut done = 0;
-    while let Some(block) = new.get(at..at + BLOCK) {
-        let found = places.get(block).into_iter().flatten();
-        let longest = found.map(|from| widened(old, new, *from, at, done));
-        match longest.max_by_key(|run| run.len) {
-            Some(run) => {
-                runs.push(run);
-                done = run.at + run.len;
+    while let Some(block) = new.get(at..at + BLOCK_BYTES) {
+        let found = positions.get(block).into_iter().flatten();
+        let longest = found.map(|from| extend_match(old, new, *from, at, done));
+        match longest.max_by_key(|matched| matched.len) {
+            Some(matched) => {
+                found_matches.push(matched);
+                done = matched.at + matched.len;
                 at = done;
             }
             None => at += 1,
         }
     }
-    runs
+    found_matches
 }
 
 /// The first places of each aligned block.
-fn places_of_blocks(old: &[u8]) -> HashMap<&[u8], Vec<usize>> {
-    let mut places: HashMap<&[u8], Vec<usize>> = HashMap::new();
-    for (i, block) in old.chunks_exact(BLOCK).enumerate() {
-        let of_block = places.entry(block).or_default();
-        if of_block.len() < MAX_PLACES {
-            of_block.push(i * BLOCK);
+fn index_blocks(old: &[u8]) -> HashMap<&[u8], Vec<usize>> {
+    let mut positions: HashMap<&[u8], Vec<usize>> = HashMap::new();
+    for (i, block) in old.chunks_exact(BLOCK_BYTES).enumerate() {
+        let of_block = positions.entry(block).or_default();
+        if of_block.len() < MAX_BLOCK_POSITIONS {
+            of_block.push(i * BLOCK_BYTES);
         }
     }
-    places
+    positions
 }
 
 /// The longest run round a block that is equal, not reaching back before `done` in the new text.
-fn widened(old: &[u8], new: &[u8], from: usize, at: usize, done: usize) -> Run {
+fn extend_match(old: &[u8], new: &[u8], from: usize, at: usize, done: usize) -> Match {
     let before = new[done..at].iter().rev().zip(old[..from].iter().rev());
     let before = before.take_while(|(a, b)| a == b).count();
     let after = new[at..].iter().zip(&old[from..]);
     let after = after.take_while(|(a, b)| a == b).count();
-    Run {
+    Match {
         at: at - before,
         from: from - before,
         len: before + after,
--- a/fireflycroft/tests/rescue.rs
+++ b/fireflycroft/tests/failover.rs
@@ -5,17 +5,17 @@
 mod cases;
 
 use fireflycroft::{
-    Asking, BACKUP_FILL, Coming, Departure, Fill, Incarnation, Name, Need, OnNotice, Pool,
-    ROOM_FOR_FIRST, ROOM_FOR_LATE, ROOM_FOR_LONG, ROOM_FOR_RETURNING, STEP_DOWN_AFTER,
-    STOP_AFTER_NOTICE, Time, UpstreamRecord, UpstreamState, WATCHERS, WatchDuty, WatchView, Yields,
-    is_room, on_notice, pick_backup, room_after,
+    Asking, Coming, Departure, DepartureAction, Fill, Incarnation, MAX_SERVICE_FILL_FOR_BACKUP,
+    Name, Need, Pool, ROOM_FOR_FIRST, ROOM_FOR_LATE, ROOM_FOR_LONG, ROOM_FOR_RETURNING,
+    STEP_DOWN_AFTER, STOP_AFTER_LEAVE_NOTICE, Time, UpstreamRecord, UpstreamState, WATCHERS,
+    WatcherRole, WatcherView, Yields, departure_action, is_room, pick_backup_holder, room_after,
 };
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
 cases! {
-    run_with_a_copy_goes_on => assert_eq!(on_notice(true), OnNotice::LetRun);
-    run_without_a_copy_is_moved => assert_eq!(on_notice(false), OnNotice::Move);
+    run_with_a_copy_goes_on => assert_eq!(departure_action(true), DepartureAction::Continue);
+    run_without_a_copy_is_moved => assert_eq!(departure_action(false), DepartureAction::Migrate);
     copy_is_kept_elsewhere => copy_is_elsewhere();
     no_copy_where_memory_is_short => no_copy_when_short();
     no_copy_where_there_is_nobody_else => no_copy_alone();
@@ -28,15 +28,15 @@
     shorter_answer_yields_more => shorter_answer();
     kinds_have_yields_of_their_own => own_kinds();
     absurd_sizes_decide_nothing_for_others => absurd_sizes();
-    run_is_stopped_early_while_nothing_is_known => assert_eq!(leaving(None, 0), STOP_AFTER_NOTICE);
+    run_is_stopped_early_while_nothing_is_known => assert_eq!(leaving(None, 0), STOP_AFTER_LEAVE_NOTICE);
     run_is_stopped_once_the_copies_are_done => copies_done();
     run_is_stopped_before_its_engine_is_gone => stopped_in_time();
-    engine_that_stays_long_puts_nothing_off => assert_eq!(leaving(Some(9_000), 100), STOP_AFTER_NOTICE);
+    engine_that_stays_long_puts_nothing_off => assert_eq!(leaving(Some(9_000), 100), STOP_AFTER_LEAVE_NOTICE);
     returning_generation_is_let_in_first => returning_first();
     first_rank_is_let_in_first => first_rank();
     short_generation_is_let_in_beyond => assert!(room(10, Coming::First, 1.0, 1.0) && !room(10, Coming::First, 2.0, 1.0));
     fuller_memory_says_come_back_later => assert!(room_after(1.5) > room_after(0.5));
-    lone_entry_watches => assert!(WatchDuty::new(addr(0), true).is_watching());
+    lone_entry_watches => assert!(WatcherRole::new(addr(0), true).is_watching());
     enough_watchers_are_found => enough_watchers();
     watcher_that_fails_is_replaced => failed_is_replaced();
     watcher_steps_down_late => steps_down_late();
@@ -148,11 +148,11 @@
 }
 
 /// Time from notice to the stop of a run on an engine that is gone after `gone` milliseconds.
-fn leaving(gone: Option<u64>, copies_take: u64) -> Duration {
+fn leaving(gone: Option<u64>, copy_time: u64) -> Duration {
     let departure = Departure {
-        notice: at(5_000),
+        notified_at: at(5_000),
         gone_at: gone.map(|gone| at(5_000 + gone)),
-        copies_take: Duration::from_millis(copies_take),
+        copy_time: Duration::from_millis(copy_time),
     };
     departure.stop_at().since(at(5_000))
 }
@@ -165,7 +165,7 @@
 
 fn stopped_in_time() {
     let stop = leaving(Some(1_600), 5_000);
-    assert!(stop > STOP_AFTER_NOTICE, "{stop:?}");
+    assert!(stop > STOP_AFTER_LEAVE_NOTICE, "{stop:?}");
     assert!(stop < Duration::from_millis(1_500), "{stop:?}");
 }
 
@@ -216,8 +216,8 @@
 fn copy_is_elsewhere() {
     let pool = pool(2);
     let source = pool.find("i0").unwrap();
-    let keeper = pick_backup(&pool, at(0), &Name::from("models"), &copy(), source);
-    assert_eq!(keeper, pool.find("i1"));
+    let holder = pick_backup_holder(&pool, at(0), &Name::from("models"), &copy(), source);
+    assert_eq!(holder, pool.find("i1"));
 }
 
 fn no_copy_when_short() {
@@ -228,16 +228,16 @@
         ..Need::default()
     };
     pool.place(at(0), source, &need);
-    assert!(pool.fill_of(at(0), "models") > BACKUP_FILL);
-    let keeper = pick_backup(&pool, at(0), &Name::from("models"), &copy(), source);
-    assert_eq!(keeper, None);
+    assert!(pool.fill_of(at(0), "models") > MAX_SERVICE_FILL_FOR_BACKUP);
+    let holder = pick_backup_holder(&pool, at(0), &Name::from("models"), &copy(), source);
+    assert_eq!(holder, None);
 }
 
 fn no_copy_alone() {
     let pool = pool(1);
     let source = pool.find("i0").unwrap();
-    let keeper = pick_backup(&pool, at(0), &Name::from("models"), &copy(), source);
-    assert_eq!(keeper, None);
+    let holder = pick_backup_holder(&pool, at(0), &Name::from("models"), &copy(), source);
+    assert_eq!(holder, None);
 }
 
 fn addr(number: usize) -> Ipv4Addr {
@@ -245,10 +245,10 @@
 }
 
 /// An entry that is heard, and doesn't watch.
-fn idle(number: usize) -> WatchView {
-    WatchView {
+fn idle(number: usize) -> WatcherView {
+    WatcherView {
         addr: addr(number),
-        heard: true,
+        is_alive: true,
         watches: false,
     }
 }
@@ -256,33 +256,33 @@
 /// Entries that hear each other and whose watches the store answers, but for `cut`.
 struct Fleet {
     addrs: Vec<Ipv4Addr>,
-    duties: Vec<WatchDuty>,
+    roles: Vec<WatcherRole>,
 }
 
 impl Fleet {
     fn new(count: usize) -> Self {
         let addrs: Vec<Ipv4Addr> = (0..count).map(addr).collect();
-        let duties = addrs.iter().map(|addr| WatchDuty::new(*addr, true));
-        let duties = duties.collect();
-        Self { addrs, duties }
+        let roles = addrs.iter().map(|addr| WatcherRole::new(*addr, true));
+        let roles = roles.collect();
+        Self { addrs, roles }
     }
 
     fn watching(&self) -> Vec<usize> {
-        let all = 0..self.duties.len();
-        all.filter(|i| self.duties[*i].is_watching()).collect()
+        let all = 0..self.roles.len();
+        all.filter(|i| self.roles[*i].is_watching()).collect()
     }
 
     fn decide(&mut self, now: Time, cut: Option<usize>) {
-        let views: Vec<WatchView> = (0..self.addrs.len())
-            .map(|i| WatchView {
+        let views: Vec<WatcherView> = (0..self.addrs.len())
+            .map(|i| WatcherView {
                 addr: self.addrs[i],
-                heard: true,
-                watches: self.duties[i].is_watching() && Some(i) != cut,
+                is_alive: true,
+                watches: self.roles[i].is_watching() && Some(i) != cut,
             })
             .collect();
-        for (i, duty) in self.duties.iter_mut().enumerate() {
+        for (i, role) in self.roles.iter_mut().enumerate() {
             let others = views.iter().filter(|v| v.addr != self.addrs[i]);
-            duty.decide(now, others);
+            role.decide(now, others);
         }
     }
 
@@ -307,8 +307,8 @@
     let now = fleet.settle(at(0), None);
     let cut = fleet.watching()[0];
     fleet.decide(now + Duration::from_millis(250), Some(cut));
-    let sound = fleet.watching().into_iter().filter(|i| *i != cut).count();
-    assert!(sound >= WATCHERS, "{sound}");
+    let healthy = fleet.watching().into_iter().filter(|i| *i != cut).count();
+    assert!(healthy >= WATCHERS, "{healthy}");
 }
 
 fn steps_down_late() {
@@ -322,24 +322,24 @@
 /// fleet's size.
 fn few_call_often() {
     let mut fleet = Fleet::new(20);
-    let views: Vec<WatchView> = (0..20).map(idle).collect();
-    for (i, duty) in fleet.duties.iter_mut().enumerate() {
-        duty.decide(at(0), views.iter().filter(|v| v.addr != fleet.addrs[i]));
+    let views: Vec<WatcherView> = (0..20).map(idle).collect();
+    for (i, role) in fleet.roles.iter_mut().enumerate() {
+        role.decide(at(0), views.iter().filter(|v| v.addr != fleet.addrs[i]));
     }
     assert_eq!(fleet.watching().len(), 20);
-    let often = |d: &&WatchDuty| d.longest_pause() < Duration::from_secs(1);
-    assert_eq!(fleet.duties.iter().filter(often).count(), WATCHERS);
-    assert!(WatchDuty::new(addr(0), true).longest_pause() < Duration::from_secs(1));
+    let often = |d: &&WatcherRole| d.max_pause() < Duration::from_secs(1);
+    assert_eq!(fleet.roles.iter().filter(often).count(), WATCHERS);
+    assert!(WatcherRole::new(addr(0), true).max_pause() < Duration::from_secs(1));
 }
 
 fn calls_stay_few() {
     for size in [5, 68, 350] {
         let mut fleet = Fleet::new(size);
-        let views: Vec<WatchView> = (0..size).map(idle).collect();
-        for (i, duty) in fleet.duties.iter_mut().enumerate() {
-            duty.decide(at(0), views.iter().filter(|v| v.addr != fleet.addrs[i]));
+        let views: Vec<WatcherView> = (0..size).map(idle).collect();
+        for (i, role) in fleet.roles.iter_mut().enumerate() {
+            role.decide(at(0), views.iter().filter(|v| v.addr != fleet.addrs[i]));
         }
-        let pauses = fleet.duties.iter().map(|d| d.longest_pause().as_secs_f64());
+        let pauses = fleet.roles.iter().map(|d| d.max_pause().as_secs_f64());
         let calls_a_second: f64 = pauses.map(|p| 2.0 / p).sum();
         assert!(calls_a_second < 40.0, "{size} entries: {calls_a_second}");
     }
@@ -348,6 +348,6 @@
 fn few_relied_on() {
     let mut fleet = Fleet::new(20);
     fleet.decide(at(0), None);
-    let relied_on = fleet.duties.iter().filter(|d| d.is_relied_on()).count();
-    assert_eq!((fleet.watching().len(), relied_on), (20, WATCHERS));
+    let primary = fleet.roles.iter().filter(|d| d.is_primary()).count();
+    assert_eq!((fleet.watching().len(), primary), (20, WATCHERS));
 }
--- a/fireflycroft/tests/burn.rs
+++ b/fireflycroft/tests/objective.rs
@@ -3,8 +3,9 @@
 use fireflycroft::{
     Brand, CallId, Chunk, Code, ConfigVersion, Delivery, Digest, Document, Entry, EntryAction,
     EntryEvent, EntryLimits, EntrySetup, Envelope, Finish, GenerationId, Incarnation, Inventory,
-    Load, Measured, MemberRecord, MemberState, Message, Model, Name, Objective, Peer, Priority,
-    RequestId, Role, RoutePolicy, Rules, Submission, Time, Work, Workspace, compile, digest_key,
+    Load, MeasuredRequest, MemberRecord, MemberState, Message, Model, Name, Objective, Peer,
+    Priority, RequestId, Role, RoutePolicy, Rules, Submission, Time, Work, Workspace, compile,
+    digest_key,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -101,8 +102,8 @@
             sent: 0,
         };
         let config = compile(ConfigVersion(1), Digest(1), &document()).expect("a sound document");
-        world.tell(EntryEvent::Config(Arc::new(config)));
-        world.tell(EntryEvent::Member(MemberRecord {
+        world.on_event(EntryEvent::Config(Arc::new(config)));
+        world.on_event(EntryEvent::Member(MemberRecord {
             peer: agent(),
             data_centre: "dc".into(),
             state: MemberState::Alive,
@@ -112,12 +113,12 @@
         world
     }
 
-    fn tell(&mut self, event: EntryEvent) {
+    fn on_event(&mut self, event: EntryEvent) {
         self.entry.on_event(self.now, event, &mut self.out);
     }
 
     fn submit(&mut self, key: &str, priority: Priority) {
-        self.tell(EntryEvent::Submit(
+        self.on_event(EntryEvent::Submit(
             CALL,
             Box::new(submission(key, priority)),
         ));
@@ -131,19 +132,19 @@
         self.out.iter().find_map(offered).expect("an offer")
     }
 
-    fn hear(&mut self, body: Message) {
+    fn receive(&mut self, body: Message) {
         let envelope = Envelope {
             from: agent(),
             config: ConfigVersion(1),
             load: Some(Load::default()),
             body,
         };
-        self.tell(EntryEvent::Message(Box::new(envelope)));
+        self.on_event(EntryEvent::Message(Box::new(envelope)));
     }
 
     fn begin(&mut self) {
         self.submit("key", Priority::Interactive);
-        self.hear(Message::Accept {
+        self.receive(Message::Accept {
             request: self.request(),
             attempt: 1,
             generation: GENERATION,
@@ -164,7 +165,7 @@
     }
 
     fn tokens(&mut self, chunk: Chunk, finish: Option<Finish>) {
-        self.hear(Message::Tokens {
+        self.receive(Message::Tokens {
             reader: self.request(),
             generation: GENERATION,
             chunk,
@@ -190,7 +191,7 @@
         self.tokens(chunk, Some(finish));
     }
 
-    fn measured(&self) -> Vec<&Measured> {
+    fn measured(&self) -> Vec<&MeasuredRequest> {
         self.out.iter().filter_map(measured_of).collect()
     }
 
@@ -202,7 +203,7 @@
     }
 }
 
-const fn measured_of(action: &EntryAction) -> Option<&Measured> {
+const fn measured_of(action: &EntryAction) -> Option<&MeasuredRequest> {
     match action {
         EntryAction::Measured(measured) => Some(measured),
         _ => None,
@@ -263,7 +264,7 @@
 
     no_objective_no_count: |world| {
         world.submit("key", Priority::Batch);
-        world.tell(EntryEvent::CallerGone(CALL));
+        world.on_event(EntryEvent::CallerGone(CALL));
         assert!(world.measured().iter().all(|m| m.met.is_none()));
     }
 
@@ -274,7 +275,7 @@
     }
 
     a_stopping_entry_counts_against_it: |world| {
-        world.tell(EntryEvent::Leave);
+        world.on_event(EntryEvent::Leave);
         world.submit("key", Priority::Interactive);
         assert_eq!(world.met(), Some(false));
     }
--- a/fireflycroft/tests/owners.rs
+++ b/fireflycroft/tests/owners.rs
@@ -53,10 +53,10 @@
     let entries = entries(68);
     let mut owned: HashMap<Ipv4Addr, usize> = HashMap::new();
     for n in 0..6_800 {
-        let of_one = owners(&entries, &format!("i-{n}"));
-        assert_eq!(of_one.len(), OWNERS_PER_KEY);
-        assert_ne!(of_one[0], of_one[1]);
-        for owner in of_one {
+        let owners = owners(&entries, &format!("i-{n}"));
+        assert_eq!(owners.len(), OWNERS_PER_KEY);
+        assert_ne!(owners[0], owners[1]);
+        for owner in owners {
             *owned.entry(owner).or_default() += 1;
         }
     }
@@ -86,7 +86,7 @@
 
 fn load(instance: &str, tokens: u64) -> OwnedLoad {
     OwnedLoad {
-        life: life(instance),
+        upstream: life(instance),
         serves: true,
         placed: Placed {
             running: 1,
--- a/fireflycroft/tests/point7_config.rs
+++ b/fireflycroft/tests/point7_config.rs
@@ -56,7 +56,7 @@
             world.net.cut(entry, agent);
         }
         world.advance(4_000);
-        assert_eq!(world.outcome(first), Some(Outcome::Failed(Code::ConfigBehind)));
+        assert_eq!(world.outcome(first), Some(Outcome::Failed(Code::ConfigOutdated)));
         assert_eq!(world.runs(first), 0);
     }
 
--- a/fireflycroft/tests/recheck.rs
+++ b/fireflycroft/tests/recheck.rs
@@ -145,7 +145,7 @@
         self.answer(config, |request, attempt| Message::Refuse {
             request,
             attempt,
-            code: Code::ConfigBehind,
+            code: Code::ConfigOutdated,
             retry_after: Duration::ZERO,
         });
     }
@@ -199,7 +199,7 @@
         world.ticks(30);
         assert_eq!((world.ended_with(), world.offers()), (None, 1));
         world.ticks(20);
-        assert_eq!(world.ended_with(), Some(Code::ConfigBehind));
+        assert_eq!(world.ended_with(), Some(Code::ConfigOutdated));
         assert_eq!(world.offers(), 1);
     }
 
--- a/fireflycroft/tests/region.rs
+++ b/fireflycroft/tests/region.rs
@@ -7,7 +7,7 @@
 #[path = "support/pools.rs"]
 mod pools;
 
-use fireflycroft::{Name, Need, Pool, Regions, UpstreamRecord, pick_backup};
+use fireflycroft::{Name, Need, Pool, Regions, UpstreamRecord, pick_backup_holder};
 use pools::{MEMORY, at, chosen, ix, need, record};
 
 cases! {
@@ -103,6 +103,6 @@
         copied_from: Some(run),
         ..at_home(&pool, &["north"], &[])
     };
-    let keeper = pick_backup(&pool, at(0), &Name::from("models"), &copy, run);
+    let keeper = pick_backup_holder(&pool, at(0), &Name::from("models"), &copy, run);
     assert_eq!(keeper, Some(far));
 }
--- a/fireflycroft/tests/support/oracle.rs
+++ b/fireflycroft/tests/support/oracle.rs
@@ -110,10 +110,10 @@
 
 /// Refusals that end by themselves, so the caller is told when to retry.
 fn may_come_back(code: Code) -> bool {
-    use Code::{ClaimUnavailable, ConfigBehind, Leaving, NoUpstream, NotReady, Overloaded};
+    use Code::{ClaimUnavailable, ConfigOutdated, Leaving, NoUpstream, NotReady, Overloaded};
     let passing = [
         ClaimUnavailable,
-        ConfigBehind,
+        ConfigOutdated,
         Leaving,
         NoUpstream,
         NotReady,
--- a/fireflycroft/tests/watchers.rs
+++ b/fireflycroft/tests/watchers.rs
@@ -9,7 +9,7 @@
 #[path = "support/rng.rs"]
 mod rng;
 
-use fireflycroft::{STEP_DOWN_AFTER, Time, WATCHERS, WatchDuty, WatchView};
+use fireflycroft::{STEP_DOWN_AFTER, Time, WATCHERS, WatcherRole, WatcherView};
 use rng::Rng;
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -36,21 +36,21 @@
 const SILENCE: Duration = Duration::from_millis(1_600);
 
 /// Entries that one hears of in a step, once it is known itself.
-const HEARD_OF: usize = 80;
+const DISCOVERED_PER_STEP: usize = 80;
 
 /// Entries that may step in beside those that are needed, at any size.
-const FEW: usize = 16;
+const MAX_STEP_INS: usize = 16;
 
 /// Calls a second that a store which is away gets from the whole fleet.
-const CALLS_A_SECOND: f64 = 40.0;
+const MAX_CALLS_PER_SECOND: f64 = 40.0;
 
 /// Calls of an entry that steps in: configuration and twelve pages of a list.
-const LISTS: f64 = 13.0;
+const CALLS_PER_STEP_IN: f64 = 13.0;
 
 struct Entry {
     addr: Ipv4Addr,
-    duty: WatchDuty,
-    began: Time,
+    role: WatcherRole,
+    started_at: Time,
     /// When it was lost.
     lost: Option<Time>,
     /// Whether the store answers it.
@@ -65,7 +65,7 @@
     now: Time,
     step_ins: usize,
     /// Calls of a store that doesn't answer.
-    vain_calls: f64,
+    failed_calls: f64,
     rng: Rng,
 }
 
@@ -75,10 +75,10 @@
 
 impl Entry {
     /// Whether others hear that it watches.
-    fn is_heard_to_watch(&self, now: Time) -> bool {
-        let told = |since: Time| now.since(since) >= STEP;
-        let heard = self.lost.is_none_or(|t| now.since(t) < SILENCE);
-        heard && self.answered && self.watching.is_some_and(told)
+    fn is_seen_watching(&self, now: Time) -> bool {
+        let announced = |since: Time| now.since(since) >= STEP;
+        let is_alive = self.lost.is_none_or(|t| now.since(t) < SILENCE);
+        is_alive && self.answered && self.watching.is_some_and(announced)
     }
 }
 
@@ -89,8 +89,8 @@
             let is_seed = i < WATCHERS;
             Entry {
                 addr,
-                duty: WatchDuty::new(addr, is_seed),
-                began: at(0),
+                role: WatcherRole::new(addr, is_seed),
+                started_at: at(0),
                 lost: None,
                 answered: true,
                 watching: is_seed.then_some(at(0)),
@@ -100,7 +100,7 @@
             entries: (0..size).map(entry).collect(),
             now: at(0),
             step_ins: 0,
-            vain_calls: 0.0,
+            failed_calls: 0.0,
             rng: Rng::new(7),
         }
     }
@@ -114,50 +114,50 @@
     }
 
     /// Entries that one has heard of since it began.
-    fn heard_of(&self, one: usize) -> usize {
-        let age = self.now.since(self.entries[one].began);
-        usize::try_from(age.as_millis() / STEP.as_millis()).unwrap() * HEARD_OF
+    fn discovered(&self, one: usize) -> usize {
+        let age = self.now.since(self.entries[one].started_at);
+        usize::try_from(age.as_millis() / STEP.as_millis()).unwrap() * DISCOVERED_PER_STEP
     }
 
     /// Whether one entry has heard of another: of the seeds at once, of others as they are told.
     fn knows(&self, one: usize, other: usize) -> bool {
         let place = (one * 31 + other * 17) % self.entries.len();
-        other < WATCHERS || place < self.heard_of(one)
+        other < WATCHERS || place < self.discovered(one)
     }
 
-    fn view(&self, entry: &Entry) -> WatchView {
-        WatchView {
+    fn view(&self, entry: &Entry) -> WatcherView {
+        WatcherView {
             addr: entry.addr,
-            heard: entry.lost.is_none_or(|t| self.now.since(t) < SILENCE),
-            watches: entry.is_heard_to_watch(self.now),
+            is_alive: entry.lost.is_none_or(|t| self.now.since(t) < SILENCE),
+            watches: entry.is_seen_watching(self.now),
         }
     }
 
     fn step(&mut self) {
         self.now = self.now + STEP;
-        let views: Vec<WatchView> = self.entries.iter().map(|e| self.view(e)).collect();
+        let views: Vec<WatcherView> = self.entries.iter().map(|e| self.view(e)).collect();
         for i in 0..self.entries.len() {
             if self.entries[i].lost.is_some() {
                 continue;
             }
-            let knows_all = self.heard_of(i) >= views.len();
+            let knows_all = self.discovered(i) >= views.len();
             let known = (0..views.len()).filter(|j| *j != i);
             let known = known.filter(|j| knows_all || self.knows(i, *j));
-            let known: Vec<&WatchView> = known.map(|j| &views[j]).collect();
+            let known: Vec<&WatcherView> = known.map(|j| &views[j]).collect();
             let now = self.now;
             let entry = &mut self.entries[i];
-            let began = entry.began;
-            let age = at(0) + now.since(began);
-            entry.duty.decide(age, known);
-            let watches = entry.duty.is_watching();
+            let started_at = entry.started_at;
+            let age = at(0) + now.since(started_at);
+            entry.role.decide(age, known);
+            let watches = entry.role.is_watching();
             let steps_in = watches && entry.watching.is_none();
             if steps_in || !watches {
                 entry.watching = watches.then_some(now);
             }
             self.step_ins += usize::from(steps_in);
-            let calls = STEP.as_secs_f64() / entry.duty.longest_pause().as_secs_f64();
+            let calls = STEP.as_secs_f64() / entry.role.max_pause().as_secs_f64();
             if watches && !entry.answered {
-                self.vain_calls += 2.0 * calls + f64::from(u8::from(steps_in)) * 2.0;
+                self.failed_calls += 2.0 * calls + f64::from(u8::from(steps_in)) * 2.0;
             }
         }
     }
@@ -183,9 +183,9 @@
     /// Entries that watch and are answered.
     fn watching(&self) -> Vec<usize> {
         let all = self.entries.iter().enumerate();
-        let sound = all.filter(|(_, e)| e.lost.is_none() && e.answered);
-        sound
-            .filter(|(_, e)| e.duty.is_watching())
+        let healthy = all.filter(|(_, e)| e.lost.is_none() && e.answered);
+        healthy
+            .filter(|(_, e)| e.role.is_watching())
             .map(|(i, _)| i)
             .collect()
     }
@@ -207,20 +207,20 @@
             fleet.lose(*seed);
         }
         fleet.run(Duration::from_secs(3));
-        let sound = size - lost.len();
+        let healthy = size - lost.len();
         assert!(
-            fleet.watching().len() >= WATCHERS.min(sound),
+            fleet.watching().len() >= WATCHERS.min(healthy),
             "{size} entries"
         );
         assert!(
-            fleet.step_ins <= 2 * FEW,
+            fleet.step_ins <= 2 * MAX_STEP_INS,
             "{size} entries: {} stepped in",
             fleet.step_ins
         );
         fleet.run(2 * STEP_DOWN_AFTER);
         assert_eq!(
             fleet.watching().len(),
-            WATCHERS.min(sound),
+            WATCHERS.min(healthy),
             "{size} entries"
         );
     }
@@ -240,7 +240,7 @@
         );
         fleet.run(2 * STEP_DOWN_AFTER);
         assert!(
-            fleet.step_ins <= FEW,
+            fleet.step_ins <= MAX_STEP_INS,
             "{size} entries: {} stepped in",
             fleet.step_ins
         );
@@ -260,7 +260,7 @@
             "{size} entries"
         );
         assert!(
-            fleet.step_ins <= FEW,
+            fleet.step_ins <= MAX_STEP_INS,
             "{size} entries: {} stepped in",
             fleet.step_ins
         );
@@ -273,10 +273,10 @@
         fleet.answer_all(false);
         let outage = Duration::from_secs(10);
         fleet.run(outage);
-        let a_second = fleet.vain_calls / outage.as_secs_f64();
+        let per_second = fleet.failed_calls / outage.as_secs_f64();
         assert!(
-            a_second <= CALLS_A_SECOND,
-            "{size} entries: {a_second} calls a second"
+            per_second <= MAX_CALLS_PER_SECOND,
+            "{size} entries: {per_second} calls per second"
         );
         fleet.answer_all(true);
         fleet.run(2 * STEP_DOWN_AFTER);
@@ -294,7 +294,7 @@
             fleet.entries[i].answered = false;
         }
         fleet.run(Duration::from_secs(3));
-        let calls = LISTS * usize_to_f64(fleet.step_ins);
+        let calls = CALLS_PER_STEP_IN * usize_to_f64(fleet.step_ins);
         assert!(!fleet.watching().is_empty(), "{size} entries");
         assert!(calls <= 1_000.0, "{size} entries: {calls} calls");
     }
@@ -305,25 +305,25 @@
         let mut fleet = Fleet::settled(size);
         let now = fleet.now;
         let entry = &mut fleet.entries[size - 1];
-        entry.duty = WatchDuty::new(entry.addr, false);
-        entry.began = now;
+        entry.role = WatcherRole::new(entry.addr, false);
+        entry.started_at = now;
         fleet.run(Duration::from_secs(5));
         assert_eq!(fleet.step_ins, 0, "{size} entries");
     }
 }
 
 fn alone() {
-    let mut duty = WatchDuty::new(Ipv4Addr::new(10, 1, 0, 1), false);
-    assert!(!duty.is_watching());
-    let lost = |i: u8| WatchView {
+    let mut role = WatcherRole::new(Ipv4Addr::new(10, 1, 0, 1), false);
+    assert!(!role.is_watching());
+    let lost = |i: u8| WatcherView {
         addr: Ipv4Addr::new(10, 1, 1, i),
-        heard: false,
+        is_alive: false,
         watches: false,
     };
-    let lost: Vec<WatchView> = (0..200).map(lost).collect();
-    duty.decide(at(2_000), &lost);
-    duty.decide(at(2_600), &lost);
-    assert!(duty.is_watching());
+    let lost: Vec<WatcherView> = (0..200).map(lost).collect();
+    role.decide(at(2_000), &lost);
+    role.decide(at(2_600), &lost);
+    assert!(role.is_watching());
 }
 
 #[allow(clippy::cast_precision_loss)]
--- a/fireflyd/src/entry.rs
+++ b/fireflyd/src/entry.rs
@@ -5,7 +5,8 @@
 
 use fireflycroft::{
     CallId, Config, ConfigVersion, Entry, EntryAction, EntryEvent, EntrySetup, Envelope,
-    LeaseAnswer, LeaseCall, LeaseSpans, Measured, Message, PlaceLimits, Priority, Reply, Time, Vm,
+    LeaseAnswer, LeaseCall, LeaseSpans, MeasuredRequest, Message, PlaceLimits, Priority, Reply,
+    Time, Vm,
 };
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
@@ -404,7 +405,7 @@
     }
 }
 
-fn count(metrics: &Metrics, measured: &Measured) {
+fn count(metrics: &Metrics, measured: &MeasuredRequest) {
     let priority = match measured.priority {
         Priority::Interactive => "interactive",
         Priority::Batch => "batch",
--- a/fireflyd/src/request.rs
+++ b/fireflyd/src/request.rs
@@ -4,7 +4,7 @@
 
 use fireflycroft::{
     CHAT_PATH, Code, Delivery, Digest, Name, Priority, ResumePoint, Submission, Work, digest_key,
-    scan_event_id,
+    parse_event_id,
 };
 use poem::http::HeaderMap;
 use serde::Deserialize;
@@ -197,7 +197,7 @@
     let Some(value) = headers.get("last-event-id") else {
         return Ok(None);
     };
-    let point = value.to_str().ok().and_then(scan_event_id);
+    let point = value.to_str().ok().and_then(parse_event_id);
     point
         .map(Some)
         .ok_or_else(|| BadRequest::new(Code::BadRequest, "Last-Event-ID is none of ours"))
--- a/fireflydirect/src/call.rs
+++ b/fireflydirect/src/call.rs
@@ -8,8 +8,8 @@
 use crate::{repeats, returns};
 use bytes::Bytes;
 use fireflycroft::{
-    Asking, AttemptOutcome, Attempts, Code, Fill, Mechanism, Need, NextStep, RunClaim, UpstreamIx,
-    WORTH_SAVING_TOKENS, is_room, pick_backup, room_after,
+    Asking, AttemptOutcome, Attempts, Code, Fill, MIN_BACKUP_TOKENS, Mechanism, Need, NextStep,
+    RunClaim, UpstreamIx, is_room, pick_backup_holder, room_after,
 };
 use hyper::http::response::Parts;
 use rand::RngExt;
@@ -252,7 +252,7 @@
 pub fn place_backup(job: &Job, at: UpstreamIx, need: Need) -> Option<PlacedGuard> {
     let can_keep = job.engine.is_some_and(|e| e.can_back_up) && job.route.kind.is_stream();
     let keeps = can_keep && job.node.policy.uses(Mechanism::Copies);
-    if !keeps || job.expected_tokens() < WORTH_SAVING_TOKENS {
+    if !keeps || job.expected_tokens() < MIN_BACKUP_TOKENS {
         return None;
     }
     let copy = Need {
@@ -261,7 +261,7 @@
         copied_from: Some(at),
         ..need
     };
-    let keeper = pick_backup(&job.node.pool.borrow(), job.now(), &job.service, &copy, at)?;
+    let keeper = pick_backup_holder(&job.node.pool.borrow(), job.now(), &job.service, &copy, at)?;
     Some(job.node.place(keeper, copy))
 }
 
--- a/fireflydirect/src/client.rs
+++ b/fireflydirect/src/client.rs
@@ -1,7 +1,7 @@
 //! Short calls of the platform's store and of other entries, over one connection that is kept.
 //!
 //! A call that makes no progress is tried once more on a connection of its own,
-//! beside the one that hangs, as [`fireflycroft::Overlap`] decides.
+//! beside the one that hangs, as [`fireflycroft::HedgedCall`] decides.
 
 use crate::clock::Clock;
 use crate::links::{Answered, Link, call_watched, open};
--- a/fireflydirect/src/departures.rs
+++ b/fireflydirect/src/departures.rs
@@ -8,7 +8,7 @@
 use crate::links::call_whole;
 use crate::node::Node;
 use bytes::Bytes;
-use fireflycroft::{Departure, REPORT_AGE, Time, UpstreamIx};
+use fireflycroft::{Departure, MAX_REPORT_AGE, Time, UpstreamIx};
 use fireflycroft_platform::{EngineReport, read_report, report_path};
 use http_body_util::Full;
 use hyper::Request;
@@ -40,7 +40,7 @@
     /// Enters a departure; true when it is new.
     fn enter(&self, now: Time, ix: UpstreamIx, departure: Departure) -> bool {
         let mut known = self.known.borrow_mut();
-        known.retain(|_, d| now.since(d.notice) < FORGET_AFTER);
+        known.retain(|_, d| now.since(d.notified_at) < FORGET_AFTER);
         let is_new = !known.contains_key(&ix);
         known.entry(ix).or_insert(departure);
         is_new
@@ -49,7 +49,7 @@
     fn learn(&self, ix: UpstreamIx, gone_at: Option<Time>, copies_take: Duration) {
         if let Some(departure) = self.known.borrow_mut().get_mut(&ix) {
             departure.gone_at = gone_at;
-            departure.copies_take = copies_take;
+            departure.copy_time = copies_take;
         }
     }
 }
@@ -60,12 +60,12 @@
 pub fn note(node: &Rc<Node>, ix: UpstreamIx, token_copy_time: Duration) {
     let now = node.now();
     let notice = node.pool.borrow().left_at(ix).unwrap_or(now);
-    if !node.departures.enter(now, ix, Departure::noticed(notice)) {
+    if !node.departures.enter(now, ix, Departure::notified(notice)) {
         return;
     }
     let node = node.clone();
     tokio::task::spawn_local(async move {
-        let when = node.clock.instant(notice + REPORT_AGE);
+        let when = node.clock.instant(notice + MAX_REPORT_AGE);
         tokio::time::sleep_until(when).await;
         learn(&node, ix, token_copy_time).await;
     });
@@ -85,7 +85,7 @@
     let now = node.now();
     let gone_at = report
         .leaves_in
-        .map(|left| now + left.saturating_sub(REPORT_AGE));
+        .map(|left| now + left.saturating_sub(MAX_REPORT_AGE));
     let tokens: u64 = report.runs.iter().map(|r| r.memory_tokens).sum();
     let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
     node.departures.learn(ix, gone_at, token_copy_time * tokens);
--- a/fireflydirect/src/feed.rs
+++ b/fireflydirect/src/feed.rs
@@ -248,7 +248,7 @@
         if self.kind == Kind::Evacuations || !self.node.policy.uses(Mechanism::Overlap) {
             return HedgedCall::single(HANG_LIMIT);
         }
-        HedgedCall::new(PATIENCE, self.node.duty.borrow().longest_pause())
+        HedgedCall::new(PATIENCE, self.node.duty.borrow().max_pause())
     }
 
     /// Sends a call to the store; an answer that the store gave before it came back from a copy is none.
@@ -354,7 +354,7 @@
             let path = watch_path(self.kind, revision, LOOK_WAIT);
             return self.get(StoreCall::Watch, &path, self.patient()).await;
         }
-        if self.node.duty.borrow().is_relied_on() {
+        if self.node.duty.borrow().is_primary() {
             return self.watch(revision, self.longest_wait()).await;
         }
         let node = self.node.clone();
@@ -387,7 +387,7 @@
     async fn rest(&mut self, why: &str) {
         self.contact.note_lost(why);
         tokio::time::sleep(self.pause).await;
-        let longest = self.node.duty.borrow().longest_pause();
+        let longest = self.node.duty.borrow().max_pause();
         self.pause = (self.pause * 2).min(longest);
         if self.kind == Kind::Evacuations {
             self.until_answered().await;
@@ -411,7 +411,7 @@
             relied_on(&self.node).await;
             tokio::time::sleep(RELIED_ON_FOR).await;
             self.until_answered().await;
-            if self.node.duty.borrow().is_relied_on() {
+            if self.node.duty.borrow().is_primary() {
                 return;
             }
         }
@@ -440,7 +440,7 @@
 fn is_on_duty(node: &Node, kind: Kind) -> bool {
     let duty = node.duty.borrow();
     if kind == Kind::Evacuations {
-        duty.is_relied_on()
+        duty.is_primary()
     } else {
         duty.is_watching()
     }
@@ -455,7 +455,7 @@
 
 /// Returns once the others rely on this entry for what the store says.
 async fn relied_on(node: &Node) {
-    while !node.duty.borrow().is_relied_on() {
+    while !node.duty.borrow().is_primary() {
         node.duty_changed.notified().await;
     }
 }
--- a/fireflydirect/src/mover.rs
+++ b/fireflydirect/src/mover.rs
@@ -8,7 +8,7 @@
 use crate::placed::PlacedGuard;
 use crate::runs::{Refuge, Run};
 use bytes::Bytes;
-use fireflycroft::{Mechanism, Need, OnNotice, UpstreamIx, on_notice};
+use fireflycroft::{DepartureAction, Mechanism, Need, UpstreamIx, departure_action};
 use fireflycroft_platform::{MoveOutcome, move_call, read_move};
 use http_body_util::Full;
 use hyper::Request;
@@ -60,7 +60,7 @@
     // A keeper may have left before the run began, while its prompt was read.
     let keeper = run.backup.get();
     let has_copy = keeper.is_some_and(|k| node.pool.borrow().is_serving(k));
-    let wanted = on_notice(has_copy) == OnNotice::Move;
+    let wanted = departure_action(has_copy) == DepartureAction::Migrate;
     let can_move = run.can_move && node.policy.uses(Mechanism::Moves);
     if !wanted || !can_move || run.moving.replace(true) {
         return;
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -13,7 +13,7 @@
 use fireflycroft::{
     Catalog, Digest, Evacuations, FULL_VIEW_AFTER, FleetView, LengthGuess, Life, Policy, Pool,
     PoolChange, Quarantine, QueryBreadth, Refusal, Regions, ReturningCallers, SharedRetryBudget,
-    Time, UpstreamIx, WatchDuty, Yields,
+    Time, UpstreamIx, WatcherRole, Yields,
 };
 use fireflycroft_platform::{Place, StoreObject};
 use std::cell::{Cell, RefCell};
@@ -77,7 +77,7 @@
     /// How many upstreams a choice asks about.
     pub breadth: RefCell<QueryBreadth>,
     /// Whether this entry watches the store for the others.
-    pub duty: RefCell<WatchDuty>,
+    pub duty: RefCell<WatcherRole>,
     /// Rings when that has changed.
     pub duty_changed: Notify,
     /// Kinds of objects that are being read from any copy of the store.
@@ -163,7 +163,7 @@
             datagrams: Datagrams::new(place.peer_ports.0, metrics.clone()),
             questions: Questions::default(),
             breadth: RefCell::default(),
-            duty: RefCell::new(WatchDuty::new(place.ip, begins_to_watch(&place))),
+            duty: RefCell::new(WatcherRole::new(place.ip, begins_to_watch(&place))),
             duty_changed: Notify::new(),
             copies_read: Cell::new(0),
             store_answers: Cell::new(false),
--- a/fireflydirect/src/peers.rs
+++ b/fireflydirect/src/peers.rs
@@ -11,7 +11,7 @@
 
 use fireflycroft::{
     CrashCount, Digest, EntryAnnouncement, Incarnation, Name, OwnedKey, PeerOverview, Time,
-    WATCHERS, WatchView, owners_of, whole_millis,
+    WATCHERS, WatcherView, owners_of, whole_millis,
 };
 use fireflycroft_platform::Place;
 use rand::Rng;
@@ -219,15 +219,15 @@
     }
 
     /// What the other entries that stay do about the store.
-    pub(crate) fn watch_views(&self, now: Time) -> Vec<WatchView> {
+    pub(crate) fn watch_views(&self, now: Time) -> Vec<WatcherView> {
         let within = self.watcher_tells_every().mul_f64(WATCHER_MISSES);
         let others = self.known.iter().filter(|(_, k)| k.stays(now));
         let view = |(addr, k): (&Ipv4Addr, &Known)| {
-            let heard = k.is_heard_within(now, within);
-            WatchView {
+            let is_alive = k.is_heard_within(now, within);
+            WatcherView {
                 addr: *addr,
-                heard,
-                watches: heard && k.watches,
+                is_alive,
+                watches: is_alive && k.watches,
             }
         };
         others.map(view).collect()
--- a/fireflydirect/src/tell.rs
+++ b/fireflydirect/src/tell.rs
@@ -37,9 +37,9 @@
     let now = node.now();
     let views = node.peers.borrow().watch_views(now);
     let mut duty = node.duty.borrow_mut();
-    let was_relied_on = duty.is_relied_on();
+    let was_relied_on = duty.is_primary();
     let changed = duty.decide(now, &views);
-    let (watching, relied_on) = (duty.is_watching(), duty.is_relied_on());
+    let (watching, relied_on) = (duty.is_watching(), duty.is_primary());
     drop(duty);
     if changed {
         log::info!(event = "watch_duty", watching = watching, peers = views.len(); "");
@@ -63,7 +63,7 @@
 /// After a start of the whole fleet all watch for a moment; if all of them told all, datagrams
 /// would grow with the square of the fleet.
 fn is_relied_on(node: &Node) -> bool {
-    node.watches_store() && node.duty.borrow().is_relied_on()
+    node.watches_store() && node.duty.borrow().is_primary()
 }
 
 async fn tell(node: &Node, reason: Reason) {
