--- a/fireflycroft/src/attempt.rs
+++ b/fireflycroft/src/attempt.rs
@@ -1,45 +1,45 @@
-//! What becomes of a request after each try at an upstream.
+//! Decides the next step after each attempt to send a request to an upstream.
 //!
-//! A request is told "not run" only while that is certain: a try that may have
-//! begun stays on its record. Whether one more try is allowed follows from the
-//! route, from what the tries so far may have run, and from the shared budget
-//! of repeats, which the caller of these functions asks.
+//! A request is refused as "not run" only while that is certain: an attempt that may have started
+//! is never forgotten. Whether another attempt is allowed depends on the kind of request, on which
+//! attempts may have run, and on the shared retry budget, which the caller of these functions
+//! consults.
 
 use crate::catalog::RequestKind;
 
-/// What came of one try.
+/// Outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// No byte of the request left this process.
     NeverSent,
-    /// The same, since the upstream may get nothing new.
+    /// Nothing was sent, because the upstream may receive no new requests.
     Withheld,
-    /// The upstream said that it did not run the request.
+    /// The upstream stated that the request did not run.
     NotRun,
-    /// Another upstream has the address now; it did not run the request.
+    /// Another upstream has the address now; the request did not run.
     WrongInstance,
-    /// The upstream answered that the request failed.
+    /// The upstream reported that the request failed.
     Failed,
-    /// The upstream answered with success, whole or as far as its head.
+    /// The upstream sent a successful response, or at least its head.
     Answered,
-    /// The request was sent and no usable answer came.
+    /// The request was sent and no usable response arrived.
     Lost,
 }
 
-/// What to do next.
+/// Next step after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Send the request to another upstream.
     Retry,
-    /// Give the caller the answer that came.
+    /// Relay the response to the caller.
     Relay,
-    /// Tell the caller that the request was not run, and when to come back.
+    /// Report to the caller that the request was not run, with a time to retry.
     RefuseNotRun,
-    /// Tell the caller that the outcome is not known.
+    /// Report to the caller that the outcome is unknown.
     ReportUnknown,
 }
 
-/// Tries of one request.
+/// Attempts of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
     kind: RequestKind,
@@ -50,14 +50,14 @@
     unsent: u32,
 }
 
-/// Upstreams that could not be reached before the request is refused.
+/// Unreachable upstreams after which a request is refused.
 ///
-/// Each costs at most the time limit of a connection; three of them stay well
-/// within the shortest objective of a plain call.
+/// Each costs at most one connection timeout; three of them stay well within the shortest objective
+/// of a plain call.
 const MAX_UNSENT_ATTEMPTS: u32 = 3;
 
 impl Attempts {
-    /// A request that was sent nowhere yet.
+    /// Creates the state of a request before its first attempt.
     #[must_use]
     pub const fn new(kind: RequestKind, max_attempts: u32) -> Self {
         Self {
@@ -70,28 +70,28 @@
         }
     }
 
-    /// Whether an upstream may have begun the request.
+    /// Returns whether an upstream may have started the request.
     #[must_use]
     pub const fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// Upstreams that the request was sent to.
+    /// Returns the number of upstreams the request was sent to.
     #[must_use]
     pub const fn sent(&self) -> u32 {
         self.sent
     }
 
-    /// Notes that a byte of the request may have reached an upstream.
+    /// Records that a byte of the request may have reached an upstream.
     pub const fn record_sent(&mut self) {
         self.sent += 1;
         self.may_have_run_before = self.may_have_run;
         self.may_have_run = true;
     }
 
-    /// What follows from the outcome of the try that was sent last.
+    /// Returns the next step after the outcome of the latest attempt.
     ///
-    /// `budget` takes one repeat and tells whether there was one.
+    /// `budget` takes one retry from the budget and returns whether one was available.
     pub fn next_step(
         &mut self,
         outcome: AttemptOutcome,
@@ -116,7 +116,7 @@
         self.final_step(outcome)
     }
 
-    /// Whether another upstream may be tried after this outcome, if the budget allows.
+    /// Returns whether this outcome permits another attempt, budget permitting.
     #[must_use]
     pub const fn may_retry(&self, outcome: AttemptOutcome) -> bool {
         match outcome {
--- a/fireflycroft/src/catalog.rs
+++ b/fireflycroft/src/catalog.rs
@@ -1,80 +1,80 @@
 //! The published configuration of a direct entry, indexed for look-ups.
 //!
-//! A catalog is immutable. A request is handled by the one catalog that was in
-//! force when its head was read, so a change never splits a request in two.
+//! A catalog is immutable. A request uses the catalog that was in force when its head was read, so
+//! a configuration change never affects a request half-way.
 
 use crate::ids::Name;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a request of a route may run.
+/// Execution guarantee and response type of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// More than once.
+    /// Idempotent: may run more than once.
     Idempotent,
-    /// At most once.
+    /// Runs at most once.
     Once,
-    /// At most once; the answer is a stream of events.
+    /// Runs at most once; the response is an event stream.
     Stream,
-    /// A stream that another upstream may go on with after any event.
+    /// An event stream that another upstream can resume after any event.
     ResumableStream,
 }
 
 impl RequestKind {
-    /// Whether the answer is a stream of events.
+    /// Returns whether the response is an event stream.
     #[must_use]
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 
-    /// Whether a request that may have run may be sent once more.
+    /// Returns whether a request that may have run can be sent again.
     #[must_use]
     pub const fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
 
-/// A service that a route sends a share of its requests to.
+/// Service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// Name of the service.
     pub service: Name,
-    /// Its share, against the sum of the weights of the route.
+    /// Weight, relative to the sum of the route's weights.
     pub weight: u32,
 }
 
-/// One route of the configuration.
+/// Route of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteSpec {
-    /// Name that logs and metrics give.
+    /// Name in logs and metrics.
     pub name: Name,
-    /// Host that selects it.
+    /// Host that selects the route.
     pub host: Name,
-    /// Beginning of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: Name,
-    /// How often a request may run.
+    /// Kind of the route's requests.
     pub kind: RequestKind,
-    /// Longest time a caller is kept waiting.
+    /// Longest time that a caller waits.
     pub timeout: Duration,
-    /// Time within which an answer is on time, up to its first event.
+    /// Objective for the response, or for the first event of a stream.
     pub objective: Duration,
-    /// Longest pause between two events that is on time.
+    /// Objective for the gap between two events.
     pub gap_objective: Option<Duration>,
-    /// Urgency; 0 goes first.
+    /// Priority; 0 is the most urgent.
     pub rank: u8,
-    /// Services that answer, with their shares.
+    /// Services with their weights.
     pub targets: Vec<Target>,
     /// Upstreams that one attempt of a caller may be sent to.
     pub max_attempts: u32,
-    /// Whether a caller needs no key.
+    /// Whether callers need no key.
     pub open: bool,
-    /// Regions in which its requests may run; any where none is named.
+    /// Regions in which its requests may run; empty for any.
     pub allowed_regions: Vec<Name>,
 }
 
 impl RouteSpec {
-    /// The service for a request that drew `draw`.
+    /// Returns the service for a request with the random number `draw`.
     #[must_use]
     pub fn target(&self, draw: u32) -> Option<&Name> {
         let sum: u32 = self.targets.iter().map(|t| t.weight).sum();
@@ -92,79 +92,79 @@
     }
 }
 
-/// What the configuration says of the model engines of a service.
+/// Configured properties of a service's model engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that an engine runs at once.
+    /// Concurrent requests per engine.
     pub slots: u32,
-    /// Tokens that fit in its memory.
+    /// Memory capacity in tokens.
     pub memory_tokens: u64,
     /// Whether the memory of a run can be copied to another engine.
     pub can_migrate: bool,
-    /// Whether a run can be backed up on another engine as it grows.
+    /// Whether a growing run can be backed up on another engine.
     pub can_back_up: bool,
-    /// Tokens that one event holds at most.
+    /// Maximum tokens per event.
     pub tokens_per_event: u32,
-    /// Time that the memory of one token takes over an engine's link within a data centre; twice
-    /// that between two. Zero where it isn't known.
+    /// Transfer time of one token's memory over an engine's link within a data centre; twice that
+    /// between data centres. Zero if unknown.
     pub token_copy_time: Duration,
 }
 
-/// One service of the configuration.
+/// Service of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
-    /// Name that routes and upstreams give.
+    /// Name used by routes and upstreams.
     pub name: Name,
     /// Connections that one upstream accepts from all callers.
     pub max_connections: u32,
-    /// Requests a second that an upstream bears while it is cold; none where it bears any.
+    /// Requests per second that a cold upstream can handle; `None` for no limit.
     pub cold_rate: Option<f64>,
-    /// Set for model engines.
+    /// Engine properties; `None` for plain services.
     pub engine: Option<EngineSpec>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Size limits and timeouts for callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum bytes of a request head.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum bytes of a request body.
     pub body_bytes: usize,
-    /// Time for the head to arrive.
+    /// Timeout for the request head.
     pub header_timeout: Duration,
-    /// Time for which a connection may be idle.
+    /// Timeout of an idle connection.
     pub idle_timeout: Duration,
 }
 
-/// A workspace and the keys that belong to it.
+/// Workspace and its keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkspaceSpec {
-    /// Name that upstreams are told.
+    /// Name sent to upstreams.
     pub name: Name,
     /// Keys of its callers.
     pub keys: Vec<Name>,
-    /// Urgency that goes before the route's.
+    /// Priority that overrides the route's.
     pub rank: Option<u8>,
-    /// Regions in which requests of its callers may run; any where none is named.
+    /// Regions in which its callers' requests may run; empty for any.
     pub allowed_regions: Vec<Name>,
 }
 
-/// What a catalog is made of.
+/// Parts of a catalog before indexing.
 #[derive(Clone, Debug)]
 pub struct CatalogParts {
     /// Version; higher is newer.
     pub version: u64,
-    /// All routes.
+    /// Routes.
     pub routes: Vec<RouteSpec>,
-    /// All services.
+    /// Services.
     pub services: Vec<ServiceSpec>,
-    /// Bounds on callers.
+    /// Limits for callers.
     pub limits: CallerLimits,
-    /// Workspaces; `None` when the configuration asks for no keys at all.
+    /// Workspaces; `None` when the configuration requires no keys at all.
     pub workspaces: Option<Vec<WorkspaceSpec>>,
 }
 
-/// The configuration in force, indexed.
+/// Indexed configuration in force.
 #[derive(Clone, Debug)]
 pub struct Catalog {
     version: u64,
@@ -206,21 +206,21 @@
         }
     }
 
-    /// Version; higher is newer.
+    /// Returns the version; higher is newer.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Bounds on callers.
+    /// Returns the limits for callers.
     #[must_use]
     pub const fn limits(&self) -> &CallerLimits {
         &self.limits
     }
 
-    /// The route with the longest prefix of `path` at `host`.
+    /// Returns the route with the longest prefix of `path` at `host`.
     ///
-    /// Costs one look-up for each slash in the path, however many routes there are.
+    /// Costs one look-up per slash in the path, regardless of the number of routes.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<RouteSpec>> {
         let prefixes = self.by_host.get(host)?;
@@ -229,31 +229,31 @@
         found.map(|i| &self.routes[*i])
     }
 
-    /// The service of that name.
+    /// Returns the service with this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         self.services.iter().find(|s| &*s.name == name)
     }
 
-    /// Whether callers of routes that are not open need a key.
+    /// Returns whether callers of non-open routes need a key.
     #[must_use]
     pub const fn requires_keys(&self) -> bool {
         self.requires_keys
     }
 
-    /// The workspace that holds `key`.
+    /// Returns the workspace that owns `key`.
     #[must_use]
     pub fn workspace(&self, key: &str) -> Option<&WorkspaceSpec> {
         self.by_key.get(key).map(|i| &self.workspaces[*i])
     }
 
-    /// All services.
+    /// Returns all services.
     #[must_use]
     pub fn services(&self) -> &[ServiceSpec] {
         &self.services
     }
 
-    /// Routes in all.
+    /// Returns the number of routes.
     #[must_use]
     pub const fn route_count(&self) -> usize {
         self.routes.len()
--- a/fireflycroft/src/entry_announcement.rs
+++ b/fireflycroft/src/entry_announcement.rs
@@ -1,4 +1,4 @@
-//! What a direct entry tells the other entries.
+//! State announced by a direct entry to the other entries.
 
 use crate::evacuation::Evacuations;
 use crate::ids::{Digest, Incarnation, Name};
@@ -9,7 +9,7 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Upstreams that one content has crashed.
+/// Number of upstreams crashed by one content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashCount {
     /// Digest of the content.
@@ -18,42 +18,42 @@
     pub count: u8,
 }
 
-/// State of one direct entry, as it tells the others several times a second.
+/// State of a direct entry, sent several times a second.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EntryAnnouncement {
     /// Name of the sender.
     pub name: Name,
     /// Data centre of the sender.
     pub data_centre: Name,
-    /// Life of the sender.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Version of the configuration in force there; zero for none.
+    /// Configuration version in force at the sender; zero for none.
     pub config: u64,
-    /// Entries that the sender knows to live, itself included.
+    /// Live entries known to the sender, itself included.
     pub entries: u32,
-    /// Revision of the list of upstreams known there.
+    /// Revision of the sender's upstream list.
     pub upstreams: u64,
-    /// Revision up to which every change of that list is known there.
+    /// Revision up to which the sender has every change of that list.
     pub upstreams_complete: u64,
     /// Digest of that list.
     pub upstreams_digest: u64,
-    /// Whether the sender watches the platform's store and is answered.
+    /// Whether the sender watches the platform's store and gets answers.
     pub watches: bool,
-    /// Time since the store answered the sender itself; none if it doesn't watch.
+    /// Time since the store answered the sender; `None` if it doesn't watch.
     pub store_age: Option<Duration>,
-    /// Changes of the list of late, from those that watch.
+    /// Recent changes of the list, from watchers only.
     pub list_changes: Vec<ListChange>,
-    /// Requests and repeats of the sender, by service.
+    /// The sender's requests and retries, by service.
     pub retries: Vec<RetryCount>,
-    /// Content that crashed upstreams of late.
+    /// Content that recently crashed upstreams.
     pub crashes: Vec<CrashCount>,
-    /// Some other entries that the sender knows.
+    /// Some other entries known to the sender.
     pub peers: Vec<Ipv4Addr>,
-    /// Data centres that are evacuated.
+    /// Evacuated data centres.
     pub evacuations: Evacuations,
-    /// Upstreams that said in their answers that they leave, and that the list has as serving.
+    /// Upstreams that gave a leave notice in a response and are still listed as serving.
     pub departing: Vec<Life>,
-    /// Rates that upstreams name, or named until a short while ago.
+    /// Current and recently lifted rate limits of upstreams.
     pub rate_limits: Vec<ToldRate>,
     /// Whether the sender is stopping.
     pub leaving: bool,
--- a/fireflycroft/src/fleet_view.rs
+++ b/fireflycroft/src/fleet_view.rs
@@ -1,29 +1,28 @@
-//! The entries of the fleet as one of them knows them, and its part of what all may do together.
+//! One entry's view of the fleet, and its share of fleet-wide limits.
 //!
-//! Entries rank each other by rendezvous hashing ([`crate::owners_of`]), so
-//! those that know the same others divide a whole number without agreement and
-//! without a remainder: the first in rank get one more. Entries that were lost a
-//! short while ago count, since they may only be cut off.
+//! Entries rank each other by rendezvous hashing ([`crate::owners_of`]), so entries with the same
+//! view divide a whole number without coordination or remainder: the highest ranks get one more.
+//! Recently lost entries still count, since they may only be partitioned.
 
 use crate::owners::OwnedKey;
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Time after its start in which an entry hears of nearly all others: those that watch the store have
-/// heard from each of them, and name them all.
+/// Time after its start by which an entry knows nearly all others: the watchers of the store have
+/// received announcements from each entry and name them all.
 pub const FULL_VIEW_AFTER: Duration = Duration::from_secs(2);
 
-/// The entries that an entry knows, by hearsay too.
+/// The entries known to an entry, including those known by gossip.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetView {
     own_addr: Ipv4Addr,
     others: Vec<Ipv4Addr>,
-    /// Entries that are taken to be there without having been heard of.
+    /// Entries assumed to exist that have not been discovered.
     assumed: usize,
 }
 
 impl FleetView {
-    /// The fleet of this entry and `others`.
+    /// Creates the view of a fleet of this entry and `others`.
     #[must_use]
     pub fn new(own_addr: Ipv4Addr, others: impl IntoIterator<Item = Ipv4Addr>) -> Self {
         Self {
@@ -33,29 +32,28 @@
         }
     }
 
-    /// A fleet of which nothing is known yet, so that no part of anything is this entry's.
+    /// Creates the view of an unknown fleet, in which this entry's share of anything is zero.
     ///
-    /// An entry that has just started has heard of few, and in a fleet that starts as a whole so have
-    /// the others.
+    /// An entry that has just started knows few others, and when a whole fleet starts, so do they.
     #[must_use]
     pub fn unknown(own_addr: Ipv4Addr) -> Self {
         Self::new(own_addr, []).at_least(usize::MAX)
     }
 
-    /// The same fleet, taken to have at least so many entries.
+    /// Assumes at least this number of entries.
     #[must_use]
     pub fn at_least(mut self, entries: usize) -> Self {
         self.assumed = entries.saturating_sub(1 + self.others.len());
         self
     }
 
-    /// Number of entries, this one included.
+    /// Returns the number of entries, this one included.
     #[must_use]
     pub const fn entries(&self) -> usize {
         (1 + self.others.len()).saturating_add(self.assumed)
     }
 
-    /// This entry's part of `whole`; those that weren't heard of are taken to rank before it.
+    /// Returns this entry's share of `whole`; undiscovered entries are assumed to rank before it.
     pub(crate) fn share_of(&self, key: OwnedKey, whole: usize) -> usize {
         let each = whole / self.entries();
         let remainder = whole % self.entries();
--- a/fireflycroft/src/http_head.rs
+++ b/fireflycroft/src/http_head.rs
@@ -1,108 +1,108 @@
-//! What a caller of a direct entry asks, and what an upstream says of it.
+//! Parsed heads of callers' requests and upstreams' responses.
 
 use crate::ids::Name;
 use crate::rate_limit::RateLimit;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A part of a prompt that requests may share.
+/// Part of a prompt that several requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PromptPart {
-    /// Id of the part.
+    /// Identifier of the part.
     pub id: u64,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// Size of a generation, as far as it is known before it runs.
+/// Size of a generation, as far as it is known before the run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GenerationSize {
-    /// Tokens of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Upper limit on generated tokens.
     pub max_tokens: u32,
-    /// The caller's guess at the tokens of the answer; right in the median only.
+    /// The caller's estimate of generated tokens; accurate only in the median.
     pub length_hint: Option<u32>,
-    /// Parts of the prompt, in order; the last is the request's own.
+    /// Parts of the prompt, in order; the last one is unique to the request.
     pub parts: Vec<PromptPart>,
 }
 
-/// What the head of a request says.
+/// Parsed head of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The caller's id of this attempt.
+    /// Identifier that the caller gave to this attempt.
     pub request_id: Option<Name>,
-    /// The caller's key.
+    /// API key of the caller.
     pub key: Option<Name>,
-    /// How long the caller will wait from now.
+    /// Remaining time that the caller will wait.
     pub deadline: Option<Duration>,
-    /// Set for generations.
+    /// Size of the generation; `None` for other requests.
     pub size: Option<GenerationSize>,
-    /// Id of the last event that the caller has, when it comes back for the rest.
+    /// Identifier of the last event received, when the caller resumes a stream.
     pub last_event_id: Option<u64>,
 }
 
-/// Where the memory of a run lies.
+/// Location of a copy of a run's memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemoryCopy {
-    /// Upstream that names the copy.
+    /// Upstream that issued the handle.
     pub named_by: SocketAddr,
-    /// Name of the copy there.
+    /// Handle of the copy on that upstream.
     pub handle: Name,
 }
 
-/// What an entry adds to a request that it sends to an upstream.
+/// Fields that an entry adds to a request to an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dispatch<'a> {
-    /// Instance that is to run it, and no other.
+    /// The only instance that may run the request.
     pub instance: &'a str,
     /// Workspace of the caller.
     pub workspace: Option<&'a str>,
-    /// Time that is left.
+    /// Remaining time of the request.
     pub deadline: Duration,
-    /// Upstream that is to keep a copy of the run's memory.
+    /// Upstream that holds the memory backup of the run.
     pub backup: Option<SocketAddr>,
-    /// Memory to go on from.
+    /// Memory from which the run resumes.
     pub memory: Option<&'a MemoryCopy>,
-    /// Event after which the stream goes on.
+    /// Event after which the stream resumes.
     pub last_event_id: Option<u64>,
 }
 
-/// What an upstream says of having run a request.
+/// What a response states about whether the request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunClaim {
-    /// It says nothing, so it may have.
+    /// No statement, so the request may have run.
     MayHaveRun,
-    /// It did not, and will not.
+    /// The request did not run and will not run.
     NotRun,
-    /// Another instance has the address; it did not, and will not.
+    /// Another instance has the address; the request did not run and will not run there.
     WrongInstance,
 }
 
-/// What an upstream says in an answer of the requests to come.
+/// Conditions that an upstream sets in a response for further requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamConditions {
-    /// Whether it leaves.
+    /// Whether the upstream is draining.
     pub leaving: bool,
-    /// Rate that it takes, while it is in need.
+    /// Rate limit of an overloaded upstream.
     pub rate_limit: Option<RateLimit>,
-    /// Time for which it wants nothing more of the entry that it turned away.
+    /// Time for which an upstream that refused a request accepts no more from this entry.
     pub backoff: Option<Duration>,
 }
 
-/// What the head of an upstream's answer says of the request, and of the upstream.
+/// Parsed head of an upstream's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Whether the answer belongs to the request.
+    /// Whether the response belongs to the request.
     pub is_own: bool,
-    /// What the upstream says of having run the request.
+    /// What the upstream states about the execution of the request.
     pub claim: RunClaim,
-    /// Whether the upstream sealed the answer.
+    /// Whether the response carries the upstream's seal.
     pub sealed: bool,
     /// Whether the upstream will close the connection.
     pub closes: bool,
-    /// How long the connection may be idle.
+    /// Idle timeout of the connection.
     pub keep_alive: Option<Duration>,
-    /// What the upstream says of requests to come.
+    /// Conditions for further requests.
     pub conditions: UpstreamConditions,
 }
--- a/fireflycroft/src/lib.rs
+++ b/fireflycroft/src/lib.rs
@@ -1,20 +1,20 @@
-//! Decisions of a fleet that serves generations of unknown length.
+//! Decision logic of a fleet that serves generations of unknown length.
 //!
-//! The crate holds what entries and agents decide and nothing else: no
-//! sockets, files, clocks, threads or global state. Time and randomness come in
-//! as arguments, and what is to be done goes out as values.
+//! The crate contains the decisions of entries and agents and nothing else: no sockets, files,
+//! clocks, threads or global state. Time and randomness are passed in as arguments, and actions are
+//! returned as values.
 //!
-//! Two carriers use it, each with modules of its own:
+//! It has two users, each with modules of its own:
 //!
-//! - the agents' path (`fireflyd`): [`Entry`] and [`Agent`] with `member`,
-//!   `route`, `admit`, `place`, `lease`, `claim` and what belongs to them;
-//! - the direct entry (`fireflydirect`): [`Pool`] with `upstream`, `listing`,
-//!   `loads`, `pace` and `room` says where a request goes, and
-//!   `evacuation`, `cold`, `rate_limit` and `region` where it may not; `owners`, `repeat`,
-//!   `returns`, `watchers` and `contact` say what entries know of each other and
-//!   of the platform's store; `attempt`, `relay` and `rescue` follow a request.
+//! - the agents' path (`fireflyd`): [`Entry`] and [`Agent`] with `member`, `route`, `admit`,
+//!   `place`, `lease`, `claim` and related modules;
+//! - the direct entry (`fireflydirect`): [`Pool`] with `upstream`, `listing`, `loads`, `pace` and
+//!   `room` selects the upstream of a request, and `evacuation`, `cold`, `rate_limit` and `region`
+//!   exclude upstreams; `owners`, `retry_budget`, `returning_callers`, `watchers` and
+//!   `store_connectivity` hold what entries know of each other and of the platform's store;
+//!   `attempt`, `relay` and `failover` handle one request.
 //!
-//! A direct entry that knows two engines sends a generation to the emptier one:
+//! A direct entry that knows two engines sends a generation to the less loaded one:
 //!
 //! ```
 //! use fireflycroft::{Incarnation, Name, Need, Pool, Time, UpstreamRecord, UpstreamState};
--- a/fireflycroft/src/overview.rs
+++ b/fireflycroft/src/overview.rs
@@ -1,37 +1,37 @@
-//! What a direct entry shows operators of itself, the upstreams and the other entries.
+//! Overview of a direct entry, its upstreams and its peers, for operators.
 
 use crate::ids::Name;
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// One entry and what it knows.
+/// One entry and its view of the fleet.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EntryOverview {
-    /// Its VM.
+    /// Name of its VM.
     pub name: Name,
     /// Its data centre.
     pub data_centre: Name,
-    /// Whether callers should be sent to it.
+    /// Whether it is ready for callers.
     pub ready: bool,
-    /// How far it has come in stopping, as a word.
+    /// Stage of its shutdown, as a word.
     pub stage: String,
-    /// Version of the configuration in force; zero for none.
+    /// Configuration version in force; zero for none.
     pub config: u64,
-    /// Milliseconds since it was taken; absent without a configuration.
+    /// Milliseconds since that version was adopted; absent without a configuration.
     pub config_age_ms: Option<u64>,
     /// Whether it watches the platform's store for the others.
     pub watches: bool,
     /// Whether the store answered its last call.
     pub store_answers: bool,
-    /// Data centres that are evacuated.
+    /// Evacuated data centres.
     #[serde(default)]
     pub evacuated: Vec<Name>,
-    /// Times that the store has come back from a copy, as far as is known.
+    /// Known number of times that the store was restored from a copy.
     #[serde(default)]
     pub store_era: u64,
-    /// Calls under way.
+    /// Calls in progress.
     pub calls: usize,
-    /// Streams under way.
+    /// Streams in progress.
     pub streams: usize,
     /// Upstreams that are not gone.
     pub upstreams: Vec<UpstreamOverview>,
@@ -39,39 +39,39 @@
     pub peers: Vec<PeerOverview>,
 }
 
-/// One upstream, as the entry sees it.
+/// One upstream as seen by the entry.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct UpstreamOverview {
-    /// Id of this life of it.
+    /// Identifier of this incarnation of the upstream.
     pub instance: Name,
-    /// Service that it answers for.
+    /// Service that it serves.
     pub service: Name,
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
     /// Its data centre.
     pub data_centre: Name,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub serves: bool,
     /// Whether its data centre is evacuated.
     #[serde(default)]
     pub evacuated: bool,
-    /// How much longer it is cold, in milliseconds.
+    /// Remaining milliseconds for which it is cold.
     #[serde(default)]
     pub cold_ms: u64,
-    /// Requests a second that it takes from all entries, while it names such a limit.
+    /// Rate limit that it currently names, in requests per second from all entries.
     #[serde(default)]
     pub rate_limit: Option<f64>,
-    /// Requests of all entries there.
+    /// Requests running there, of all entries.
     pub running: u32,
-    /// Share of its memory that is spoken for; zero for a plain service.
+    /// Share of its memory that is reserved; zero for a plain service.
     pub memory: f64,
-    /// Tokens of prompts that are still to be read.
+    /// Prompt tokens still to be processed.
     pub unread: u64,
-    /// Share of the newest requests that failed there.
+    /// Failure rate of its most recent requests.
     pub failing: f64,
-    /// Time that it takes for a token, against its service.
+    /// Time per token, relative to its service.
     pub pace: f64,
-    /// Age in milliseconds of what is known of the work of other entries.
+    /// Age in milliseconds of the reports about other entries' work.
     pub told_age_ms: u64,
     /// Entries that own its load.
     #[serde(default)]
@@ -81,14 +81,14 @@
 /// Another entry.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PeerOverview {
-    /// Its VM; empty while it is known by hearsay alone.
+    /// Name of its VM; empty while it is known only by gossip.
     pub name: Name,
     /// Its address.
     pub ip: Ipv4Addr,
-    /// Milliseconds since it was heard; absent if it never was.
+    /// Milliseconds since its last message; absent if none was received.
     pub heard_ms: Option<u64>,
-    /// Whether it watches the store and is answered.
+    /// Whether it watches the store and gets answers.
     pub watches: bool,
-    /// Whether it stops.
+    /// Whether it is stopping.
     pub leaving: bool,
 }
--- a/fireflycroft/src/owner_messages.rs
+++ b/fireflycroft/src/owner_messages.rs
@@ -1,4 +1,4 @@
-//! What direct entries tell the owners of a key, and ask them.
+//! Reports and queries of direct entries to the owners of a key.
 
 use crate::entry_announcement::EntryAnnouncement;
 use crate::ids::{Digest, Name};
@@ -8,103 +8,103 @@
 use crate::upstream::Life;
 use std::time::Duration;
 
-/// What an entry did, told to the owners of what it concerns.
+/// Recent actions of an entry, reported to the owners of the keys concerned.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnerReport {
     /// Name of the sender.
     pub entry: Name,
-    /// Whether the sender has placed nothing else on upstreams that the receiver owns.
+    /// Whether `placed` is all that the sender has placed on upstreams owned by the receiver.
     pub is_whole: bool,
-    /// Work that it has placed.
+    /// Work placed by the sender.
     pub placed: Vec<PlacedAt>,
-    /// Callers whom it has refused of late.
+    /// Callers recently refused by the sender.
     pub refused: Vec<Refusal>,
-    /// Upstreams that it couldn't reach of late.
+    /// Upstreams that the sender recently failed to reach.
     pub unreachable: Vec<Life>,
 }
 
-/// A question to an owner.
+/// Query to an owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerQuery {
     /// Name of the sender.
     pub entry: Name,
-    /// Number by which the sender knows the reply.
+    /// Number that matches the reply to the query.
     pub id: u64,
-    /// What it asks.
+    /// Subject of the query.
     pub body: OwnerQueryBody,
 }
 
-/// What an owner is asked.
+/// Subject of a query to an owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnerQueryBody {
-    /// The load of upstreams, but for the work of the entry that asks.
+    /// The load of upstreams, without the work of the querying entry.
     Loads(Vec<Life>),
-    /// Leave to send one request to this service once more.
+    /// One retry of a request to this service.
     Retry(Name),
-    /// Whether a caller who asks this was refused of late.
+    /// Whether the caller of a request with this content was recently refused.
     Refused(Digest),
 }
 
-/// What an owner knows of one upstream.
+/// Load of one upstream as known to its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnedLoad {
     /// The upstream.
     pub upstream: Life,
-    /// Whether it takes new work and can be reached, as far as the owner knows.
+    /// Whether it is reachable and accepts new work, as far as the owner knows.
     pub serves: bool,
-    /// Work of all entries but the one that asks.
+    /// Work of all entries except the querying one.
     pub placed: Placed,
-    /// How fast it made tokens for them.
+    /// Token pace observed by those entries.
     pub pace: Pace,
 }
 
-/// The reply to an [`OwnerQuery`].
+/// Reply to an [`OwnerQuery`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerReply {
     /// Name of the sender.
     pub entry: Name,
     /// Number of the query.
     pub id: u64,
-    /// What it knows.
+    /// Content of the reply.
     pub body: OwnerReplyBody,
 }
 
-/// What an owner answers.
+/// Content of a reply by an owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnerReplyBody {
-    /// The loads of those upstreams that it knows.
+    /// Loads of the known upstreams among those queried.
     Loads(Vec<OwnedLoad>),
-    /// Whether one repeat is lent.
+    /// Answer to a query for one retry.
     Retry {
         /// The service.
         service: Name,
-        /// Whether there was one left.
+        /// Whether a retry was available.
         granted: bool,
     },
     /// Time since the caller was refused, if it was.
     Refused {
-        /// What the caller asks.
+        /// Content of the caller's request.
         content: Digest,
-        /// Time since.
+        /// Time since the refusal.
         age: Option<Duration>,
     },
 }
 
-/// What one datagram between direct entries holds.
+/// Content of one datagram between direct entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryMessage {
-    /// The sender's state.
+    /// State of the sender.
     Announcement(Box<EntryAnnouncement>),
-    /// What it did.
+    /// Recent actions of the sender.
     Report(OwnerReport),
-    /// A question to an owner.
+    /// Query to an owner.
     Query(OwnerQuery),
-    /// The reply to one.
+    /// Reply to a query.
     Reply(OwnerReply),
 }
 
 impl EntryMessage {
-    /// Word of its kind, in metrics.
+    /// Returns the metric label of the message kind.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
--- a/fireflycroft/src/owners.rs
+++ b/fireflycroft/src/owners.rs
@@ -1,46 +1,45 @@
-//! Which entries hold what is known of one upstream or one request.
+//! Ownership of shared knowledge about upstreams, services and requests.
 //!
-//! All entries that place work on an upstream tell its owners, and all that
-//! choose among upstreams ask them. So what a choice sees doesn't get worse with
-//! the number of entries, and what an entry sends grows with its own requests.
-//! In the same way the owners of a service lend what is left of its repeats, and
-//! those of a request know whether its caller was refused before.
+//! All entries that place work on an upstream report it to the upstream's owners, and query them
+//! when they choose among upstreams. So the accuracy of a choice doesn't decline with the number of
+//! entries, and an entry's traffic grows only with its own requests. Likewise, the owners of a
+//! service grant unused retries, and the owners of a request know whether its caller was refused
+//! before.
 //!
-//! The owners of a key are the entries that rank first for it by rendezvous
-//! hashing: each entry ranks all others that it knows to live by a hash of key
-//! and address. Entries that know the same others find the same owners without
-//! agreement, and one that comes or goes changes the owners of its share of the
-//! keys only. There are two, so that the loss of one takes no knowledge away.
+//! The owners of a key are the entries that rank highest for it by rendezvous hashing: each entry
+//! ranks all live entries it knows by a hash of key and address. Entries with the same view find
+//! the same owners without coordination, and a joining or leaving entry changes only the owners of
+//! its share of the keys. There are two, so that the loss of one loses no knowledge.
 
 use crate::ids::Digest;
 use std::net::Ipv4Addr;
 
-/// Owners of a key.
+/// Number of owners of a key.
 pub const OWNERS_PER_KEY: usize = 2;
 
-/// What has owners.
+/// Hashed key that has owners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct OwnedKey(u64);
 
 impl OwnedKey {
-    /// The load of an upstream.
+    /// Returns the key of an upstream's load.
     #[must_use]
     pub fn of_upstream(instance: &str) -> Self {
         Self::folded(Digest::of(&[b"load", instance.as_bytes()]))
     }
 
-    /// The repeats of a service.
+    /// Returns the key of a service's retry budget.
     #[must_use]
     pub fn of_retries(service: &str) -> Self {
         Self::folded(Digest::of(&[b"repeats", service.as_bytes()]))
     }
 
-    /// The order in which entries watch the platform's store for the others.
+    /// Returns the key that ranks the entries as watchers of the platform's store.
     pub(crate) const fn of_watch() -> Self {
         Self(0)
     }
 
-    /// A request, by the digest of what is asked.
+    /// Returns the key of a request, from the digest of its content.
     #[must_use]
     pub const fn of_content(content: Digest) -> Self {
         Self::folded(content)
@@ -51,8 +50,8 @@
         Self(digest.0 as u64 ^ (digest.0 >> 64) as u64)
     }
 
-    /// Rank of an entry for this key, by the finaliser of the `SplitMix64` generator; the highest
-    /// go first.
+    /// Returns the rank of an entry for this key, by the finaliser of the `SplitMix64` generator;
+    /// the highest ranks come first.
     pub(crate) const fn rank(self, entry: Ipv4Addr) -> u64 {
         let mut z = self.0 ^ (entry.to_bits() as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -61,7 +60,7 @@
     }
 }
 
-/// The owners of `key` among `entries`, the first one first.
+/// Returns the owners of `key` among `entries`, highest rank first.
 pub fn owners_of(
     key: OwnedKey,
     entries: impl IntoIterator<Item = Ipv4Addr>,
--- a/fireflycroft/src/relay.rs
+++ b/fireflycroft/src/relay.rs
@@ -1,28 +1,27 @@
-//! Relaying a stream of events whole, in order and once, over several runs.
+//! Relays an event stream complete, in order and without duplicates, across several runs.
 //!
-//! Bytes are held back until the event that they belong to is complete, so
-//! that a break in the middle of one leaves nothing half said. When the stream
-//! goes on from another upstream, events that were relayed before are dropped,
-//! and an event that is missing ends the stream instead of leaving a hole.
+//! Bytes are buffered until their event is complete, so an interrupted run never leaves a partial
+//! event. When another upstream resumes the stream, events already relayed are dropped, and a
+//! missing event ends the stream instead of leaving a gap.
 
-/// Longest event that is held back, in bytes.
+/// Maximum size of a buffered event, in bytes.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Why a stream can't go on.
+/// Reason why a stream cannot continue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayFault {
-    /// An event is longer than [`MAX_EVENT`].
+    /// An event is longer than [`MAX_EVENT_BYTES`].
     TooLong,
-    /// An event is missing before the one that came.
+    /// One or more events are missing before the received one.
     Gap {
-        /// Id of the last event relayed.
+        /// Identifier of the last relayed event.
         last: u64,
-        /// Id of the event that came.
+        /// Identifier of the received event.
         next: u64,
     },
 }
 
-/// Whole events relayed so far, and the beginning of the next.
+/// Position in the relayed stream and buffer of the next event.
 #[derive(Clone, Debug, Default)]
 pub struct EventRelay {
     buffer: Vec<u8>,
@@ -32,46 +31,47 @@
 }
 
 impl EventRelay {
-    /// Id of the last event relayed; `None` before the first.
+    /// Returns the identifier of the last relayed event; `None` before the first.
     #[must_use]
     pub const fn last_id(&self) -> Option<u64> {
         self.last
     }
 
-    /// Events relayed.
+    /// Returns the number of relayed events.
     #[must_use]
     pub const fn relayed(&self) -> u64 {
         self.relayed
     }
 
-    /// Whether bytes of an event that isn't complete are held.
+    /// Returns whether an incomplete event is buffered.
     #[must_use]
     pub const fn is_mid_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Whether every event so far had an id, so that another run can go on.
+    /// Returns whether the stream can be resumed: its events have identifiers, or none was relayed
+    /// yet.
     #[must_use]
     pub const fn can_resume(&self) -> bool {
         self.relayed == 0 || self.has_ids
     }
 
-    /// Begins with a caller that has seen the event `last` already.
+    /// Starts after the event `last`, which the caller has already received.
     pub const fn resume_after(&mut self, last: u64) {
         self.last = Some(last);
         self.has_ids = true;
     }
 
-    /// Drops what is held of an event that broke off.
+    /// Discards the incomplete event of an interrupted run.
     pub fn discard_partial(&mut self) {
         self.buffer.clear();
     }
 
-    /// Takes bytes of the upstream; gives those of whole events to relay.
+    /// Adds bytes received from the upstream and returns the complete new events.
     ///
     /// # Errors
     ///
-    /// A fault after which nothing more may be relayed.
+    /// Returns a fault after which nothing more may be relayed.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<u8>, RelayFault> {
         self.buffer.extend_from_slice(bytes);
         let mut out = Vec::new();
@@ -94,14 +94,14 @@
         Ok(out)
     }
 
-    /// What is held when the upstream ended the stream properly.
+    /// Returns the remaining bytes after the upstream ended the stream properly.
     #[must_use]
     pub fn finish(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.buffer)
     }
 }
 
-/// Whether an event comes after `last`; not so when it was relayed before.
+/// Returns whether an event comes after `last`; false if it was already relayed.
 fn is_new(last: Option<u64>, id: Option<u64>) -> Result<bool, RelayFault> {
     let (Some(last), Some(next)) = (last, id) else {
         return Ok(true);
@@ -115,7 +115,7 @@
     Ok(true)
 }
 
-/// Length of the event at the start of `bytes`, with the blank line that ends it.
+/// Returns the length of the event at the start of `bytes`, including its final blank line.
 fn event_len(bytes: &[u8]) -> Option<usize> {
     let mut at = 0;
     while let Some(line) = bytes[at..].iter().position(|b| *b == b'\n') {
@@ -128,7 +128,7 @@
     None
 }
 
-/// Number that the `id` line of an event gives.
+/// Parses the number in the `id` line of an event.
 fn read_event_id(event: &[u8]) -> Option<u64> {
     event.split(|b| *b == b'\n').find_map(|line| {
         let value = line.strip_prefix(b"id:")?;
