--- a/fireflycroft/src/failover.rs
+++ b/fireflycroft/src/failover.rs
@@ -1,10 +1,9 @@
-//! Which runs get a copy of their memory elsewhere, and when.
+//! Memory backups of runs and migration off departing upstreams.
 //!
-//! A generation that may run only once is lost when its upstream goes, unless
-//! another upstream holds its memory. A copy kept as the run grows also
-//! survives a crash, but takes memory twice; a copy made on notice takes it
-//! only for the moment of moving. So copies are kept while memory is plentiful
-//! and made on notice where it isn't.
+//! A generation that may run only once is lost with its upstream, unless another upstream holds its
+//! memory. A backup kept while the run grows also survives a crash, but needs memory twice; a copy
+//! made after a leave notice needs it only during the migration. So runs are backed up while memory
+//! is plentiful and copied after the notice otherwise.
 
 use crate::ids::Name;
 use crate::placed::Need;
@@ -13,46 +12,46 @@
 use crate::upstream::UpstreamIx;
 use std::time::Duration;
 
-/// Share of all memory that may be spoken for when a run begins with a copy.
+/// Share of a service's memory that may be reserved when a run begins with a backup.
 pub const MAX_SERVICE_FILL_FOR_BACKUP: f64 = 0.4;
 
-/// Share of one engine's memory that may be spoken for when it takes a copy.
+/// Share of an engine's memory that may be reserved when it accepts a backup.
 const MAX_HOLDER_FILL: f64 = 0.95;
 
-/// Answers that are expected to be shorter are done before a copy pays.
+/// Expected tokens below which a run finishes before a backup pays off.
 pub const MIN_BACKUP_TOKENS: u64 = 64;
 
-/// Time from an upstream's notice to the moment at which its runs are stopped for the last part of
-/// their copies, while nothing better is known.
+/// Time from a leave notice to the stop of the upstream's runs for the final part of their copies,
+/// while nothing better is known.
 ///
-/// All entries copy at once when notice comes, over one link; the last part of an early one would
-/// queue behind whole copies of others while its caller waits. Upstreams that are taken away go
-/// 1.4 s after their notice is heard at the earliest.
+/// All entries copy at once after a notice, over one link; the final part of an early run would
+/// queue behind whole copies of others while its caller waits. Upstreams that are removed go no
+/// earlier than 1.4 s after their notice is received.
 pub const STOP_AFTER_LEAVE_NOTICE: Duration = Duration::from_millis(1_050);
 
-/// Time that the last parts of all runs of an upstream are given before it is gone.
+/// Time reserved before the departure for the final parts of all runs of an upstream.
 const FINAL_COPY_TIME: Duration = Duration::from_millis(250);
 
-/// Age that a report of an engine may have at most when it comes.
+/// Maximum age of an engine's report on arrival.
 pub const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
 
-/// Whole copies take longer than their memory over an idle link, since some go to other data
-/// centres and some are turned away.
+/// Factor of the time of whole copies over that of their memory on an idle link: some go to other
+/// data centres and some are refused.
 const COPY_TIME_FACTOR: f64 = 1.25;
 
-/// What is known of an upstream that leaves.
+/// State of a departing upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Departure {
-    /// When its notice was heard.
+    /// Time at which its leave notice was received.
     pub notified_at: Time,
-    /// When it is gone, if it has said so.
+    /// Time of the departure, if the upstream stated it.
     pub gone_at: Option<Time>,
-    /// Time that the memory of all its runs takes over its link.
+    /// Transfer time of the memory of all its runs over its link.
     pub copy_time: Duration,
 }
 
 impl Departure {
-    /// What is known when notice is heard.
+    /// Creates the state at the leave notice.
     #[must_use]
     pub const fn notified(notified_at: Time) -> Self {
         Self {
@@ -62,8 +61,8 @@
         }
     }
 
-    /// When its runs are stopped for the last part of their copies: once the whole copies are
-    /// likely to be done, and in time for all last parts.
+    /// Returns when its runs are stopped for the final part of their copies: after the whole copies
+    /// are probably complete, and early enough for all final parts.
     #[must_use]
     pub fn stop_at(&self) -> Time {
         let earliest = self.notified_at + STOP_AFTER_LEAVE_NOTICE;
@@ -79,20 +78,19 @@
     }
 }
 
-/// What to do with a run whose upstream leaves.
+/// What to do with a run on a departing upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DepartureAction {
-    /// Let it run; its copy takes over if it breaks off.
+    /// Let it run; its backup takes over if it is interrupted.
     Continue,
-    /// Copy its memory to another upstream and go on there.
+    /// Copy its memory to another upstream and resume it there.
     Migrate,
 }
 
-/// Decides about a run whose upstream leaves, by whether a copy of it lies on one that stays.
+/// Decides about a run on a departing upstream, by whether it has a backup on one that stays.
 ///
-/// A run that seems nearly done is moved all the same: the expected length is
-/// right in the median only, and a moved run that was nearly done costs one
-/// copy, a lost one everything.
+/// A run that seems nearly finished is migrated all the same: the expected length is accurate only
+/// in the median, and the migration of a nearly finished run costs one copy, a lost run everything.
 #[must_use]
 pub const fn departure_action(has_backup: bool) -> DepartureAction {
     if has_backup {
@@ -102,7 +100,7 @@
     }
 }
 
-/// The upstream that is to keep a copy of a run as it grows on `at`, if any.
+/// Selects the upstream that holds the backup of a run on `at`, if there is one.
 #[must_use]
 pub fn pick_backup_holder(
     pool: &Pool,
--- a/fireflycroft/src/hedging.rs
+++ b/fireflycroft/src/hedging.rs
@@ -1,43 +1,42 @@
-//! Tries of one call that overlap, so that one that hangs holds nothing up.
+//! Hedged attempts of one call, so that a hung connection does not delay it.
 //!
-//! A connection may go silent for good while its peer serves others, and a peer
-//! that is away may be back long before a call to it runs into its time limit.
-//! A short limit is no answer either: a long page takes its time when a whole
-//! fleet reads it. So a try is judged by its progress. While bytes come, nothing
-//! else is started; when none have come for a while, another try begins beside
-//! it, and whichever is whole first wins.
+//! A connection may hang for good while its peer serves others, and an unreachable peer may be back
+//! long before a call to it times out. A short timeout is no solution either: a long page takes
+//! time when a whole fleet reads it. Attempts are therefore timed by their progress. While bytes
+//! arrive, no other attempt starts; after a period without any, another one starts in parallel, and
+//! the first complete response is used.
 //!
-//! With a limit of 5 s on each try, a fleet that started anew in an outage of the
-//! store served nobody for 3.2 s after the store was back.
+//! With a fixed timeout of 5 s per attempt, a fleet restarted during an outage of the store served
+//! nobody for 3.2 s after the store was back.
 
 use crate::time::Time;
 use std::time::Duration;
 
-/// Tries of one call at a time: two may hang beside one that is answered, and a page of a megabyte
-/// is held no more than three times.
+/// Concurrent attempts of one call: two may hang beside one that is answered, and a page of a
+/// megabyte is held at most three times.
 pub const MAX_HEDGED_ATTEMPTS: usize = 3;
 
-/// Factor by which each further try waits longer than the one before.
+/// Factor by which the delay grows with each further attempt.
 const HEDGE_DELAY_GROWTH: f64 = 1.5;
 
-/// One of the tries of a call.
+/// Identifier of an attempt within its call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(u64);
 
-/// What is to be done about a call now.
+/// Next step of a hedged call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HedgeStep {
-    /// Begin another try.
+    /// Start another attempt.
     Start(AttemptId),
-    /// Drop a try that hangs, to make room for another.
+    /// Abandon a hung attempt, to make room for another one.
     Abandon(AttemptId),
-    /// Wait for an answer until then.
+    /// Wait for a response until this time.
     Wait(Time),
-    /// Nothing came for too long, and no further try is allowed.
+    /// Fail the call: no progress within the timeout, and no further attempt is allowed.
     GiveUp,
 }
 
-/// The tries of one call.
+/// Attempts of one call.
 #[derive(Clone, Debug)]
 pub struct HedgedCall {
     progress_timeout: Duration,
@@ -49,8 +48,8 @@
 }
 
 impl HedgedCall {
-    /// Tries that begin `patience` after the last sign of progress, further ones later, up to
-    /// `longest_gap`.
+    /// Creates a call that starts another attempt `progress_timeout` after the last progress, and
+    /// further ones after longer delays, up to `max_delay`.
     #[must_use]
     pub fn new(progress_timeout: Duration, max_delay: Duration) -> Self {
         Self {
@@ -63,7 +62,7 @@
         }
     }
 
-    /// A single try, given up after `patience` without progress.
+    /// Creates a call with a single attempt that fails after `progress_timeout` without progress.
     #[must_use]
     pub fn single(progress_timeout: Duration) -> Self {
         Self {
@@ -72,7 +71,7 @@
         }
     }
 
-    /// Decides what to do now.
+    /// Returns the next step at `now`.
     pub fn next(&mut self, now: Time) -> HedgeStep {
         let Some(progress_at) = self.running.iter().map(|(_, at)| *at).max() else {
             return self.start(now);
@@ -100,7 +99,7 @@
         HedgeStep::Start(id)
     }
 
-    /// Notes that bytes came for a try.
+    /// Records that an attempt received bytes.
     pub fn record_progress(&mut self, now: Time, id: AttemptId) {
         self.delay = self.progress_timeout;
         if let Some((_, at)) = self.running.iter_mut().find(|(i, _)| *i == id) {
@@ -108,13 +107,13 @@
         }
     }
 
-    /// Notes that a try has failed; true when it was the last one running.
+    /// Records a failed attempt; returns true if it was the last one running.
     pub fn record_failure(&mut self, id: AttemptId) -> bool {
         self.running.retain(|(i, _)| *i != id);
         self.running.is_empty()
     }
 
-    /// Tries begun so far.
+    /// Returns the number of attempts started.
     #[must_use]
     pub const fn started(&self) -> u64 {
         self.started
--- a/fireflycroft/src/restart_budget.rs
+++ b/fireflycroft/src/restart_budget.rs
@@ -1,6 +1,6 @@
-//! A budget for restarts, so that failures cannot become a storm.
+//! Limits restarts, so that failures cannot cause a restart storm.
 
-/// Restarts allowed: a share of the requests, with a small reserve.
+/// Budget of restarts: a share of the requests, with a small reserve.
 #[derive(Clone, Copy, Debug)]
 pub struct RestartBudget {
     credit_tenths: u32,
@@ -18,12 +18,12 @@
 }
 
 impl RestartBudget {
-    /// Notes a new request, which earns a tenth of a restart.
+    /// Records a new request, which earns a tenth of a restart.
     pub fn earn(&mut self) {
         self.credit_tenths = (self.credit_tenths + 1).min(RESERVE_TENTHS);
     }
 
-    /// Takes one restart if the budget holds it.
+    /// Takes one restart; returns false if the budget is exhausted.
     pub fn spend(&mut self) -> bool {
         let Some(left) = self.credit_tenths.checked_sub(COST_TENTHS) else {
             return false;
--- a/fireflycroft/src/resume.rs
+++ b/fireflycroft/src/resume.rs
@@ -1,15 +1,15 @@
-//! Event ids that tell where a caller left a stream.
+//! Event identifiers that locate the position of a caller in a stream.
 //!
-//! An id reads `request.incarnation.serial.next.agent`. It is unguessable by
-//! its request, and worth nothing to another workspace: the agent compares.
+//! An identifier has the form `request.incarnation.serial.next.agent`. Its request part makes it
+//! unguessable, and it is useless to another workspace, because the agent compares the workspaces.
 
 use crate::entry_io::ResumePoint;
 use crate::ids::{Name, scan_generation_id, scan_request_id};
 
-/// Longest event id that is read.
+/// Maximum length of an event identifier in bytes.
 pub const MAX_EVENT_ID_BYTES: usize = 256;
 
-/// Writes the id of the event after which `next` comes.
+/// Formats the identifier of the event that precedes `next`.
 #[must_use]
 pub fn event_id(point: &ResumePoint, next: u64) -> String {
     format!(
@@ -18,7 +18,7 @@
     )
 }
 
-/// Reads an id written by [`event_id`].
+/// Parses an identifier written by [`event_id`].
 #[must_use]
 pub fn parse_event_id(text: &str) -> Option<ResumePoint> {
     if text.len() > MAX_EVENT_ID_BYTES {
--- a/fireflycroft/src/retry_budget.rs
+++ b/fireflycroft/src/retry_budget.rs
@@ -1,51 +1,48 @@
-//! The budget of repeats that all entries share, service by service.
+//! Retry budget shared by all entries, per service.
 //!
-//! Within a window the fleet may send a share of its requests once more, and a
-//! slack on top. An entry may always use its own part: a share of the requests
-//! that it took itself, and of the slack divided by the entries it knows of. When
-//! an upstream breaks off, all its runs go on elsewhere at once, and the entries
-//! that had them need far more than their parts. So beyond its part an entry may
-//! use what the others leave, where it has heard all of them; since the last
-//! telling every other one is taken to have spent as much as this one. Where it
-//! hasn't, it borrows, one repeat at a time, from the owners of the service
-//! ([`crate::owners_of`]), who hear all.
+//! Within a window the fleet may retry a share of its requests, plus a slack. Each entry may always
+//! use its own share: a share of its own requests, and of the slack divided by the number of known
+//! entries. When an upstream fails, all its runs resume elsewhere at once, and the affected entries
+//! need far more than their shares. An entry may therefore also use what the others leave unused,
+//! provided it has recent reports from all of them; every other entry is assumed to have used as
+//! many retries since the last report as this one. Without those reports, it borrows single retries
+//! from the owners of the service ([`crate::owners_of`]), which receive the reports of all entries.
 //!
-//! The parts and what is lent stay together within the bound: part of it is lent
-//! at most, counted against all that was spent, and the parts are half as large
-//! in a large fleet as they are for one entry alone.
+//! Shares and grants together stay within the bound: grants are limited to a part of it, counted
+//! against all known retries, and the shares of a large fleet add up to half of what a single entry
+//! could use alone.
 
 use crate::ids::Name;
 use crate::time::Time;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Bound on the repeats of a service.
+/// Limits on the retries of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimits {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Span in which requests and repeats are counted.
+    /// Span over which requests and retries are counted.
     pub window: Duration,
-    /// Repeats on top, over all entries.
+    /// Additional retries, over all entries.
     pub slack: f64,
 }
 
-/// Share of the bound that is used; the rest covers requests that arrive in
-/// another window than the one they are counted in.
+/// Share of the bound that is used; the rest covers requests that arrive in another window than the
+/// one they are counted in.
 const USED_SHARE: f64 = 0.7;
 
-/// Share of the bound up to which repeats are lent. With the parts of a large fleet, half of
-/// [`USED_SHARE`], it makes up the bound.
+/// Share of the bound up to which retries are granted. Together with the shares of a large fleet,
+/// half of [`USED_SHARE`], it makes up the bound.
 const GRANTED_SHARE: f64 = 0.65;
 
-/// Time until the count of an entry includes what it was lent: two tellings, of which one may be
-/// lost.
+/// Time until a borrower's counts include a grant: two reports, one of which may be lost.
 const GRANT_UNREPORTED_FOR: Duration = Duration::from_secs(1);
 
-/// Time for which what was lent may be used.
+/// Time for which a grant may be used.
 const GRANT_VALID_FOR: Duration = Duration::from_millis(500);
 
-/// Parts of a window that are counted apart.
+/// Counting steps per window.
 const STEPS_PER_WINDOW: u32 = 20;
 
 #[derive(Clone, Copy, Debug)]
@@ -55,35 +52,35 @@
     retries: u32,
 }
 
-/// Requests and repeats of one service within the window.
+/// Requests and retries of one service within the window.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RetryCount {
     /// The service.
     pub service: Name,
     /// Requests of callers.
     pub requests: u32,
-    /// Repeats.
+    /// Retries.
     pub retries: u32,
 }
 
-/// Time for which what another entry told counts.
+/// Time for which a report of another entry is current.
 const REPORT_VALID_FOR: Duration = Duration::from_secs(2);
 
-/// What this entry took and repeated, by service.
+/// Requests and retries of this entry and of the others, by service.
 #[derive(Clone, Debug)]
 pub struct SharedRetryBudget {
     limits: RetryLimits,
     counts: HashMap<Name, VecDeque<Count>>,
     reported: HashMap<Name, (Time, Vec<RetryCount>)>,
     since_report: HashMap<Name, u32>,
-    /// When this entry lent repeats that the counts of others may not include yet.
+    /// Times of grants by this entry that the borrowers' reports may not include yet.
     granted: HashMap<Name, VecDeque<Time>>,
-    /// When repeats were lent to this entry that it hasn't used.
+    /// Times of unused grants to this entry.
     borrowed: HashMap<Name, VecDeque<Time>>,
 }
 
 impl SharedRetryBudget {
-    /// An empty record under `limits`.
+    /// Creates empty counts under `limits`.
     #[must_use]
     pub fn new(limits: RetryLimits) -> Self {
         Self {
@@ -96,17 +93,17 @@
         }
     }
 
-    /// Sets other limits, from now on.
+    /// Replaces the limits.
     pub const fn set_limits(&mut self, limits: RetryLimits) {
         self.limits = limits;
     }
 
-    /// Notes a request of a caller.
+    /// Records a request of a caller.
     pub fn record_request(&mut self, now: Time, service: &Name) {
         self.count(now, service).requests += 1;
     }
 
-    /// Takes one repeat if the budget holds it or one was lent.
+    /// Takes one retry from the budget or from a grant; returns whether one was available.
     pub fn take(&mut self, now: Time, service: &Name, entries: usize) -> bool {
         if self.remaining(now, service, entries) < 1.0 && !self.use_grant(now, service) {
             return false;
@@ -116,17 +113,17 @@
         true
     }
 
-    /// Repeats that this entry may still send in the window.
+    /// Returns the retries that this entry may still send in the window.
     pub fn remaining(&mut self, now: Time, service: &Name, entries: usize) -> f64 {
         let own_count = self.own_count(now, service);
         let own_share = self.own_share(own_count.requests, entries) - f64::from(own_count.retries);
         own_share.max(self.unused_by_others(now, &own_count, entries))
     }
 
-    /// Lends one repeat to another entry, as an owner of the service.
+    /// Grants one retry to another entry, as an owner of the service; returns whether it did.
     ///
-    /// Counts everything that is known to be spent, and what was lent since. What a fleet spent
-    /// before this entry heard of it is unknown, so nothing is lent within a window of its start,
+    /// Counts all known retries and the grants not yet reported. What the fleet used before this
+    /// entry received reports is unknown, so it grants nothing within one window of its start,
     /// which is the zero of `now`.
     pub fn grant(&mut self, now: Time, service: &Name) -> bool {
         if now.since(Time::default()) < self.limits.window {
@@ -148,7 +145,7 @@
         true
     }
 
-    /// Takes a repeat that an owner lent.
+    /// Records a retry granted by an owner.
     pub fn record_grant(&mut self, now: Time, service: &Name) {
         let grants = self.borrowed.entry(service.clone()).or_default();
         grants.push_back(now);
@@ -170,7 +167,7 @@
         u32::try_from(granted.len()).unwrap_or(u32::MAX)
     }
 
-    /// Counts of a service that other entries told within `span`.
+    /// Returns the counts of a service reported by other entries within `span`.
     fn reported_within<'a>(
         &'a self,
         now: Time,
@@ -183,7 +180,7 @@
         counts.filter(move |c| c.service == *service)
     }
 
-    /// What the entries known leave of the whole bound.
+    /// Returns the part of the whole bound that the known entries leave unused.
     fn unused_by_others(&self, now: Time, own_count: &RetryCount, entries: usize) -> f64 {
         let mut fresh_reports = self.reported.values();
         let fresh_reports = fresh_reports
@@ -208,21 +205,21 @@
         USED_SHARE * self.bound(requests, 1) - f64::from(retries) - unreported
     }
 
-    /// The part of one of so many entries.
+    /// Returns the share of one entry among `entries`.
     #[allow(clippy::cast_precision_loss)]
     fn own_share(&self, requests: u32, entries: usize) -> f64 {
         let share = USED_SHARE * (0.5 + 0.5 / entries.max(1) as f64);
         share * self.bound(requests, entries)
     }
 
-    /// The bound for so many requests, with one entry's part of the slack.
+    /// Returns the bound for `requests`, with one entry's part of the slack.
     #[allow(clippy::cast_precision_loss)]
     fn bound(&self, requests: u32, entries: usize) -> f64 {
         let slack = self.limits.slack / entries.max(1) as f64;
         self.limits.ratio * f64::from(requests) + slack
     }
 
-    /// Counts of the window, to tell the others.
+    /// Returns the counts of the window, to report to the other entries.
     pub fn report(&mut self, now: Time) -> Vec<RetryCount> {
         self.since_report.clear();
         let services: Vec<Name> = self.counts.keys().cloned().collect();
@@ -232,9 +229,9 @@
             .collect()
     }
 
-    /// Takes the counts that another entry told.
+    /// Applies the counts reported by another entry.
     pub fn apply_report(&mut self, now: Time, entry: &Name, counts: Vec<RetryCount>) {
-        // What an entry that has died spent still counts within the window.
+        // Retries of a dead entry still count within the window.
         let window = self.limits.window;
         self.reported.retain(|_, (at, _)| now.since(*at) < window);
         self.reported.insert(entry.clone(), (now, counts));
--- a/fireflycroft/src/returning_callers.rs
+++ b/fireflycroft/src/returning_callers.rs
@@ -1,38 +1,38 @@
-//! Callers who were refused for lack of room, and come back.
+//! Recognises callers that return after a refusal for lack of capacity.
 //!
-//! Each attempt of a caller has an id of its own, and what a caller says of the
-//! time that it will still wait tells nothing of the time that it has waited:
-//! callers of one kind differ by a sixth in it. So a returning caller is known by what it asks: path, key and body.
-//! Entries tell each other whom they refused, since callers return to any of them.
+//! Each attempt of a caller has its own identifier, and its remaining time does not reveal how long
+//! it has waited: callers of one kind differ by a sixth in it. A returning caller is therefore
+//! recognised by its request: path, key and body. Entries report refusals to each other, since
+//! callers may return to any entry.
 //!
-//! All of it is lost with an entry, and then its callers count as new ones.
+//! When an entry is lost, its refusals are lost too, and the callers count as new.
 
 use crate::ids::Digest;
 use crate::time::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time for which a refused caller is remembered: longer than it is told to wait.
+/// Time for which a refused caller is remembered: longer than the retry time it was given.
 const REMEMBER_FOR: Duration = Duration::from_secs(4);
 
-/// Time for which a refusal is told again and again: two tellings, of which one may be lost.
+/// Time for which a refusal is included in reports: two reports, one of which may be lost.
 const REPORT_FOR: Duration = Duration::from_millis(600);
 
-/// Refusals told at a time, the newest first.
+/// Refusals per report, newest first.
 const MAX_REPORTED: usize = 24;
 
-/// Time between two looks for those to forget, once as many as allowed are remembered.
+/// Interval between removals of expired refusals while the limit is reached.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Refused callers remembered.
+/// Maximum number of remembered refusals.
 const MAX_REMEMBERED: usize = 4_096;
 
-/// A refusal for lack of room, as entries tell it each other.
+/// Refusal for lack of capacity, as reported between entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Digest of what the caller asked.
+    /// Digest of the request's content.
     pub content: Digest,
-    /// Time since.
+    /// Time since the refusal.
     pub age: Duration,
 }
 
@@ -42,7 +42,7 @@
     is_own: bool,
 }
 
-/// Callers who were refused of late, by what they asked.
+/// Recently refused callers, by the content of their requests.
 #[derive(Clone, Debug, Default)]
 pub struct ReturningCallers {
     refused: HashMap<Digest, Refused>,
@@ -50,7 +50,7 @@
 }
 
 impl ReturningCallers {
-    /// Notes that a caller was refused and told to come back; the first time counts.
+    /// Records a refusal with a retry time; only the first one of a caller counts.
     pub fn record_refusal(&mut self, now: Time, content: Digest) {
         let refused = Refused {
             since: now,
@@ -59,7 +59,7 @@
         self.remember(now, content, refused);
     }
 
-    /// Takes a refusal that another entry told.
+    /// Applies a refusal reported by another entry.
     pub fn apply_refusal(&mut self, now: Time, reported: &Refusal) {
         let refused = Refused {
             since: now - reported.age,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Time since a caller who asks this was refused for the first time.
+    /// Returns the time since the first refusal of a caller with this request, if it is remembered.
     #[must_use]
     pub fn waited(&self, now: Time, content: Digest) -> Option<Duration> {
         let refused = self.refused.get(&content)?;
@@ -92,7 +92,7 @@
         (waited < REMEMBER_FOR).then_some(waited)
     }
 
-    /// Refusals of this entry, to tell the others.
+    /// Returns the recent refusals of this entry, to report to the others.
     #[must_use]
     pub fn own_refusals(&self, now: Time) -> Vec<Refusal> {
         let fresh = |r: &Refused| r.is_own && now.since(r.since) < REPORT_FOR;
--- a/fireflycroft/src/store_connectivity.rs
+++ b/fireflycroft/src/store_connectivity.rs
@@ -1,45 +1,45 @@
-//! Whether the platform's store has answered for so long that what its list lacks is gone.
+//! Tracks store outages, to decide whether an upstream missing from the list is gone.
 //!
-//! Upstreams keep their records by heartbeats. While the store is away none
-//! arrive, so the records of upstreams that serve on lapse, and are written again
-//! within about two seconds of the store's return. So what the list lacks right
-//! after an outage may live. What it lacks later is gone, and so is what it lacks
-//! when no outage was long enough for a record to lapse.
+//! Upstreams keep their records alive by heartbeats. During a store outage none arrive, so records
+//! of healthy upstreams expire; they are written again within about two seconds of the store's
+//! return. An upstream missing right after an outage may therefore be alive. One missing later is
+//! gone, and so is one missing when no outage was long enough for a record to expire.
 //!
-//! A store that has come back from a copy lacks records that upstreams wrote since
-//! the copy was made; they are written again, and missing until then, as well.
+//! A store restored from a copy lacks the records written since the copy was made; these are
+//! written again as well and are missing until then.
 //!
-//! The doubt ends for all records at one moment, counted from the store's return.
-//! It may not begin anew with each record found missing: an upstream that left
-//! 2.9 s after the return then got work for 2.7 s more, two being allowed.
+//! The grace period ends for all records at one time, counted from the store's return. It must not
+//! restart with each missing record: an upstream that left 2.9 s after the return then received
+//! work for another 2.7 s, where two are allowed.
 
 use crate::time::Time;
 use std::time::Duration;
 
-/// Time after the store's return by which living upstreams are on the list again.
+/// Time after the store's return by which live upstreams are listed again.
 ///
-/// The platform states about two seconds; reading the list may take 0.3 s more. An upstream that leaves
-/// counts from 3 s after the return on, and may get work for 2 s, so that doubt has to end 5 s
-/// after it; the entries that rank first among the watchers find out within 0.7 s that it is back.
+/// The platform states about two seconds, and reading the list may take 0.3 s more. A departure
+/// counts from 3 s after the return and may receive work for 2 s, so the grace period must end 5 s
+/// after the return; the top-ranked watchers notice the return within 0.7 s.
 pub const SETTLE_TIME: Duration = Duration::from_millis(2_500);
 
-/// Time between two heartbeats of an upstream, where nothing else is told: the platform's own.
+/// The platform's interval between heartbeats of an upstream, used unless another one is given.
 const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// Heartbeats that the store may be silent for before a record can lapse.
+/// Heartbeats for which the store may be silent before a record can expire.
 ///
-/// Three in a row have to be missing, and the last one before the silence is up to one old, so two
-/// pass at least. The silence that an entry sees is longer than the outage. A connection that hangs shows after 1.4 s, the loss of all entries that watch after 2.1 s
-/// at most; neither may pass for an outage.
+/// Three in a row have to be missing, and the last one before the outage is up to one interval old,
+/// so at least two intervals pass. The silence that an entry observes is longer than the outage. A
+/// hung connection shows after 1.4 s, the loss of all watching entries after at most 2.1 s; neither
+/// may be mistaken for an outage.
 const TOLERATED_HEARTBEATS: u32 = 2;
 
-/// When the store answered, as far as its records depend on it.
+/// Availability of the store over time, as far as the expiry of records depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreConnectivity {
     heartbeat_interval: Duration,
     answered_at: Option<Time>,
     connected_since: Option<Time>,
-    /// Whether it is known to have been silent before that.
+    /// Whether the store is known to have been silent before `connected_since`.
     was_silent: bool,
 }
 
@@ -50,7 +50,8 @@
 }
 
 impl StoreConnectivity {
-    /// A store that hasn't answered yet, whose upstreams send a heartbeat so often.
+    /// Creates the state for a store that has not answered yet, with the heartbeat interval of its
+    /// upstreams.
     #[must_use]
     pub const fn new(heartbeat_interval: Duration) -> Self {
         Self {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Notes that the store has come back from a copy, which lacks the newest records.
+    /// Records that the store was restored from a copy, which lacks the newest records.
     ///
     /// Their upstreams write them again, as after an outage.
     pub const fn record_restored(&mut self, at: Time) {
@@ -70,16 +71,16 @@
         self.was_silent = true;
     }
 
-    /// Notes that a call was not answered.
+    /// Records an unanswered call.
     pub const fn record_failure(&mut self) {
-        // Once it has answered, the time to the next answer tells.
+        // After the first answer, the interval between answers decides.
         if self.answered_at.is_none() {
             self.was_silent = true;
         }
     }
 
-    /// Notes that the store answered somebody; true when it had been silent for so long that records
-    /// may have lapsed.
+    /// Records an answer of the store to any entry; returns true if the preceding silence was long
+    /// enough for records to expire.
     pub fn record_answer(&mut self, at: Time) -> bool {
         let last = self.answered_at.replace(at);
         let Some(last) = last else {
@@ -95,8 +96,7 @@
         was_interrupted
     }
 
-    /// Time since the first answer after the last silence in which records may have lapsed; none in
-    /// such a silence.
+    /// Returns the time since the first answer after the last such silence, or `None` during one.
     #[must_use]
     pub fn connected_for(&self, now: Time) -> Option<Duration> {
         let last = self.answered_at?;
@@ -104,23 +104,23 @@
         (!self.may_expire(last, now)).then(|| now.since(since))
     }
 
-    /// Whether a removal read now is that of an upstream that is gone.
+    /// Returns whether a removal read now confirms that the upstream is gone.
     ///
-    /// That is believed by an entry that has just started, too: the record was there when it listed
-    /// the store, and what runs on the upstream has to be saved soon.
+    /// This holds for an entry that has just started too: the record existed when it listed the
+    /// store, and runs on the upstream need failover soon.
     #[must_use]
     pub fn confirms_removals(&self, now: Time) -> bool {
         !self.was_silent || self.is_settled(now)
     }
 
-    /// Whether what the list lacks is gone.
+    /// Returns whether upstreams missing from the list are gone.
     #[must_use]
     pub fn is_settled(&self, now: Time) -> bool {
         let connected_for = self.connected_for(now);
         connected_for.is_some_and(|span| span >= SETTLE_TIME)
     }
 
-    /// When that is so, if the store goes on answering.
+    /// Returns when the grace period ends if the store keeps answering.
     #[must_use]
     pub fn settles_at(&self) -> Option<Time> {
         self.connected_since.map(|since| since + SETTLE_TIME)
--- a/fireflycroft/src/watchers.rs
+++ b/fireflycroft/src/watchers.rs
@@ -1,78 +1,76 @@
-//! Which entries watch the platform's store for all the others.
+//! Selects the entries that watch the platform's store on behalf of the fleet.
 //!
-//! Each waiting watch is a call that is paid for, and each change wakes all of
-//! them, so a few entries watch and tell the others. Every entry decides for
-//! itself, from what it hears, and one too many for a moment costs some calls.
+//! Each pending watch is a paid call and every change wakes all of them, so a few entries watch and
+//! announce changes to the others. Each entry decides for itself from the announcements it
+//! receives; a temporary excess of watchers only costs some calls.
 //!
-//! The seeds of the settings, which all entries know, begin as watchers. Another
-//! entry steps in when it hears fewer than [`WATCHERS`] that watch in good health:
-//! at once if it ranks among the first of those known, later the further behind it
-//! ranks. So the loss of watchers costs a few lists of the store, whatever the
-//! size of the fleet, and a store that turns most entries away is still found by
-//! one that it answers. Who watches beside enough others that rank before it
-//! steps down.
+//! The configured seeds, known to all entries, start as watchers. Another entry steps in when it
+//! sees fewer than [`WATCHERS`] healthy watchers: at once if it ranks among the first of the known
+//! entries, later the lower it ranks. The loss of watchers thus costs a few lists of the store at
+//! any fleet size, and a store that refuses most entries is still reached by one that it answers. A
+//! watcher steps down when enough watchers rank before it.
 
 use crate::owners::OwnedKey;
 use crate::time::Time;
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Entries that watch at a time: two may be lost at once, and one more be on its way out.
+/// Number of watchers: two may be lost at once while one more is leaving.
 pub const WATCHERS: usize = 3;
 
-/// Time for which enough others must have watched before an entry stops to.
+/// Time for which enough higher-ranked entries must have watched before an entry steps down.
 ///
-/// A watcher that lost the store in silence finds out after about three seconds.
+/// A watcher notices a silent loss of the store after about three seconds.
 pub const STEP_DOWN_AFTER: Duration = Duration::from_secs(4);
 
-/// Time that an entry which has just started takes to hear of those that watch.
+/// Time within which an entry that has just started discovers the watchers.
 const DISCOVERY_TIME: Duration = Duration::from_secs(1);
 
-/// Entries that step in at a time when too few watch: enough that three of them are answered even
-/// if the store turns half of the fleet away.
+/// Entries that step in together when too few watch: enough that three of them are answered even if
+/// the store refuses half of the fleet.
 const STEP_IN_GROUP: usize = 8;
 
-/// Time between two such groups: one lists the store and is heard within it.
+/// Interval between such groups: one lists the store and announces itself within it.
 const STEP_IN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest pause between calls to a store that doesn't answer, of the entries that rank first.
+/// Longest pause of the top-ranked entries between calls to a store that doesn't answer.
 ///
-/// A configuration is to be in force two seconds after the store took it; these entries hear of it
-/// and tell the others.
+/// A configuration must be in force two seconds after the store accepted it; these entries receive
+/// it and announce it to the others.
 const TOP_RANKED_MAX_PAUSE: Duration = Duration::from_millis(700);
 
-/// The same of all others, in a small fleet.
+/// Longest pause of all other entries in a small fleet.
 const OTHERS_MAX_PAUSE: Duration = Duration::from_millis(2_100);
 
-/// The same for each entry that is known, in a larger one: together they call some twenty times a
-/// second, whatever the size, so that one finds out soon when the store is back for it alone.
+/// Longest pause per known entry in a larger fleet: at any size, all of them together make some
+/// twenty calls per second, so that one soon notices when the store is back for it alone.
 const PAUSE_PER_ENTRY: Duration = Duration::from_millis(100);
 
-/// What an entry knows of another one's watching.
+/// What an entry knows about another entry as a watcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatcherView {
     /// Address of the other entry.
     pub addr: Ipv4Addr,
-    /// Whether it is heard of late.
+    /// Whether it was recently received from.
     pub is_alive: bool,
-    /// Whether it is heard to watch, and the store answers it.
+    /// Whether it announces that it watches and that the store answers it.
     pub watches: bool,
 }
 
-/// One entry's decision whether to watch, over time.
+/// Decision of one entry over time whether to watch.
 #[derive(Clone, Debug)]
 pub struct WatcherRole {
     rank: u64,
     watching: bool,
-    /// Since when enough others that rank before this entry watch.
+    /// Time since which enough higher-ranked entries watch.
     enough_since: Option<Time>,
-    /// Since when too few watch, as long as this entry doesn't.
+    /// Time since which too few entries watch, while this entry doesn't.
     too_few_since: Option<Time>,
     is_top_ranked: bool,
     others_max_pause: Duration,
 }
 
-/// What one look at the others comes to.
+/// Counts of the other entries in one decision.
 #[derive(Default)]
 struct PeerCounts {
     known: usize,
@@ -83,7 +81,7 @@
 }
 
 impl WatcherRole {
-    /// An entry of which nothing is heard yet; whether it `begins` as a watcher is for it to say.
+    /// Creates the role of an entry that knows no other yet; `starts_watching` for seeds.
     #[must_use]
     pub fn new(own_addr: Ipv4Addr, starts_watching: bool) -> Self {
         Self {
@@ -96,20 +94,20 @@
         }
     }
 
-    /// Whether this entry is to watch.
+    /// Returns whether this entry watches.
     #[must_use]
     pub const fn is_watching(&self) -> bool {
         self.watching
     }
 
-    /// Whether this entry is one of those that all others rely on: it watches, and too few that
-    /// rank before it are heard to.
+    /// Returns whether the other entries rely on this one: it watches, and too few watchers rank
+    /// before it.
     #[must_use]
     pub const fn is_primary(&self) -> bool {
         self.watching && self.enough_since.is_none()
     }
 
-    /// Longest pause between two calls while the store doesn't answer this entry.
+    /// Returns the longest pause between two calls while the store doesn't answer this entry.
     #[must_use]
     pub const fn max_pause(&self) -> Duration {
         if self.is_top_ranked {
@@ -119,7 +117,7 @@
         }
     }
 
-    /// Decides anew from what is known of the others; true when the decision changed.
+    /// Updates the decision from the state of the other entries; returns whether it changed.
     pub fn decide<'a>(
         &mut self,
         now: Time,
@@ -180,9 +178,9 @@
     }
 }
 
-/// Time after which an entry's turn to step in has come.
+/// Returns the delay before an entry steps in.
 ///
-/// Its place among those known says little where nobody is heard.
+/// Its rank among the known entries means little if none of them is alive.
 fn step_in_delay(counts: &PeerCounts) -> Duration {
     let group = u32::try_from(counts.ranked_before / STEP_IN_GROUP).unwrap_or(u32::MAX);
     let group = if counts.alive == 0 {
@@ -193,7 +191,7 @@
     STEP_IN_INTERVAL.saturating_mul(group)
 }
 
-/// Place in the order of entries, the same at all of them; the highest go first.
+/// Returns the rank of an entry, the same at all entries; the highest ranks come first.
 const fn rank_of(entry: Ipv4Addr) -> u64 {
     OwnedKey::of_watch().rank(entry)
 }
