--- a/fireflycroft/src/code.rs
+++ b/fireflycroft/src/code.rs
@@ -1,9 +1,9 @@
-//! Numbered result codes, their class and what they mean to a caller.
+//! Numbered result codes, their classes and their meaning for callers.
 //!
-//! The thousands digit is the class: 1 concerns operators and settings, 2 was
-//! not run, 3 ran, 4 is unknown. `docs/RESULT-CODES.md` lists them all.
+//! The thousands digit is the class: 1 concerns operators and settings, 2 was not run, 3 ran, 4 is
+//! unknown. `docs/RESULT-CODES.md` lists them all.
 
-/// What a code says about the request itself.
+/// What a code says about the execution of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Class {
     /// Concerns operators or settings, not a request.
@@ -25,22 +25,22 @@
         }
 
         impl Code {
-            /// Every code, in order of number.
+            /// All codes, ordered by number.
             pub const ALL: &[Self] = &[$(Self::$name,)+];
 
-            /// HTTP status that carries the code.
+            /// Returns the HTTP status that carries the code.
             #[must_use]
             pub const fn status(self) -> u16 {
                 match self { $(Self::$name => $status,)+ }
             }
 
-            /// Short phrase for people.
+            /// Returns a short phrase for people.
             #[must_use]
             pub const fn phrase(self) -> &'static str {
                 match self { $(Self::$name => $phrase,)+ }
             }
 
-            /// Code of that number.
+            /// Returns the code with this number.
             #[must_use]
             pub const fn from_number(number: u32) -> Option<Self> {
                 match number { $($number => Some(Self::$name),)+ _ => None }
@@ -52,7 +52,7 @@
 codes! {
     /// A setting is missing or out of range.
     BadSettings = 1001, 500, "a setting is missing or out of range";
-    /// The inventory or the rules hold faults.
+    /// The inventory or the rules contain faults.
     BadConfig = 1002, 422, "the inventory or the rules hold faults";
     /// Another operator changed the configuration first.
     ConfigConflict = 1003, 409, "the configuration was changed by another operator";
@@ -74,17 +74,17 @@
     MessageTooLong = 1102, 413, "a message was too long";
     /// A message between processes could not be read.
     MessageMalformed = 1103, 400, "a message could not be read";
-    /// The body is not the JSON that the interface asks for.
+    /// The body is not the JSON required by the interface.
     BadRequest = 2001, 400, "the request could not be read";
     /// The body is over the size limit.
     BodyTooLarge = 2002, 413, "the body is too large";
     /// The headers are over the size limit.
     HeadersTooLarge = 2003, 431, "the headers are too large";
-    /// No key, or one that no workspace holds.
+    /// The key is missing, or no workspace holds it.
     KeyRefused = 2004, 401, "the key is missing or unknown";
     /// The brand of the workspace may not use that model.
     ModelUnknown = 2005, 404, "the model is unknown to this brand";
-    /// No plain service of that name.
+    /// No plain service has this name.
     ServiceUnknown = 2006, 404, "the service is unknown";
     /// A non-repeatable request came without `Idempotency-Key`.
     IdempotencyKeyRequired = 2007, 400, "this request needs an Idempotency-Key";
@@ -92,9 +92,9 @@
     IdempotencyKeyReused = 2008, 422, "the Idempotency-Key was used for another request";
     /// The workspace has used up its quota.
     QuotaExceeded = 2010, 429, "the quota of the workspace is used up";
-    /// Every upstream is too loaded to begin in time.
+    /// All upstreams are too loaded to begin in time.
     Overloaded = 2011, 503, "the upstreams are too loaded";
-    /// No upstream serves this at the moment.
+    /// No upstream serves this at present.
     NoUpstream = 2012, 503, "no upstream serves this at the moment";
     /// The process is stopping.
     Leaving = 2013, 503, "this process is stopping";
@@ -104,15 +104,15 @@
     ClaimUnavailable = 2015, 503, "the Idempotency-Key could not be recorded";
     /// The process knows no configuration yet.
     NotReady = 2016, 503, "the process is not ready";
-    /// The prompt cannot fit any upstream.
+    /// The prompt does not fit any upstream.
     PromptTooLong = 2017, 400, "the prompt is too long";
     /// The caller left before the request began.
     Withdrawn = 2018, 499, "the caller left before the request began";
-    /// The reservation lapsed before the start came.
+    /// The reservation expired before the start arrived.
     ReservationExpired = 2019, 503, "the reservation lapsed";
-    /// The other side holds an older configuration.
+    /// The peer has an older configuration.
     ConfigOutdated = 2020, 503, "the configuration is being brought up to date";
-    /// No route of the configuration leads there.
+    /// No route of the configuration matches.
     RouteUnknown = 2021, 404, "no route leads there";
     /// The whole answer was delivered.
     Ok = 3000, 200, "ok";
@@ -124,28 +124,28 @@
     Cancelled = 3003, 499, "the request was cancelled";
     /// The upstream refused the request with an error of its own.
     UpstreamRefused = 3004, 502, "the upstream answered with an error";
-    /// The answer outgrew the buffer.
+    /// The answer exceeded the buffer.
     AnswerTooLarge = 3005, 502, "the answer outgrew the buffer";
-    /// The part asked for is no longer held.
+    /// The requested part is no longer held.
     PartGone = 3006, 410, "that part of the answer is no longer held";
     /// Contact with the agent was lost after the start.
     OutcomeUnknown = 4001, 502, "contact was lost; whether the request ran is not known";
     /// The key is held by a request whose outcome is not known.
     ClaimUnresolved = 4002, 409, "the Idempotency-Key belongs to a request of unknown outcome";
-    /// Nothing is known of the stream to resume.
+    /// The stream to resume is unknown.
     StreamUnknown = 4003, 404, "nothing is known of that stream";
     /// The deadline passed while the request ran or waited.
     DeadlineExceeded = 4004, 504, "the deadline passed";
 }
 
 impl Code {
-    /// Number of the code.
+    /// Returns the number of the code.
     #[must_use]
     pub const fn number(self) -> u32 {
         self as u32
     }
 
-    /// What the code says about the request.
+    /// Returns the class of the code.
     #[must_use]
     pub const fn class(self) -> Class {
         match self.number() / 1_000 {
--- a/fireflycroft/src/objective.rs
+++ b/fireflycroft/src/objective.rs
@@ -1,9 +1,8 @@
-//! Whether a request met its brand's objective, for the burn report.
+//! Checks whether a request met its brand's objective, for the burn report.
 //!
-//! Counted where the entry hands tokens to the front: a request meets its
-//! objective when it ended in good order, its first token came in time, and 95
-//! in 100 of its tokens came in time after the one before. What the caller
-//! itself got wrong counts neither way.
+//! Measured where the entry delivers tokens to the front: a request meets its objective if it ended
+//! properly, its first token arrived in time, and 95 % of its tokens followed the previous one in
+//! time. Errors of the caller are not counted at all.
 
 use crate::code::Code;
 use crate::ids::Name;
@@ -12,27 +11,27 @@
 use crate::work::Priority;
 use std::time::Duration;
 
-/// One request that has ended, for counting.
+/// A finished request, for counting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MeasuredRequest {
-    /// Brand of the workspace that asked.
+    /// Brand of the caller's workspace.
     pub brand: Name,
-    /// How urgent it was.
+    /// Priority of the request.
     pub priority: Priority,
-    /// Result.
+    /// Result code.
     pub code: Code,
     /// Whether it met its objective; `None` where none applies.
     pub met: Option<bool>,
 }
 
-/// What is asked of one request's pace.
+/// Latency limits of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LatencyGoal {
     first_token: Duration,
     between_tokens: Duration,
 }
 
-/// Late tokens allowed in a hundred.
+/// Late tokens allowed, in percent.
 const MAX_LATE_PERCENT: u64 = 5;
 
 impl LatencyGoal {
@@ -44,7 +43,7 @@
     }
 }
 
-/// Pace of one request's tokens.
+/// Token timing of one request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TokenTiming {
     first_token: Option<Duration>,
@@ -54,7 +53,7 @@
 }
 
 impl TokenTiming {
-    /// Notes tokens that were handed on at `now`.
+    /// Records tokens delivered at `now`.
     pub(crate) fn record(
         &mut self,
         now: Time,
@@ -82,7 +81,7 @@
     }
 }
 
-/// Whether a request that ended so met its goal.
+/// Returns whether a finished request met its goal.
 pub(crate) fn met_objective(
     code: Code,
     timing: &TokenTiming,
@@ -96,7 +95,7 @@
     }
 }
 
-/// Codes that the caller brought upon itself.
+/// Returns whether a code reports an error of the caller.
 const fn is_caller_error(code: Code) -> bool {
     matches!(
         code,
--- a/fireflycroft/src/part_name.rs
+++ b/fireflycroft/src/part_name.rs
@@ -1,25 +1,25 @@
-//! Names of the parts of a configuration: the digest of what they hold.
+//! Content-addressed names of configuration parts.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Name of a part: BLAKE3 of its bytes.
+/// Name of a part: the BLAKE3 digest of its bytes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PartName([u8; 32]);
 
 impl PartName {
-    /// Name of a part of these bytes.
+    /// Returns the name of the part with these bytes.
     #[must_use]
     pub fn of(data: &[u8]) -> Self {
         Self(*blake3::hash(data).as_bytes())
     }
 
-    /// The digest itself.
+    /// Returns the bytes of the digest.
     pub(crate) const fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Reads a name written by its `Display`.
+    /// Parses a name in the format of its `Display`.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let hash = blake3::Hash::from_hex(text).ok()?;
@@ -48,6 +48,6 @@
 impl<'de> Deserialize<'de> for PartName {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        Self::parse(&text).ok_or_else(|| serde::de::Error::custom("no name of a part"))
+        Self::parse(&text).ok_or_else(|| serde::de::Error::custom("invalid part name"))
     }
 }
--- a/fireflycroft/src/text_change.rs
+++ b/fireflycroft/src/text_change.rs
@@ -1,36 +1,36 @@
-//! What leads from one text to its next version.
+//! Difference between two versions of a text.
 //!
-//! A configuration has hundreds of kilobytes and its next version differs in a
-//! few places, so entries hand each other what differs. The old text is indexed by
-//! aligned blocks; where a block of it begins in the new text, as much as is equal
-//! is copied, and only what lies between such runs is told.
+//! A configuration has hundreds of kilobytes, and its next version differs in a few places, so
+//! entries send each other only the difference. The old text is indexed by aligned blocks; where
+//! one of them occurs in the new text, the longest match is copied, and only the text between
+//! matches is sent.
 
 use crate::ids::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Bytes of the blocks by which equal runs are found.
+/// Size in bytes of the blocks used to find matches.
 const BLOCK_BYTES: usize = 32;
 
-/// Places of one block in the old text that are tried for the longest run.
+/// Positions of one block in the old text that are compared for the longest match.
 const MAX_BLOCK_POSITIONS: usize = 8;
 
-/// Part of the new text that a change may take, as a divisor: beyond it a change saves little.
+/// Part of the new text, as a divisor, that a change may take; a larger one saves little.
 const MAX_SIZE_DIVISOR: usize = 4;
 
-/// Bytes that a step takes beside its text.
+/// Estimated overhead of an encoded step beside its text, in bytes.
 const STEP_OVERHEAD_BYTES: usize = 32;
 
-/// One step of making the new text.
+/// Step in building the new text.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 enum Step {
     /// Copies bytes of the old text.
     Copy { from: usize, len: usize },
-    /// Adds text that the old one lacks.
+    /// Adds text that is not in the old one.
     Add(String),
 }
 
-/// Steps that lead from one text to another.
+/// Steps that turn one text into another.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct TextChange {
     steps: Vec<Step>,
@@ -39,7 +39,7 @@
 }
 
 impl TextChange {
-    /// What leads from `old` to `new`; none where it would save little.
+    /// Returns the change from `old` to `new`, or `None` if it would save little.
     #[must_use]
     pub fn between(old: &str, new: &str) -> Option<Self> {
         let found_matches = find_matches(old.as_bytes(), new.as_bytes());
@@ -47,7 +47,7 @@
         let mut done = 0;
         let mut added = 0;
         for matched in found_matches {
-            // A run may begin or end inside a character, which can't be told by itself.
+            // A match may begin or end inside a character, which can't be sent by itself.
             let gap = new.get(done..matched.at)?;
             if !gap.is_empty() {
                 added += gap.len();
@@ -69,7 +69,7 @@
         })
     }
 
-    /// The new text; none if `old` isn't the one that the change was made from.
+    /// Returns the new text, or `None` if the change was not made from `old`.
     #[must_use]
     pub fn apply(&self, old: &str) -> Option<String> {
         let mut new = Vec::new();
@@ -89,7 +89,7 @@
     }
 }
 
-/// Bytes of the new text, at `at`, that stand in the old one, at `from`.
+/// Bytes of the new text at `at` that equal those of the old one at `from`.
 #[derive(Clone, Copy)]
 struct Match {
     at: usize,
@@ -117,7 +117,7 @@
     found_matches
 }
 
-/// The first places of each aligned block.
+/// Maps each aligned block to its first positions.
 fn index_blocks(old: &[u8]) -> HashMap<&[u8], Vec<usize>> {
     let mut positions: HashMap<&[u8], Vec<usize>> = HashMap::new();
     for (i, block) in old.chunks_exact(BLOCK_BYTES).enumerate() {
@@ -129,7 +129,7 @@
     positions
 }
 
-/// The longest run round a block that is equal, not reaching back before `done` in the new text.
+/// Extends a matching block in both directions, but not before `done` in the new text.
 fn extend_match(old: &[u8], new: &[u8], from: usize, at: usize, done: usize) -> Match {
     let before = new[done..at].iter().rev().zip(old[..from].iter().rev());
     let before = before.take_while(|(a, b)| a == b).count();
--- a/fireflycroft/tests/attempt.rs
+++ b/fireflycroft/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! What follows from each try, and that "not run" is never said wrongly.
+//! The next step after each attempt, and that no request is wrongly refused as "not run".
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -71,8 +71,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever happens, a request that may have run is never refused as not run, one that may run
-    /// only once never runs twice, and the tries end.
+    /// For any outcomes, a request that may have run is never refused as not run, one that may run
+    /// only once never runs twice, and the attempts end.
     #[test]
     fn refusals_are_true_and_tries_end(
         kind in kind(),
--- a/fireflycroft/tests/catalog.rs
+++ b/fireflycroft/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! Looking up routes, services and keys in a published configuration.
+//! Look-ups of routes, services and keys in a published configuration.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -102,7 +102,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The look-up finds what a search through all routes finds.
+    /// The look-up finds the same route as a search through all routes.
     #[test]
     fn route_is_the_longest_that_begins_the_path(path in "(/[ab]{0,2}){1,5}") {
         let all = parts().routes;
--- a/fireflycroft/tests/code.rs
+++ b/fireflycroft/tests/code.rs
@@ -1,4 +1,4 @@
-//! The table of result codes in the docs says what the code says.
+//! The documented table of result codes agrees with the code.
 
 use fireflycroft::{Class, Code};
 
--- a/fireflycroft/tests/failover.rs
+++ b/fireflycroft/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Room for generations, copies of runs, and who watches the store.
+//! Admission of generations, memory backups of runs, and watchers of the store.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -101,7 +101,7 @@
     assert!(!is_room(&of_yield(-0.5), &fill));
 }
 
-/// Yield of a generation beside many of 3,000 and 600 tokens.
+/// Returns the value density of a generation among many of 3,000 and 600 tokens.
 fn yield_of(prompt: u64, expected: u64) -> f64 {
     let mut yields = Yields::default();
     let kind = Name::from("log");
@@ -147,7 +147,8 @@
     assert!(of_grade.abs() < 0.05, "{of_grade}");
 }
 
-/// Time from notice to the stop of a run on an engine that is gone after `gone` milliseconds.
+/// Returns the time from the leave notice to the stop of a run on an engine that is gone after
+/// `gone` milliseconds.
 fn leaving(gone: Option<u64>, copy_time: u64) -> Duration {
     let departure = Departure {
         notified_at: at(5_000),
@@ -244,7 +245,7 @@
     Ipv4Addr::from_bits(0x0a01_0000 + u32::try_from(number).unwrap())
 }
 
-/// An entry that is heard, and doesn't watch.
+/// Returns a live entry that doesn't watch.
 fn idle(number: usize) -> WatcherView {
     WatcherView {
         addr: addr(number),
@@ -253,7 +254,8 @@
     }
 }
 
-/// Entries that hear each other and whose watches the store answers, but for `cut`.
+/// Entries that receive each other's announcements and whose watches the store answers, except for
+/// `cut`.
 struct Fleet {
     addrs: Vec<Ipv4Addr>,
     roles: Vec<WatcherRole>,
@@ -318,8 +320,7 @@
     assert_eq!(fleet.watching().len(), 20);
 }
 
-/// While the store is away for all, calls a second stay far below what it takes, whatever the
-/// fleet's size.
+/// While no entry reaches the store, only the top-ranked entries call it often, at any fleet size.
 fn few_call_often() {
     let mut fleet = Fleet::new(20);
     let views: Vec<WatcherView> = (0..20).map(idle).collect();
--- a/fireflycroft/tests/hedging.rs
+++ b/fireflycroft/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Tries that overlap: when another begins, when one is dropped, and how many there are.
+//! Hedged attempts: when another one starts, when one is abandoned, and how many there are.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -43,7 +43,7 @@
     assert_eq!(call.next(at(449)), HedgeStep::Wait(at(450)));
     let second = begin(&mut call, at(450));
     assert_ne!(first, second);
-    // The first still runs: its failure alone ends nothing.
+    // The first attempt still runs, so its failure alone doesn't end the call.
     assert!(!call.record_failure(first));
 }
 
@@ -92,7 +92,7 @@
     assert_eq!(call.next(at(501)), HedgeStep::Wait(at(950)));
 }
 
-/// Plays silence until `end`; gives the moments at which tries began.
+/// Simulates a call without any response until `end`; returns the start times of its attempts.
 fn silence(end: u64) -> Vec<Time> {
     let mut call = hedged_call();
     let (mut now, mut begun) = (at(0), Vec::new());
@@ -120,7 +120,7 @@
     );
 }
 
-/// However long the silence lasts, a try begins within the longest gap after its end.
+/// However long the peer was silent, an attempt starts within the longest delay after its return.
 fn asked_soon() {
     let begun = silence(30_000);
     let delays = begun.windows(2).map(|pair| pair[1].since(pair[0]));
--- a/fireflycroft/tests/objective.rs
+++ b/fireflycroft/tests/objective.rs
@@ -1,4 +1,4 @@
-//! What an entry counts of its requests against their objective.
+//! How an entry counts its requests against their objectives.
 
 use fireflycroft::{
     Brand, CallId, Chunk, Code, ConfigVersion, Delivery, Digest, Document, Entry, EntryAction,
@@ -152,7 +152,7 @@
         });
     }
 
-    /// One token after so many milliseconds.
+    /// Delivers one token after `after_ms` milliseconds.
     fn token(&mut self, after_ms: u64) {
         self.now = self.now + Duration::from_millis(after_ms);
         let mut chunk = Chunk {
--- a/fireflycroft/tests/owners.rs
+++ b/fireflycroft/tests/owners.rs
@@ -1,4 +1,4 @@
-//! Who owns what is known of an upstream, and choices by what owners reply.
+//! Ownership of upstreams, and choices based on owners' replies.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -97,7 +97,7 @@
     }
 }
 
-/// Takes a reply of an owner at time zero.
+/// Applies a reply of an owner at time zero.
 fn reply(pool: &mut Pool, loads: &[(&str, u64)]) {
     let loads: Vec<OwnedLoad> = loads.iter().map(|(i, tokens)| load(i, *tokens)).collect();
     pool.note_reply(at(0), &Name::from("owner"), &loads);
@@ -132,7 +132,7 @@
 fn goes_by_replies() {
     let mut pool = pool(&["a", "b", "c", "d"]);
     reply(&mut pool, &[("a", 6_000), ("b", 2_000), ("c", 4_000)]);
-    // Nothing is known of the fourth one, which may be full.
+    // Nothing is known of the fourth upstream, which may be full.
     assert_eq!(chosen(&pool, at(5), &need(100)), "b");
 }
 
@@ -157,8 +157,9 @@
     assert!(!owner.loads_for(at(1), &Name::from("x"), &[life("a")])[0].serves);
 }
 
-/// In an outage of the store 325 callers of a day were refused, each because three upstreams in a row
-/// were gone; they stay on the list and look emptier than the others.
+/// Guards against refusals because of unreachable upstreams, which stay on the list during an
+/// outage of the store and look less loaded than the others: in one outage, 325 callers in a day
+/// were refused after three such upstreams in a row.
 fn unreachable_is_left_out() {
     let mut owner = pool(&["a"]);
     let serves =
@@ -208,7 +209,7 @@
     assert!((fill - 0.8).abs() < 0.01, "{fill}");
 }
 
-/// So many engines, `i-0` to the last.
+/// Creates a pool of `count` engines, named from `i-0`.
 fn many(count: usize) -> Pool {
     let names: Vec<String> = (0..count).map(|n| format!("i-{n}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -264,10 +265,10 @@
     assert_eq!(breadth.upstreams(at(9_000)), first);
 }
 
-/// Entries that each know their own placements and ask owners leave no engine much fuller than the
-/// others, in a fleet of any size. With what a sample of eight entries told a second ago, engines of a
-/// fleet of 68 were overbooked while others stood empty. None is to be overbooked before two thirds of
-/// all memory are spoken for.
+/// Guards against overbooked engines: entries that know only their own placements and query owners
+/// must load the engines evenly at any fleet size. With second-old reports from a sample of eight
+/// entries, some engines of a fleet of 68 were overbooked while others were empty. None may be
+/// overbooked before two thirds of all memory are reserved.
 fn choices_spread() {
     for (entries, engines, per_second) in
         [(1, 12, 20), (5, 18, 17), (68, 60, 55), (350, 650, 3_300)]
@@ -277,7 +278,8 @@
     }
 }
 
-/// Memory of the fullest engine against the mean, when entries have placed eight runs an engine.
+/// Returns the memory of the fullest engine relative to the mean, after the entries have placed
+/// eight runs per engine.
 fn fullest(entries: u32, engines: usize, per_second: usize) -> f64 {
     let ips = self::entries(entries);
     let mut pools: HashMap<Ipv4Addr, Pool> = ips.iter().map(|ip| (*ip, many(engines))).collect();
@@ -286,7 +288,7 @@
     let mut told_at = at(0);
     for run in 0..engines * 8 {
         let now = at((run * 1_000 / per_second) as u64);
-        // Every entry tells again what it has placed before it would lapse.
+        // Every entry reports its placements again before they would expire.
         if now.since(told_at) >= TELL_EVERY {
             told_at = now;
             for ip in &ips {
@@ -322,7 +324,7 @@
 
 const TELL_EVERY: Duration = Duration::from_millis(500);
 
-/// One entry asks the owners of the engines that a choice looks at.
+/// Queries the owners of the engines considered for a choice.
 fn ask(
     pools: &mut HashMap<Ipv4Addr, Pool>,
     ips: &[Ipv4Addr],
@@ -346,7 +348,7 @@
     }
 }
 
-/// One entry tells the owners of an engine, or of all, what it has placed there.
+/// Reports to the owners of one engine, or of all, what an entry has placed there.
 fn tell(
     pools: &mut HashMap<Ipv4Addr, Pool>,
     ips: &[Ipv4Addr],
@@ -370,8 +372,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// An entry that goes changes the owners of what it owned alone, in whatever order the others
-    /// are known.
+    /// A leaving entry changes the owners of its own keys only, whatever the order of the entries.
     #[test]
     fn entry_that_goes_leaves_other_keys_alone(count in 3_u32..120, gone in 0_usize..120, key: u64) {
         let all = entries(count);
--- a/fireflycroft/tests/relay.rs
+++ b/fireflycroft/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Streams of events relayed whole, in order and once, over several runs.
+//! Event streams relayed complete, in order and without duplicates, across several runs.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -90,8 +90,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However the runs are cut into pieces and wherever they break, the caller gets each event
-    /// once, in order, and nothing else.
+    /// Wherever the runs are split into pieces and interrupted, the caller gets each event once, in
+    /// order, and nothing else.
     #[test]
     fn any_cuts_and_breaks_give_one_stream(
         total in 1_u64..30,
--- a/fireflycroft/tests/restored.rs
+++ b/fireflycroft/tests/restored.rs
@@ -1,8 +1,8 @@
-//! A store that comes back from a copy: what is newer across its eras, and what is doubted.
+//! A store restored from a copy: the order of revisions across its eras, and the grace period.
 //!
-//! What users would see without it: an engine that says again that it leaves, at a revision below the
-//! one it was known by, goes on getting requests; engines that started after the copy was made are
-//! taken for gone, and their runs are moved.
+//! Guards against two failures: an engine that gives its leave notice again, at a revision below
+//! its last one, keeps receiving requests; engines started after the copy was made are considered
+//! gone, and their runs are migrated.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -50,7 +50,7 @@
     life(instance, revision, UpstreamState::Leaving)
 }
 
-/// A pool that has heard of a calm store for long, with two engines.
+/// Creates a pool of two engines that has observed an undisturbed store for a while.
 fn calm_pool() -> Pool {
     let mut pool = Pool::new(Name::from("dc"));
     pool.learn(at(0), serving("a", revision_in(1, 900)));
@@ -86,7 +86,7 @@
     assert!(serves(&pool, "a"));
 }
 
-/// The store comes back from a copy that has the first engine only.
+/// Restores the store from a copy that has only the first engine.
 fn restore_without_b(pool: &mut Pool) {
     pool.note_restored(at(9_000));
     let copied = vec![serving("a", revision_in(2, 900))];
--- a/fireflycroft/tests/retry_budget.rs
+++ b/fireflycroft/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The shared budget of repeats stays within its bound.
+//! The shared retry budget stays within its bound.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -86,7 +86,7 @@
     assert_eq!(taken(&mut own, at(5_000), 4), own_share);
 }
 
-/// An owner that has run for longer than a window and heard of so many other entries.
+/// Creates an owner that has run for longer than a window and has reports of `others` entries.
 fn owner(others: usize) -> SharedRetryBudget {
     let mut owner = SharedRetryBudget::new(LIMITS);
     for other in 0..others {
@@ -96,7 +96,8 @@
     owner
 }
 
-/// Repeats that one entry of a fleet sends when all its runs break off, borrowing from `owner`.
+/// Returns the retries that one entry of a fleet sends when all its runs are interrupted, borrowing
+/// from `owner`.
 fn sent_by_one(owner: &mut SharedRetryBudget, entries: usize) -> u32 {
     let mut budget = SharedRetryBudget::new(LIMITS);
     let mut sent = 0;
@@ -113,9 +114,9 @@
     }
 }
 
-/// On a day of 68 entries, upstreams that left broke off some three runs an entry in ten seconds, where
-/// an entry's part is one or two: 27 of 29 streams were cut for want of a repeat, of a bound of
-/// which the fleet used less than half.
+/// Guards against interrupted streams for lack of a retry. In a fleet of 68 entries, departing
+/// upstreams interrupted some three runs per entry in ten seconds, where an entry's share is one or
+/// two retries: 27 of 29 streams were cut, while the fleet used less than half of the bound.
 fn borrows_what_all_leave() {
     let alone = taken(&mut SharedRetryBudget::new(LIMITS), at(0), 68);
     assert!(alone < 2, "{alone}");
@@ -138,7 +139,8 @@
     assert!(owner.grant(at(10_000), &service()));
 }
 
-/// Half of the entries spent what there was and died; the other half may not spend it again.
+/// Retries used up by half of the entries, which then died, are not granted to the other half
+/// again.
 fn dead_have_spent() {
     let mut owner = owner(3);
     let mut dead = SharedRetryBudget::new(LIMITS);
@@ -160,8 +162,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Entries that repeat as much as they may, and tell each other now and then, stay together
-    /// within the bound of every window.
+    /// Entries that retry as often as they may, and report to each other now and then, stay
+    /// together within the bound of every window.
     #[test]
     fn all_entries_stay_within_the_bound(
         greed in prop::collection::vec((0_usize..4, 0_u64..120, 0_u32..6, any::<bool>()), 1..200),
@@ -191,8 +193,8 @@
             prop_assert!(f64::from(retries) <= most, "{} of {}", retries, most);
         }
     }
-    /// Entries that borrow all they can from two owners that disagree about nothing but who asks
-    /// whom, over datagrams that are lost, doubled or late, stay within the bound of every window.
+    /// Entries that borrow all they can from two owners with the same reports, over datagrams that
+    /// are lost, duplicated or late, stay within the bound of every window.
     #[test]
     fn borrowers_stay_within_the_bound(
         greed in prop::collection::vec((0_usize..40, 0_u64..60, 0_u32..6, 0_u8..8), 1..400),
@@ -211,7 +213,7 @@
                 let spent = entries[who].remaining(at(now), &service(), ENTRIES) < 1.0;
                 if spent && entries[owner].grant(at(now), &service()) && luck != 2 {
                     entries[who].record_grant(at(now), &service());
-                    // A reply that came twice.
+                    // A reply that arrived twice.
                     if luck == 3 {
                         entries[owner].grant(at(now), &service());
                     }
--- a/fireflycroft/tests/returning_callers.rs
+++ b/fireflycroft/tests/returning_callers.rs
@@ -1,4 +1,4 @@
-//! Callers who were refused for lack of room: how they are known when they come back.
+//! Callers refused for lack of capacity: how they are recognised when they return.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -29,14 +29,14 @@
     Time::from_millis(millis)
 }
 
-/// A caller with that content was refused at time zero.
+/// Returns the state after a caller with this content was refused at time zero.
 fn refused(content: u128) -> ReturningCallers {
     let mut callers = ReturningCallers::default();
     callers.record_refusal(at(0), Digest(content));
     callers
 }
 
-/// Another entry refused the caller 1 that long before time 5,000.
+/// Returns the state at time 5,000 after another entry refused caller 1 `age` milliseconds earlier.
 fn reported(age: u64) -> ReturningCallers {
     let mut callers = ReturningCallers::default();
     callers.apply_refusal(
@@ -92,14 +92,14 @@
     assert_eq!(reported[0].content, Digest(499), "the newest first");
 }
 
-/// A caller who asks for something new each time pushes nobody out.
+/// A caller with new content each time evicts no other caller.
 fn bounds_remembered() {
     let mut callers = refused(1);
     for n in 2..100_000_u128 {
         callers.record_refusal(at(10), Digest(n));
     }
     assert_eq!(coming(&callers, 300, 1), Coming::AgainInTime);
-    // And there is place again when they are forgotten.
+    // There is space again once the refusals have expired.
     callers.record_refusal(at(60_000), Digest(7_777_777));
     assert_eq!(coming(&callers, 60_100, 7_777_777), Coming::AgainInTime);
 }
@@ -107,7 +107,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever others tell, nobody is known for longer than stated, and nothing is told on.
+    /// Whatever others report, no caller is remembered for longer than stated, and nothing is
+    /// reported further.
     #[test]
     fn any_telling_is_borne(age in any::<u32>(), now in 0_u64..1 << 40) {
         let mut callers = ReturningCallers::default();
--- a/fireflycroft/tests/text_change.rs
+++ b/fireflycroft/tests/text_change.rs
@@ -1,4 +1,4 @@
-//! Changes of a text as entries hand them to each other.
+//! Text changes as entries send them to each other.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -19,10 +19,10 @@
     change_to_nothing_gives_nothing => to_nothing();
 }
 
-/// Bytes of the change of one key that the largest configuration of the target may take.
+/// Maximum bytes of a change of one key in the largest target configuration.
 const SMALL: usize = 1_000;
 
-/// A configuration with so many keys.
+/// Creates a configuration with this number of keys.
 fn text(keys: u32) -> String {
     let key = |i: u32| format!("{{\"name\":\"w-{i}\",\"api_keys\":[\"{:x}\"]}},", key_of(i));
     (0..keys).map(key).collect()
--- a/fireflycroft/tests/unconfigured.rs
+++ b/fireflycroft/tests/unconfigured.rs
@@ -1,4 +1,4 @@
-//! When callers of an entry without a configuration are told to come back, and what they get by it.
+//! Retry times for callers of an entry without a configuration, and their effect.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -32,15 +32,15 @@
     Duration::from_millis(millis)
 }
 
-/// A kind of caller: time that it waits in all, and time within which its answer is worth most.
+/// Kinds of callers: total time that a caller waits, and objective of its answer.
 const KINDS: [(Duration, Duration); 3] = [
     (Duration::from_millis(1_500), Duration::from_millis(100)),
     (Duration::from_secs(6), Duration::from_millis(1_500)),
     (Duration::from_secs(39), Duration::from_millis(1_800)),
 ];
 
-/// Callers of an outage who come back once, as told but after a third of their time at most: how
-/// many are served after it, and how many of those in time.
+/// Simulates callers of an outage that retry once, after the given time but at most a third of
+/// their own; returns how many are served after the outage, and how many of those in time.
 fn play(outage: Duration, wait: impl Fn(Duration, f64) -> Duration) -> (usize, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let (mut served, mut in_time) = (0, 0);
@@ -57,8 +57,8 @@
     (served, in_time)
 }
 
-/// Against 0.1 s for everybody: of 3,000 callers of an outage of 1.8 s, 166 were served and 113 of
-/// them in time; now 1,383 are, 1,119 in time.
+/// With 0.1 s for all callers, 166 of 3,000 callers of an outage of 1.8 s were served, 113 of them
+/// in time; with the present times 1,383 are, 1,119 in time.
 fn serves_more() {
     for outage in [millis(900), millis(1_800), millis(5_000), millis(20_000)] {
         let before = play(outage, |_, _| millis(100));
--- a/fireflycroft/tests/watchers.rs
+++ b/fireflycroft/tests/watchers.rs
@@ -1,6 +1,7 @@
-//! Calls of the store by a fleet that starts, loses its watchers or is turned away.
+//! Calls to the store from a fleet that starts, loses its watchers or is refused.
 //!
-//! Fleets of all sizes in virtual time: what is done to the store may not grow with the entries.
+//! Simulates fleets of several sizes in virtual time: the load on the store must not grow with the
+//! number of entries.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -26,45 +27,45 @@
     entry_that_hears_nobody_watches => alone();
 }
 
-/// Sizes of fleets: a small one, a large one, and twice that and more.
+/// Fleet sizes: a small one, a large one, and two larger ones.
 const SIZES: [usize; 4] = [5, 50, 400, 1_000];
 
-/// Time between two decisions.
+/// Interval between two decisions.
 const STEP: Duration = Duration::from_millis(250);
 
-/// Time for which a lost entry still passes for one that watches.
+/// Time for which a lost entry still counts as a watcher.
 const SILENCE: Duration = Duration::from_millis(1_600);
 
-/// Entries that one hears of in a step, once it is known itself.
+/// Entries that one discovers per step, once it is known itself.
 const DISCOVERED_PER_STEP: usize = 80;
 
-/// Entries that may step in beside those that are needed, at any size.
+/// Limit on entries that step in unnecessarily, at any size.
 const MAX_STEP_INS: usize = 16;
 
-/// Calls a second that a store which is away gets from the whole fleet.
+/// Limit on calls per second to an unreachable store, of the whole fleet.
 const MAX_CALLS_PER_SECOND: f64 = 40.0;
 
-/// Calls of an entry that steps in: configuration and twelve pages of a list.
+/// Calls of an entry that steps in: the configuration and twelve pages of a list.
 const CALLS_PER_STEP_IN: f64 = 13.0;
 
 struct Entry {
     addr: Ipv4Addr,
     role: WatcherRole,
     started_at: Time,
-    /// When it was lost.
+    /// Time at which it was lost.
     lost: Option<Time>,
     /// Whether the store answers it.
     answered: bool,
-    /// Since when it watches.
+    /// Time since which it watches.
     watching: Option<Time>,
 }
 
-/// Entries, the first three of which are the seeds.
+/// Simulated fleet; its first three entries are the seeds.
 struct Fleet {
     entries: Vec<Entry>,
     now: Time,
     step_ins: usize,
-    /// Calls of a store that doesn't answer.
+    /// Calls that the store didn't answer.
     failed_calls: f64,
     rng: Rng,
 }
@@ -74,7 +75,7 @@
 }
 
 impl Entry {
-    /// Whether others hear that it watches.
+    /// Returns whether others see it watching.
     fn is_seen_watching(&self, now: Time) -> bool {
         let announced = |since: Time| now.since(since) >= STEP;
         let is_alive = self.lost.is_none_or(|t| now.since(t) < SILENCE);
@@ -105,7 +106,7 @@
         }
     }
 
-    /// A fleet that has run for a while.
+    /// Creates a fleet that has run for a while.
     fn settled(size: usize) -> Self {
         let mut fleet = Self::new(size);
         fleet.now = at(60_000);
@@ -113,13 +114,13 @@
         fleet
     }
 
-    /// Entries that one has heard of since it began.
+    /// Returns the number of entries that one has discovered since its start.
     fn discovered(&self, one: usize) -> usize {
         let age = self.now.since(self.entries[one].started_at);
         usize::try_from(age.as_millis() / STEP.as_millis()).unwrap() * DISCOVERED_PER_STEP
     }
 
-    /// Whether one entry has heard of another: of the seeds at once, of others as they are told.
+    /// Returns whether one entry knows another: seeds at once, others as it discovers them.
     fn knows(&self, one: usize, other: usize) -> bool {
         let place = (one * 31 + other * 17) % self.entries.len();
         other < WATCHERS || place < self.discovered(one)
@@ -173,14 +174,14 @@
         self.entries[entry].lost = Some(self.now);
     }
 
-    /// Has the store answer all, or nobody.
+    /// Makes the store answer all entries, or none.
     fn answer_all(&mut self, answered: bool) {
         for entry in &mut self.entries {
             entry.answered = answered;
         }
     }
 
-    /// Entries that watch and are answered.
+    /// Returns the entries that watch and are answered.
     fn watching(&self) -> Vec<usize> {
         let all = self.entries.iter().enumerate();
         let healthy = all.filter(|(_, e)| e.lost.is_none() && e.answered);
