--- a/fireflycroft/src/attempt.rs
+++ b/fireflycroft/src/attempt.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
     kind: RequestKind,
-    max_attempts: u32,
+    limit: u32,
     sent: u32,
     may_have_run: bool,
     may_have_run_before: bool,
@@ -59,10 +59,10 @@
 impl Attempts {
     /// Creates the state of a request before its first attempt.
     #[must_use]
-    pub const fn new(kind: RequestKind, max_attempts: u32) -> Self {
+    pub const fn new(kind: RequestKind, limit: u32) -> Self {
         Self {
             kind,
-            max_attempts,
+            limit,
             sent: 0,
             may_have_run: false,
             may_have_run_before: false,
@@ -120,10 +120,10 @@
     #[must_use]
     pub const fn may_retry(&self, outcome: AttemptOutcome) -> bool {
         match outcome {
-            AttemptOutcome::WrongInstance => self.sent <= self.max_attempts,
-            AttemptOutcome::NotRun => self.sent < self.max_attempts,
+            AttemptOutcome::WrongInstance => self.sent <= self.limit,
+            AttemptOutcome::NotRun => self.sent < self.limit,
             AttemptOutcome::Failed | AttemptOutcome::Lost => {
-                self.sent < self.max_attempts && self.kind.is_retryable()
+                self.sent < self.limit && self.kind.is_retryable()
             }
             AttemptOutcome::NeverSent | AttemptOutcome::Withheld | AttemptOutcome::Answered => {
                 false
--- a/fireflycroft/src/http_head.rs
+++ b/fireflycroft/src/http_head.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemoryCopy {
     /// Upstream that issued the handle.
-    pub named_by: SocketAddr,
+    pub issued_by: SocketAddr,
     /// Handle of the copy on that upstream.
     pub handle: Name,
 }
--- a/fireflycroft/tests/attempt.rs
+++ b/fireflycroft/tests/attempt.rs
@@ -25,7 +25,7 @@
     lost_then_turned_away_stays_unknown => check(RequestKind::Idempotent, 2, &[Lost, NotRun], &[Retry, ReportUnknown]);
     lost_stream_is_unknown => check(RequestKind::Stream, 2, &[Lost], &[ReportUnknown]);
     lost_resumable_stream_is_tried_again => check(RequestKind::ResumableStream, 2, &[Lost, Answered], &[Retry, Relay]);
-    spent_budget_ends_the_tries => exhausted_budget_ends();
+    exhausted_budget_ends_the_attempts => exhausted_budget_ends();
 }
 
 fn is_sent(outcome: AttemptOutcome) -> bool {
@@ -74,7 +74,7 @@
     /// For any outcomes, a request that may have run is never refused as not run, one that may run
     /// only once never runs twice, and the attempts end.
     #[test]
-    fn refusals_are_true_and_tries_end(
+    fn refusals_are_true_and_attempts_end(
         kind in kind(),
         max_attempts in 1_u32..4,
         outcomes in prop::collection::vec(outcome(), 20),
--- a/fireflycroft/tests/code.rs
+++ b/fireflycroft/tests/code.rs
@@ -25,7 +25,10 @@
         .lines()
         .filter_map(|line| line.strip_prefix("| ")?.split(' ').next()?.parse().ok());
     for number in numbers {
-        assert!(Code::from_number(number).is_some(), "{number} is no code");
+        assert!(
+            Code::from_number(number).is_some(),
+            "{number} is not a known code"
+        );
     }
 }
 
--- a/fireflycroft/tests/failover.rs
+++ b/fireflycroft/tests/failover.rs
@@ -14,33 +14,33 @@
 use std::time::Duration;
 
 cases! {
-    run_with_a_copy_goes_on => assert_eq!(departure_action(true), DepartureAction::Continue);
-    run_without_a_copy_is_moved => assert_eq!(departure_action(false), DepartureAction::Migrate);
+    run_with_a_backup_continues => assert_eq!(departure_action(true), DepartureAction::Continue);
+    run_without_a_backup_is_migrated => assert_eq!(departure_action(false), DepartureAction::Migrate);
     copy_is_kept_elsewhere => copy_is_elsewhere();
     no_copy_where_memory_is_short => no_copy_when_short();
     no_copy_where_there_is_nobody_else => no_copy_alone();
-    long_generation_needs_room => assert!(!room(500, Coming::First, 1.0, 0.1) && room(500, Coming::First, 0.5, 0.5));
-    long_generation_needs_room_for_what_moves => assert!(!room(500, Coming::First, 0.5, 1.0));
+    long_generation_needs_capacity => assert!(!room(500, Coming::First, 1.0, 0.1) && room(500, Coming::First, 0.5, 0.5));
+    long_generation_leaves_capacity_for_migrations => assert!(!room(500, Coming::First, 0.5, 1.0));
     generation_that_is_too_late_gives_way => late_gives_way();
     caller_in_time_and_late_are_told_apart => told_apart();
-    generation_that_yields_more_goes_first => yields_go_first();
-    shorter_prompt_yields_more => shorter_prompt();
-    shorter_answer_yields_more => shorter_answer();
-    kinds_have_yields_of_their_own => own_kinds();
+    generation_of_higher_value_density_goes_first => higher_value_goes_first();
+    shorter_prompt_has_higher_value_density => shorter_prompt();
+    shorter_answer_has_higher_value_density => shorter_answer();
+    kinds_have_value_densities_of_their_own => own_kinds();
     absurd_sizes_decide_nothing_for_others => absurd_sizes();
     run_is_stopped_early_while_nothing_is_known => assert_eq!(leaving(None, 0), STOP_AFTER_LEAVE_NOTICE);
     run_is_stopped_once_the_copies_are_done => copies_done();
     run_is_stopped_before_its_engine_is_gone => stopped_in_time();
     engine_that_stays_long_puts_nothing_off => assert_eq!(leaving(Some(9_000), 100), STOP_AFTER_LEAVE_NOTICE);
-    returning_generation_is_let_in_first => returning_first();
-    first_rank_is_let_in_first => first_rank();
-    short_generation_is_let_in_beyond => assert!(room(10, Coming::First, 1.0, 1.0) && !room(10, Coming::First, 2.0, 1.0));
+    returning_generation_is_admitted_first => returning_first();
+    first_rank_is_admitted_first => first_rank();
+    short_generation_is_admitted_beyond => assert!(room(10, Coming::First, 1.0, 1.0) && !room(10, Coming::First, 2.0, 1.0));
     fuller_memory_says_come_back_later => assert!(room_after(1.5) > room_after(0.5));
     lone_entry_watches => assert!(WatcherRole::new(addr(0), true).is_watching());
     enough_watchers_are_found => enough_watchers();
     watcher_that_fails_is_replaced => failed_is_replaced();
     watcher_steps_down_late => steps_down_late();
-    few_are_relied_on_even_while_all_watch => few_relied_on();
+    few_are_primary_even_while_all_watch => few_primary();
     few_call_a_store_that_is_away_for_all_often => few_call_often();
     calls_of_a_silent_store_do_not_grow_with_the_fleet => calls_stay_few();
 }
@@ -87,22 +87,22 @@
     assert_eq!(after(Some(1_500)), Coming::AgainLate);
 }
 
-fn yields_go_first() {
+fn higher_value_goes_first() {
     let fill = Fill {
         engine: ROOM_FOR_LONG + 0.05,
         service: 0.5,
     };
-    let of_yield = |yields| Asking {
+    let with_value = |yields| Asking {
         yields,
         ..asking(500, Coming::First)
     };
-    assert!(is_room(&of_yield(0.5), &fill));
-    assert!(!is_room(&of_yield(0.0), &fill));
-    assert!(!is_room(&of_yield(-0.5), &fill));
+    assert!(is_room(&with_value(0.5), &fill));
+    assert!(!is_room(&with_value(0.0), &fill));
+    assert!(!is_room(&with_value(-0.5), &fill));
 }
 
 /// Returns the value density of a generation among many of 3,000 and 600 tokens.
-fn yield_of(prompt: u64, expected: u64) -> f64 {
+fn value_of(prompt: u64, expected: u64) -> f64 {
     let mut yields = Yields::default();
     let kind = Name::from("log");
     for _ in 0..100 {
@@ -113,17 +113,17 @@
 
 fn shorter_prompt() {
     assert!(
-        yield_of(3_000, 600).abs() < 0.05,
+        value_of(3_000, 600).abs() < 0.05,
         "{}",
-        yield_of(3_000, 600)
+        value_of(3_000, 600)
     );
-    assert!(yield_of(1_500, 600) > 0.3, "{}", yield_of(1_500, 600));
-    assert!(yield_of(6_000, 600) < -0.3, "{}", yield_of(6_000, 600));
+    assert!(value_of(1_500, 600) > 0.3, "{}", value_of(1_500, 600));
+    assert!(value_of(6_000, 600) < -0.3, "{}", value_of(6_000, 600));
 }
 
 fn shorter_answer() {
-    assert!(yield_of(3_000, 200) > 0.3, "{}", yield_of(3_000, 200));
-    assert!(yield_of(3_000, 1_800) < -0.3, "{}", yield_of(3_000, 1_800));
+    assert!(value_of(3_000, 200) > 0.3, "{}", value_of(3_000, 200));
+    assert!(value_of(3_000, 1_800) < -0.3, "{}", value_of(3_000, 1_800));
 }
 
 fn absurd_sizes() {
@@ -346,7 +346,7 @@
     }
 }
 
-fn few_relied_on() {
+fn few_primary() {
     let mut fleet = Fleet::new(20);
     fleet.decide(at(0), None);
     let primary = fleet.roles.iter().filter(|d| d.is_primary()).count();
--- a/fireflycroft/tests/hedging.rs
+++ b/fireflycroft/tests/hedging.rs
@@ -11,15 +11,15 @@
 const MAX_DELAY: Duration = Duration::from_millis(700);
 
 cases! {
-    first_try_begins_at_once => assert!(matches!(hedged_call().next(at(0)), HedgeStep::Start(_)));
-    silence_begins_another_beside_it => begins_another();
-    bytes_that_come_begin_no_other => nothing_beside_progress();
-    full_set_drops_its_oldest => drops_oldest();
-    single_try_is_given_up => gives_up();
-    failed_try_leaves_the_others => leaves_others();
-    progress_shortens_the_gap_again => shortens_delay();
-    minute_of_silence_takes_bounded_tries => bounded();
-    back_store_is_asked_within_the_longest_gap => asked_soon();
+    first_attempt_starts_at_once => assert!(matches!(hedged_call().next(at(0)), HedgeStep::Start(_)));
+    silence_starts_another_attempt => starts_another();
+    progress_starts_no_other_attempt => no_other_with_progress();
+    full_set_abandons_its_oldest => abandons_oldest();
+    single_attempt_fails => gives_up();
+    failed_attempt_leaves_the_others => leaves_others();
+    progress_shortens_the_delay_again => shortens_delay();
+    minute_of_silence_takes_bounded_attempts => bounded();
+    returned_peer_is_called_within_the_longest_delay => called_soon();
 }
 
 fn at(millis: u64) -> Time {
@@ -30,26 +30,26 @@
     HedgedCall::new(PROGRESS_TIMEOUT, MAX_DELAY)
 }
 
-fn begin(call: &mut HedgedCall, now: Time) -> AttemptId {
+fn start(call: &mut HedgedCall, now: Time) -> AttemptId {
     match call.next(now) {
         HedgeStep::Start(id) => id,
         other => panic!("{other:?}"),
     }
 }
 
-fn begins_another() {
+fn starts_another() {
     let mut call = hedged_call();
-    let first = begin(&mut call, at(0));
+    let first = start(&mut call, at(0));
     assert_eq!(call.next(at(449)), HedgeStep::Wait(at(450)));
-    let second = begin(&mut call, at(450));
+    let second = start(&mut call, at(450));
     assert_ne!(first, second);
     // The first attempt still runs, so its failure alone doesn't end the call.
     assert!(!call.record_failure(first));
 }
 
-fn nothing_beside_progress() {
+fn no_other_with_progress() {
     let mut call = hedged_call();
-    let first = begin(&mut call, at(0));
+    let first = start(&mut call, at(0));
     for tenth in 1..100 {
         let now = at(tenth * 400);
         call.record_progress(now, first);
@@ -58,18 +58,18 @@
     assert_eq!(call.started(), 1);
 }
 
-fn drops_oldest() {
+fn abandons_oldest() {
     let mut call = hedged_call();
-    let first = begin(&mut call, at(0));
-    begin(&mut call, at(1_000));
-    begin(&mut call, at(2_000));
+    let first = start(&mut call, at(0));
+    start(&mut call, at(1_000));
+    start(&mut call, at(2_000));
     assert_eq!(call.next(at(3_000)), HedgeStep::Abandon(first));
-    begin(&mut call, at(3_000));
+    start(&mut call, at(3_000));
 }
 
 fn gives_up() {
     let mut call = HedgedCall::single(PROGRESS_TIMEOUT);
-    let only = begin(&mut call, at(0));
+    let only = start(&mut call, at(0));
     call.record_progress(at(400), only);
     assert_eq!(call.next(at(449)), HedgeStep::Wait(at(850)));
     assert_eq!(call.next(at(850)), HedgeStep::GiveUp);
@@ -77,30 +77,30 @@
 
 fn leaves_others() {
     let mut call = hedged_call();
-    let first = begin(&mut call, at(0));
-    let second = begin(&mut call, at(450));
+    let first = start(&mut call, at(0));
+    let second = start(&mut call, at(450));
     assert!(!call.record_failure(second));
     assert!(call.record_failure(first));
 }
 
 fn shortens_delay() {
     let mut call = hedged_call();
-    begin(&mut call, at(0));
-    let second = begin(&mut call, at(450));
+    start(&mut call, at(0));
+    let second = start(&mut call, at(450));
     assert_eq!(call.next(at(451)), HedgeStep::Wait(at(450 + 675)));
     call.record_progress(at(500), second);
     assert_eq!(call.next(at(501)), HedgeStep::Wait(at(950)));
 }
 
 /// Simulates a call without any response until `end`; returns the start times of its attempts.
-fn silence(end: u64) -> Vec<Time> {
+fn attempts_in_silence(end: u64) -> Vec<Time> {
     let mut call = hedged_call();
-    let (mut now, mut begun) = (at(0), Vec::new());
+    let (mut now, mut started_at) = (at(0), Vec::new());
     let mut running = 0;
     while now < at(end) {
         match call.next(now) {
             HedgeStep::Start(_) => {
-                begun.push(now);
+                started_at.push(now);
                 running += 1;
             }
             HedgeStep::Abandon(_) => running -= 1,
@@ -109,11 +109,11 @@
         }
         assert!(running <= MAX_HEDGED_ATTEMPTS);
     }
-    begun
+    started_at
 }
 
 fn bounded() {
-    let attempts = silence(60_000).len();
+    let attempts = attempts_in_silence(60_000).len();
     assert!(
         (80..=90).contains(&attempts),
         "{attempts} attempts in a minute"
@@ -121,8 +121,8 @@
 }
 
 /// However long the peer was silent, an attempt starts within the longest delay after its return.
-fn asked_soon() {
-    let begun = silence(30_000);
-    let delays = begun.windows(2).map(|pair| pair[1].since(pair[0]));
+fn called_soon() {
+    let started_at = attempts_in_silence(30_000);
+    let delays = started_at.windows(2).map(|pair| pair[1].since(pair[0]));
     assert!(delays.max().unwrap() <= MAX_DELAY);
 }
--- a/fireflycroft/tests/owners.rs
+++ b/fireflycroft/tests/owners.rs
@@ -22,15 +22,15 @@
     one_entry_alone_owns_all => assert_eq!(owners(&entries(1), "a"), entries(1));
     keys_of_one_name_have_owners_of_their_own => keys_differ();
     owner_replies_the_work_of_the_others => replies_of_others();
-    owner_says_nothing_of_another_life => silent_of_another_life();
+    owner_reports_no_other_incarnation => reports_no_other_incarnation();
     choice_goes_by_fresh_replies => goes_by_replies();
     owner_that_knows_of_more_is_believed => more_is_believed();
     upstream_that_an_owner_knows_to_leave_is_left_out => leaving_is_left_out();
     upstream_that_two_entries_could_not_reach_is_left_out => unreachable_is_left_out();
     few_replies_leave_the_choice_to_what_is_believed => few_replies();
     old_reply_no_longer_counts => old_reply();
-    what_an_owner_was_told_goes_before_an_old_reply => told_before_old();
-    upstreams_unheard_of_are_taken_to_be_like_the_others => unheard_are_like_others();
+    report_to_an_owner_goes_before_an_old_reply => report_before_old_reply();
+    unknown_upstreams_are_assumed_to_be_like_the_others => unknown_are_like_others();
     all_of_few_upstreams_are_asked_about => asks_about_all();
     of_many_upstreams_the_best_are_asked_about => asks_about_best();
     upstreams_that_leave_are_asked_about => asks_about_leaving();
@@ -112,11 +112,11 @@
     let loads = owner.loads_for(at(10), &Name::from("x"), &[life("a"), life("unknown")]);
     assert_eq!(loads.len(), 1);
     assert_eq!(loads[0].placed.tokens, 540);
-    let of_long_ago = owner.loads_for(at(9_000), &Name::from("x"), &[life("a")]);
-    assert_eq!(of_long_ago[0].placed.tokens, 40);
+    let expired = owner.loads_for(at(9_000), &Name::from("x"), &[life("a")]);
+    assert_eq!(expired[0].placed.tokens, 40);
 }
 
-fn silent_of_another_life() {
+fn reports_no_other_incarnation() {
     let owner = pool(&["a"]);
     let later = Life {
         incarnation: Incarnation(9),
@@ -145,11 +145,11 @@
 
 fn leaving_is_left_out() {
     let mut pool = pool(&["a", "b", "c"]);
-    let leaves = OwnedLoad {
+    let departing = OwnedLoad {
         serves: false,
         ..load("a", 0)
     };
-    let loads = [leaves, load("b", 3_000), load("c", 5_000)];
+    let loads = [departing, load("b", 3_000), load("c", 5_000)];
     pool.note_reply(at(0), &Name::from("owner"), &loads);
     assert_eq!(chosen(&pool, at(5), &need(100)), "b");
     let mut owner = pools::pool(&["a"]);
@@ -169,14 +169,14 @@
     assert!(serves(&owner, 20), "one entry alone may be cut off from it");
     owner.note_unreachable(at(20), &Name::from("z"), &life("a"));
     assert!(!serves(&owner, 30));
-    assert!(serves(&owner, 3_000), "somebody tries again");
+    assert!(serves(&owner, 3_000), "another entry tries again");
     let later = Life {
         incarnation: Incarnation(9),
         ..life("a")
     };
     owner.note_unreachable(at(4_000), &Name::from("y"), &later);
     owner.note_unreachable(at(4_000), &Name::from("z"), &later);
-    assert!(serves(&owner, 4_010), "that was another life");
+    assert!(serves(&owner, 4_010), "that was another incarnation");
 }
 
 fn few_replies() {
@@ -194,14 +194,14 @@
     assert_eq!(pool.view(at(60_000), a).placed.tokens, 0);
 }
 
-fn told_before_old() {
+fn report_before_old_reply() {
     let mut pool = pool(&["a"]);
     reply(&mut pool, &[("a", 9_000)]);
     pool.note_others(at(500), &Name::from("x"), &[told("a", 300)], true);
     assert_eq!(pool.view(at(600), ix(&pool, "a")).placed.tokens, 300);
 }
 
-fn unheard_are_like_others() {
+fn unknown_are_like_others() {
     let mut pool = pool(&["a", "b", "c", "d"]);
     assert!(pool.runs_fill_of(at(5), "models") < 0.01);
     reply(&mut pool, &[("a", 9_000), ("b", 7_000)]);
@@ -210,7 +210,7 @@
 }
 
 /// Creates a pool of `count` engines, named from `i-0`.
-fn many(count: usize) -> Pool {
+fn engines_pool(count: usize) -> Pool {
     let names: Vec<String> = (0..count).map(|n| format!("i-{n}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     pool(&names)
@@ -222,11 +222,11 @@
 }
 
 fn asks_about_all() {
-    assert_eq!(asked(&many(16), 1, 16).len(), 16);
+    assert_eq!(asked(&engines_pool(16), 1, 16).len(), 16);
 }
 
 fn asks_about_best() {
-    let mut pool = many(50);
+    let mut pool = engines_pool(50);
     let loads: Vec<OwnedLoad> = (0..50)
         .map(|n| load(&format!("i-{n}"), 9_000 - n * 100))
         .collect();
@@ -245,7 +245,7 @@
 }
 
 fn asks_about_leaving() {
-    let mut pool = many(4);
+    let mut pool = engines_pool(4);
     pool.learn(at(0), leaving("i-2", 90));
     let asked = asked(&pool, 1, 16);
     assert!(asked.contains(&ix(&pool, "i-2")));
@@ -282,17 +282,18 @@
 /// eight runs per engine.
 fn fullest(entries: u32, engines: usize, per_second: usize) -> f64 {
     let ips = self::entries(entries);
-    let mut pools: HashMap<Ipv4Addr, Pool> = ips.iter().map(|ip| (*ip, many(engines))).collect();
+    let mut pools: HashMap<Ipv4Addr, Pool> =
+        ips.iter().map(|ip| (*ip, engines_pool(engines))).collect();
     let mut breadths: HashMap<Ipv4Addr, QueryBreadth> = HashMap::new();
     let mut on_each: HashMap<UpstreamIx, u64> = HashMap::new();
-    let mut told_at = at(0);
+    let mut reported_at = at(0);
     for run in 0..engines * 8 {
         let now = at((run * 1_000 / per_second) as u64);
         // Every entry reports its placements again before they would expire.
-        if now.since(told_at) >= TELL_EVERY {
-            told_at = now;
+        if now.since(reported_at) >= REPORT_INTERVAL {
+            reported_at = now;
             for ip in &ips {
-                tell(&mut pools, &ips, *ip, now, None);
+                report(&mut pools, &ips, *ip, now, None);
             }
         }
         let ip = ips[run * 7 % ips.len()];
@@ -300,7 +301,7 @@
             draw: (run as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15),
             ..need(500)
         };
-        ask(
+        query_owners(
             &mut pools,
             &ips,
             ip,
@@ -312,7 +313,7 @@
         let ix = pool.choose(now, "models", &need, &[]).unwrap();
         pool.place(now, ix, &need);
         *on_each.entry(ix).or_default() += need.tokens;
-        tell(&mut pools, &ips, ip, now, Some(ix));
+        report(&mut pools, &ips, ip, now, Some(ix));
     }
     let most = *on_each.values().max().unwrap();
     let all: u64 = on_each.values().sum();
@@ -322,10 +323,10 @@
     }
 }
 
-const TELL_EVERY: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Queries the owners of the engines considered for a choice.
-fn ask(
+fn query_owners(
     pools: &mut HashMap<Ipv4Addr, Pool>,
     ips: &[Ipv4Addr],
     ip: Ipv4Addr,
@@ -349,7 +350,7 @@
 }
 
 /// Reports to the owners of one engine, or of all, what an entry has placed there.
-fn tell(
+fn report(
     pools: &mut HashMap<Ipv4Addr, Pool>,
     ips: &[Ipv4Addr],
     ip: Ipv4Addr,
@@ -377,11 +378,11 @@
     fn entry_that_goes_leaves_other_keys_alone(count in 3_u32..120, gone in 0_usize..120, key: u64) {
         let all = entries(count);
         let gone = all[gone % all.len()];
-        let left: Vec<Ipv4Addr> = all.iter().rev().filter(|ip| **ip != gone).copied().collect();
+        let remaining: Vec<Ipv4Addr> = all.iter().rev().filter(|ip| **ip != gone).copied().collect();
         let before = owners(&all, &key.to_string());
-        let after = owners(&left, &key.to_string());
+        let after = owners(&remaining, &key.to_string());
         prop_assert_eq!(after.len(), OWNERS_PER_KEY);
-        let stays: Vec<Ipv4Addr> = before.iter().filter(|ip| **ip != gone).copied().collect();
-        prop_assert_eq!(&after[..stays.len()], &stays[..]);
+        let kept: Vec<Ipv4Addr> = before.iter().filter(|ip| **ip != gone).copied().collect();
+        prop_assert_eq!(&after[..kept.len()], &kept[..]);
     }
 }
--- a/fireflycroft/tests/restored.rs
+++ b/fireflycroft/tests/restored.rs
@@ -28,13 +28,13 @@
     upstream_that_left_before_does_not_serve_by_the_copy => left_before();
     upstream_that_is_gone_does_not_serve_by_the_copy => gone_before();
     upstream_that_writes_its_record_anew_serves => writes_anew();
-    another_life_of_one_that_left_serves => another_life();
-    evacuation_that_the_copy_lacks_holds_for_a_while => evacuation_is_doubted();
-    evacuation_that_was_ended_in_calm_is_over => evacuation_ends();
-    drill_in_a_drill_doubts_anew => twice();
+    another_incarnation_of_one_that_left_serves => another_incarnation();
+    evacuation_that_the_copy_lacks_holds_for_a_while => evacuation_is_unconfirmed();
+    evacuation_ended_without_outage_is_over => evacuation_ends();
+    restore_after_a_restore_restarts_the_grace_period => twice();
 }
 
-fn life(instance: &str, revision: u64, state: UpstreamState) -> UpstreamRecord {
+fn record_of(instance: &str, revision: u64, state: UpstreamState) -> UpstreamRecord {
     UpstreamRecord {
         incarnation: Incarnation(7),
         state,
@@ -43,15 +43,15 @@
 }
 
 fn serving(instance: &str, revision: u64) -> UpstreamRecord {
-    life(instance, revision, UpstreamState::Serving)
+    record_of(instance, revision, UpstreamState::Serving)
 }
 
 fn leaving(instance: &str, revision: u64) -> UpstreamRecord {
-    life(instance, revision, UpstreamState::Leaving)
+    record_of(instance, revision, UpstreamState::Leaving)
 }
 
 /// Creates a pool of two engines that has observed an undisturbed store for a while.
-fn calm_pool() -> Pool {
+fn settled_pool() -> Pool {
     let mut pool = Pool::new(Name::from("dc"));
     pool.learn(at(0), serving("a", revision_in(1, 900)));
     pool.learn(at(0), serving("b", revision_in(1, 901)));
@@ -67,20 +67,20 @@
 }
 
 fn later_era_is_newer() {
-    let mut pool = calm_pool();
+    let mut pool = settled_pool();
     pool.learn(at(9_000), leaving("a", revision_in(2, 12)));
     assert!(!serves(&pool, "a"));
 }
 
 fn former_era_is_stale() {
-    let mut pool = calm_pool();
+    let mut pool = settled_pool();
     pool.learn(at(9_000), leaving("a", revision_in(2, 12)));
     pool.learn(at(9_001), serving("a", revision_in(1, 2_000)));
     assert!(!serves(&pool, "a"));
 }
 
 fn former_removal_is_stale() {
-    let mut pool = calm_pool();
+    let mut pool = settled_pool();
     pool.learn(at(9_000), serving("a", revision_in(2, 12)));
     pool.remove(at(9_001), "a", revision_in(1, 2_000));
     assert!(serves(&pool, "a"));
@@ -94,7 +94,7 @@
 }
 
 fn lacked_is_missing() {
-    let mut pool = calm_pool();
+    let mut pool = settled_pool();
     restore_without_b(&mut pool);
     assert!(serves(&pool, "b"));
     assert!(pool.any_missing());
@@ -106,7 +106,7 @@
 }
 
 fn not_written_again() {
-    let mut pool = calm_pool();
+    let mut pool = settled_pool();
     restore_without_b(&mut pool);
     pool.note_contact(at(10_000));
     let settled = at(9_000) + SETTLE_TIME;
@@ -115,7 +115,7 @@
 }
 
 fn left_before() {
-    let mut pool = calm_pool();
+    let mut pool = settled_pool();
     pool.learn(at(9_000), leaving("a", revision_in(1, 990)));
     pool.note_restored(at(9_100));
     pool.learn(at(9_100), serving("a", revision_in(2, 900)));
@@ -123,7 +123,7 @@
 }
 
 fn gone_before() {
-    let mut pool = calm_pool();
+    let mut pool = settled_pool();
     pool.remove(at(9_000), "a", revision_in(1, 990));
     pool.note_restored(at(9_100));
     pool.learn(at(9_100), serving("a", revision_in(2, 900)));
@@ -131,7 +131,7 @@
 }
 
 fn writes_anew() {
-    let mut pool = calm_pool();
+    let mut pool = settled_pool();
     pool.remove(at(9_000), "a", revision_in(1, 990));
     pool.note_restored(at(9_100));
     pool.learn(at(9_100), serving("a", revision_in(2, 900)));
@@ -139,20 +139,20 @@
     assert!(serves(&pool, "a"));
 }
 
-fn another_life() {
-    let mut pool = calm_pool();
+fn another_incarnation() {
+    let mut pool = settled_pool();
     pool.learn(at(9_000), leaving("a", revision_in(1, 990)));
     pool.note_restored(at(9_100));
-    let begun = UpstreamRecord {
+    let restarted = UpstreamRecord {
         incarnation: Incarnation(8),
         ..serving("a", revision_in(2, 900))
     };
-    pool.learn(at(9_100), begun);
+    pool.learn(at(9_100), restarted);
     assert!(serves(&pool, "a"));
 }
 
-fn evacuation_is_doubted() {
-    let mut pool = calm_pool();
+fn evacuation_is_unconfirmed() {
+    let mut pool = settled_pool();
     pool.take_evacuations(at(9_000), evacuated(revision_in(1, 990), &["dc"]));
     pool.note_restored(at(9_100));
     pool.take_evacuations(at(9_100), evacuated(revision_in(2, 950), &[]));
@@ -165,14 +165,14 @@
 }
 
 fn evacuation_ends() {
-    let mut pool = calm_pool();
+    let mut pool = settled_pool();
     pool.take_evacuations(at(9_000), evacuated(revision_in(1, 990), &["dc"]));
     pool.take_evacuations(at(9_100), evacuated(revision_in(1, 991), &[]));
     assert_eq!(pool.count("models"), 2);
 }
 
 fn twice() {
-    let mut pool = calm_pool();
+    let mut pool = settled_pool();
     pool.note_restored(at(9_000));
     pool.note_contact(at(10_000));
     pool.note_restored(at(11_000));
--- a/fireflycroft/tests/retry_budget.rs
+++ b/fireflycroft/tests/retry_budget.rs
@@ -10,15 +10,15 @@
 
 cases! {
     slack_is_divided_among_entries => slack_is_divided();
-    requests_earn_repeats => requests_earn();
-    repeats_come_back_after_the_window => come_back();
+    requests_earn_retries => requests_earn();
+    retries_come_back_after_the_window => come_back();
     what_others_leave_may_be_used => others_leave();
     silent_entries_leave_nothing => silent_leave_nothing();
     new_limits_hold_at_once => new_limits();
-    entry_whose_part_is_spent_borrows_what_all_leave => borrows_what_all_leave();
-    loan_that_is_not_used_lapses => loan_lapses();
-    nothing_is_lent_within_a_window_of_the_start => lends_nothing_at_first();
-    what_entries_that_died_spent_is_not_lent_again => dead_have_spent();
+    entry_with_exhausted_share_borrows_what_others_leave => borrows_what_all_leave();
+    unused_grant_expires => grant_expires();
+    nothing_is_granted_within_a_window_of_the_start => grants_nothing_at_first();
+    retries_of_dead_entries_are_not_granted_again => dead_have_used();
 }
 
 const LIMITS: RetryLimits = RetryLimits {
@@ -124,7 +124,7 @@
     assert!(sent >= 30 && f64::from(sent) < LIMITS.slack, "{sent}");
 }
 
-fn loan_lapses() {
+fn grant_expires() {
     let mut budget = SharedRetryBudget::new(LIMITS);
     taken(&mut budget, at(0), 68);
     budget.record_grant(at(0), &service());
@@ -133,7 +133,7 @@
     assert!(budget.take(at(2_100), &service(), 68));
 }
 
-fn lends_nothing_at_first() {
+fn grants_nothing_at_first() {
     let mut owner = SharedRetryBudget::new(LIMITS);
     assert!(!owner.grant(at(9_999), &service()));
     assert!(owner.grant(at(10_000), &service()));
@@ -141,7 +141,7 @@
 
 /// Retries used up by half of the entries, which then died, are not granted to the other half
 /// again.
-fn dead_have_spent() {
+fn dead_have_used() {
     let mut owner = owner(3);
     let mut dead = SharedRetryBudget::new(LIMITS);
     let sent = taken(&mut dead, at(20_000), 1);
@@ -166,21 +166,21 @@
     /// together within the bound of every window.
     #[test]
     fn all_entries_stay_within_the_bound(
-        greed in prop::collection::vec((0_usize..4, 0_u64..120, 0_u32..6, any::<bool>()), 1..200),
+        demands in prop::collection::vec((0_usize..4, 0_u64..120, 0_u32..6, any::<bool>()), 1..200),
     ) {
         let mut entries: Vec<SharedRetryBudget> = (0..4).map(|_| SharedRetryBudget::new(LIMITS)).collect();
         let mut log: Vec<(u64, u32, u32)> = Vec::new();
         let mut now = 0;
-        for (who, pause, wanted, tells) in greed {
+        for (entry_ix, pause, wanted, reports) in demands {
             now += pause;
-            entries[who].record_request(at(now), &service());
-            let granted = (0..wanted).filter(|_| entries[who].take(at(now), &service(), 4)).count();
+            entries[entry_ix].record_request(at(now), &service());
+            let granted = (0..wanted).filter(|_| entries[entry_ix].take(at(now), &service(), 4)).count();
             log.push((now, 1, u32::try_from(granted).unwrap()));
-            if tells {
-                let report = entries[who].report(at(now));
-                let name = Name::from(who.to_string());
+            if reports {
+                let report = entries[entry_ix].report(at(now));
+                let name = Name::from(entry_ix.to_string());
                 for (i, entry) in entries.iter_mut().enumerate() {
-                    if i != who {
+                    if i != entry_ix {
                         entry.apply_report(at(now), &name, report.clone());
                     }
                 }
@@ -189,42 +189,42 @@
         for (end, ..) in &log {
             let window = log.iter().filter(|(t, ..)| t <= end && end - t < 10_000);
             let (requests, retries) = window.fold((0, 0), |s, (_, q, r)| (s.0 + q, s.1 + r));
-            let most = LIMITS.ratio * f64::from(requests) + LIMITS.slack;
-            prop_assert!(f64::from(retries) <= most, "{} of {}", retries, most);
+            let bound = LIMITS.ratio * f64::from(requests) + LIMITS.slack;
+            prop_assert!(f64::from(retries) <= bound, "{} of {}", retries, bound);
         }
     }
     /// Entries that borrow all they can from two owners with the same reports, over datagrams that
     /// are lost, duplicated or late, stay within the bound of every window.
     #[test]
     fn borrowers_stay_within_the_bound(
-        greed in prop::collection::vec((0_usize..40, 0_u64..60, 0_u32..6, 0_u8..8), 1..400),
+        demands in prop::collection::vec((0_usize..40, 0_u64..60, 0_u32..6, 0_u8..8), 1..400),
     ) {
         const ENTRIES: usize = 40;
         let mut entries: Vec<SharedRetryBudget> =
             (0..ENTRIES).map(|_| SharedRetryBudget::new(LIMITS)).collect();
         let mut log: Vec<(u64, u32, u32)> = Vec::new();
         let mut now = 20_000;
-        for (who, pause, wanted, luck) in greed {
+        for (entry_ix, pause, wanted, luck) in demands {
             now += pause;
-            entries[who].record_request(at(now), &service());
+            entries[entry_ix].record_request(at(now), &service());
             let mut granted = 0;
             for _ in 0..wanted {
                 let owner = usize::from(luck & 1);
-                let spent = entries[who].remaining(at(now), &service(), ENTRIES) < 1.0;
-                if spent && entries[owner].grant(at(now), &service()) && luck != 2 {
-                    entries[who].record_grant(at(now), &service());
+                let exhausted = entries[entry_ix].remaining(at(now), &service(), ENTRIES) < 1.0;
+                if exhausted && entries[owner].grant(at(now), &service()) && luck != 2 {
+                    entries[entry_ix].record_grant(at(now), &service());
                     // A reply that arrived twice.
                     if luck == 3 {
                         entries[owner].grant(at(now), &service());
                     }
                 }
-                granted += u32::from(entries[who].take(at(now), &service(), ENTRIES));
+                granted += u32::from(entries[entry_ix].take(at(now), &service(), ENTRIES));
             }
             log.push((now, 1, granted));
-            let report = entries[who].report(at(now));
-            let name = Name::from(who.to_string());
+            let report = entries[entry_ix].report(at(now));
+            let name = Name::from(entry_ix.to_string());
             for (i, owner) in entries.iter_mut().take(2).enumerate() {
-                if i != who {
+                if i != entry_ix {
                     owner.apply_report(at(now), &name, report.clone());
                 }
             }
@@ -232,8 +232,8 @@
         for (end, ..) in &log {
             let window = log.iter().filter(|(t, ..)| t <= end && end - t < 10_000);
             let (requests, retries) = window.fold((0, 0), |s, (_, q, r)| (s.0 + q, s.1 + r));
-            let most = LIMITS.ratio * f64::from(requests) + LIMITS.slack;
-            prop_assert!(f64::from(retries) <= most, "{} of {}", retries, most);
+            let bound = LIMITS.ratio * f64::from(requests) + LIMITS.slack;
+            prop_assert!(f64::from(retries) <= bound, "{} of {}", retries, bound);
         }
     }
 }
--- a/fireflycroft/tests/returning_callers.rs
+++ b/fireflycroft/tests/returning_callers.rs
@@ -17,11 +17,11 @@
     caller_that_comes_back_late_is_told_apart => assert_eq!(coming(&refused(1), 1_500, 1), Coming::AgainLate);
     refusal_is_forgotten => assert_eq!(coming(&refused(1), 60_000, 1), Coming::First);
     second_refusal_counts_from_the_first => counts_from_first();
-    refusal_told_by_another_entry_counts => reported_counts();
-    age_of_a_told_refusal_counts => assert_eq!(coming(&reported(1_500), 5_100, 1), Coming::AgainLate);
+    refusal_reported_by_another_entry_counts => reported_counts();
+    age_of_a_reported_refusal_counts => assert_eq!(coming(&reported(1_500), 5_100, 1), Coming::AgainLate);
     refusal_long_after_another_counts_anew => counts_anew();
-    own_refusals_alone_are_told => reports_own();
-    refusals_told_are_bounded => bounds_reported();
+    only_own_refusals_are_reported => reports_own();
+    reported_refusals_are_bounded => bounds_reported();
     refusals_remembered_are_bounded => bounds_remembered();
 }
 
@@ -110,7 +110,7 @@
     /// Whatever others report, no caller is remembered for longer than stated, and nothing is
     /// reported further.
     #[test]
-    fn any_telling_is_borne(age in any::<u32>(), now in 0_u64..1 << 40) {
+    fn any_report_is_bounded(age in any::<u32>(), now in 0_u64..1 << 40) {
         let mut callers = ReturningCallers::default();
         let age = Duration::from_millis(u64::from(age));
         for n in 0..20 {
--- a/fireflycroft/tests/unconfigured.rs
+++ b/fireflycroft/tests/unconfigured.rs
@@ -41,17 +41,17 @@
 
 /// Simulates callers of an outage that retry once, after the given time but at most a third of
 /// their own; returns how many are served after the outage, and how many of those in time.
-fn play(outage: Duration, wait: impl Fn(Duration, f64) -> Duration) -> (usize, usize) {
+fn simulate(outage: Duration, wait: impl Fn(Duration, f64) -> Duration) -> (usize, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let (mut served, mut in_time) = (0, 0);
     for n in 0..3_000_u32 {
         let arrival = outage.mul_f64(f64::from(n) / 3_000.0);
-        let (patience, objective) = KINDS[(rng.next_u32() % 3) as usize];
+        let (wait_limit, objective) = KINDS[(rng.next_u32() % 3) as usize];
         let draw = f64::from(rng.next_u32()) / f64::from(u32::MAX);
-        let waits = wait(arrival, draw).min(patience / 3);
-        if arrival + waits >= outage {
+        let waited = wait(arrival, draw).min(wait_limit / 3);
+        if arrival + waited >= outage {
             served += 1;
-            in_time += usize::from(waits < objective);
+            in_time += usize::from(waited < objective);
         }
     }
     (served, in_time)
@@ -61,14 +61,14 @@
 /// in time; with the present times 1,383 are, 1,119 in time.
 fn serves_more() {
     for outage in [millis(900), millis(1_800), millis(5_000), millis(20_000)] {
-        let before = play(outage, |_, _| millis(100));
-        let now = play(outage, unconfigured_retry_after);
+        let before = simulate(outage, |_, _| millis(100));
+        let now = simulate(outage, unconfigured_retry_after);
         assert!(now.0 > 2 * before.0, "{outage:?}: {before:?}, then {now:?}");
         assert!(now.1 > 2 * before.1, "{outage:?}: {before:?}, then {now:?}");
     }
-    assert_eq!(play(millis(1_800), |_, _| millis(100)), (166, 113));
+    assert_eq!(simulate(millis(1_800), |_, _| millis(100)), (166, 113));
     assert_eq!(
-        play(millis(1_800), unconfigured_retry_after),
+        simulate(millis(1_800), unconfigured_retry_after),
         (1_383, 1_119)
     );
 }
--- a/fireflycroft/tests/watchers.rs
+++ b/fireflycroft/tests/watchers.rs
@@ -22,9 +22,9 @@
     lost_watchers_are_replaced_by_few => lost_watchers();
     one_lost_watcher_is_replaced_by_few => lost_watcher();
     store_away_for_all_is_called_as_often_by_any_fleet => store_away();
-    store_that_turns_most_away_is_found => turned_away();
+    store_that_refuses_most_is_found => refuses_most();
     restarted_entry_calls_nobody => restarted();
-    entry_that_hears_nobody_watches => alone();
+    entry_without_live_peers_watches => alone();
 }
 
 /// Fleet sizes: a small one, a large one, and two larger ones.
@@ -285,7 +285,7 @@
     }
 }
 
-fn turned_away() {
+fn refuses_most() {
     for size in SIZES.into_iter().skip(1) {
         let mut fleet = Fleet::settled(size);
         for i in 0..size {
--- a/fireflydirect/src/generation.rs
+++ b/fireflydirect/src/generation.rs
@@ -350,12 +350,12 @@
         self.run.backup.set(None);
         let backup = self.backup.take();
         if let Some(backup) = backup.filter(|b| self.holds(b.ix, b.ix)) {
-            let named_by = self.job.node.pool.borrow().record(backup.ix).addr;
+            let issued_by = self.job.node.pool.borrow().record(backup.ix).addr;
             return Some(Continuation {
                 way: "copy",
                 at: backup.ix,
                 memory: Some(MemoryCopy {
-                    named_by,
+                    issued_by,
                     handle: self.job.request_id.clone(),
                 }),
                 placed: None,
