--- a/fireflycroft/src/code.rs
+++ b/fireflycroft/src/code.rs
@@ -86,7 +86,7 @@
     ModelUnknown = 2005, 404, "the model is unknown to this brand";
     /// No plain service has this name.
     ServiceUnknown = 2006, 404, "the service is unknown";
-    /// A non-repeatable request came without `Idempotency-Key`.
+    /// A request that may run only once lacks `Idempotency-Key`.
     IdempotencyKeyRequired = 2007, 400, "this request needs an Idempotency-Key";
     /// The key was used before for another body.
     IdempotencyKeyReused = 2008, 422, "the Idempotency-Key was used for another request";
--- a/fireflycroft/tests/catalog.rs
+++ b/fireflycroft/tests/catalog.rs
@@ -19,7 +19,7 @@
     unknown_key_leads_nowhere => assert_eq!(workspace("k3"), None);
     shares_follow_weights => follow_weights();
     no_weights_take_the_first => assert_eq!(target(&[("a", 0), ("b", 0)], 5), "a");
-    configuration_without_workspaces_asks_no_keys => asks_no_keys();
+    configuration_without_workspaces_requires_no_keys => requires_no_keys();
 }
 
 fn route(name: &str, prefix: &str) -> RouteSpec {
@@ -91,7 +91,7 @@
     assert_eq!(to_b, 100);
 }
 
-fn asks_no_keys() {
+fn requires_no_keys() {
     let catalog = Catalog::new(CatalogParts {
         workspaces: None,
         ..parts()
--- a/fireflycroft/tests/failover.rs
+++ b/fireflycroft/tests/failover.rs
@@ -19,29 +19,29 @@
     copy_is_kept_elsewhere => copy_is_elsewhere();
     no_copy_where_memory_is_short => no_copy_when_short();
     no_copy_where_there_is_nobody_else => no_copy_alone();
-    long_generation_needs_capacity => assert!(!room(500, Coming::First, 1.0, 0.1) && room(500, Coming::First, 0.5, 0.5));
-    long_generation_leaves_capacity_for_migrations => assert!(!room(500, Coming::First, 0.5, 1.0));
-    generation_that_is_too_late_gives_way => late_gives_way();
-    caller_in_time_and_late_are_told_apart => told_apart();
+    long_generation_needs_capacity => assert!(!is_admitted(500, Coming::First, 1.0, 0.1) && is_admitted(500, Coming::First, 0.5, 0.5));
+    long_generation_leaves_capacity_for_migrations => assert!(!is_admitted(500, Coming::First, 0.5, 1.0));
+    late_generation_is_refused_first => late_is_refused_first();
+    caller_in_time_and_late_are_distinguished => distinguished();
     generation_of_higher_value_density_goes_first => higher_value_goes_first();
     shorter_prompt_has_higher_value_density => shorter_prompt();
     shorter_answer_has_higher_value_density => shorter_answer();
     kinds_have_value_densities_of_their_own => own_kinds();
-    absurd_sizes_decide_nothing_for_others => absurd_sizes();
+    absurd_sizes_do_not_distort_the_mean => absurd_sizes();
     run_is_stopped_early_while_nothing_is_known => assert_eq!(leaving(None, 0), STOP_AFTER_LEAVE_NOTICE);
     run_is_stopped_once_the_copies_are_done => copies_done();
     run_is_stopped_before_its_engine_is_gone => stopped_in_time();
-    engine_that_stays_long_puts_nothing_off => assert_eq!(leaving(Some(9_000), 100), STOP_AFTER_LEAVE_NOTICE);
+    late_departure_does_not_delay_the_stop => assert_eq!(leaving(Some(9_000), 100), STOP_AFTER_LEAVE_NOTICE);
     returning_generation_is_admitted_first => returning_first();
     first_rank_is_admitted_first => first_rank();
-    short_generation_is_admitted_beyond => assert!(room(10, Coming::First, 1.0, 1.0) && !room(10, Coming::First, 2.0, 1.0));
-    fuller_memory_says_come_back_later => assert!(room_after(1.5) > room_after(0.5));
+    short_generation_is_admitted_beyond => assert!(is_admitted(10, Coming::First, 1.0, 1.0) && !is_admitted(10, Coming::First, 2.0, 1.0));
+    fuller_memory_gives_a_later_retry_time => assert!(room_after(1.5) > room_after(0.5));
     lone_entry_watches => assert!(WatcherRole::new(addr(0), true).is_watching());
     enough_watchers_are_found => enough_watchers();
     watcher_that_fails_is_replaced => failed_is_replaced();
     watcher_steps_down_late => steps_down_late();
     few_are_primary_even_while_all_watch => few_primary();
-    few_call_a_store_that_is_away_for_all_often => few_call_often();
+    few_entries_call_an_unreachable_store_often => few_call_often();
     calls_of_a_silent_store_do_not_grow_with_the_fleet => calls_stay_few();
 }
 
@@ -54,15 +54,15 @@
     }
 }
 
-fn room(expected_tokens: u64, coming: Coming, engine: f64, service: f64) -> bool {
+fn is_admitted(expected_tokens: u64, coming: Coming, engine: f64, service: f64) -> bool {
     is_room(&asking(expected_tokens, coming), &Fill { engine, service })
 }
 
 fn returning_first() {
     let between = f64::midpoint(ROOM_FOR_LONG, ROOM_FOR_RETURNING);
-    assert!(room(500, Coming::AgainInTime, between, 0.5));
-    assert!(!room(500, Coming::First, between, 0.5));
-    assert!(!room(
+    assert!(is_admitted(500, Coming::AgainInTime, between, 0.5));
+    assert!(!is_admitted(500, Coming::First, between, 0.5));
+    assert!(!is_admitted(
         500,
         Coming::AgainInTime,
         ROOM_FOR_RETURNING + 0.01,
@@ -70,13 +70,13 @@
     ));
 }
 
-fn late_gives_way() {
+fn late_is_refused_first() {
     let between = f64::midpoint(ROOM_FOR_LATE, ROOM_FOR_RETURNING);
-    assert!(room(500, Coming::AgainInTime, between, 0.5));
-    assert!(!room(500, Coming::AgainLate, between, 0.5));
+    assert!(is_admitted(500, Coming::AgainInTime, between, 0.5));
+    assert!(!is_admitted(500, Coming::AgainLate, between, 0.5));
 }
 
-fn told_apart() {
+fn distinguished() {
     let after = |waited: Option<u64>| {
         let waited = waited.map(Duration::from_millis);
         Coming::after(waited, Duration::from_millis(1_800))
--- a/fireflycroft/tests/objective.rs
+++ b/fireflycroft/tests/objective.rs
@@ -101,7 +101,7 @@
             out: Vec::new(),
             sent: 0,
         };
-        let config = compile(ConfigVersion(1), Digest(1), &document()).expect("a sound document");
+        let config = compile(ConfigVersion(1), Digest(1), &document()).expect("a valid document");
         world.on_event(EntryEvent::Config(Arc::new(config)));
         world.on_event(EntryEvent::Member(MemberRecord {
             peer: agent(),
@@ -268,7 +268,7 @@
         assert!(world.measured().iter().all(|m| m.met.is_none()));
     }
 
-    a_wrong_key_is_the_callers: |world| {
+    a_wrong_key_is_a_caller_error: |world| {
         world.submit("another", Priority::Interactive);
         let all = world.measured();
         assert_eq!((all.len(), all[0].met, all[0].code), (1, None, Code::KeyRefused));
--- a/fireflycroft/tests/owners.rs
+++ b/fireflycroft/tests/owners.rs
@@ -24,17 +24,17 @@
     owner_replies_the_work_of_the_others => replies_of_others();
     owner_reports_no_other_incarnation => reports_no_other_incarnation();
     choice_goes_by_fresh_replies => goes_by_replies();
-    owner_that_knows_of_more_is_believed => more_is_believed();
+    higher_reported_load_counts => higher_load_counts();
     upstream_that_an_owner_knows_to_leave_is_left_out => leaving_is_left_out();
     upstream_that_two_entries_could_not_reach_is_left_out => unreachable_is_left_out();
-    few_replies_leave_the_choice_to_what_is_believed => few_replies();
+    few_replies_leave_the_choice_to_own_estimates => few_replies();
     old_reply_no_longer_counts => old_reply();
     report_to_an_owner_goes_before_an_old_reply => report_before_old_reply();
     unknown_upstreams_are_assumed_to_be_like_the_others => unknown_are_like_others();
-    all_of_few_upstreams_are_asked_about => asks_about_all();
-    of_many_upstreams_the_best_are_asked_about => asks_about_best();
-    upstreams_that_leave_are_asked_about => asks_about_leaving();
-    entry_that_chooses_often_asks_about_fewer => asks_about_fewer();
+    all_of_few_upstreams_are_queried => queries_all();
+    of_many_upstreams_the_best_are_queried => queries_best();
+    departing_upstreams_are_queried => queries_departing();
+    entry_that_chooses_often_queries_fewer => queries_fewer();
     choices_of_many_entries_spread => choices_spread();
 }
 
@@ -77,7 +77,7 @@
     );
 }
 
-fn life(instance: &str) -> Life {
+fn upstream(instance: &str) -> Life {
     Life {
         instance: Name::from(instance),
         incarnation: Incarnation::default(),
@@ -86,7 +86,7 @@
 
 fn load(instance: &str, tokens: u64) -> OwnedLoad {
     OwnedLoad {
-        upstream: life(instance),
+        upstream: upstream(instance),
         serves: true,
         placed: Placed {
             running: 1,
@@ -109,10 +109,14 @@
     owner.note_others(at(0), &Name::from("y"), &[told("a", 500)], true);
     let a = ix(&owner, "a");
     owner.place(at(0), a, &need(40));
-    let loads = owner.loads_for(at(10), &Name::from("x"), &[life("a"), life("unknown")]);
+    let loads = owner.loads_for(
+        at(10),
+        &Name::from("x"),
+        &[upstream("a"), upstream("unknown")],
+    );
     assert_eq!(loads.len(), 1);
     assert_eq!(loads[0].placed.tokens, 540);
-    let expired = owner.loads_for(at(9_000), &Name::from("x"), &[life("a")]);
+    let expired = owner.loads_for(at(9_000), &Name::from("x"), &[upstream("a")]);
     assert_eq!(expired[0].placed.tokens, 40);
 }
 
@@ -120,7 +124,7 @@
     let owner = pool(&["a"]);
     let later = Life {
         incarnation: Incarnation(9),
-        ..life("a")
+        ..upstream("a")
     };
     assert!(
         owner
@@ -136,7 +140,7 @@
     assert_eq!(chosen(&pool, at(5), &need(100)), "b");
 }
 
-fn more_is_believed() {
+fn higher_load_counts() {
     let mut pool = pool(&["a", "b", "c"]);
     reply(&mut pool, &[("a", 9_000), ("b", 3_000), ("c", 5_000)]);
     reply(&mut pool, &[("a", 0), ("b", 0), ("c", 0)]);
@@ -154,7 +158,7 @@
     assert_eq!(chosen(&pool, at(5), &need(100)), "b");
     let mut owner = pools::pool(&["a"]);
     owner.learn(at(0), leaving("a", 9));
-    assert!(!owner.loads_for(at(1), &Name::from("x"), &[life("a")])[0].serves);
+    assert!(!owner.loads_for(at(1), &Name::from("x"), &[upstream("a")])[0].serves);
 }
 
 /// Guards against refusals because of unreachable upstreams, which stay on the list during an
@@ -163,16 +167,16 @@
 fn unreachable_is_left_out() {
     let mut owner = pool(&["a"]);
     let serves =
-        |owner: &Pool, now| owner.loads_for(at(now), &Name::from("x"), &[life("a")])[0].serves;
-    owner.note_unreachable(at(0), &Name::from("y"), &life("a"));
-    owner.note_unreachable(at(10), &Name::from("y"), &life("a"));
+        |owner: &Pool, now| owner.loads_for(at(now), &Name::from("x"), &[upstream("a")])[0].serves;
+    owner.note_unreachable(at(0), &Name::from("y"), &upstream("a"));
+    owner.note_unreachable(at(10), &Name::from("y"), &upstream("a"));
     assert!(serves(&owner, 20), "one entry alone may be cut off from it");
-    owner.note_unreachable(at(20), &Name::from("z"), &life("a"));
+    owner.note_unreachable(at(20), &Name::from("z"), &upstream("a"));
     assert!(!serves(&owner, 30));
     assert!(serves(&owner, 3_000), "another entry tries again");
     let later = Life {
         incarnation: Incarnation(9),
-        ..life("a")
+        ..upstream("a")
     };
     owner.note_unreachable(at(4_000), &Name::from("y"), &later);
     owner.note_unreachable(at(4_000), &Name::from("z"), &later);
@@ -216,16 +220,16 @@
     pool(&names)
 }
 
-fn asked(pool: &Pool, draw: u64, most: usize) -> Vec<UpstreamIx> {
+fn queried(pool: &Pool, draw: u64, most: usize) -> Vec<UpstreamIx> {
     let need = Need { draw, ..need(100) };
     pool.to_query(at(5), "models", &need, &[], most)
 }
 
-fn asks_about_all() {
-    assert_eq!(asked(&engines_pool(16), 1, 16).len(), 16);
+fn queries_all() {
+    assert_eq!(queried(&engines_pool(16), 1, 16).len(), 16);
 }
 
-fn asks_about_best() {
+fn queries_best() {
     let mut pool = engines_pool(50);
     let loads: Vec<OwnedLoad> = (0..50)
         .map(|n| load(&format!("i-{n}"), 9_000 - n * 100))
@@ -234,35 +238,35 @@
     let best = ix(&pool, "i-49");
     let mut drawn = HashMap::new();
     for draw in 0..200 {
-        let asked = asked(&pool, draw, 16);
-        assert!(asked.len() <= 16 && asked.len() >= 8);
-        assert!(asked.contains(&best));
-        for ix in asked {
+        let queried = queried(&pool, draw, 16);
+        assert!(queried.len() <= 16 && queried.len() >= 8);
+        assert!(queried.contains(&best));
+        for ix in queried {
             *drawn.entry(ix).or_insert(0) += 1;
         }
     }
     assert_eq!(drawn.len(), 50, "others get their turn too");
 }
 
-fn asks_about_leaving() {
+fn queries_departing() {
     let mut pool = engines_pool(4);
     pool.learn(at(0), leaving("i-2", 90));
-    let asked = asked(&pool, 1, 16);
-    assert!(asked.contains(&ix(&pool, "i-2")));
+    let queried = queried(&pool, 1, 16);
+    assert!(queried.contains(&ix(&pool, "i-2")));
     let long_after = pool.to_query(at(9_000), "models", &need(1), &[], 16);
     assert_eq!(long_after.len(), 3);
 }
 
-fn asks_about_fewer() {
-    let mut breadth = QueryBreadth::default();
-    let first = breadth.upstreams(at(0));
+fn queries_fewer() {
+    let mut query_limit = QueryBreadth::default();
+    let first = query_limit.upstreams(at(0));
     for n in 0..100 {
-        let asked = breadth.upstreams(at(n * 10));
-        breadth.note_sent(asked * OWNERS_PER_KEY);
+        let queried = query_limit.upstreams(at(n * 10));
+        query_limit.note_sent(queried * OWNERS_PER_KEY);
     }
-    let busy = breadth.upstreams(at(1_000));
+    let busy = query_limit.upstreams(at(1_000));
     assert!(busy < first && busy > 1, "{first} {busy}");
-    assert_eq!(breadth.upstreams(at(9_000)), first);
+    assert_eq!(query_limit.upstreams(at(9_000)), first);
 }
 
 /// Guards against overbooked engines: entries that know only their own placements and query owners
@@ -284,7 +288,7 @@
     let ips = self::entries(entries);
     let mut pools: HashMap<Ipv4Addr, Pool> =
         ips.iter().map(|ip| (*ip, engines_pool(engines))).collect();
-    let mut breadths: HashMap<Ipv4Addr, QueryBreadth> = HashMap::new();
+    let mut query_limits: HashMap<Ipv4Addr, QueryBreadth> = HashMap::new();
     let mut on_each: HashMap<UpstreamIx, u64> = HashMap::new();
     let mut reported_at = at(0);
     for run in 0..engines * 8 {
@@ -307,7 +311,7 @@
             ip,
             now,
             &need,
-            breadths.entry(ip).or_default(),
+            query_limits.entry(ip).or_default(),
         );
         let pool = pools.get_mut(&ip).unwrap();
         let ix = pool.choose(now, "models", &need, &[]).unwrap();
@@ -332,15 +336,17 @@
     ip: Ipv4Addr,
     now: Time,
     need: &Need,
-    breadth: &mut QueryBreadth,
+    query_limit: &mut QueryBreadth,
 ) {
-    let asked = pools[&ip].to_query(now, "models", need, &[], breadth.upstreams(now));
-    for ix in asked {
-        let life = pools[&ip].record(ix).life();
-        let owners = owners(ips, &life.instance).into_iter().filter(|o| *o != ip);
+    let queried = pools[&ip].to_query(now, "models", need, &[], query_limit.upstreams(now));
+    for ix in queried {
+        let upstream = pools[&ip].record(ix).life();
+        let owners = owners(ips, &upstream.instance)
+            .into_iter()
+            .filter(|o| *o != ip);
         for owner in owners {
-            breadth.note_sent(1);
-            let loads = pools[&owner].loads_for(now, &name(ip), std::slice::from_ref(&life));
+            query_limit.note_sent(1);
+            let loads = pools[&owner].loads_for(now, &name(ip), std::slice::from_ref(&upstream));
             pools
                 .get_mut(&ip)
                 .unwrap()
--- a/fireflycroft/tests/returning_callers.rs
+++ b/fireflycroft/tests/returning_callers.rs
@@ -14,12 +14,12 @@
     first_caller_is_no_returning_one => assert_eq!(coming(&ReturningCallers::default(), 0, 1), Coming::First);
     refused_caller_is_known_when_it_comes_back => assert_eq!(coming(&refused(1), 350, 1), Coming::AgainInTime);
     another_caller_of_the_kind_is_not => assert_eq!(coming(&refused(1), 350, 2), Coming::First);
-    caller_that_comes_back_late_is_told_apart => assert_eq!(coming(&refused(1), 1_500, 1), Coming::AgainLate);
+    caller_that_returns_late_is_distinguished => assert_eq!(coming(&refused(1), 1_500, 1), Coming::AgainLate);
     refusal_is_forgotten => assert_eq!(coming(&refused(1), 60_000, 1), Coming::First);
     second_refusal_counts_from_the_first => counts_from_first();
     refusal_reported_by_another_entry_counts => reported_counts();
     age_of_a_reported_refusal_counts => assert_eq!(coming(&reported(1_500), 5_100, 1), Coming::AgainLate);
-    refusal_long_after_another_counts_anew => counts_anew();
+    later_refusal_counts_as_new => counts_as_new();
     only_own_refusals_are_reported => reports_own();
     reported_refusals_are_bounded => bounds_reported();
     refusals_remembered_are_bounded => bounds_remembered();
@@ -60,7 +60,7 @@
     assert_eq!(waited, Some(Duration::from_millis(1_500)));
 }
 
-fn counts_anew() {
+fn counts_as_new() {
     let mut callers = refused(1);
     callers.record_refusal(at(60_000), Digest(1));
     assert_eq!(coming(&callers, 60_300, 1), Coming::AgainInTime);
--- a/fireflycroft/tests/text_change.rs
+++ b/fireflycroft/tests/text_change.rs
@@ -12,9 +12,9 @@
     change_of_one_key_is_small => one_key();
     change_in_several_places_is_small => several_places();
     change_of_all_is_none => change_of_all();
-    text_that_only_grew_far_is_none => grown();
+    much_longer_text_gives_no_change => much_longer();
     change_of_another_text_is_refused => another_text();
-    many_alike_that_were_added_are_none => alike();
+    many_similar_additions_give_no_change => similar_additions();
     characters_of_several_bytes_are_kept => wide_characters();
     change_to_nothing_gives_nothing => to_nothing();
 }
@@ -61,11 +61,11 @@
     assert_eq!(TextChange::between(&old, &new), None);
 }
 
-fn grown() {
+fn much_longer() {
     assert_eq!(TextChange::between(&text(10), &text(1_000)), None);
 }
 
-fn alike() {
+fn similar_additions() {
     let route = |i: u32| {
         format!(
             "{{\"name\":\"n{i}\",\"path_prefix\":\"/n{i}/\",\"kind\":\"safe\",\"service\":\"records\",\"timeout_ms\":20000,\"public\":false,\"max_attempts\":2}},"
--- a/fireflycroft/tests/watchers.rs
+++ b/fireflycroft/tests/watchers.rs
@@ -21,9 +21,9 @@
     start_without_seeds_takes_few_more => starts_without(&[0, 1, 2]);
     lost_watchers_are_replaced_by_few => lost_watchers();
     one_lost_watcher_is_replaced_by_few => lost_watcher();
-    store_away_for_all_is_called_as_often_by_any_fleet => store_away();
+    unreachable_store_is_called_as_often_by_any_fleet => unreachable_store();
     store_that_refuses_most_is_found => refuses_most();
-    restarted_entry_calls_nobody => restarted();
+    restarted_entry_does_not_step_in => restarted();
     entry_without_live_peers_watches => alone();
 }
 
@@ -268,7 +268,7 @@
     }
 }
 
-fn store_away() {
+fn unreachable_store() {
     for size in SIZES {
         let mut fleet = Fleet::settled(size);
         fleet.answer_all(false);
