--- a/fireflycroft/src/agent_reservations.rs
+++ b/fireflycroft/src/agent_reservations.rs
@@ -80,7 +80,7 @@
             Some(Stage::Reserved(until)) => until.since(now),
             Some(Stage::Running | Stage::Finished(_)) => Duration::ZERO,
             Some(Stage::Expired(_)) | None => {
-                return refusal_message(offer, Code::ReservationLapsed, Duration::ZERO);
+                return refusal_message(offer, Code::ReservationExpired, Duration::ZERO);
             }
         };
         Message::Accept {
@@ -106,7 +106,7 @@
             return Some((Code::Quarantined, Duration::ZERO));
         }
         if config_differs {
-            return Some((Code::ConfigBehind, SHORT_RETRY_AFTER));
+            return Some((Code::ConfigOutdated, SHORT_RETRY_AFTER));
         }
         if self.offers.len() >= self.limits.max_offers {
             return Some((Code::Overloaded, LONG_RETRY_AFTER));
--- a/fireflycroft/src/attempt.rs
+++ b/fireflycroft/src/attempt.rs
@@ -1,134 +1,140 @@
-//! What becomes of a request after each try at an upstream.
+//! Decides the next step after each attempt to send a request to an upstream.
 //!
-//! A request is told "not run" only while that is certain: a try that may have
-//! begun stays on its record. Whether one more try is allowed follows from the
-//! route, from what the tries so far may have run, and from the shared budget
-//! of repeats, which the caller of these functions asks.
+//! A request is refused as "not run" only while that is certain: an attempt that may have started
+//! is never forgotten. Whether another attempt is allowed depends on the kind of request, on which
+//! attempts may have run, and on the shared retry budget, which the caller of these functions
+//! consults.
 
-use crate::catalog::Repeat;
+use crate::catalog::RequestKind;
 
-/// What came of one try.
+/// Outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TryOutcome {
+pub enum AttemptOutcome {
     /// No byte of the request left this process.
     NeverSent,
-    /// The same, since the upstream may get nothing new.
+    /// Nothing was sent, because the upstream may receive no new requests.
     Withheld,
-    /// The upstream said that it did not run the request.
+    /// The upstream stated that the request did not run.
     NotRun,
-    /// Another upstream has the address now; it did not run the request.
+    /// Another upstream has the address now; the request did not run.
     WrongInstance,
-    /// The upstream answered that the request failed.
+    /// The upstream reported that the request failed.
     Failed,
-    /// The upstream answered with success, whole or as far as its head.
+    /// The upstream sent a successful response, or at least its head.
     Answered,
-    /// The request was sent and no usable answer came.
+    /// The request was sent and no usable response arrived.
     Lost,
 }
 
-/// What to do next.
+/// Next step after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Send the request to another upstream.
-    TryAgain,
-    /// Give the caller the answer that came.
+    Retry,
+    /// Relay the response to the caller.
     Relay,
-    /// Tell the caller that the request was not run, and when to come back.
+    /// Report to the caller that the request was not run, with a time to retry.
     RefuseNotRun,
-    /// Tell the caller that the outcome is not known.
-    TellUnknown,
+    /// Report to the caller that the outcome is unknown.
+    ReportUnknown,
 }
 
-/// Tries of one request.
+/// Attempts of one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Tries {
-    repeat: Repeat,
-    max_attempts: u32,
+pub struct Attempts {
+    kind: RequestKind,
+    limit: u32,
     sent: u32,
     may_have_run: bool,
-    might_have_before: bool,
+    may_have_run_before: bool,
     unsent: u32,
 }
 
-/// Upstreams that could not be reached before the request is refused.
+/// Unreachable upstreams after which a request is refused.
 ///
-/// Each costs at most the time limit of a connection; three of them stay well
-/// within the shortest objective of a plain call.
-const MAX_UNSENT: u32 = 3;
+/// Each costs at most one connection timeout; three of them stay well within the shortest objective
+/// of a plain call.
+const MAX_UNSENT_ATTEMPTS: u32 = 3;
 
-impl Tries {
-    /// A request that was sent nowhere yet.
+impl Attempts {
+    /// Creates the state of a request before its first attempt.
     #[must_use]
-    pub const fn new(repeat: Repeat, max_attempts: u32) -> Self {
+    pub const fn new(kind: RequestKind, limit: u32) -> Self {
         Self {
-            repeat,
-            max_attempts,
+            kind,
+            limit,
             sent: 0,
             may_have_run: false,
-            might_have_before: false,
+            may_have_run_before: false,
             unsent: 0,
         }
     }
 
-    /// Whether an upstream may have begun the request.
+    /// Returns whether an upstream may have started the request.
     #[must_use]
     pub const fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// Upstreams that the request was sent to.
+    /// Returns the number of upstreams the request was sent to.
     #[must_use]
     pub const fn sent(&self) -> u32 {
         self.sent
     }
 
-    /// Notes that a byte of the request may have reached an upstream.
-    pub const fn note_sent(&mut self) {
+    /// Records that a byte of the request may have reached an upstream.
+    pub const fn record_sent(&mut self) {
         self.sent += 1;
-        self.might_have_before = self.may_have_run;
+        self.may_have_run_before = self.may_have_run;
         self.may_have_run = true;
     }
 
-    /// What follows from the outcome of the try that was sent last.
+    /// Returns the next step after the outcome of the latest attempt.
     ///
-    /// `budget` takes one repeat and tells whether there was one.
-    pub fn after(&mut self, outcome: TryOutcome, budget: impl FnOnce() -> bool) -> NextStep {
+    /// `budget` takes one retry from the budget and returns whether one was available.
+    pub fn next_step(
+        &mut self,
+        outcome: AttemptOutcome,
+        budget: impl FnOnce() -> bool,
+    ) -> NextStep {
         match outcome {
-            TryOutcome::Answered => return NextStep::Relay,
-            TryOutcome::NeverSent | TryOutcome::Withheld => {
+            AttemptOutcome::Answered => return NextStep::Relay,
+            AttemptOutcome::NeverSent | AttemptOutcome::Withheld => {
                 self.unsent += 1;
-                if self.unsent < MAX_UNSENT {
-                    return NextStep::TryAgain;
+                if self.unsent < MAX_UNSENT_ATTEMPTS {
+                    return NextStep::Retry;
                 }
             }
-            TryOutcome::NotRun | TryOutcome::WrongInstance => {
-                self.may_have_run = self.might_have_before;
+            AttemptOutcome::NotRun | AttemptOutcome::WrongInstance => {
+                self.may_have_run = self.may_have_run_before;
             }
-            TryOutcome::Failed | TryOutcome::Lost => {}
+            AttemptOutcome::Failed | AttemptOutcome::Lost => {}
         }
-        if self.may_try_again(outcome) && budget() {
-            return NextStep::TryAgain;
+        if self.may_retry(outcome) && budget() {
+            return NextStep::Retry;
         }
-        self.end(outcome)
+        self.final_step(outcome)
     }
 
-    /// Whether another upstream may be tried after this outcome, if the budget allows.
+    /// Returns whether this outcome permits another attempt, budget permitting.
     #[must_use]
-    pub const fn may_try_again(&self, outcome: TryOutcome) -> bool {
+    pub const fn may_retry(&self, outcome: AttemptOutcome) -> bool {
         match outcome {
-            TryOutcome::WrongInstance => self.sent <= self.max_attempts,
-            TryOutcome::NotRun => self.sent < self.max_attempts,
-            TryOutcome::Failed | TryOutcome::Lost => {
-                self.sent < self.max_attempts && self.repeat.may_run_again()
+            AttemptOutcome::WrongInstance => self.sent <= self.limit,
+            AttemptOutcome::NotRun => self.sent < self.limit,
+            AttemptOutcome::Failed | AttemptOutcome::Lost => {
+                self.sent < self.limit && self.kind.is_retryable()
+            }
+            AttemptOutcome::NeverSent | AttemptOutcome::Withheld | AttemptOutcome::Answered => {
+                false
             }
-            TryOutcome::NeverSent | TryOutcome::Withheld | TryOutcome::Answered => false,
         }
     }
 
-    const fn end(&self, outcome: TryOutcome) -> NextStep {
+    const fn final_step(&self, outcome: AttemptOutcome) -> NextStep {
         match outcome {
-            TryOutcome::Failed | TryOutcome::Answered => NextStep::Relay,
-            _ if self.may_have_run => NextStep::TellUnknown,
+            AttemptOutcome::Failed | AttemptOutcome::Answered => NextStep::Relay,
+            _ if self.may_have_run => NextStep::ReportUnknown,
             _ => NextStep::RefuseNotRun,
         }
     }
--- a/fireflycroft/src/await_config.rs
+++ b/fireflycroft/src/await_config.rs
@@ -36,7 +36,7 @@
         };
         if now.since(since) >= self.limits.config_timeout {
             let wait = Some(self.limits.min_retry_after);
-            self.fail(id, Code::ConfigBehind, wait, out);
+            self.fail(id, Code::ConfigOutdated, wait, out);
         }
     }
 
--- a/fireflycroft/src/dispatch.rs
+++ b/fireflycroft/src/dispatch.rs
@@ -213,7 +213,7 @@
             return;
         }
         let id = call.id;
-        if code == Code::ConfigBehind {
+        if code == Code::ConfigOutdated {
             self.await_config(now, id, out);
             return;
         }
--- a/fireflycroft/src/entry.rs
+++ b/fireflycroft/src/entry.rs
@@ -5,7 +5,6 @@
 //! [`EntryEvent`]s, outputs are [`EntryAction`]s. `submit` holds the checks,
 //! `dispatch` offers, claims and starts, `deliver` reads tokens.
 
-use crate::burn::{Goal, Measured, Pace, meets};
 use crate::claim::ClaimAttempt;
 use crate::code::{Class, Code};
 use crate::config::{ActiveConfig, AdoptOutcome, Config};
@@ -14,9 +13,10 @@
 use crate::log_event::LogEvent;
 use crate::member_record::{MemberRecord, MemberState};
 use crate::message::{ConfigVersion, Envelope, Load, Message};
+use crate::objective::{LatencyGoal, MeasuredRequest, TokenTiming, met_objective};
 use crate::quarantine::Quarantine;
 use crate::quota::Quotas;
-use crate::retry::RetryBudget;
+use crate::restart_budget::RestartBudget;
 use crate::route::{AgentView, Router};
 use crate::stream::{Chunk, Cursor};
 use crate::time::Time;
@@ -113,8 +113,8 @@
     pub(crate) awaiting_config_since: Option<Time>,
     pub(crate) received: Time,
     pub(crate) brand: Name,
-    pub(crate) goal: Option<Goal>,
-    pub(crate) pace: Pace,
+    pub(crate) goal: Option<LatencyGoal>,
+    pub(crate) pace: TokenTiming,
     /// Whether the caller was sent the generation's id.
     pub(crate) begin_sent: bool,
     pub(crate) buffered: Chunk,
@@ -136,7 +136,7 @@
     pub(crate) buffered_bytes: usize,
     pub(crate) quarantine: Quarantine,
     pub(crate) quotas: Quotas,
-    pub(crate) retries: RetryBudget,
+    pub(crate) retries: RestartBudget,
     pub(crate) entries: u32,
     pub(crate) leaving: bool,
     /// Time of the last tick.
@@ -157,7 +157,7 @@
             buffered_bytes: 0,
             quarantine: Quarantine::default(),
             quotas: Quotas::default(),
-            retries: RetryBudget::default(),
+            retries: RestartBudget::default(),
             entries: 1,
             leaving: false,
             last_tick: None,
@@ -417,11 +417,11 @@
 impl Call {
     /// Returns the measurement of a request that ends with `code`.
     pub(crate) fn measurement(&self, code: Code) -> EntryAction {
-        EntryAction::Measured(Measured {
+        EntryAction::Measured(MeasuredRequest {
             brand: self.brand.clone(),
             priority: self.demand.priority,
             code,
-            met: meets(code, &self.pace, self.goal),
+            met: met_objective(code, &self.pace, self.goal),
         })
     }
 
--- /dev/null
+++ b/fireflycroft/src/entry_announcement.rs
@@ -0,0 +1,60 @@
+//! State announced by a direct entry to the other entries.
+
+use crate::evacuation::Evacuations;
+use crate::ids::{Digest, Incarnation, Name};
+use crate::listing::ListChange;
+use crate::rate_limit::ToldRate;
+use crate::retry_budget::RetryCount;
+use crate::upstream::Life;
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+/// Number of upstreams crashed by one content.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CrashCount {
+    /// Digest of the content.
+    pub content: Digest,
+    /// Upstreams crashed.
+    pub count: u8,
+}
+
+/// State of a direct entry, sent several times a second.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct EntryAnnouncement {
+    /// Name of the sender.
+    pub name: Name,
+    /// Data centre of the sender.
+    pub data_centre: Name,
+    /// Incarnation of the sender.
+    pub incarnation: Incarnation,
+    /// Configuration version in force at the sender; zero for none.
+    pub config: u64,
+    /// Live entries known to the sender, itself included.
+    pub entries: u32,
+    /// Revision of the sender's upstream list.
+    pub upstreams: u64,
+    /// Revision up to which the sender has every change of that list.
+    pub upstreams_complete: u64,
+    /// Digest of that list.
+    pub upstreams_digest: u64,
+    /// Whether the sender watches the platform's store and gets answers.
+    pub watches: bool,
+    /// Time since the store answered the sender; `None` if it doesn't watch.
+    pub store_age: Option<Duration>,
+    /// Recent changes of the list, from watchers only.
+    pub list_changes: Vec<ListChange>,
+    /// The sender's requests and retries, by service.
+    pub retries: Vec<RetryCount>,
+    /// Content that recently crashed upstreams.
+    pub crashes: Vec<CrashCount>,
+    /// Some other entries known to the sender.
+    pub peers: Vec<Ipv4Addr>,
+    /// Evacuated data centres.
+    pub evacuations: Evacuations,
+    /// Upstreams that gave a leave notice in a response and are still listed as serving.
+    pub departing: Vec<Life>,
+    /// Current and recently lifted rate limits of upstreams.
+    pub rate_limits: Vec<ToldRate>,
+    /// Whether the sender is stopping.
+    pub leaving: bool,
+}
--- a/fireflycroft/src/entry_io.rs
+++ b/fireflycroft/src/entry_io.rs
@@ -1,6 +1,5 @@
 //! Inputs and outputs of an entry: limits, requests, events, replies, actions.
 
-use crate::burn::Measured;
 use crate::claim::{ClaimAnswer, ClaimOp};
 use crate::code::Code;
 use crate::config::Config;
@@ -8,6 +7,7 @@
 use crate::log_event::LogEvent;
 use crate::member_record::MemberRecord;
 use crate::message::{Envelope, Finish, Message};
+use crate::objective::MeasuredRequest;
 use crate::route::RoutePolicy;
 use crate::stream::Chunk;
 use crate::work::{Priority, Work};
@@ -203,7 +203,7 @@
     /// Pull the configuration from that process.
     PullConfig(SocketAddr),
     /// Count a finished request.
-    Measured(Measured),
+    Measured(MeasuredRequest),
     /// Log and count an event.
     LogEvent(LogEvent),
 }
--- a/fireflycroft/src/lib.rs
+++ b/fireflycroft/src/lib.rs
@@ -1,20 +1,20 @@
-//! Decisions of a fleet that serves generations of unknown length.
+//! Decision logic of a fleet that serves generations of unknown length.
 //!
-//! The crate holds what entries and agents decide and nothing else: no
-//! sockets, files, clocks, threads or global state. Time and randomness come in
-//! as arguments, and what is to be done goes out as values.
+//! The crate contains the decisions of entries and agents and nothing else: no sockets, files,
+//! clocks, threads or global state. Time and randomness are passed in as arguments, and actions are
+//! returned as values.
 //!
-//! Two carriers use it, each with modules of its own:
+//! It has two users, each with modules of its own:
 //!
-//! - the agents' path (`fireflyd`): [`Entry`] and [`Agent`] with `member`,
-//!   `route`, `admit`, `placement`, `lease`, `claim` and what belongs to them;
-//! - the direct entry (`fireflydirect`): [`Pool`] with `upstream`, `listing`,
-//!   `loads`, `pace` and `room` says where a request goes, and
-//!   `evacuation`, `cold`, `rate_limit` and `region` where it may not; `owners`, `repeat`,
-//!   `returns`, `watchers` and `contact` say what entries know of each other and
-//!   of the platform's store; `attempt`, `relay` and `rescue` follow a request.
+//! - the agents' path (`fireflyd`): [`Entry`] and [`Agent`] with `member`, `route`, `admit`,
+//!   `placement`, `lease`, `claim` and related modules;
+//! - the direct entry (`fireflydirect`): [`Pool`] with `upstream`, `listing`, `loads`, `pace` and
+//!   `room` selects the upstream of a request, and `evacuation`, `cold`, `rate_limit` and `region`
+//!   exclude upstreams; `owners`, `retry_budget`, `returning_callers`, `watchers` and
+//!   `store_connectivity` hold what entries know of each other and of the platform's store;
+//!   `attempt`, `relay` and `failover` handle one request.
 //!
-//! A direct entry that knows two engines sends a generation to the emptier one:
+//! A direct entry that knows two engines sends a generation to the less loaded one:
 //!
 //! ```
 //! use fireflycroft::{Incarnation, Name, Need, Pool, Time, UpstreamRecord, UpstreamState};
@@ -50,11 +50,9 @@
 mod agent_maintenance;
 mod agent_orders;
 mod agent_reservations;
-mod ask;
 mod attempt;
 mod await_config;
 mod breadth;
-mod burn;
 mod catalog;
 mod claim;
 mod code;
@@ -62,20 +60,22 @@
 mod compile;
 mod config;
 mod config_transfer;
-mod contact;
 mod crash_announcements;
 mod deliver;
 mod diff;
 mod dispatch;
 mod entry;
+mod entry_announcement;
 mod entry_io;
-mod entry_news;
 mod evacuation;
+mod failover;
 mod fleet_view;
 mod generation;
 mod generation_store;
 mod gossip;
 mod guess;
+mod hedging;
+mod http_head;
 mod ids;
 mod inventory;
 mod lease;
@@ -91,13 +91,12 @@
 mod merge;
 mod message;
 mod missing;
+mod objective;
 mod offer;
 mod order;
-mod outage;
 mod outlook;
-mod overlap;
 mod overview;
-mod owner_news;
+mod owner_messages;
 mod owners;
 mod pace;
 mod part_name;
@@ -113,11 +112,10 @@
 mod reconcile;
 mod region;
 mod relay;
-mod repeat;
-mod rescue;
+mod restart_budget;
 mod resume;
-mod retry;
-mod returns;
+mod retry_budget;
+mod returning_callers;
 mod revision;
 mod room;
 mod roster;
@@ -125,10 +123,12 @@
 mod sent_lately;
 mod snapshot;
 mod snapshot_error;
+mod store_connectivity;
 mod stream;
 mod submit;
 mod text_change;
 mod time;
+mod unconfigured;
 mod upstream;
 mod watchers;
 mod withheld;
@@ -136,10 +136,8 @@
 
 pub use admit::*;
 pub use agent::*;
-pub use ask::*;
 pub use attempt::*;
 pub use breadth::*;
-pub use burn::Measured;
 pub use catalog::*;
 pub use claim::*;
 pub use code::*;
@@ -147,14 +145,16 @@
 pub use compile::*;
 pub use config::*;
 pub use config_transfer::*;
-pub use contact::*;
 pub use diff::*;
 pub use entry::*;
+pub use entry_announcement::*;
 pub use entry_io::*;
-pub use entry_news::*;
 pub use evacuation::*;
+pub use failover::*;
 pub use fleet_view::*;
 pub use guess::*;
+pub use hedging::*;
+pub use http_head::*;
 pub use ids::*;
 pub use inventory::*;
 pub use lease::*;
@@ -165,13 +165,12 @@
 pub use member::*;
 pub use member_record::*;
 pub use message::*;
+pub use objective::MeasuredRequest;
 pub use offer::*;
 pub use order::*;
-pub use outage::*;
 pub use outlook::*;
-pub use overlap::*;
 pub use overview::*;
-pub use owner_news::*;
+pub use owner_messages::*;
 pub use owners::*;
 pub use pace::*;
 pub use part_name::*;
@@ -183,19 +182,20 @@
 pub use rate_limit::*;
 pub use region::*;
 pub use relay::*;
-pub use repeat::*;
-pub use rescue::*;
+pub use restart_budget::*;
 pub use resume::*;
-pub use retry::*;
-pub use returns::*;
+pub use retry_budget::*;
+pub use returning_callers::*;
 pub use revision::*;
 pub use room::*;
 pub use route::*;
 pub use snapshot::*;
 pub use snapshot_error::*;
+pub use store_connectivity::*;
 pub use stream::*;
 pub use text_change::*;
 pub use time::*;
+pub use unconfigured::*;
 pub use upstream::*;
 pub use watchers::*;
 pub use withheld::*;
--- a/fireflycroft/src/watchers.rs
+++ b/fireflycroft/src/watchers.rs
@@ -1,158 +1,159 @@
-//! Which entries watch the platform's store for all the others.
+//! Selects the entries that watch the platform's store on behalf of the fleet.
 //!
-//! Each waiting watch is a call that is paid for, and each change wakes all of
-//! them, so a few entries watch and tell the others. Every entry decides for
-//! itself, from what it hears, and one too many for a moment costs some calls.
+//! Each pending watch is a paid call and every change wakes all of them, so a few entries watch and
+//! announce changes to the others. Each entry decides for itself from the announcements it
+//! receives; a temporary excess of watchers only costs some calls.
 //!
-//! The seeds of the settings, which all entries know, begin as watchers. Another
-//! entry steps in when it hears fewer than [`WATCHERS`] that watch in good health:
-//! at once if it ranks among the first of those known, later the further behind it
-//! ranks. So the loss of watchers costs a few lists of the store, whatever the
-//! size of the fleet, and a store that turns most entries away is still found by
-//! one that it answers. Who watches beside enough others that rank before it
-//! steps down.
+//! The configured seeds, known to all entries, start as watchers. Another entry steps in when it
+//! sees fewer than [`WATCHERS`] healthy watchers: at once if it ranks among the first of the known
+//! entries, later the lower it ranks. The loss of watchers thus costs a few lists of the store at
+//! any fleet size, and a store that refuses most entries is still reached by one that it answers. A
+//! watcher steps down when enough watchers rank before it.
 
 use crate::owners::OwnedKey;
 use crate::time::Time;
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Entries that watch at a time: two may be lost at once, and one more be on its way out.
+/// Number of watchers: two may be lost at once while one more is leaving.
 pub const WATCHERS: usize = 3;
 
-/// Time for which enough others must have watched before an entry stops to.
+/// Time for which enough higher-ranked entries must have watched before an entry steps down.
 ///
-/// A watcher that lost the store in silence finds out after about three seconds.
+/// A watcher notices a silent loss of the store after about three seconds.
 pub const STEP_DOWN_AFTER: Duration = Duration::from_secs(4);
 
-/// Time that an entry which has just started takes to hear of those that watch.
-const HEARD_OF_WITHIN: Duration = Duration::from_secs(1);
+/// Time within which an entry that has just started discovers the watchers.
+const DISCOVERY_TIME: Duration = Duration::from_secs(1);
 
-/// Entries that step in at a time when too few watch: enough that three of them are answered even
-/// if the store turns half of the fleet away.
-const STEP_IN_TOGETHER: usize = 8;
+/// Entries that step in together when too few watch: enough that three of them are answered even if
+/// the store refuses half of the fleet.
+const STEP_IN_GROUP: usize = 8;
 
-/// Time between two such groups: one lists the store and is heard within it.
-const STEP_IN_EVERY: Duration = Duration::from_secs(1);
+/// Interval between such groups: one lists the store and announces itself within it.
+const STEP_IN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest pause between calls to a store that doesn't answer, of the entries that rank first.
+/// Longest pause of the top-ranked entries between calls to a store that doesn't answer.
 ///
-/// A configuration is to be in force two seconds after the store took it; these entries hear of it
-/// and tell the others.
-const FIRST_PAUSE_LIMIT: Duration = Duration::from_millis(700);
+/// A configuration must be in force two seconds after the store accepted it; these entries receive
+/// it and announce it to the others.
+const TOP_RANKED_MAX_PAUSE: Duration = Duration::from_millis(700);
 
-/// The same of all others, in a small fleet.
-const OTHERS_PAUSE_LIMIT: Duration = Duration::from_millis(2_100);
+/// Longest pause of all other entries in a small fleet.
+const OTHERS_MAX_PAUSE: Duration = Duration::from_millis(2_100);
 
-/// The same for each entry that is known, in a larger one: together they call some twenty times a
-/// second, whatever the size, so that one finds out soon when the store is back for it alone.
-const PAUSE_FOR_EACH: Duration = Duration::from_millis(100);
+/// Longest pause per known entry in a larger fleet: at any size, all of them together make some
+/// twenty calls per second, so that one soon notices when the store is back for it alone.
+const PAUSE_PER_ENTRY: Duration = Duration::from_millis(100);
 
-/// What an entry knows of another one's watching.
+/// What an entry knows about another entry as a watcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WatchView {
+pub struct WatcherView {
     /// Address of the other entry.
     pub addr: Ipv4Addr,
-    /// Whether it is heard of late.
-    pub heard: bool,
-    /// Whether it is heard to watch, and the store answers it.
+    /// Whether it was recently received from.
+    pub is_alive: bool,
+    /// Whether it announces that it watches and that the store answers it.
     pub watches: bool,
 }
 
-/// One entry's decision whether to watch, over time.
+/// Decision of one entry over time whether to watch.
 #[derive(Clone, Debug)]
-pub struct WatchDuty {
+pub struct WatcherRole {
     rank: u64,
     watching: bool,
-    /// Since when enough others that rank before this entry watch.
+    /// Time since which enough higher-ranked entries watch.
     enough_since: Option<Time>,
-    /// Since when too few watch, as long as this entry doesn't.
+    /// Time since which too few entries watch, while this entry doesn't.
     too_few_since: Option<Time>,
-    is_among_first: bool,
-    others_pause: Duration,
+    is_top_ranked: bool,
+    others_max_pause: Duration,
 }
 
-/// What one look at the others comes to.
+/// Counts of the other entries in one decision.
 #[derive(Default)]
-struct Look {
+struct PeerCounts {
     known: usize,
-    heard: usize,
+    alive: usize,
     watching: usize,
-    before: usize,
-    watching_before: usize,
+    ranked_before: usize,
+    watching_ranked_before: usize,
 }
 
-impl WatchDuty {
-    /// An entry of which nothing is heard yet; whether it `begins` as a watcher is for it to say.
+impl WatcherRole {
+    /// Creates the role of an entry that knows no other yet; `starts_watching` for seeds.
     #[must_use]
-    pub fn new(me: Ipv4Addr, begins: bool) -> Self {
+    pub fn new(own_addr: Ipv4Addr, starts_watching: bool) -> Self {
         Self {
-            rank: rank_of(me),
-            watching: begins,
+            rank: rank_of(own_addr),
+            watching: starts_watching,
             enough_since: None,
-            too_few_since: (!begins).then(Time::default),
-            is_among_first: true,
-            others_pause: OTHERS_PAUSE_LIMIT,
+            too_few_since: (!starts_watching).then(Time::default),
+            is_top_ranked: true,
+            others_max_pause: OTHERS_MAX_PAUSE,
         }
     }
 
-    /// Whether this entry is to watch.
+    /// Returns whether this entry watches.
     #[must_use]
     pub const fn is_watching(&self) -> bool {
         self.watching
     }
 
-    /// Whether this entry is one of those that all others rely on: it watches, and too few that
-    /// rank before it are heard to.
+    /// Returns whether the other entries rely on this one: it watches, and too few watchers rank
+    /// before it.
     #[must_use]
-    pub const fn is_relied_on(&self) -> bool {
+    pub const fn is_primary(&self) -> bool {
         self.watching && self.enough_since.is_none()
     }
 
-    /// Longest pause between two calls while the store doesn't answer this entry.
+    /// Returns the longest pause between two calls while the store doesn't answer this entry.
     #[must_use]
-    pub const fn longest_pause(&self) -> Duration {
-        if self.is_among_first {
-            FIRST_PAUSE_LIMIT
+    pub const fn max_pause(&self) -> Duration {
+        if self.is_top_ranked {
+            TOP_RANKED_MAX_PAUSE
         } else {
-            self.others_pause
+            self.others_max_pause
         }
     }
 
-    /// Decides anew from what is known of the others; true when the decision changed.
+    /// Updates the decision from the state of the other entries; returns whether it changed.
     pub fn decide<'a>(
         &mut self,
         now: Time,
-        others: impl IntoIterator<Item = &'a WatchView>,
+        others: impl IntoIterator<Item = &'a WatcherView>,
     ) -> bool {
-        let look = self.look(others);
-        let known = u32::try_from(look.known).unwrap_or(u32::MAX);
-        self.others_pause = OTHERS_PAUSE_LIMIT.max(PAUSE_FOR_EACH.saturating_mul(known));
-        self.is_among_first = look.before < WATCHERS;
-        let was = self.watching;
-        if was {
-            self.step_down_if_enough(now, &look);
+        let counts = self.counts(others);
+        let known = u32::try_from(counts.known).unwrap_or(u32::MAX);
+        self.others_max_pause = OTHERS_MAX_PAUSE.max(PAUSE_PER_ENTRY.saturating_mul(known));
+        self.is_top_ranked = counts.ranked_before < WATCHERS;
+        let was_watching = self.watching;
+        if was_watching {
+            self.step_down_if_enough(now, &counts);
         } else {
-            self.step_in_if_too_few(now, &look);
+            self.step_in_if_too_few(now, &counts);
         }
-        self.watching != was
+        self.watching != was_watching
     }
 
-    fn look<'a>(&self, others: impl IntoIterator<Item = &'a WatchView>) -> Look {
-        others.into_iter().fold(Look::default(), |look, other| {
-            let is_before = rank_of(other.addr) > self.rank;
-            Look {
-                known: look.known + 1,
-                heard: look.heard + usize::from(other.heard),
-                watching: look.watching + usize::from(other.watches),
-                before: look.before + usize::from(is_before),
-                watching_before: look.watching_before + usize::from(is_before && other.watches),
-            }
-        })
+    fn counts<'a>(&self, others: impl IntoIterator<Item = &'a WatcherView>) -> PeerCounts {
+        others
+            .into_iter()
+            .fold(PeerCounts::default(), |counts, other| {
+                let is_before = rank_of(other.addr) > self.rank;
+                PeerCounts {
+                    known: counts.known + 1,
+                    alive: counts.alive + usize::from(other.is_alive),
+                    watching: counts.watching + usize::from(other.watches),
+                    ranked_before: counts.ranked_before + usize::from(is_before),
+                    watching_ranked_before: counts.watching_ranked_before
+                        + usize::from(is_before && other.watches),
+                }
+            })
     }
 
-    fn step_down_if_enough(&mut self, now: Time, look: &Look) {
-        if look.watching_before < WATCHERS {
+    fn step_down_if_enough(&mut self, now: Time, counts: &PeerCounts) {
+        if counts.watching_ranked_before < WATCHERS {
             self.enough_since = None;
             return;
         }
@@ -163,30 +164,34 @@
         }
     }
 
-    fn step_in_if_too_few(&mut self, now: Time, look: &Look) {
-        if look.watching >= WATCHERS {
+    fn step_in_if_too_few(&mut self, now: Time, counts: &PeerCounts) {
+        if counts.watching >= WATCHERS {
             self.too_few_since = None;
             return;
         }
         let since = *self.too_few_since.get_or_insert(now);
-        let begins_until = Time::default() + HEARD_OF_WITHIN;
-        if now >= begins_until.max(since + turn(look)) {
+        let discovered_at = Time::default() + DISCOVERY_TIME;
+        if now >= discovered_at.max(since + step_in_delay(counts)) {
             self.watching = true;
             self.too_few_since = None;
         }
     }
 }
 
-/// Time after which an entry's turn to step in has come.
+/// Returns the delay before an entry steps in.
 ///
-/// Its place among those known says little where nobody is heard.
-fn turn(look: &Look) -> Duration {
-    let group = u32::try_from(look.before / STEP_IN_TOGETHER).unwrap_or(u32::MAX);
-    let group = if look.heard == 0 { group.min(1) } else { group };
-    STEP_IN_EVERY.saturating_mul(group)
+/// Its rank among the known entries means little if none of them is alive.
+fn step_in_delay(counts: &PeerCounts) -> Duration {
+    let group = u32::try_from(counts.ranked_before / STEP_IN_GROUP).unwrap_or(u32::MAX);
+    let group = if counts.alive == 0 {
+        group.min(1)
+    } else {
+        group
+    };
+    STEP_IN_INTERVAL.saturating_mul(group)
 }
 
-/// Place in the order of entries, the same at all of them; the highest go first.
+/// Returns the rank of an entry, the same at all entries; the highest ranks come first.
 const fn rank_of(entry: Ipv4Addr) -> u64 {
     OwnedKey::of_watch().rank(entry)
 }
--- a/fireflycroft/tests/catalog.rs
+++ b/fireflycroft/tests/catalog.rs
@@ -1,11 +1,11 @@
-//! Looking up routes, services and keys in a published configuration.
+//! Look-ups of routes, services and keys in a published configuration.
 
 #[macro_use]
 #[path = "support/cases.rs"]
 mod cases;
 
 use fireflycroft::{
-    CallerLimits, Catalog, CatalogParts, Name, Repeat, RouteSpec, Target, WorkspaceSpec,
+    CallerLimits, Catalog, CatalogParts, Name, RequestKind, RouteSpec, Target, WorkspaceSpec,
 };
 use proptest::prelude::*;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     unknown_key_leads_nowhere => assert_eq!(workspace("k3"), None);
     shares_follow_weights => follow_weights();
     no_weights_take_the_first => assert_eq!(target(&[("a", 0), ("b", 0)], 5), "a");
-    configuration_without_workspaces_asks_no_keys => asks_no_keys();
+    configuration_without_workspaces_requires_no_keys => requires_no_keys();
 }
 
 fn route(name: &str, prefix: &str) -> RouteSpec {
@@ -27,7 +27,7 @@
         name: Name::from(name),
         host: Name::from("host"),
         prefix: Name::from(prefix),
-        repeat: Repeat::Idempotent,
+        kind: RequestKind::Idempotent,
         timeout: Duration::from_secs(1),
         objective: Duration::from_secs(1),
         gap_objective: None,
@@ -35,7 +35,7 @@
         targets: Vec::new(),
         max_attempts: 1,
         open: false,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
     }
 }
 
@@ -54,7 +54,7 @@
             name: Name::from("w"),
             keys: vec![Name::from("k1"), Name::from("k2")],
             rank: None,
-            homes: Vec::new(),
+            allowed_regions: Vec::new(),
         }]),
     }
 }
@@ -91,18 +91,18 @@
     assert_eq!(to_b, 100);
 }
 
-fn asks_no_keys() {
+fn requires_no_keys() {
     let catalog = Catalog::new(CatalogParts {
         workspaces: None,
         ..parts()
     });
-    assert!(!catalog.asks_keys());
+    assert!(!catalog.requires_keys());
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The look-up finds what a search through all routes finds.
+    /// The look-up finds the same route as a search through all routes.
     #[test]
     fn route_is_the_longest_that_begins_the_path(path in "(/[ab]{0,2}){1,5}") {
         let all = parts().routes;
--- a/fireflycroft/tests/code.rs
+++ b/fireflycroft/tests/code.rs
@@ -1,4 +1,4 @@
-//! The table of result codes in the docs says what the code says.
+//! The documented table of result codes agrees with the code.
 
 use fireflycroft::{Class, Code};
 
@@ -25,7 +25,10 @@
         .lines()
         .filter_map(|line| line.strip_prefix("| ")?.split(' ').next()?.parse().ok());
     for number in numbers {
-        assert!(Code::from_number(number).is_some(), "{number} is no code");
+        assert!(
+            Code::from_number(number).is_some(),
+            "{number} is not a known code"
+        );
     }
 }
 
--- a/fireflycroft/tests/owners.rs
+++ b/fireflycroft/tests/owners.rs
@@ -1,4 +1,4 @@
-//! Who owns what is known of an upstream, and choices by what owners reply.
+//! Ownership of upstreams, and choices based on owners' replies.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -8,7 +8,7 @@
 mod pools;
 
 use fireflycroft::{
-    Digest, Incarnation, Life, Name, Need, OWNERS, OwnedKey, OwnedLoad, Pace, Placed, Pool,
+    Digest, Incarnation, Life, Name, Need, OWNERS_PER_KEY, OwnedKey, OwnedLoad, Pace, Placed, Pool,
     QueryBreadth, Time, UpstreamIx, owners_of,
 };
 use pools::{at, chosen, ix, leaving, need, pool, told};
@@ -22,19 +22,19 @@
     one_entry_alone_owns_all => assert_eq!(owners(&entries(1), "a"), entries(1));
     keys_of_one_name_have_owners_of_their_own => keys_differ();
     owner_replies_the_work_of_the_others => replies_of_others();
-    owner_says_nothing_of_another_life => silent_of_another_life();
+    owner_reports_no_other_incarnation => reports_no_other_incarnation();
     choice_goes_by_fresh_replies => goes_by_replies();
-    owner_that_knows_of_more_is_believed => more_is_believed();
+    higher_reported_load_counts => higher_load_counts();
     upstream_that_an_owner_knows_to_leave_is_left_out => leaving_is_left_out();
     upstream_that_two_entries_could_not_reach_is_left_out => unreachable_is_left_out();
-    few_replies_leave_the_choice_to_what_is_believed => few_replies();
+    few_replies_leave_the_choice_to_own_estimates => few_replies();
     old_reply_no_longer_counts => old_reply();
-    what_an_owner_was_told_goes_before_an_old_reply => told_before_old();
-    upstreams_unheard_of_are_taken_to_be_like_the_others => unheard_are_like_others();
-    all_of_few_upstreams_are_asked_about => asks_about_all();
-    of_many_upstreams_the_best_are_asked_about => asks_about_best();
-    upstreams_that_leave_are_asked_about => asks_about_leaving();
-    entry_that_chooses_often_asks_about_fewer => asks_about_fewer();
+    report_to_an_owner_goes_before_an_old_reply => report_before_old_reply();
+    unknown_upstreams_are_assumed_to_be_like_the_others => unknown_are_like_others();
+    all_of_few_upstreams_are_queried => queries_all();
+    of_many_upstreams_the_best_are_queried => queries_best();
+    departing_upstreams_are_queried => queries_departing();
+    entry_that_chooses_often_queries_fewer => queries_fewer();
     choices_of_many_entries_spread => choices_spread();
 }
 
@@ -53,10 +53,10 @@
     let entries = entries(68);
     let mut owned: HashMap<Ipv4Addr, usize> = HashMap::new();
     for n in 0..6_800 {
-        let of_one = owners(&entries, &format!("i-{n}"));
-        assert_eq!(of_one.len(), OWNERS);
-        assert_ne!(of_one[0], of_one[1]);
-        for owner in of_one {
+        let owners = owners(&entries, &format!("i-{n}"));
+        assert_eq!(owners.len(), OWNERS_PER_KEY);
+        assert_ne!(owners[0], owners[1]);
+        for owner in owners {
             *owned.entry(owner).or_default() += 1;
         }
     }
@@ -69,7 +69,7 @@
     let of = |key| owners_of(key, all.iter().copied()).collect::<Vec<_>>();
     assert_ne!(
         of(OwnedKey::of_upstream("s")),
-        of(OwnedKey::of_repeats("s"))
+        of(OwnedKey::of_retries("s"))
     );
     assert_eq!(
         of(OwnedKey::of_content(Digest(7))),
@@ -77,7 +77,7 @@
     );
 }
 
-fn life(instance: &str) -> Life {
+fn upstream(instance: &str) -> Life {
     Life {
         instance: Name::from(instance),
         incarnation: Incarnation::default(),
@@ -86,7 +86,7 @@
 
 fn load(instance: &str, tokens: u64) -> OwnedLoad {
     OwnedLoad {
-        life: life(instance),
+        upstream: upstream(instance),
         serves: true,
         placed: Placed {
             running: 1,
@@ -97,7 +97,7 @@
     }
 }
 
-/// Takes a reply of an owner at time zero.
+/// Applies a reply of an owner at time zero.
 fn reply(pool: &mut Pool, loads: &[(&str, u64)]) {
     let loads: Vec<OwnedLoad> = loads.iter().map(|(i, tokens)| load(i, *tokens)).collect();
     pool.note_reply(at(0), &Name::from("owner"), &loads);
@@ -109,18 +109,22 @@
     owner.note_others(at(0), &Name::from("y"), &[told("a", 500)], true);
     let a = ix(&owner, "a");
     owner.place(at(0), a, &need(40));
-    let loads = owner.loads_for(at(10), &Name::from("x"), &[life("a"), life("unknown")]);
+    let loads = owner.loads_for(
+        at(10),
+        &Name::from("x"),
+        &[upstream("a"), upstream("unknown")],
+    );
     assert_eq!(loads.len(), 1);
     assert_eq!(loads[0].placed.tokens, 540);
-    let of_long_ago = owner.loads_for(at(9_000), &Name::from("x"), &[life("a")]);
-    assert_eq!(of_long_ago[0].placed.tokens, 40);
+    let expired = owner.loads_for(at(9_000), &Name::from("x"), &[upstream("a")]);
+    assert_eq!(expired[0].placed.tokens, 40);
 }
 
-fn silent_of_another_life() {
+fn reports_no_other_incarnation() {
     let owner = pool(&["a"]);
     let later = Life {
         incarnation: Incarnation(9),
-        ..life("a")
+        ..upstream("a")
     };
     assert!(
         owner
@@ -132,11 +136,11 @@
 fn goes_by_replies() {
     let mut pool = pool(&["a", "b", "c", "d"]);
     reply(&mut pool, &[("a", 6_000), ("b", 2_000), ("c", 4_000)]);
-    // Nothing is known of the fourth one, which may be full.
+    // Nothing is known of the fourth upstream, which may be full.
     assert_eq!(chosen(&pool, at(5), &need(100)), "b");
 }
 
-fn more_is_believed() {
+fn higher_load_counts() {
     let mut pool = pool(&["a", "b", "c"]);
     reply(&mut pool, &[("a", 9_000), ("b", 3_000), ("c", 5_000)]);
     reply(&mut pool, &[("a", 0), ("b", 0), ("c", 0)]);
@@ -145,37 +149,38 @@
 
 fn leaving_is_left_out() {
     let mut pool = pool(&["a", "b", "c"]);
-    let leaves = OwnedLoad {
+    let departing = OwnedLoad {
         serves: false,
         ..load("a", 0)
     };
-    let loads = [leaves, load("b", 3_000), load("c", 5_000)];
+    let loads = [departing, load("b", 3_000), load("c", 5_000)];
     pool.note_reply(at(0), &Name::from("owner"), &loads);
     assert_eq!(chosen(&pool, at(5), &need(100)), "b");
     let mut owner = pools::pool(&["a"]);
     owner.learn(at(0), leaving("a", 9));
-    assert!(!owner.loads_for(at(1), &Name::from("x"), &[life("a")])[0].serves);
+    assert!(!owner.loads_for(at(1), &Name::from("x"), &[upstream("a")])[0].serves);
 }
 
-/// In an outage of the store 325 callers of a day were refused, each because three upstreams in a row
-/// were gone; they stay on the list and look emptier than the others.
+/// Guards against refusals because of unreachable upstreams, which stay on the list during an
+/// outage of the store and look less loaded than the others: in one outage, 325 callers in a day
+/// were refused after three such upstreams in a row.
 fn unreachable_is_left_out() {
     let mut owner = pool(&["a"]);
     let serves =
-        |owner: &Pool, now| owner.loads_for(at(now), &Name::from("x"), &[life("a")])[0].serves;
-    owner.note_unreachable(at(0), &Name::from("y"), &life("a"));
-    owner.note_unreachable(at(10), &Name::from("y"), &life("a"));
+        |owner: &Pool, now| owner.loads_for(at(now), &Name::from("x"), &[upstream("a")])[0].serves;
+    owner.note_unreachable(at(0), &Name::from("y"), &upstream("a"));
+    owner.note_unreachable(at(10), &Name::from("y"), &upstream("a"));
     assert!(serves(&owner, 20), "one entry alone may be cut off from it");
-    owner.note_unreachable(at(20), &Name::from("z"), &life("a"));
+    owner.note_unreachable(at(20), &Name::from("z"), &upstream("a"));
     assert!(!serves(&owner, 30));
-    assert!(serves(&owner, 3_000), "somebody tries again");
+    assert!(serves(&owner, 3_000), "another entry tries again");
     let later = Life {
         incarnation: Incarnation(9),
-        ..life("a")
+        ..upstream("a")
     };
     owner.note_unreachable(at(4_000), &Name::from("y"), &later);
     owner.note_unreachable(at(4_000), &Name::from("z"), &later);
-    assert!(serves(&owner, 4_010), "that was another life");
+    assert!(serves(&owner, 4_010), "that was another incarnation");
 }
 
 fn few_replies() {
@@ -193,14 +198,14 @@
     assert_eq!(pool.view(at(60_000), a).placed.tokens, 0);
 }
 
-fn told_before_old() {
+fn report_before_old_reply() {
     let mut pool = pool(&["a"]);
     reply(&mut pool, &[("a", 9_000)]);
     pool.note_others(at(500), &Name::from("x"), &[told("a", 300)], true);
     assert_eq!(pool.view(at(600), ix(&pool, "a")).placed.tokens, 300);
 }
 
-fn unheard_are_like_others() {
+fn unknown_are_like_others() {
     let mut pool = pool(&["a", "b", "c", "d"]);
     assert!(pool.runs_fill_of(at(5), "models") < 0.01);
     reply(&mut pool, &[("a", 9_000), ("b", 7_000)]);
@@ -208,24 +213,24 @@
     assert!((fill - 0.8).abs() < 0.01, "{fill}");
 }
 
-/// So many engines, `i-0` to the last.
-fn many(count: usize) -> Pool {
+/// Creates a pool of `count` engines, named from `i-0`.
+fn engines_pool(count: usize) -> Pool {
     let names: Vec<String> = (0..count).map(|n| format!("i-{n}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     pool(&names)
 }
 
-fn asked(pool: &Pool, draw: u64, most: usize) -> Vec<UpstreamIx> {
+fn queried(pool: &Pool, draw: u64, most: usize) -> Vec<UpstreamIx> {
     let need = Need { draw, ..need(100) };
     pool.to_query(at(5), "models", &need, &[], most)
 }
 
-fn asks_about_all() {
-    assert_eq!(asked(&many(16), 1, 16).len(), 16);
+fn queries_all() {
+    assert_eq!(queried(&engines_pool(16), 1, 16).len(), 16);
 }
 
-fn asks_about_best() {
-    let mut pool = many(50);
+fn queries_best() {
+    let mut pool = engines_pool(50);
     let loads: Vec<OwnedLoad> = (0..50)
         .map(|n| load(&format!("i-{n}"), 9_000 - n * 100))
         .collect();
@@ -233,41 +238,41 @@
     let best = ix(&pool, "i-49");
     let mut drawn = HashMap::new();
     for draw in 0..200 {
-        let asked = asked(&pool, draw, 16);
-        assert!(asked.len() <= 16 && asked.len() >= 8);
-        assert!(asked.contains(&best));
-        for ix in asked {
+        let queried = queried(&pool, draw, 16);
+        assert!(queried.len() <= 16 && queried.len() >= 8);
+        assert!(queried.contains(&best));
+        for ix in queried {
             *drawn.entry(ix).or_insert(0) += 1;
         }
     }
     assert_eq!(drawn.len(), 50, "others get their turn too");
 }
 
-fn asks_about_leaving() {
-    let mut pool = many(4);
+fn queries_departing() {
+    let mut pool = engines_pool(4);
     pool.learn(at(0), leaving("i-2", 90));
-    let asked = asked(&pool, 1, 16);
-    assert!(asked.contains(&ix(&pool, "i-2")));
+    let queried = queried(&pool, 1, 16);
+    assert!(queried.contains(&ix(&pool, "i-2")));
     let long_after = pool.to_query(at(9_000), "models", &need(1), &[], 16);
     assert_eq!(long_after.len(), 3);
 }
 
-fn asks_about_fewer() {
-    let mut breadth = QueryBreadth::default();
-    let first = breadth.upstreams(at(0));
+fn queries_fewer() {
+    let mut query_limit = QueryBreadth::default();
+    let first = query_limit.upstreams(at(0));
     for n in 0..100 {
-        let asked = breadth.upstreams(at(n * 10));
-        breadth.note_sent(asked * OWNERS);
+        let queried = query_limit.upstreams(at(n * 10));
+        query_limit.note_sent(queried * OWNERS_PER_KEY);
     }
-    let busy = breadth.upstreams(at(1_000));
+    let busy = query_limit.upstreams(at(1_000));
     assert!(busy < first && busy > 1, "{first} {busy}");
-    assert_eq!(breadth.upstreams(at(9_000)), first);
+    assert_eq!(query_limit.upstreams(at(9_000)), first);
 }
 
-/// Entries that each know their own placements and ask owners leave no engine much fuller than the
-/// others, in a fleet of any size. With what a sample of eight entries told a second ago, engines of a
-/// fleet of 68 were overbooked while others stood empty. None is to be overbooked before two thirds of
-/// all memory are spoken for.
+/// Guards against overbooked engines: entries that know only their own placements and query owners
+/// must load the engines evenly at any fleet size. With second-old reports from a sample of eight
+/// entries, some engines of a fleet of 68 were overbooked while others were empty. None may be
+/// overbooked before two thirds of all memory are reserved.
 fn choices_spread() {
     for (entries, engines, per_second) in
         [(1, 12, 20), (5, 18, 17), (68, 60, 55), (350, 650, 3_300)]
@@ -277,20 +282,22 @@
     }
 }
 
-/// Memory of the fullest engine against the mean, when entries have placed eight runs an engine.
+/// Returns the memory of the fullest engine relative to the mean, after the entries have placed
+/// eight runs per engine.
 fn fullest(entries: u32, engines: usize, per_second: usize) -> f64 {
     let ips = self::entries(entries);
-    let mut pools: HashMap<Ipv4Addr, Pool> = ips.iter().map(|ip| (*ip, many(engines))).collect();
-    let mut breadths: HashMap<Ipv4Addr, QueryBreadth> = HashMap::new();
+    let mut pools: HashMap<Ipv4Addr, Pool> =
+        ips.iter().map(|ip| (*ip, engines_pool(engines))).collect();
+    let mut query_limits: HashMap<Ipv4Addr, QueryBreadth> = HashMap::new();
     let mut on_each: HashMap<UpstreamIx, u64> = HashMap::new();
-    let mut told_at = at(0);
+    let mut reported_at = at(0);
     for run in 0..engines * 8 {
         let now = at((run * 1_000 / per_second) as u64);
-        // Every entry tells again what it has placed before it would lapse.
-        if now.since(told_at) >= TELL_EVERY {
-            told_at = now;
+        // Every entry reports its placements again before they would expire.
+        if now.since(reported_at) >= REPORT_INTERVAL {
+            reported_at = now;
             for ip in &ips {
-                tell(&mut pools, &ips, *ip, now, None);
+                report(&mut pools, &ips, *ip, now, None);
             }
         }
         let ip = ips[run * 7 % ips.len()];
@@ -298,19 +305,19 @@
             draw: (run as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15),
             ..need(500)
         };
-        ask(
+        query_owners(
             &mut pools,
             &ips,
             ip,
             now,
             &need,
-            breadths.entry(ip).or_default(),
+            query_limits.entry(ip).or_default(),
         );
         let pool = pools.get_mut(&ip).unwrap();
         let ix = pool.choose(now, "models", &need, &[]).unwrap();
         pool.place(now, ix, &need);
         *on_each.entry(ix).or_default() += need.tokens;
-        tell(&mut pools, &ips, ip, now, Some(ix));
+        report(&mut pools, &ips, ip, now, Some(ix));
     }
     let most = *on_each.values().max().unwrap();
     let all: u64 = on_each.values().sum();
@@ -320,24 +327,26 @@
     }
 }
 
-const TELL_EVERY: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One entry asks the owners of the engines that a choice looks at.
-fn ask(
+/// Queries the owners of the engines considered for a choice.
+fn query_owners(
     pools: &mut HashMap<Ipv4Addr, Pool>,
     ips: &[Ipv4Addr],
     ip: Ipv4Addr,
     now: Time,
     need: &Need,
-    breadth: &mut QueryBreadth,
+    query_limit: &mut QueryBreadth,
 ) {
-    let asked = pools[&ip].to_query(now, "models", need, &[], breadth.upstreams(now));
-    for ix in asked {
-        let life = pools[&ip].record(ix).life();
-        let owners = owners(ips, &life.instance).into_iter().filter(|o| *o != ip);
+    let queried = pools[&ip].to_query(now, "models", need, &[], query_limit.upstreams(now));
+    for ix in queried {
+        let upstream = pools[&ip].record(ix).life();
+        let owners = owners(ips, &upstream.instance)
+            .into_iter()
+            .filter(|o| *o != ip);
         for owner in owners {
-            breadth.note_sent(1);
-            let loads = pools[&owner].loads_for(now, &name(ip), std::slice::from_ref(&life));
+            query_limit.note_sent(1);
+            let loads = pools[&owner].loads_for(now, &name(ip), std::slice::from_ref(&upstream));
             pools
                 .get_mut(&ip)
                 .unwrap()
@@ -346,8 +355,8 @@
     }
 }
 
-/// One entry tells the owners of an engine, or of all, what it has placed there.
-fn tell(
+/// Reports to the owners of one engine, or of all, what an entry has placed there.
+fn report(
     pools: &mut HashMap<Ipv4Addr, Pool>,
     ips: &[Ipv4Addr],
     ip: Ipv4Addr,
@@ -370,17 +379,16 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// An entry that goes changes the owners of what it owned alone, in whatever order the others
-    /// are known.
+    /// A leaving entry changes the owners of its own keys only, whatever the order of the entries.
     #[test]
     fn entry_that_goes_leaves_other_keys_alone(count in 3_u32..120, gone in 0_usize..120, key: u64) {
         let all = entries(count);
         let gone = all[gone % all.len()];
-        let left: Vec<Ipv4Addr> = all.iter().rev().filter(|ip| **ip != gone).copied().collect();
+        let remaining: Vec<Ipv4Addr> = all.iter().rev().filter(|ip| **ip != gone).copied().collect();
         let before = owners(&all, &key.to_string());
-        let after = owners(&left, &key.to_string());
-        prop_assert_eq!(after.len(), OWNERS);
-        let stays: Vec<Ipv4Addr> = before.iter().filter(|ip| **ip != gone).copied().collect();
-        prop_assert_eq!(&after[..stays.len()], &stays[..]);
+        let after = owners(&remaining, &key.to_string());
+        prop_assert_eq!(after.len(), OWNERS_PER_KEY);
+        let kept: Vec<Ipv4Addr> = before.iter().filter(|ip| **ip != gone).copied().collect();
+        prop_assert_eq!(&after[..kept.len()], &kept[..]);
     }
 }
--- a/fireflycroft/tests/support/oracle.rs
+++ b/fireflycroft/tests/support/oracle.rs
@@ -110,10 +110,10 @@
 
 /// Returns whether a refusal is temporary, so that it must carry a retry time.
 fn is_temporary(code: Code) -> bool {
-    use Code::{ClaimUnavailable, ConfigBehind, Leaving, NoUpstream, NotReady, Overloaded};
+    use Code::{ClaimUnavailable, ConfigOutdated, Leaving, NoUpstream, NotReady, Overloaded};
     let temporary = [
         ClaimUnavailable,
-        ConfigBehind,
+        ConfigOutdated,
         Leaving,
         NoUpstream,
         NotReady,
--- a/fireflyd/src/entry.rs
+++ b/fireflyd/src/entry.rs
@@ -5,8 +5,8 @@
 
 use fireflycroft::{
     CallId, Config, ConfigVersion, Entry, EntryAction, EntryEvent, EntrySetup, Envelope,
-    LeaseAnswer, LeaseCall, LeaseTimings, Measured, Message, PlacementLimits, Priority, Reply,
-    Time, Vm,
+    LeaseAnswer, LeaseCall, LeaseTimings, MeasuredRequest, Message, PlacementLimits, Priority,
+    Reply, Time, Vm,
 };
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
@@ -405,7 +405,7 @@
     }
 }
 
-fn count(metrics: &Metrics, measured: &Measured) {
+fn count(metrics: &Metrics, measured: &MeasuredRequest) {
     let priority = match measured.priority {
         Priority::Interactive => "interactive",
         Priority::Batch => "batch",
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -11,9 +11,9 @@
 use crate::questions::Questions;
 use crate::runs::Runs;
 use fireflycroft::{
-    ALL_HEARD_AFTER, Catalog, Digest, Evacuations, FleetView, LengthGuess, Life, Policy, Pool,
-    PoolChange, Quarantine, QueryBreadth, Refusal, Regions, RepeatBudget, Returns, Time,
-    UpstreamIx, WatchDuty, Yields,
+    Catalog, Digest, Evacuations, FULL_VIEW_AFTER, FleetView, LengthGuess, Life, Policy, Pool,
+    PoolChange, Quarantine, QueryBreadth, Refusal, Regions, ReturningCallers, SharedRetryBudget,
+    Time, UpstreamIx, WatcherRole, Yields,
 };
 use fireflycroft_platform::{Place, StoreObject};
 use std::cell::{Cell, RefCell};
@@ -55,11 +55,11 @@
     /// Upstreams.
     pub pool: RefCell<Pool>,
     /// Budget of repeats.
-    pub budget: RefCell<RepeatBudget>,
+    pub budget: RefCell<SharedRetryBudget>,
     /// Content that crashes upstreams.
     pub quarantine: RefCell<Quarantine>,
     /// Callers who were refused and come back.
-    pub returns: RefCell<Returns>,
+    pub returns: RefCell<ReturningCallers>,
     /// Lengths of answers.
     pub lengths: RefCell<LengthGuess>,
     /// What generations bring for the memory that they hold.
@@ -77,7 +77,7 @@
     /// How many upstreams a choice asks about.
     pub breadth: RefCell<QueryBreadth>,
     /// Whether this entry watches the store for the others.
-    pub duty: RefCell<WatchDuty>,
+    pub duty: RefCell<WatcherRole>,
     /// Rings when that has changed.
     pub duty_changed: Notify,
     /// Kinds of objects that are being read from any copy of the store.
@@ -142,7 +142,7 @@
         if let Some(limits) = place.bounds.cold {
             pool.set_cold_limits(&place.vm, limits);
         }
-        let budget = RepeatBudget::new(place.bounds.repeats);
+        let budget = SharedRetryBudget::new(place.bounds.repeats);
         let peers = Peers::new(&place);
         let metrics = Metrics::new()?;
         Ok(Self {
@@ -163,7 +163,7 @@
             datagrams: Datagrams::new(place.peer_ports.0, metrics.clone()),
             questions: Questions::default(),
             breadth: RefCell::default(),
-            duty: RefCell::new(WatchDuty::new(place.ip, begins_to_watch(&place))),
+            duty: RefCell::new(WatcherRole::new(place.ip, begins_to_watch(&place))),
             duty_changed: Notify::new(),
             copies_read: Cell::new(0),
             store_answers: Cell::new(false),
@@ -233,7 +233,7 @@
 
     /// Tells the pool who the entries are.
     pub fn review_fleet(&self) {
-        let has_just_started = self.now().since(Time::default()) < ALL_HEARD_AFTER;
+        let has_just_started = self.now().since(Time::default()) < FULL_VIEW_AFTER;
         let fleet = if has_just_started {
             FleetView::unknown(self.place.ip)
         } else {
@@ -387,7 +387,7 @@
     /// Notes that a caller was refused for lack of room and told to come back.
     pub fn note_refused(&self, content: Digest) {
         let now = self.now();
-        self.returns.borrow_mut().note_refused(now, content);
+        self.returns.borrow_mut().record_refusal(now, content);
         let age = Duration::ZERO;
         self.refused.borrow_mut().push(Refusal { content, age });
         self.to_report.notify_one();
