--- a/fireflycroft/src/admit.rs
+++ b/fireflycroft/src/admit.rs
@@ -8,9 +8,9 @@
 //! within a bound; a batch request that has waited long is kept room for.
 
 use crate::length::{LengthKey, Lengths, Survival};
+use crate::memory_forecast::MemoryForecast;
 use crate::message::Load;
 use crate::offer::{AdmitPolicy, Capacity, OfferId, UpstreamReport, Verdict};
-use crate::outlook::Outlook;
 use crate::time::Time;
 use crate::work::{Demand, Priority};
 use std::cmp::Reverse;
@@ -24,7 +24,7 @@
     since: Time,
     until: Time,
     /// Memory that it will need once it runs.
-    outlook: Outlook,
+    outlook: MemoryForecast,
 }
 
 #[derive(Clone, Debug)]
@@ -40,19 +40,19 @@
 /// Outlooks of requests of late, by priority.
 #[derive(Clone, Copy, Debug, Default)]
 struct Typical {
-    interactive: Outlook,
-    batch: Outlook,
+    interactive: MemoryForecast,
+    batch: MemoryForecast,
 }
 
 impl Typical {
-    const fn of(&self, priority: Priority) -> &Outlook {
+    const fn of(&self, priority: Priority) -> &MemoryForecast {
         match priority {
             Priority::Interactive => &self.interactive,
             Priority::Batch => &self.batch,
         }
     }
 
-    const fn of_mut(&mut self, priority: Priority) -> &mut Outlook {
+    const fn of_mut(&mut self, priority: Priority) -> &mut MemoryForecast {
         match priority {
             Priority::Interactive => &mut self.interactive,
             Priority::Batch => &mut self.batch,
@@ -73,7 +73,7 @@
     /// Time that one token of a prompt takes.
     prefill: Duration,
     report: UpstreamReport,
-    outlook: Outlook,
+    outlook: MemoryForecast,
     /// Tokens produced since the outlook was made.
     stale: u64,
 }
@@ -145,7 +145,7 @@
             step: Duration::ZERO,
             prefill: Duration::ZERO,
             report: UpstreamReport::default(),
-            outlook: Outlook::default(),
+            outlook: MemoryForecast::default(),
             stale: 0,
         }
     }
@@ -291,7 +291,7 @@
     }
 
     /// Time until those ahead and one more find room.
-    fn wait_of(&self, priority: Priority, own: &Outlook) -> Duration {
+    fn wait_of(&self, priority: Priority, own: &MemoryForecast) -> Duration {
         let mut more = *own;
         let ahead = |w: &&Waiting| w.demand.priority >= priority;
         for w in self.waiting.iter().filter(ahead) {
@@ -349,7 +349,7 @@
     }
 
     /// Whether a batch request that has waited long still finds its room.
-    fn leaves_room_for_aged(&self, now: Time, own: &Outlook) -> bool {
+    fn leaves_room_for_aged(&self, now: Time, own: &MemoryForecast) -> bool {
         let aged = |w: &&Waiting| w.demand.priority == Priority::Batch && is_aged(now, w);
         let Some(aged) = self.waiting.iter().filter(aged).min_by_key(|w| w.since) else {
             return true;
@@ -378,9 +378,9 @@
         }
     }
 
-    fn outlook_of(&self, demand: &Demand) -> Outlook {
+    fn outlook_of(&self, demand: &Demand) -> MemoryForecast {
         let survival = self.lengths.survival(&LengthKey::of(demand));
-        Outlook::of(&survival, demand.prompt_tokens, 0, demand.max_tokens)
+        MemoryForecast::of(&survival, demand.prompt_tokens, 0, demand.max_tokens)
     }
 
     /// Makes the outlook anew when much has changed since.
@@ -390,12 +390,12 @@
         }
         self.stale = 0;
         let mut known: HashMap<&LengthKey, Survival> = HashMap::new();
-        let mut outlook = Outlook::default();
+        let mut outlook = MemoryForecast::default();
         for a in self.admitted.values() {
             let survival = known
                 .entry(&a.key)
                 .or_insert_with(|| self.lengths.survival(&a.key));
-            outlook.add(&Outlook::of(survival, a.prompt, a.produced, a.limit));
+            outlook.add(&MemoryForecast::of(survival, a.prompt, a.produced, a.limit));
         }
         self.outlook = outlook;
     }
--- a/fireflycroft/src/cold.rs
+++ b/fireflycroft/src/cold.rs
@@ -45,12 +45,12 @@
         clippy::cast_sign_loss,
         clippy::cast_precision_loss
     )]
-    fn most(&self, entries: usize, upstream: &Name, per_second: f64) -> usize {
+    fn max_requests(&self, entries: usize, upstream: &Name, per_second: f64) -> usize {
         let Some(limits) = self.limits else {
             return usize::MAX;
         };
         let bound = per_second * limits.overshoot + limits.slack;
-        let share = mean_below(bound) / entries.max(1) as f64;
+        let share = mean_for_bound(bound) / entries.max(1) as f64;
         let whole = share.floor();
         let drawn = self.draw(upstream) < share - whole;
         whole as usize + usize::from(drawn)
@@ -65,7 +65,7 @@
 }
 
 /// The mean of a number of drawn entries that stays below `bound` by [`DEVIATIONS`].
-fn mean_below(bound: f64) -> f64 {
+fn mean_for_bound(bound: f64) -> f64 {
     let root = ((DEVIATIONS * DEVIATIONS + 4.0 * bound).sqrt() - DEVIATIONS) / 2.0;
     root * root
 }
@@ -94,16 +94,16 @@
     }
 
     /// Whether an upstream is cold and has this entry's share of requests for now.
-    pub(crate) fn has_cold_share_spent(&self, now: Time, u: &Upstream) -> bool {
+    pub(crate) fn is_cold_share_exhausted(&self, now: Time, u: &Upstream) -> bool {
         if u.cold_until <= now {
             return false;
         }
         let rate = self.cold_rate_of.get(&u.record.service);
         rate.is_some_and(|rate| {
-            let most = self
-                .cold
-                .most(self.fleet.entries(), &u.record.instance, *rate);
-            u.sent_lately.count(now, COLD_SPAN) >= most
+            let max_requests =
+                self.cold
+                    .max_requests(self.fleet.entries(), &u.record.instance, *rate);
+            u.sent_requests.count(now, COLD_SPAN) >= max_requests
         })
     }
 }
--- a/fireflycroft/src/evacuation.rs
+++ b/fireflycroft/src/evacuation.rs
@@ -45,33 +45,33 @@
 
     /// Takes a list of evacuated data centres unless it is not newer than the one in force; true when
     /// other data centres are evacuated than before.
-    pub fn take_evacuations(&mut self, now: Time, told: Evacuations) -> bool {
+    pub fn apply_evacuations(&mut self, now: Time, received: Evacuations) -> bool {
         let held = &self.evacuations;
-        if told.revision <= held.revision {
+        if received.revision <= held.revision {
             return false;
         }
-        let changed = told.data_centres != held.data_centres;
-        if era_of(told.revision) > era_of(held.revision) && !self.is_settled(now) {
-            let lost = held.data_centres.difference(&told.data_centres);
-            self.doubted_evacuations.extend(lost.cloned());
+        let changed = received.data_centres != held.data_centres;
+        if era_of(received.revision) > era_of(held.revision) && !self.is_settled(now) {
+            let lost = held.data_centres.difference(&received.data_centres);
+            self.unconfirmed_evacuations.extend(lost.cloned());
         }
-        self.evacuations = told;
+        self.evacuations = received;
         changed
     }
 
     /// Believes the list of a store that has come back from a copy.
-    pub(crate) fn end_doubted_evacuations(&mut self) {
-        self.doubted_evacuations.clear();
+    pub(crate) fn clear_unconfirmed_evacuations(&mut self) {
+        self.unconfirmed_evacuations.clear();
     }
 
-    pub(crate) fn takes_nothing_new(&self, data_centre: &Name) -> bool {
+    pub(crate) fn is_closed_to_new_work(&self, data_centre: &Name) -> bool {
         let listed = &self.evacuations.data_centres;
-        listed.contains(data_centre) || self.doubted_evacuations.contains(data_centre)
+        listed.contains(data_centre) || self.unconfirmed_evacuations.contains(data_centre)
     }
 
     /// Whether an upstream stands in a data centre that is evacuated.
     #[must_use]
     pub fn is_evacuated(&self, ix: UpstreamIx) -> bool {
-        self.takes_nothing_new(&self.record(ix).data_centre)
+        self.is_closed_to_new_work(&self.record(ix).data_centre)
     }
 }
--- a/fireflycroft/src/leaving.rs
+++ b/fireflycroft/src/leave_notice.rs
@@ -8,27 +8,27 @@
 use crate::listing::PoolChange;
 use crate::pool::Pool;
 use crate::time::Time;
-use crate::upstream::{Life, Upstream, UpstreamIx, longest_untold};
+use crate::upstream::{Life, Upstream, UpstreamIx, least_recently_announced};
 
 /// Upstreams told at a time; more take turns.
-const MAX_TOLD: usize = 4;
+const MAX_ANNOUNCED: usize = 4;
 
 /// That an upstream said that it leaves.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct SaidLeaving {
-    has_said: bool,
+pub(crate) struct LeaveNotice {
+    is_received: bool,
     /// When it was told to other entries last.
-    told_at: Option<Time>,
+    announced_at: Option<Time>,
 }
 
 impl Pool {
     /// Takes an upstream's word in an answer that it leaves; tells whether that is news.
-    pub fn note_said_leaving(&mut self, now: Time, ix: UpstreamIx) -> Option<PoolChange> {
+    pub fn record_leave_notice(&mut self, now: Time, ix: UpstreamIx) -> Option<PoolChange> {
         let u = &mut self.upstreams[ix.0];
-        if u.said_leaving.has_said {
+        if u.leave_notice.is_received {
             return None;
         }
-        u.said_leaving.has_said = true;
+        u.leave_notice.is_received = true;
         if u.left_at.is_some() {
             return None;
         }
@@ -37,30 +37,31 @@
     }
 
     /// Takes the same from another entry that has heard it.
-    pub fn take_said_leaving(&mut self, now: Time, life: &Life) -> Option<PoolChange> {
+    pub fn apply_leave_notice(&mut self, now: Time, life: &Life) -> Option<PoolChange> {
         let ix = self.find(&life.instance)?;
         if self.record(ix).incarnation != life.incarnation {
             return None;
         }
-        self.note_said_leaving(now, ix)
+        self.record_leave_notice(now, ix)
     }
 
     /// Upstreams that said so and that the list has as serving, to tell the others; the longest untold
     /// first.
-    pub fn tell_said_leaving(&mut self, now: Time) -> Vec<Life> {
-        let said = self.upstreams.iter_mut();
-        let said = said.filter(|u| u.said_leaving.has_said && u.is_listed_as_serving());
-        let told = longest_untold(said, |u| u.said_leaving.told_at, MAX_TOLD);
-        let tell = |u: &mut Upstream| {
-            u.said_leaving.told_at = Some(now);
+    pub fn leave_notices_to_announce(&mut self, now: Time) -> Vec<Life> {
+        let noticed = self.upstreams.iter_mut();
+        let noticed = noticed.filter(|u| u.leave_notice.is_received && u.is_listed_as_serving());
+        let announced =
+            least_recently_announced(noticed, |u| u.leave_notice.announced_at, MAX_ANNOUNCED);
+        let announce = |u: &mut Upstream| {
+            u.leave_notice.announced_at = Some(now);
             u.record.life()
         };
-        told.into_iter().map(tell).collect()
+        announced.into_iter().map(announce).collect()
     }
 }
 
 impl Upstream {
-    pub(crate) const fn has_said_leaving(&self) -> bool {
-        self.said_leaving.has_said
+    pub(crate) const fn has_sent_leave_notice(&self) -> bool {
+        self.leave_notice.is_received
     }
 }
--- a/fireflycroft/src/listing.rs
+++ b/fireflycroft/src/listing.rs
@@ -9,13 +9,13 @@
 //! beside it, so that whatever still refers to the old life finds it ended.
 
 use crate::ids::{Digest, Name};
-use crate::leaving::SaidLeaving;
+use crate::leave_notice::LeaveNotice;
 use crate::pace::SeenPace;
 use crate::placed::Placed;
 use crate::pool::Pool;
 use crate::rate_limit::KnownRate;
 use crate::revision::era_of;
-use crate::sent_lately::SentLately;
+use crate::sent_requests::SentRequests;
 use crate::time::Time;
 use crate::upstream::{Upstream, UpstreamIx, UpstreamRecord, UpstreamState};
 use std::collections::{HashMap, HashSet};
@@ -215,12 +215,12 @@
             memory_tokens: self.memory_of.get(&record.service).copied(),
             met_at: record.revision,
             record,
-            sent_lately: SentLately::default(),
+            sent_requests: SentRequests::default(),
             rate: KnownRate::default(),
             gone: false,
             ended: false,
             left_at: leaving.then_some(now),
-            said_leaving: SaidLeaving::default(),
+            leave_notice: LeaveNotice::default(),
             missing: None,
             mine: Placed::default(),
             others: HashMap::new(),
--- a/fireflycroft/src/outlook.rs
+++ b/fireflycroft/src/memory_forecast.rs
@@ -24,31 +24,31 @@
 
 /// Mean and variance of the memory needed at each moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Outlook {
+pub struct MemoryForecast {
     mean: [f64; POINTS],
     variance: [f64; POINTS],
     /// Memory in use now that is free again at each moment.
     freed: [f64; POINTS],
 }
 
-impl Outlook {
+impl MemoryForecast {
     /// Outlook of one generation that has `produced` tokens.
     #[must_use]
     pub fn of(survival: &Survival, prompt: u32, produced: u64, limit: u32) -> Self {
-        let mut outlook = Self::default();
+        let mut forecast = Self::default();
         let held = to_f64(u64::from(prompt) + produced);
         for (i, steps) in HORIZONS.into_iter().enumerate() {
-            let lives = if steps > 0 && produced + steps >= u64::from(limit) {
+            let survives = if steps > 0 && produced + steps >= u64::from(limit) {
                 0.0
             } else {
                 survival.beyond(produced, steps)
             };
             let memory = held + to_f64(steps);
-            outlook.mean[i] = lives * memory;
-            outlook.variance[i] = lives * (1.0 - lives) * memory * memory;
-            outlook.freed[i] = (1.0 - lives) * held;
+            forecast.mean[i] = survives * memory;
+            forecast.variance[i] = survives * (1.0 - survives) * memory * memory;
+            forecast.freed[i] = (1.0 - survives) * held;
         }
-        outlook
+        forecast
     }
 
     /// Adds another outlook; chances are taken to be independent.
--- a/fireflycroft/src/missing.rs
+++ b/fireflycroft/src/missing.rs
@@ -128,7 +128,7 @@
         if !self.is_settled(now) {
             return Vec::new();
         }
-        self.end_doubted_evacuations();
+        self.clear_unconfirmed_evacuations();
         let missing = self.upstreams.iter().filter(|u| !u.gone);
         let missing = missing.filter_map(|u| Some((u.record.instance.clone(), u.missing?)));
         let missing: Vec<(Name, Missing)> = missing.collect();
--- a/fireflycroft/src/pool.rs
+++ b/fireflycroft/src/pool.rs
@@ -15,7 +15,7 @@
 use crate::mechanism::Policy;
 use crate::pace::Pace;
 use crate::placed::{Need, Placed};
-use crate::rate_limit::LONGEST_RATE_SPAN;
+use crate::rate_limit::MAX_RATE_SPAN;
 use crate::region::Regions;
 use crate::time::Time;
 use crate::upstream::{
@@ -55,7 +55,7 @@
     pub(crate) cold_rate_of: HashMap<Name, f64>,
     pub(crate) evacuations: Evacuations,
     /// Data centres that were evacuated when the store came back from a copy that doesn't say so.
-    pub(crate) doubted_evacuations: BTreeSet<Name>,
+    pub(crate) unconfirmed_evacuations: BTreeSet<Name>,
 }
 
 /// Upstreams of a service beyond which a choice looks at a sample of so many.
@@ -138,12 +138,12 @@
     }
 
     /// Notes that a request is about to be sent to an upstream.
-    pub fn note_sending(&mut self, now: Time, ix: UpstreamIx) {
+    pub fn record_sending(&mut self, now: Time, ix: UpstreamIx) {
         let u = &mut self.upstreams[ix.0];
         if u.rate.is_known() {
-            u.sent_lately.note(now, LONGEST_RATE_SPAN);
+            u.sent_requests.record(now, MAX_RATE_SPAN);
         } else if self.cold_rate_of.contains_key(&u.record.service) {
-            u.sent_lately.note(now, COLD_SPAN);
+            u.sent_requests.record(now, COLD_SPAN);
         }
     }
 
@@ -359,7 +359,7 @@
         let takes = move |i: &usize| {
             let u = &self.upstreams[*i];
             let is_home = self.is_home(homes, &u.record.data_centre);
-            is_home && self.withheld_of(now, u).is_none() && !tried.contains(&UpstreamIx(*i))
+            is_home && self.withheld_reason(now, u).is_none() && !tried.contains(&UpstreamIx(*i))
         };
         self.serving(service).filter(takes)
     }
@@ -393,7 +393,7 @@
 
     /// Whether an upstream is in a data centre that takes nothing new.
     fn is_closed(&self, u: &Upstream) -> bool {
-        self.takes_nothing_new(&u.record.data_centre)
+        self.is_closed_to_new_work(&u.record.data_centre)
     }
 
     fn least_cost(
--- a/fireflycroft/src/breadth.rs
+++ b/fireflycroft/src/query_budget.rs
@@ -8,47 +8,47 @@
 use crate::time::Time;
 
 /// Questions that an entry sends a second in the long run.
-const PER_SECOND: f64 = 128.0;
+const QUERIES_PER_SECOND: f64 = 128.0;
 
 /// Questions that may have been saved up: those of a second.
-const MOST_SAVED: f64 = PER_SECOND;
+const MAX_AVAILABLE: f64 = QUERIES_PER_SECOND;
 
 /// Most upstreams that one choice asks about.
-const MOST: usize = 64;
+const MAX_CANDIDATES: usize = 64;
 
 /// Least of them, however many choices there are.
-const LEAST: usize = 4;
+const MIN_CANDIDATES: usize = 4;
 
 /// Questions that an entry may send.
 #[derive(Clone, Copy, Debug)]
-pub struct QueryBreadth {
-    saved: f64,
+pub struct QueryBudget {
+    available: f64,
     at: Time,
 }
 
-impl Default for QueryBreadth {
+impl Default for QueryBudget {
     fn default() -> Self {
         Self {
-            saved: MOST_SAVED,
+            available: MAX_AVAILABLE,
             at: Time::default(),
         }
     }
 }
 
-impl QueryBreadth {
+impl QueryBudget {
     /// Upstreams that a choice asks about now.
-    pub fn upstreams(&mut self, now: Time) -> usize {
-        let gained = now.since(self.at).as_secs_f64() * PER_SECOND;
+    pub fn candidate_count(&mut self, now: Time) -> usize {
+        let gained = now.since(self.at).as_secs_f64() * QUERIES_PER_SECOND;
         self.at = now;
-        self.saved = (self.saved + gained).min(MOST_SAVED);
+        self.available = (self.available + gained).min(MAX_AVAILABLE);
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let affordable = self.saved as usize / crate::owners::OWNERS;
-        affordable.clamp(LEAST, MOST)
+        let affordable = self.available as usize / crate::owners::OWNERS;
+        affordable.clamp(MIN_CANDIDATES, MAX_CANDIDATES)
     }
 
     /// Notes so many questions as sent.
     #[allow(clippy::cast_precision_loss)]
-    pub fn note_sent(&mut self, questions: usize) {
-        self.saved = (self.saved - questions as f64).max(0.0);
+    pub fn record_sent(&mut self, queries: usize) {
+        self.available = (self.available - queries as f64).max(0.0);
     }
 }
--- a/fireflycroft/src/rate_limit.rs
+++ b/fireflycroft/src/rate_limit.rs
@@ -15,7 +15,7 @@
 use crate::owners::OwnedKey;
 use crate::pool::Pool;
 use crate::time::Time;
-use crate::upstream::{Life, Upstream, UpstreamIx, longest_untold};
+use crate::upstream::{Life, Upstream, UpstreamIx, least_recently_announced};
 use std::fmt;
 use std::time::Duration;
 
@@ -61,14 +61,14 @@
 
 /// Shortest span in which requests to a limited upstream are counted; most are a little longer, so that
 /// a whole number of requests makes up the rate.
-const SPAN: Duration = Duration::from_secs(4);
+const MIN_SPAN: Duration = Duration::from_secs(4);
 
 /// Requests of the fleet that every rate has room for, in a longer span if need be: their answers tell
 /// when it has been lifted.
-const LEAST: f64 = 2.0;
+const MIN_REQUESTS: f64 = 2.0;
 
 /// Longest span, for rates of next to nothing.
-pub(crate) const LONGEST_RATE_SPAN: Duration = Duration::from_secs(20);
+pub(crate) const MAX_RATE_SPAN: Duration = Duration::from_secs(20);
 
 /// Requests of the whole fleet to one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,8 +80,10 @@
 impl Allowance {
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     fn of(limit: RateLimit) -> Self {
-        let requests = (limit.per_second() * SPAN.as_secs_f64()).ceil().max(LEAST);
-        let span = (requests / limit.per_second()).min(LONGEST_RATE_SPAN.as_secs_f64());
+        let requests = (limit.per_second() * MIN_SPAN.as_secs_f64())
+            .ceil()
+            .max(MIN_REQUESTS);
+        let span = (requests / limit.per_second()).min(MAX_RATE_SPAN.as_secs_f64());
         Self {
             requests: requests as usize,
             span: Duration::from_secs_f64(span),
@@ -106,11 +108,11 @@
 }
 
 /// Rates told at a time; more take turns.
-const MAX_TOLD: usize = 4;
+const MAX_ANNOUNCED: usize = 4;
 
 /// Time for which it is told that an upstream takes any rate again: tellings reach all entries of a
 /// large fleet within a few seconds.
-const LIFTED_TOLD_FOR: Duration = Duration::from_secs(10);
+const LIFTED_ANNOUNCED_FOR: Duration = Duration::from_secs(10);
 
 /// What is known of an upstream's rate.
 #[derive(Clone, Copy, Debug, Default)]
@@ -120,7 +122,7 @@
     as_of: Option<Time>,
     changed_at: Time,
     /// When it was told last, if it was since it changed.
-    told_at: Option<Time>,
+    announced_at: Option<Time>,
 }
 
 /// A rate that an upstream names, and the one before.
@@ -135,7 +137,7 @@
 impl Pool {
     /// Takes the rate that an upstream named, or didn't name, in the answer to a request of `sent`;
     /// tells whether it is another one than before.
-    pub fn note_rate_limit(
+    pub fn record_rate_limit(
         &mut self,
         now: Time,
         ix: UpstreamIx,
@@ -143,39 +145,44 @@
         named: Option<RateLimit>,
     ) -> Option<RateChange> {
         let as_of = if named.is_some() { now } else { sent };
-        self.upstreams[ix.0].rate.take(now, as_of, named)
+        self.upstreams[ix.0].rate.apply(now, as_of, named)
     }
 
     /// Takes a rate that another entry told; tells whether it is another one than before.
-    pub fn take_rate(&mut self, now: Time, told: &ToldRate) -> Option<(UpstreamIx, RateChange)> {
-        let ix = self.find(&told.life.instance)?;
+    pub fn apply_rate(
+        &mut self,
+        now: Time,
+        announced: &ToldRate,
+    ) -> Option<(UpstreamIx, RateChange)> {
+        let ix = self.find(&announced.life.instance)?;
         let u = &mut self.upstreams[ix.0];
-        if u.record.incarnation != told.life.incarnation {
+        if u.record.incarnation != announced.life.incarnation {
             return None;
         }
-        let change = u.rate.take(now, now - told.age, told.limit)?;
+        let change = u.rate.apply(now, now - announced.age, announced.limit)?;
         Some((ix, change))
     }
 
     /// Rates to tell the others now: those in force and those lifted of late, the longest untold
     /// first.
-    pub fn tell_rates(&mut self, now: Time) -> Vec<ToldRate> {
+    pub fn rates_to_announce(&mut self, now: Time) -> Vec<ToldRate> {
         let known = self.upstreams.iter_mut().filter(|u| !u.gone);
-        let news = known.filter(|u| u.rate.is_news(now));
-        let told = longest_untold(news, |u| u.rate.told_at, MAX_TOLD);
-        let told = told.into_iter().filter_map(|u| {
-            u.rate.told_at = Some(now);
+        let to_announce = known.filter(|u| u.rate.needs_announcement(now));
+        let announced =
+            least_recently_announced(to_announce, |u| u.rate.announced_at, MAX_ANNOUNCED);
+        let announced = announced.into_iter().filter_map(|u| {
+            u.rate.announced_at = Some(now);
             Some(ToldRate {
                 life: u.record.life(),
                 limit: u.rate.limit,
                 age: now.since(u.rate.as_of?),
             })
         });
-        told.collect()
+        announced.collect()
     }
 
     /// Whether an upstream names a rate and has had this entry's share of requests for now.
-    pub(crate) fn has_rate_share_spent(&self, now: Time, u: &Upstream) -> bool {
+    pub(crate) fn is_rate_share_exhausted(&self, now: Time, u: &Upstream) -> bool {
         self.until_rate_share(now, u)
             .is_some_and(|wait| wait > Duration::ZERO)
     }
@@ -185,7 +192,7 @@
     pub(crate) fn until_rate_share(&self, now: Time, u: &Upstream) -> Option<Duration> {
         let allowance = Allowance::of(u.rate.limit?);
         let share = allowance.share(&self.fleet, &u.record.instance);
-        let wait = u.sent_lately.until_fewer(now, share, allowance.span);
+        let wait = u.sent_requests.until_fewer(now, share, allowance.span);
         Some(wait.unwrap_or(allowance.span))
     }
 
@@ -198,9 +205,9 @@
 
 impl KnownRate {
     /// Takes a word that counts from `as_of`, unless a later one is known.
-    fn take(&mut self, now: Time, as_of: Time, limit: Option<RateLimit>) -> Option<RateChange> {
-        let says_nothing = self.limit.is_none() && limit.is_none();
-        if says_nothing || self.as_of.is_some_and(|known| as_of <= known) {
+    fn apply(&mut self, now: Time, as_of: Time, limit: Option<RateLimit>) -> Option<RateChange> {
+        let stays_unlimited = self.limit.is_none() && limit.is_none();
+        if stays_unlimited || self.as_of.is_some_and(|known| as_of <= known) {
             return None;
         }
         self.as_of = Some(as_of);
@@ -209,7 +216,7 @@
             return None;
         }
         self.changed_at = now;
-        self.told_at = None;
+        self.announced_at = None;
         Some(RateChange { was, is: limit })
     }
 
@@ -224,9 +231,9 @@
     }
 
     /// Whether other entries may not have heard of it.
-    fn is_news(&self, now: Time) -> bool {
-        let is_lifted_of_late =
-            self.as_of.is_some() && now.since(self.changed_at) < LIFTED_TOLD_FOR;
-        self.limit.is_some() || is_lifted_of_late
+    fn needs_announcement(&self, now: Time) -> bool {
+        let is_lifted_recently =
+            self.as_of.is_some() && now.since(self.changed_at) < LIFTED_ANNOUNCED_FOR;
+        self.limit.is_some() || is_lifted_recently
     }
 }
--- a/fireflycroft/src/region.rs
+++ b/fireflycroft/src/region.rs
@@ -35,7 +35,9 @@
         for (data_centre, region) in data_centres {
             let next = u32::try_from(regions.numbers.len()).unwrap_or(u32::MAX);
             let number = *regions.numbers.entry(region).or_insert(next);
-            regions.of_data_centre.insert(data_centre, only(number));
+            regions
+                .of_data_centre
+                .insert(data_centre, singleton(number));
         }
         regions
     }
@@ -48,19 +50,19 @@
             return None;
         }
         let known = names.iter().filter_map(|name| self.numbers.get(name));
-        let set = known.fold(0, |set, number| set | only(*number).0);
+        let set = known.fold(0, |set, number| set | singleton(*number).0);
         Some(RegionSet(set))
     }
 
     /// Whether a data centre is in one of the regions; one that isn't known is in none.
-    fn holds(&self, homes: RegionSet, data_centre: &Name) -> bool {
+    fn contains(&self, homes: RegionSet, data_centre: &Name) -> bool {
         let region = self.of_data_centre.get(data_centre);
         region.is_some_and(|region| homes.and(*region).0 != 0)
     }
 }
 
 /// The set of one region; beyond the 64th, the empty one.
-const fn only(number: u32) -> RegionSet {
+const fn singleton(number: u32) -> RegionSet {
     match 1_u64.checked_shl(number) {
         Some(bit) => RegionSet(bit),
         None => RegionSet(0),
@@ -85,6 +87,6 @@
     }
 
     pub(crate) fn is_home(&self, homes: Option<RegionSet>, data_centre: &Name) -> bool {
-        homes.is_none_or(|homes| self.regions.holds(homes, data_centre))
+        homes.is_none_or(|homes| self.regions.contains(homes, data_centre))
     }
 }
--- a/fireflycroft/src/upstream.rs
+++ b/fireflycroft/src/upstream.rs
@@ -1,7 +1,7 @@
 //! One upstream as a direct entry sees it, and what one more request there costs.
 
 use crate::ids::{Incarnation, Name};
-use crate::leaving::SaidLeaving;
+use crate::leave_notice::LeaveNotice;
 use crate::loads::Replied;
 use crate::mechanism::{Mechanism, Policy};
 use crate::missing::Missing;
@@ -9,7 +9,7 @@
 use crate::placed::{Need, Placed, PlacedAt};
 use crate::rate_limit::KnownRate;
 use crate::room::SHORT_TOKENS;
-use crate::sent_lately::SentLately;
+use crate::sent_requests::SentRequests;
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -86,7 +86,7 @@
     /// Whether a later life has taken its id: all that it ran or held is lost.
     pub(crate) ended: bool,
     pub(crate) left_at: Option<Time>,
-    pub(crate) said_leaving: SaidLeaving,
+    pub(crate) leave_notice: LeaveNotice,
     pub(crate) missing: Option<Missing>,
     pub(crate) mine: Placed,
     /// What other entries have told this one as an owner.
@@ -100,7 +100,7 @@
     pub(crate) failing: f64,
     pub(crate) cold_until: Time,
     /// Requests of this entry, where a cold one bears only so many.
-    pub(crate) sent_lately: SentLately,
+    pub(crate) sent_requests: SentRequests,
     pub(crate) rate: KnownRate,
     pub(crate) read: HashMap<u64, Time>,
     pub(crate) pace: SeenPace,
@@ -195,7 +195,7 @@
 
 impl Upstream {
     pub(crate) fn is_serving(&self) -> bool {
-        self.is_listed_as_serving() && !self.has_said_leaving()
+        self.is_listed_as_serving() && !self.has_sent_leave_notice()
     }
 
     /// Whether the list has it, and as one that takes new work.
@@ -269,7 +269,7 @@
 }
 
 /// The `most` of some upstreams that were told to other entries longest ago.
-pub(crate) fn longest_untold<'a>(
+pub(crate) fn least_recently_announced<'a>(
     some: impl Iterator<Item = &'a mut Upstream>,
     told_at: impl Fn(&Upstream) -> Option<Time>,
     most: usize,
--- a/fireflycroft/src/withheld.rs
+++ b/fireflycroft/src/withheld.rs
@@ -13,9 +13,9 @@
     /// Its data centre is evacuated.
     Evacuated,
     /// It is cold, and this entry has sent its share.
-    ColdShareSpent,
+    ColdShareExhausted,
     /// It names a rate, and this entry has sent its share.
-    RateShareSpent,
+    RateShareExhausted,
     /// It turned a request of this entry away and asked for a pause.
     Paused,
 }
@@ -24,8 +24,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Evacuated => "it is evacuated",
-            Self::ColdShareSpent => "it is cold",
-            Self::RateShareSpent => "its rate limit is spent",
+            Self::ColdShareExhausted => "it is cold",
+            Self::RateShareExhausted => "its rate limit is spent",
             Self::Paused => "it asked for a pause",
         })
     }
@@ -35,16 +35,16 @@
     /// Why an upstream gets no request of this entry now; none where it may get one.
     #[must_use]
     pub fn withheld(&self, now: Time, ix: UpstreamIx) -> Option<Withheld> {
-        self.withheld_of(now, &self.upstreams[ix.0])
+        self.withheld_reason(now, &self.upstreams[ix.0])
     }
 
-    pub(crate) fn withheld_of(&self, now: Time, u: &Upstream) -> Option<Withheld> {
-        if self.takes_nothing_new(&u.record.data_centre) {
+    pub(crate) fn withheld_reason(&self, now: Time, u: &Upstream) -> Option<Withheld> {
+        if self.is_closed_to_new_work(&u.record.data_centre) {
             Some(Withheld::Evacuated)
-        } else if self.has_cold_share_spent(now, u) {
-            Some(Withheld::ColdShareSpent)
-        } else if self.has_rate_share_spent(now, u) {
-            Some(Withheld::RateShareSpent)
+        } else if self.is_cold_share_exhausted(now, u) {
+            Some(Withheld::ColdShareExhausted)
+        } else if self.is_rate_share_exhausted(now, u) {
+            Some(Withheld::RateShareExhausted)
         } else if now < u.paused_until {
             Some(Withheld::Paused)
         } else {
--- a/fireflycroft/tests/cold.rs
+++ b/fireflycroft/tests/cold.rs
@@ -64,7 +64,7 @@
 fn send_all(pool: &mut Pool, millis: u64, engine: UpstreamIx) -> usize {
     let mut sent = 0;
     while sent < 10_000 && pool.withheld(at(millis), engine).is_none() {
-        pool.note_sending(at(millis), engine);
+        pool.record_sending(at(millis), engine);
         sent += 1;
     }
     sent
@@ -104,7 +104,10 @@
     assert_eq!(pool.withheld(at(70_000), a), None);
     pool.learn(at(70_000), cold("a", 9, 2_000));
     send_all(&mut pool, 70_000, a);
-    assert_eq!(pool.withheld(at(70_500), a), Some(Withheld::ColdShareSpent));
+    assert_eq!(
+        pool.withheld(at(70_500), a),
+        Some(Withheld::ColdShareExhausted)
+    );
     assert_eq!(pool.withheld(at(72_000), a), None);
 }
 
--- a/fireflycroft/tests/evacuation.rs
+++ b/fireflycroft/tests/evacuation.rs
@@ -46,7 +46,7 @@
 fn nothing_new() {
     let mut pool = two_places();
     assert_eq!(chosen(&pool, at(0), &need(100)), "a");
-    assert!(pool.take_evacuations(at(0), evacuated(5, &["north"])));
+    assert!(pool.apply_evacuations(at(0), evacuated(5, &["north"])));
     assert_eq!(chosen(&pool, at(0), &need(100)), "b");
     assert!(pool.is_evacuated(ix(&pool, "a")));
     assert_eq!(pool.count("models"), 1);
@@ -54,7 +54,7 @@
 
 fn has_not_left() {
     let mut pool = two_places();
-    pool.take_evacuations(at(0), evacuated(5, &["north"]));
+    pool.apply_evacuations(at(0), evacuated(5, &["north"]));
     let a = ix(&pool, "a");
     assert!(pool.is_serving(a));
     assert_eq!(pool.left_at(a), None);
@@ -63,24 +63,24 @@
 
 fn older_list() {
     let mut pool = two_places();
-    pool.take_evacuations(at(0), evacuated(5, &["north"]));
-    assert!(!pool.take_evacuations(at(0), evacuated(5, &[])));
-    assert!(!pool.take_evacuations(at(0), evacuated(4, &["south"])));
+    pool.apply_evacuations(at(0), evacuated(5, &["north"]));
+    assert!(!pool.apply_evacuations(at(0), evacuated(5, &[])));
+    assert!(!pool.apply_evacuations(at(0), evacuated(4, &["south"])));
     assert_eq!(chosen(&pool, at(0), &need(100)), "b");
 }
 
 fn same_list() {
     let mut pool = two_places();
-    pool.take_evacuations(at(0), evacuated(5, &["north"]));
-    assert!(!pool.take_evacuations(at(0), evacuated(6, &["north"])));
+    pool.apply_evacuations(at(0), evacuated(5, &["north"]));
+    assert!(!pool.apply_evacuations(at(0), evacuated(6, &["north"])));
     assert_eq!(pool.evacuations().revision, 6);
 }
 
 fn taken_back() {
     let mut pool = two_places();
-    pool.take_evacuations(at(0), evacuated(5, &["north"]));
+    pool.apply_evacuations(at(0), evacuated(5, &["north"]));
     let list = pool.evacuations().clone().with(Name::from("north"), false);
-    assert!(pool.take_evacuations(
+    assert!(pool.apply_evacuations(
         at(0),
         Evacuations {
             revision: 6,
@@ -92,20 +92,20 @@
 
 fn all_evacuated() {
     let mut pool = two_places();
-    pool.take_evacuations(at(0), evacuated(5, &["north", "south"]));
+    pool.apply_evacuations(at(0), evacuated(5, &["north", "south"]));
     assert_eq!(pool.choose(at(0), "models", &need(100), &[]), None);
 }
 
 fn unknown() {
     let mut pool = two_places();
-    pool.take_evacuations(at(0), evacuated(5, &["nowhere"]));
+    pool.apply_evacuations(at(0), evacuated(5, &["nowhere"]));
     assert_eq!(chosen(&pool, at(0), &need(100)), "a");
     assert_eq!(pool.count("models"), 2);
 }
 
 fn comes_later() {
     let mut pool = two_places();
-    pool.take_evacuations(at(0), evacuated(5, &["north"]));
+    pool.apply_evacuations(at(0), evacuated(5, &["north"]));
     pool.learn(at(0), in_place("c", "north", 7));
     assert_eq!(chosen(&pool, at(0), &need(100)), "b");
 }
@@ -113,7 +113,7 @@
 fn no_room_there() {
     let mut pool = two_places();
     let of_both = pool.runs_fill_of(at(0), "models");
-    pool.take_evacuations(at(0), evacuated(5, &["north"]));
+    pool.apply_evacuations(at(0), evacuated(5, &["north"]));
     let of_one = pool.runs_fill_of(at(0), "models");
     assert!(of_one > of_both, "{of_one} after {of_both}");
 }
--- a/fireflycroft/tests/said_leaving.rs
+++ b/fireflycroft/tests/leave_notice.rs
@@ -26,7 +26,7 @@
 
 fn says_so(pool: &mut Pool, millis: u64, instance: &str) -> Option<PoolChange> {
     let upstream = ix(pool, instance);
-    pool.note_said_leaving(at(millis), upstream)
+    pool.record_leave_notice(at(millis), upstream)
 }
 
 fn not_chosen() {
@@ -92,9 +92,9 @@
     let mut pools = [pool(&["a"]), pool(&["a"]), pool(&["a"])];
     says_so(&mut pools[0], 5, "a");
     for to in 1..3 {
-        let told = pools[to - 1].tell_said_leaving(at(10));
+        let told = pools[to - 1].leave_notices_to_announce(at(10));
         assert_eq!(told.len(), 1);
-        assert!(pools[to].take_said_leaving(at(11), &told[0]).is_some());
+        assert!(pools[to].apply_leave_notice(at(11), &told[0]).is_some());
         assert!(!pools[to].is_serving(ix(&pools[to], "a")));
     }
 }
@@ -102,10 +102,10 @@
 fn other_life() {
     let mut first = pool(&["a"]);
     says_so(&mut first, 5, "a");
-    let told = first.tell_said_leaving(at(10));
+    let told = first.leave_notices_to_announce(at(10));
     let mut second = Pool::new(Name::from("dc"));
     second.learn(at(0), born("a", 1, 100));
-    assert_eq!(second.take_said_leaving(at(11), &told[0]), None);
+    assert_eq!(second.apply_leave_notice(at(11), &told[0]), None);
     assert!(second.is_serving(ix(&second, "a")));
 }
 
@@ -113,7 +113,7 @@
     let mut pool = pool(&["a"]);
     says_so(&mut pool, 5, "a");
     pool.learn(at(10), leaving("a", 9));
-    assert!(pool.tell_said_leaving(at(11)).is_empty());
+    assert!(pool.leave_notices_to_announce(at(11)).is_empty());
 }
 
 fn had_left() {
--- a/fireflycroft/tests/guess.rs
+++ b/fireflycroft/tests/length_estimator.rs
@@ -4,7 +4,7 @@
 #[path = "support/cases.rs"]
 mod cases;
 
-use fireflycroft::{LengthGuess, Name};
+use fireflycroft::{LengthEstimator, Name};
 
 cases! {
     unseen_kind_leans_on_its_bound => unseen_leans();
@@ -24,21 +24,21 @@
 }
 
 /// Lengths spread around their hints by half and twice, as learned from 400 answers.
-fn learned() -> LengthGuess {
-    let mut guess = LengthGuess::default();
+fn learned() -> LengthEstimator {
+    let mut estimator = LengthEstimator::default();
     for i in 0..400_u32 {
         let hint = 100 + i * 37 % 1_000;
         let spread = [4, 7, 10, 14, 25][i as usize % 5];
         let tokens = (hint * spread / 10).min(MOST);
-        guess.learn(&kind(), Some(hint), MOST, u64::from(tokens));
+        estimator.record(&kind(), Some(hint), MOST, u64::from(tokens));
     }
-    guess
+    estimator
 }
 
 fn more_to_come() {
-    let guess = learned();
-    let at = |made| guess.expect_beyond(&kind(), Some(400), MOST, made);
-    assert_eq!(at(0), guess.expect(&kind(), Some(400), MOST));
+    let estimator = learned();
+    let at = |made| estimator.expect_beyond(&kind(), Some(400), MOST, made);
+    assert_eq!(at(0), estimator.expect(&kind(), Some(400), MOST));
     assert!(at(400) > at(0) + 150, "{} {}", at(0), at(400));
     assert!(at(800) > 950, "{}", at(800));
     for made in (0..4_000).step_by(50) {
@@ -57,57 +57,57 @@
 }
 
 fn unseen_leans() {
-    let guess = LengthGuess::default();
-    let tokens = guess.expect(&kind(), Some(500), MOST);
+    let estimator = LengthEstimator::default();
+    let tokens = estimator.expect(&kind(), Some(500), MOST);
     assert!((300..1_200).contains(&tokens), "{tokens}");
 }
 
 fn follows_true_hints() {
-    let mut guess = LengthGuess::default();
+    let mut estimator = LengthEstimator::default();
     for i in 1..400_u32 {
         let tokens = 10 + i * 37 % 1_900;
-        guess.learn(&kind(), Some(tokens), MOST, u64::from(tokens));
+        estimator.record(&kind(), Some(tokens), MOST, u64::from(tokens));
     }
-    let short = guess.expect(&kind(), Some(50), MOST);
-    let long = guess.expect(&kind(), Some(1_500), MOST);
+    let short = estimator.expect(&kind(), Some(50), MOST);
+    let long = estimator.expect(&kind(), Some(1_500), MOST);
     assert!((35..80).contains(&short), "{short}");
     assert!((1_100..=2_000).contains(&long), "{long}");
 }
 
 fn ignores_empty_hints() {
-    let mut guess = LengthGuess::default();
+    let mut estimator = LengthEstimator::default();
     for i in 1..400_u32 {
         let hint = if i % 2 == 0 { 20 } else { 1_900 };
-        guess.learn(&kind(), Some(hint), MOST, u64::from(300 + i / 2 % 7));
+        estimator.record(&kind(), Some(hint), MOST, u64::from(300 + i / 2 % 7));
     }
     let (low, high) = (
-        guess.expect(&kind(), Some(20), MOST),
-        guess.expect(&kind(), Some(1_900), MOST),
+        estimator.expect(&kind(), Some(20), MOST),
+        estimator.expect(&kind(), Some(1_900), MOST),
     );
     assert!(low.abs_diff(high) < 30, "{low} {high}");
     assert!((280..330).contains(&low), "{low}");
 }
 
 fn within_bound() {
-    let guess = LengthGuess::default();
-    assert!(guess.expect(&kind(), Some(u32::MAX), MOST) <= u64::from(MOST));
-    assert_eq!(guess.expect(&kind(), None, 0), 0);
+    let estimator = LengthEstimator::default();
+    assert!(estimator.expect(&kind(), Some(u32::MAX), MOST) <= u64::from(MOST));
+    assert_eq!(estimator.expect(&kind(), None, 0), 0);
 }
 
 fn kinds_apart() {
-    let mut guess = LengthGuess::default();
+    let mut estimator = LengthEstimator::default();
     for _ in 0..100 {
-        guess.learn(&Name::from("grade"), Some(10), 72, 8);
+        estimator.record(&Name::from("grade"), Some(10), 72, 8);
     }
-    assert!(guess.expect(&kind(), Some(500), MOST) > 200);
-    assert!(guess.expect(&Name::from("grade"), Some(10), 72) < 20);
+    assert!(estimator.expect(&kind(), Some(500), MOST) > 200);
+    assert!(estimator.expect(&Name::from("grade"), Some(10), 72) < 20);
 }
 
 fn takes_the_mean() {
-    let mut guess = LengthGuess::default();
+    let mut estimator = LengthEstimator::default();
     for _ in 0..400 {
-        guess.learn(&kind(), Some(100), MOST, 400);
+        estimator.record(&kind(), Some(100), MOST, 400);
     }
-    let tokens = guess.expect(&kind(), None, MOST);
+    let tokens = estimator.expect(&kind(), None, MOST);
     assert!((350..450).contains(&tokens), "{tokens}");
 }
--- a/fireflycroft/tests/owners.rs
+++ b/fireflycroft/tests/owners.rs
@@ -9,7 +9,7 @@
 
 use fireflycroft::{
     Digest, Incarnation, Life, Name, Need, OWNERS, OwnedKey, OwnedLoad, Pace, Placed, Pool,
-    QueryBreadth, Time, UpstreamIx, owners_of,
+    QueryBudget, Time, UpstreamIx, owners_of,
 };
 use pools::{at, chosen, ix, leaving, need, pool, told};
 use proptest::prelude::*;
@@ -253,15 +253,15 @@
 }
 
 fn asks_about_fewer() {
-    let mut breadth = QueryBreadth::default();
-    let first = breadth.upstreams(at(0));
+    let mut breadth = QueryBudget::default();
+    let first = breadth.candidate_count(at(0));
     for n in 0..100 {
-        let asked = breadth.upstreams(at(n * 10));
-        breadth.note_sent(asked * OWNERS);
+        let asked = breadth.candidate_count(at(n * 10));
+        breadth.record_sent(asked * OWNERS);
     }
-    let busy = breadth.upstreams(at(1_000));
+    let busy = breadth.candidate_count(at(1_000));
     assert!(busy < first && busy > 1, "{first} {busy}");
-    assert_eq!(breadth.upstreams(at(9_000)), first);
+    assert_eq!(breadth.candidate_count(at(9_000)), first);
 }
 
 /// Entries that each know their own placements and ask owners leave no engine much fuller than the
@@ -281,7 +281,7 @@
 fn fullest(entries: u32, engines: usize, per_second: usize) -> f64 {
     let ips = self::entries(entries);
     let mut pools: HashMap<Ipv4Addr, Pool> = ips.iter().map(|ip| (*ip, many(engines))).collect();
-    let mut breadths: HashMap<Ipv4Addr, QueryBreadth> = HashMap::new();
+    let mut breadths: HashMap<Ipv4Addr, QueryBudget> = HashMap::new();
     let mut on_each: HashMap<UpstreamIx, u64> = HashMap::new();
     let mut told_at = at(0);
     for run in 0..engines * 8 {
@@ -329,14 +329,14 @@
     ip: Ipv4Addr,
     now: Time,
     need: &Need,
-    breadth: &mut QueryBreadth,
+    breadth: &mut QueryBudget,
 ) {
-    let asked = pools[&ip].to_query(now, "models", need, &[], breadth.upstreams(now));
+    let asked = pools[&ip].to_query(now, "models", need, &[], breadth.candidate_count(now));
     for ix in asked {
         let life = pools[&ip].record(ix).life();
         let owners = owners(ips, &life.instance).into_iter().filter(|o| *o != ip);
         for owner in owners {
-            breadth.note_sent(1);
+            breadth.record_sent(1);
             let loads = pools[&owner].loads_for(now, &name(ip), std::slice::from_ref(&life));
             pools
                 .get_mut(&ip)
--- a/fireflycroft/tests/rate_limit.rs
+++ b/fireflycroft/tests/rate_limit.rs
@@ -47,7 +47,7 @@
 /// Takes an answer that came at one moment to a request of another.
 fn answer(pool: &mut Pool, sent: u64, came: u64, named: Option<RateLimit>) -> Option<RateChange> {
     let a = ix(pool, "a");
-    pool.note_rate_limit(at(came), a, at(sent), named)
+    pool.record_rate_limit(at(came), a, at(sent), named)
 }
 
 fn rate_is_known() {
@@ -75,8 +75,8 @@
 
 /// Tells one pool all that another one has to tell.
 fn tell(from: &mut Pool, to: &mut Pool, millis: u64) -> usize {
-    let told = from.tell_rates(at(millis));
-    let taken = told.iter().filter_map(|t| to.take_rate(at(millis), t));
+    let told = from.rates_to_announce(at(millis));
+    let taken = told.iter().filter_map(|t| to.apply_rate(at(millis), t));
     taken.count()
 }
 
@@ -107,7 +107,7 @@
         limit: rate(1.0),
         age: Duration::ZERO,
     };
-    assert_eq!(pool.take_rate(at(50), &told), None);
+    assert_eq!(pool.apply_rate(at(50), &told), None);
     assert_eq!(pool.rate_limit(ix(&pool, "a")), None);
 }
 
@@ -118,9 +118,9 @@
     answer(&mut first, 1_000, 1_010, None);
     assert_eq!(tell(&mut first, &mut second, 1_020), 1);
     assert_eq!(second.rate_limit(ix(&second, "a")), None);
-    assert_eq!(first.tell_rates(at(9_000)).len(), 1);
+    assert_eq!(first.rates_to_announce(at(9_000)).len(), 1);
     answer(&mut first, 10_900, 10_910, None);
-    assert!(first.tell_rates(at(11_100)).is_empty());
+    assert!(first.rates_to_announce(at(11_100)).is_empty());
 }
 
 fn rates_take_turns() {
@@ -128,7 +128,7 @@
     let mut first = pool(&names);
     for name in names {
         let upstream = ix(&first, name);
-        first.note_rate_limit(at(110), upstream, at(100), rate(2.5));
+        first.record_rate_limit(at(110), upstream, at(100), rate(2.5));
     }
     let mut second = pool(&names);
     tell(&mut first, &mut second, 200);
@@ -186,7 +186,7 @@
     let a = ix(pool, "a");
     let mut sent = 0;
     while sent < 10_000 && pool.withheld(at(millis), a).is_none() {
-        pool.note_sending(at(millis), a);
+        pool.record_sending(at(millis), a);
         sent += 1;
     }
     sent
@@ -259,9 +259,9 @@
     let wait = |pool: &Pool, now| pool.until_any_is_free(at(now), "models", &need(1));
     assert_eq!(wait(&fleet[0], 9), None);
     let a = ix(&fleet[0], "a");
-    fleet[0].note_sending(at(10), a);
+    fleet[0].record_sending(at(10), a);
     assert_eq!(wait(&fleet[0], 10), None);
-    fleet[0].note_sending(at(500), a);
+    fleet[0].record_sending(at(500), a);
     assert_eq!(wait(&fleet[0], 1_000), Some(Duration::from_millis(3_010)));
     assert_eq!(wait(&fleet[0], 4_010), None);
 }
@@ -318,7 +318,7 @@
         for (revision, name) in (2..).zip(&names[1..]) {
             pool.learn(at(0), pools::record(name, revision));
             let upstream = ix(pool, name);
-            pool.note_rate_limit(at(1), upstream, at(0), rate(2.9));
+            pool.record_rate_limit(at(1), upstream, at(0), rate(2.9));
         }
         assert_eq!(pool.count("models"), 3, "entry {i}");
     }
@@ -333,7 +333,7 @@
         });
         let pool = &mut fleet[entry.unwrap()];
         if let Some(chosen) = pool.choose(now, "models", &need(0), &[]) {
-            pool.note_sending(now, chosen);
+            pool.record_sending(now, chosen);
             served += 1;
         }
     }
--- a/fireflycroft/tests/restored.rs
+++ b/fireflycroft/tests/restored.rs
@@ -153,9 +153,9 @@
 
 fn evacuation_is_doubted() {
     let mut pool = calm_pool();
-    pool.take_evacuations(at(9_000), evacuated(revision_in(1, 990), &["dc"]));
+    pool.apply_evacuations(at(9_000), evacuated(revision_in(1, 990), &["dc"]));
     pool.note_restored(at(9_100));
-    pool.take_evacuations(at(9_100), evacuated(revision_in(2, 950), &[]));
+    pool.apply_evacuations(at(9_100), evacuated(revision_in(2, 950), &[]));
     assert_eq!(pool.count("models"), 0);
     pool.note_contact(at(10_000));
     let settled = at(9_100) + SETTLE_TIME;
@@ -166,8 +166,8 @@
 
 fn evacuation_ends() {
     let mut pool = calm_pool();
-    pool.take_evacuations(at(9_000), evacuated(revision_in(1, 990), &["dc"]));
-    pool.take_evacuations(at(9_100), evacuated(revision_in(1, 991), &[]));
+    pool.apply_evacuations(at(9_000), evacuated(revision_in(1, 990), &["dc"]));
+    pool.apply_evacuations(at(9_100), evacuated(revision_in(1, 991), &[]));
     assert_eq!(pool.count("models"), 2);
 }
 
--- a/fireflycroft/tests/withheld.rs
+++ b/fireflycroft/tests/withheld.rs
@@ -73,9 +73,9 @@
 fn both_end() {
     let mut pool = pool(&["a"]);
     let a = ix(&pool, "a");
-    pool.note_rate_limit(at(10), a, at(5), RateLimit::new(0.5));
-    pool.note_sending(at(20), a);
-    pool.note_sending(at(20), a);
+    pool.record_rate_limit(at(10), a, at(5), RateLimit::new(0.5));
+    pool.record_sending(at(20), a);
+    pool.record_sending(at(20), a);
     pause(&mut pool, 100, "a", 2_000);
     assert_eq!(until_free(&pool, 100), Some(Duration::from_millis(3_920)));
     pause(&mut pool, 100, "a", 6_000);
--- a/fireflydirect/src/conditions.rs
+++ b/fireflydirect/src/conditions.rs
@@ -19,19 +19,19 @@
         say_paused(node, ix, span);
     }
     if said.leaving {
-        let change = node.pool.borrow_mut().note_said_leaving(node.now(), ix);
+        let change = node.pool.borrow_mut().record_leave_notice(node.now(), ix);
         node.take_changes(change, "answer");
     }
     // A failure may have been answered before the upstream looked at its need.
     let tells_rate = said.rate_limit.is_some() || (status.is_success() && head.sealed);
     if tells_rate {
-        take_rate(node, ix, sent, said.rate_limit);
+        apply_rate(node, ix, sent, said.rate_limit);
     }
 }
 
-fn take_rate(node: &Node, ix: UpstreamIx, sent: Time, named: Option<RateLimit>) {
+fn apply_rate(node: &Node, ix: UpstreamIx, sent: Time, named: Option<RateLimit>) {
     let mut pool = node.pool.borrow_mut();
-    let change = pool.note_rate_limit(node.now(), ix, sent, named);
+    let change = pool.record_rate_limit(node.now(), ix, sent, named);
     drop(pool);
     if let Some(change) = change {
         say_rate_changed(node, ix, change, "answer");
@@ -42,7 +42,7 @@
 /// Takes rates of upstreams that another entry told.
 pub fn take_told_rates(node: &Node, rates: &[ToldRate]) {
     for told in rates {
-        let change = node.pool.borrow_mut().take_rate(node.now(), told);
+        let change = node.pool.borrow_mut().apply_rate(node.now(), told);
         if let Some((ix, change)) = change {
             say_rate_changed(node, ix, change, "peer");
         }
@@ -52,7 +52,7 @@
 /// Takes upstreams that leave, as another entry has heard from themselves.
 pub fn take_told_leaving(node: &Node, lives: &[Life]) {
     for life in lives {
-        let change = node.pool.borrow_mut().take_said_leaving(node.now(), life);
+        let change = node.pool.borrow_mut().apply_leave_notice(node.now(), life);
         node.take_changes(change, "peer_answer");
     }
 }
--- a/fireflydirect/src/departures.rs
+++ b/fireflydirect/src/departures.rs
@@ -106,7 +106,7 @@
 
 async fn ask(node: &Node, ix: UpstreamIx) -> anyhow::Result<EngineReport> {
     let record = node.pool.borrow().record(ix).clone();
-    node.pool.borrow_mut().note_sending(node.now(), ix);
+    node.pool.borrow_mut().record_sending(node.now(), ix);
     let links = &node.links;
     let mut link = links
         .get(&record.life(), record.addr, REPORT_TIMEOUT)
--- a/fireflydirect/src/exchange.rs
+++ b/fireflydirect/src/exchange.rs
@@ -105,7 +105,7 @@
     if !job.node.pool.borrow().may_get_requests(job.now(), ix) {
         return Err(Unanswered::NeverSent("it has ended or left".to_owned()));
     }
-    note_sending(job, ix)?;
+    record_sending(job, ix)?;
     let sent = job.now();
     let req = request(job, &record.instance, extras);
     on_sent();
@@ -130,12 +130,12 @@
 }
 
 /// Counts a request to an upstream that may get one.
-fn note_sending(job: &Job, ix: UpstreamIx) -> Result<(), Unanswered> {
+fn record_sending(job: &Job, ix: UpstreamIx) -> Result<(), Unanswered> {
     let mut pool = job.node.pool.borrow_mut();
     if let Some(why) = pool.withheld(job.now(), ix) {
         return Err(Unanswered::Withheld(why.to_string()));
     }
-    pool.note_sending(job.now(), ix);
+    pool.record_sending(job.now(), ix);
     Ok(())
 }
 
--- a/fireflydirect/src/generation.rs
+++ b/fireflydirect/src/generation.rs
@@ -270,7 +270,7 @@
             let (hint, most) = (size.length_hint, size.max_tokens);
             let tokens = self.run.produced.get();
             let mut lengths = job.node.lengths.borrow_mut();
-            lengths.learn(&job.route.name, hint, most, tokens);
+            lengths.record(&job.route.name, hint, most, tokens);
         }
     }
 
--- a/fireflydirect/src/hear.rs
+++ b/fireflydirect/src/hear.rs
@@ -86,7 +86,7 @@
         node.take_changes(taken, "peer");
     }
     if news.evacuations.revision > 0 {
-        node.take_evacuations(news.evacuations.clone(), "peer");
+        node.apply_evacuations(news.evacuations.clone(), "peer");
     }
     conditions::take_told_rates(node, &news.rate_limits);
     conditions::take_told_leaving(node, &news.said_leaving);
--- a/fireflydirect/src/intake.rs
+++ b/fireflydirect/src/intake.rs
@@ -55,7 +55,7 @@
                 revision,
                 data_centres: in_force.map(|o| o.name.clone()).collect(),
             };
-            self.node.take_evacuations(listed, "store");
+            self.node.apply_evacuations(listed, "store");
         }
         if self.kind == Kind::Upstreams {
             let records = objects.iter().filter_map(|o| self.read_record(o)).collect();
@@ -108,7 +108,7 @@
     /// Takes changes that lead to the list as of `revision`.
     pub fn take_events(&mut self, events: Vec<StoreEvent>, revision: u64) {
         if self.kind == Kind::Evacuations && !events.is_empty() {
-            self.take_evacuations(&events, revision);
+            self.apply_evacuations(&events, revision);
             return;
         }
         for event in events {
@@ -121,7 +121,7 @@
     }
 
     /// Takes changes of the list of evacuations, which holds as of `revision` with them.
-    fn take_evacuations(&self, events: &[StoreEvent], revision: u64) {
+    fn apply_evacuations(&self, events: &[StoreEvent], revision: u64) {
         let held = self.node.pool.borrow().evacuations().clone();
         let changed = events.iter().fold(held, |list, event| {
             let evacuated = !event.removed && !event.object.deleting;
@@ -131,7 +131,7 @@
             revision,
             ..changed
         };
-        self.node.take_evacuations(changed, "store");
+        self.node.apply_evacuations(changed, "store");
     }
 
     fn take_upstream(&mut self, event: &StoreEvent) {
--- a/fireflydirect/src/mover.rs
+++ b/fireflydirect/src/mover.rs
@@ -205,7 +205,7 @@
         let pool = node.pool.borrow();
         (pool.record(from).clone(), pool.record(to).addr)
     };
-    node.pool.borrow_mut().note_sending(node.now(), from);
+    node.pool.borrow_mut().record_sending(node.now(), from);
     let (path, body) = move_call(&run.request_id, target, stop);
     let mut link = node
         .links
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -11,9 +11,9 @@
 use crate::questions::Questions;
 use crate::runs::Runs;
 use fireflycroft::{
-    ALL_HEARD_AFTER, Catalog, Digest, Evacuations, FleetView, LengthGuess, Life, Policy, Pool,
-    PoolChange, Quarantine, QueryBreadth, Refusal, Regions, RepeatBudget, Returns, Time,
-    UpstreamIx, WatchDuty, Yields,
+    ALL_HEARD_AFTER, Catalog, Digest, Evacuations, FleetView, LengthEstimator, Life, Policy, Pool,
+    PoolChange, Quarantine, QueryBudget, Refusal, Regions, RepeatBudget, Returns, Time, UpstreamIx,
+    WatchDuty, Yields,
 };
 use fireflycroft_platform::{Place, StoreObject};
 use std::cell::{Cell, RefCell};
@@ -61,7 +61,7 @@
     /// Callers who were refused and come back.
     pub returns: RefCell<Returns>,
     /// Lengths of answers.
-    pub lengths: RefCell<LengthGuess>,
+    pub lengths: RefCell<LengthEstimator>,
     /// What generations bring for the memory that they hold.
     pub yields: RefCell<Yields>,
     /// Connections to upstreams.
@@ -75,7 +75,7 @@
     /// Questions to owners of upstreams that wait for replies.
     pub questions: Questions,
     /// How many upstreams a choice asks about.
-    pub breadth: RefCell<QueryBreadth>,
+    pub breadth: RefCell<QueryBudget>,
     /// Whether this entry watches the store for the others.
     pub duty: RefCell<WatchDuty>,
     /// Rings when that has changed.
@@ -279,13 +279,13 @@
     /// Takes a list of evacuated data centres unless it is not newer than the one in force.
     ///
     /// Whoever has it from the store tells all others at once.
-    pub fn take_evacuations(&self, told: Evacuations, source: &str) {
+    pub fn apply_evacuations(&self, told: Evacuations, source: &str) {
         let revision = told.revision;
         let data_centres = told.data_centres.iter();
         let data_centres: Vec<&str> = data_centres.map(|name| &**name).collect();
         let data_centres = data_centres.join(",");
         let now = self.now();
-        if !self.pool.borrow_mut().take_evacuations(now, told) {
+        if !self.pool.borrow_mut().apply_evacuations(now, told) {
             return;
         }
         log::info!(
--- a/fireflydirect/src/tell.rs
+++ b/fireflydirect/src/tell.rs
@@ -95,8 +95,8 @@
 fn news(node: &Node) -> EntryNews {
     let now = node.now();
     let repeats = node.budget.borrow_mut().tell(now);
-    let rate_limits = node.pool.borrow_mut().tell_rates(now);
-    let said_leaving = node.pool.borrow_mut().tell_said_leaving(now);
+    let rate_limits = node.pool.borrow_mut().rates_to_announce(now);
+    let said_leaving = node.pool.borrow_mut().leave_notices_to_announce(now);
     let peers = node.peers.borrow();
     EntryNews {
         name: node.place.vm.clone(),
