--- a/fireflycroft/src/cold.rs
+++ b/fireflycroft/src/cold.rs
@@ -1,13 +1,12 @@
-//! How many requests this entry may send to a cold upstream.
+//! Limit on the requests of this entry to a cold upstream.
 //!
 //! An upstream is cold for some time after it starts, and may become so again;
-//! more requests than it bears then crash it. The bound holds for the requests of
-//! all entries in any second, also of those that can't reach each other, so no
-//! entry is asked for leave: each keeps to a share that follows from the number
-//! of entries and from its own name. Where the bound has less than one request
-//! for each entry, a hash of entry and upstream draws those that may send one.
-//! The drawn number varies, so the shares add up to less than the bound by four
-//! standard deviations.
+//! too many requests then crash it. The bound holds for the requests of all
+//! entries in any second, even across network partitions, so entries don't
+//! coordinate: each derives its share from the number of entries and its own
+//! name. Where the bound is less than one request per entry, a hash of entry and
+//! upstream selects those that may send one. The number selected varies, so the
+//! mean sum of the shares stays four standard deviations below the bound.
 
 use crate::ids::{Digest, Name};
 use crate::pool::Pool;
@@ -21,17 +20,17 @@
 /// Standard deviations by which the shares of all entries stay below the bound.
 const DEVIATIONS: f64 = 4.0;
 
-/// Bound on the requests to a cold upstream in any second: a multiple of the rate that it bears, and
-/// some more.
+/// Bound on the requests to a cold upstream in any second: `overshoot` times its cold rate, plus
+/// `slack`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLimits {
-    /// Multiple of the rate that the service's upstreams bear.
+    /// Multiple of the cold rate of the service's upstreams.
     pub overshoot: f64,
-    /// Requests on top.
+    /// Additional requests.
     pub slack: f64,
 }
 
-/// What an entry knows of its share in the bounds of cold upstreams.
+/// Share of this entry in the bounds of cold upstreams.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ColdShare {
     entry: Name,
@@ -39,7 +38,7 @@
 }
 
 impl ColdShare {
-    /// Requests in any second to one cold upstream that bears so many.
+    /// Returns the maximum requests in any second to a cold upstream that can take `per_second`.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -56,7 +55,7 @@
         whole as usize + usize::from(drawn)
     }
 
-    /// A number from 0 to 1 for an upstream, another one at each entry.
+    /// Returns a number from 0 to 1 that depends on the entry and the upstream.
     #[allow(clippy::cast_precision_loss)]
     fn draw(&self, upstream: &Name) -> f64 {
         let digest = Digest::of(&[b"cold", self.entry.as_bytes(), upstream.as_bytes()]);
@@ -64,14 +63,14 @@
     }
 }
 
-/// The mean of a number of drawn entries that stays below `bound` by [`DEVIATIONS`].
+/// Returns the mean of a random count that stays [`DEVIATIONS`] below `bound`.
 fn mean_for_bound(bound: f64) -> f64 {
     let root = ((DEVIATIONS * DEVIATIONS + 4.0 * bound).sqrt() - DEVIATIONS) / 2.0;
     root * root
 }
 
 impl Pool {
-    /// Keeps to these limits of cold upstreams as the entry of that name.
+    /// Sets the limits for cold upstreams and the name of this entry.
     pub fn set_cold_limits(&mut self, entry: &Name, limits: ColdLimits) {
         self.cold = ColdShare {
             entry: entry.clone(),
@@ -79,7 +78,7 @@
         };
     }
 
-    /// Sets the requests a second that a cold upstream of a service bears; none where it bears any.
+    /// Sets the requests a second that a cold upstream of a service can take; none for no limit.
     pub fn set_cold_rate(&mut self, service: &Name, per_second: Option<f64>) {
         match per_second {
             Some(rate) => self.cold_rate_of.insert(service.clone(), rate),
@@ -87,13 +86,13 @@
         };
     }
 
-    /// How much longer an upstream is cold.
+    /// Returns the remaining cold time of an upstream.
     #[must_use]
     pub fn cold_for(&self, now: Time, ix: UpstreamIx) -> Duration {
         self.upstreams[ix.0].cold_until.since(now)
     }
 
-    /// Whether an upstream is cold and has this entry's share of requests for now.
+    /// Returns whether an upstream is cold and this entry's share of requests is exhausted.
     pub(crate) fn is_cold_share_exhausted(&self, now: Time, u: &Upstream) -> bool {
         if u.cold_until <= now {
             return false;
--- a/fireflycroft/src/evacuation.rs
+++ b/fireflycroft/src/evacuation.rs
@@ -1,11 +1,10 @@
-//! Data centres that are evacuated: nothing new goes to their upstreams until they are taken back.
+//! Evacuated data centres: their upstreams get no new work until the evacuation ends.
 //!
-//! The operator writes which ones; entries that read the platform's store tell
-//! the whole list to the others, with the revision at which it held, and the
-//! newest list is in force everywhere. Where the store has come back from a copy,
-//! what was evacuated stays so until its writer has had the time to write it
-//! again. An evacuated upstream hasn't left: what
-//! runs there goes on to its end, and its record stays on the list.
+//! The operator writes the list; entries that read the platform's store announce
+//! the whole list with its revision, and the newest one is in force. After the
+//! store was restored from a backup, earlier evacuations stay in force until their
+//! writer has had the time to write them again. An evacuated upstream hasn't left:
+//! its runs continue to their end, and its record stays on the list.
 
 use crate::ids::Name;
 use crate::pool::Pool;
@@ -14,17 +13,17 @@
 use crate::upstream::UpstreamIx;
 use std::collections::BTreeSet;
 
-/// The data centres that are evacuated, as of a revision of the platform's store.
+/// Evacuated data centres, as of a revision of the platform's store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
-    /// Revision at which the list held; zero while nothing is known.
+    /// Revision of the list; zero until one is known.
     pub revision: u64,
-    /// The data centres.
+    /// Names of the data centres.
     pub data_centres: BTreeSet<Name>,
 }
 
 impl Evacuations {
-    /// The list once a data centre is evacuated, or taken back.
+    /// Returns the list with a data centre added or removed.
     #[must_use]
     pub fn with(mut self, data_centre: Name, evacuated: bool) -> Self {
         if evacuated {
@@ -37,14 +36,14 @@
 }
 
 impl Pool {
-    /// The data centres that are evacuated.
+    /// Returns the evacuated data centres.
     #[must_use]
     pub const fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Takes a list of evacuated data centres unless it is not newer than the one in force; true when
-    /// other data centres are evacuated than before.
+    /// Applies a list of evacuated data centres if it is newer than the one in force; returns whether
+    /// the set of data centres changed.
     pub fn apply_evacuations(&mut self, now: Time, received: Evacuations) -> bool {
         let held = &self.evacuations;
         if received.revision <= held.revision {
@@ -59,7 +58,7 @@
         changed
     }
 
-    /// Believes the list of a store that has come back from a copy.
+    /// Drops the evacuations that a restored store's list lacks.
     pub(crate) fn clear_unconfirmed_evacuations(&mut self) {
         self.unconfirmed_evacuations.clear();
     }
@@ -69,7 +68,7 @@
         listed.contains(data_centre) || self.unconfirmed_evacuations.contains(data_centre)
     }
 
-    /// Whether an upstream stands in a data centre that is evacuated.
+    /// Returns whether an upstream is in an evacuated data centre.
     #[must_use]
     pub fn is_evacuated(&self, ix: UpstreamIx) -> bool {
         self.is_closed_to_new_work(&self.record(ix).data_centre)
--- a/fireflycroft/src/leave_notice.rs
+++ b/fireflycroft/src/leave_notice.rs
@@ -1,28 +1,27 @@
-//! Upstreams that say in their answers that they leave.
+//! Leave notices in the responses of upstreams.
 //!
-//! The platform's list says so too, but while its store is away nobody hears of
-//! it; the answers reach whoever sends the upstream requests. A life that has
-//! said so leaves, whatever record of it is read later: one that was written
-//! before may come late.
+//! The platform's list shows them too, but not while its store is unavailable;
+//! responses reach every sender of requests. A leave notice holds for the whole
+//! incarnation, whatever record is read later: an older record may arrive late.
 
 use crate::listing::PoolChange;
 use crate::pool::Pool;
 use crate::time::Time;
 use crate::upstream::{Life, Upstream, UpstreamIx, least_recently_announced};
 
-/// Upstreams told at a time; more take turns.
+/// Upstreams in one announcement; more take turns.
 const MAX_ANNOUNCED: usize = 4;
 
-/// That an upstream said that it leaves.
+/// State of an upstream's leave notice.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LeaveNotice {
     is_received: bool,
-    /// When it was told to other entries last.
+    /// Time of the last announcement to other entries.
     announced_at: Option<Time>,
 }
 
 impl Pool {
-    /// Takes an upstream's word in an answer that it leaves; tells whether that is news.
+    /// Records a leave notice in a response; returns a change if the upstream wasn't known to leave.
     pub fn record_leave_notice(&mut self, now: Time, ix: UpstreamIx) -> Option<PoolChange> {
         let u = &mut self.upstreams[ix.0];
         if u.leave_notice.is_received {
@@ -36,7 +35,7 @@
         Some(PoolChange::Leaves(ix))
     }
 
-    /// Takes the same from another entry that has heard it.
+    /// Applies a leave notice that another entry announced.
     pub fn apply_leave_notice(&mut self, now: Time, life: &Life) -> Option<PoolChange> {
         let ix = self.find(&life.instance)?;
         if self.record(ix).incarnation != life.incarnation {
@@ -45,8 +44,8 @@
         self.record_leave_notice(now, ix)
     }
 
-    /// Upstreams that said so and that the list has as serving, to tell the others; the longest untold
-    /// first.
+    /// Returns the upstreams with a leave notice that the list still has as serving, for announcement;
+    /// the least recently announced first.
     pub fn leave_notices_to_announce(&mut self, now: Time) -> Vec<Life> {
         let noticed = self.upstreams.iter_mut();
         let noticed = noticed.filter(|u| u.leave_notice.is_received && u.is_listed_as_serving());
--- a/fireflycroft/src/length_estimator.rs
+++ b/fireflycroft/src/length_estimator.rs
@@ -1,36 +1,36 @@
-//! How long an answer will be: what the caller hints, weighed by how well hints of
-//! that kind have held.
+//! Estimate of an answer's length from the caller's hint and the past accuracy of
+//! hints of that kind.
 //!
 //! For each kind of request the logarithm of the length is regressed on the
-//! logarithm of the hint, with older answers counting less. Where hints say
-//! little the guess stays near the mean of the kind; where they hold it follows
-//! them. Before anything was seen it leans on a share of the bound.
+//! logarithm of the hint, with decaying weights. Where hints are uninformative the
+//! estimate stays near the mean of the kind; where they are accurate it follows
+//! them. The prior is a share of the bound.
 
 use crate::ids::Name;
 use std::collections::HashMap;
 
-/// Kinds that are kept apart; the least seen goes first.
+/// Maximum number of kinds; the one with the lowest weight is evicted first.
 pub const MAX_KINDS: usize = 256;
 
-/// Weight that an answer keeps with each later one: some two hundred count.
+/// Decay of an answer's weight with each later one: about two hundred count.
 const DECAY: f64 = 0.995;
 
-/// Answers that the first guess counts for.
+/// Weight of the prior, in answers.
 const PRIOR_WEIGHT: f64 = 4.0;
 
-/// Share of the bound that an answer is taken to have before any was seen.
+/// Prior length, as a share of the bound.
 const PRIOR_SHARE: f64 = 0.25;
 
-/// Spread of the logarithm of lengths before any was seen.
+/// Prior standard deviation of the logarithm of lengths.
 const PRIOR_SPREAD: f64 = 1.0;
 
-/// Share of a hint's deviation that is believed before any was seen.
+/// Prior slope of the regression.
 const PRIOR_SLOPE: f64 = 0.35;
 
-/// Least spread of the logarithm of lengths.
+/// Minimum standard deviation of the logarithm of lengths.
 const MIN_SPREAD: f64 = 0.01;
 
-/// Share of answers that are longer below which one counts as endless.
+/// Share of longer answers below which an answer is expected to reach its bound.
 const MIN_LONGER_SHARE: f64 = 0.002;
 
 /// Sums of a weighted regression of length on hint, both as logarithms.
@@ -45,7 +45,7 @@
 }
 
 impl Sums {
-    /// Sums that stand for [`PRIOR_WEIGHT`] answers of a kind bounded by `most`.
+    /// Returns the sums of [`PRIOR_WEIGHT`] prior answers of a kind bounded by `max_tokens`.
     fn prior(max_tokens: u32) -> Self {
         let mean = (f64::from(max_tokens.max(1)) * PRIOR_SHARE).max(1.0).ln();
         let spread = PRIOR_SPREAD * PRIOR_SPREAD;
@@ -69,7 +69,7 @@
         self.length_length = self.length_length * DECAY + length * length;
     }
 
-    /// Lengths to expect for a hint.
+    /// Returns the distribution of lengths for a hint.
     fn spread(&self, hint: Option<f64>) -> LogNormal {
         let (hint_mean, length_mean) = (self.hint / self.weight, self.length / self.weight);
         let hint_variance = (self.hint_hint / self.weight - hint_mean * hint_mean).max(1e-6);
@@ -85,7 +85,7 @@
     }
 }
 
-/// Lengths whose logarithms are normal.
+/// Log-normal distribution of lengths.
 #[derive(Clone, Copy, Debug)]
 struct LogNormal {
     mean: f64,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Mean of those longer than `made`, with `most` for all that would be longer than that.
+    /// Returns the mean of the lengths above `made`, capped at `max_tokens`.
     fn mean_between(&self, made: f64, max_tokens: f64) -> f64 {
         let from = (made.max(1.0).ln() - self.mean) / self.spread;
         let to = (max_tokens.max(1.0).ln() - self.mean) / self.spread;
@@ -115,27 +115,27 @@
     }
 }
 
-/// Share of a standard normal below `x`, right to three digits.
+/// Returns the standard normal distribution function at `x`, accurate to three digits.
 fn normal_share(x: f64) -> f64 {
     let scaled = (2.0 / std::f64::consts::PI).sqrt() * (x + 0.044_715 * x * x * x);
     f64::midpoint(1.0, scaled.tanh())
 }
 
-/// What was learned of each kind of request.
+/// Regression of lengths on hints, by kind of request.
 #[derive(Clone, Debug, Default)]
 pub struct LengthEstimator {
     kinds: HashMap<Name, Sums>,
 }
 
 impl LengthEstimator {
-    /// Tokens that an answer of `kind` is expected to have, at most `most`.
+    /// Returns the expected tokens of an answer of `kind`, at most `max_tokens`.
     #[must_use]
     pub fn expect(&self, kind: &Name, hint: Option<u32>, max_tokens: u32) -> u64 {
         self.expect_beyond(kind, hint, max_tokens, 0)
     }
 
-    /// The same for an answer of which so many tokens are made: the longer it is, the more are
-    /// still to come.
+    /// Returns the expected total of an answer that has `made` tokens already; it grows with
+    /// `made`.
     #[must_use]
     pub fn expect_beyond(&self, kind: &Name, hint: Option<u32>, max_tokens: u32, made: u64) -> u64 {
         let prior = Sums::prior(max_tokens);
@@ -144,7 +144,7 @@
         to_tokens(lengths.mean_between(to_f64(made), f64::from(max_tokens)))
     }
 
-    /// Notes the length of an answer that ended by itself.
+    /// Records the length of an answer that wasn't cut off; ignored without a hint.
     pub fn record(&mut self, kind: &Name, hint: Option<u32>, max_tokens: u32, tokens: u64) {
         let Some(hint) = hint else {
             return;
--- a/fireflycroft/src/memory_forecast.rs
+++ b/fireflycroft/src/memory_forecast.rs
@@ -1,38 +1,38 @@
-//! Memory that generations will need, at moments to come.
+//! Forecast of the memory that generations will need.
 //!
-//! A generation of known survival needs its prompt and its tokens for as long
-//! as it goes on. An outlook sums mean and variance of that need over the
-//! generations, at a few moments counted in steps, so that its peak can be
-//! held against the upstream's memory before any of it is needed.
+//! A generation with a known survival function holds its prompt and its tokens
+//! until it ends. A forecast sums mean and variance of that need over the
+//! generations at a few horizons, counted in steps. Its peak is compared with
+//! the upstream's memory before any of it is needed.
 
 use crate::length::Survival;
 
-/// Moments that an outlook looks at.
+/// Number of horizons in a forecast.
 pub const POINTS: usize = 24;
 
-/// The moments, in steps from now; each generation gets one token a step.
+/// Horizons in steps from now; each generation gets one token a step.
 pub const HORIZONS: [u64; POINTS] = [
     0, 16, 32, 64, 96, 128, 192, 256, 320, 384, 512, 640, 768, 1_024, 1_280, 1_536, 1_792, 2_048,
     2_560, 3_072, 4_096, 5_120, 6_144, 8_192,
 ];
 
-/// Share of its most that a generation needs at a moment that matters to it.
+/// Share of a generation's peak need from which on a horizon is relevant to it.
 const RELEVANT_SHARE: f64 = 0.05;
 
-/// Share of the memory in use whose release tells the rate of leaving.
+/// Share of the memory in use whose release gives the release rate.
 const RATE_SHARE: f64 = 0.25;
 
-/// Mean and variance of the memory needed at each moment.
+/// Mean and variance of the memory needed at each horizon.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MemoryForecast {
     mean: [f64; POINTS],
     variance: [f64; POINTS],
-    /// Memory in use now that is free again at each moment.
+    /// Memory in use now that is free again at each horizon.
     freed: [f64; POINTS],
 }
 
 impl MemoryForecast {
-    /// Outlook of one generation that has `produced` tokens.
+    /// Returns the forecast of one generation that has `produced` tokens.
     #[must_use]
     pub fn of(survival: &Survival, prompt: u32, produced: u64, limit: u32) -> Self {
         let mut forecast = Self::default();
@@ -51,7 +51,7 @@
         forecast
     }
 
-    /// Adds another outlook; chances are taken to be independent.
+    /// Adds another forecast, assuming independent probabilities.
     pub fn add(&mut self, other: &Self) {
         for i in 0..POINTS {
             self.mean[i] += other.mean[i];
@@ -60,7 +60,7 @@
         }
     }
 
-    /// This outlook with another one added.
+    /// Returns the sum of both forecasts.
     #[must_use]
     pub fn with(&self, other: &Self) -> Self {
         let mut sum = *self;
@@ -68,7 +68,7 @@
         sum
     }
 
-    /// Moves towards another outlook by a share.
+    /// Moves towards another forecast by a share.
     pub fn blend(&mut self, other: &Self, share: f64) {
         for i in 0..POINTS {
             self.mean[i] += share * (other.mean[i] - self.mean[i]);
@@ -77,19 +77,19 @@
         }
     }
 
-    /// Most memory needed at any moment, in the mean, in tokens.
+    /// Returns the highest mean memory need over all horizons, in tokens.
     #[must_use]
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn peak(&self) -> u64 {
         self.mean.iter().copied().fold(0.0, f64::max) as u64
     }
 
-    /// Tokens by which this and `more` exceed `limit` at the worst moment that
-    /// matters to `more`, taken `margin` standard deviations above the mean;
-    /// below zero when they fit.
+    /// Returns the tokens by which this and `more` exceed `limit` at the worst
+    /// horizon relevant to `more`, `margin` standard deviations above the mean;
+    /// negative when they fit.
     ///
-    /// Moments by which `more` is as good as gone don't count, so that a short
-    /// answer need not wait for what long ones may need later.
+    /// Horizons by which `more` has almost certainly ended don't count: a short
+    /// answer need not wait for the later needs of long ones.
     #[must_use]
     pub fn excess(&self, more: &Self, margin: f64, limit: u64) -> f64 {
         let least = RELEVANT_SHARE * more.mean.iter().copied().fold(0.0, f64::max);
@@ -102,9 +102,9 @@
         worst.fold(0.0, f64::max) - to_f64(limit)
     }
 
-    /// Steps until so much of the memory in use now is free again.
+    /// Returns the steps until `tokens` of the memory in use now are free again.
     ///
-    /// What the next leavers free tells the rate; it is taken to last.
+    /// Extrapolates the rate at which the first generations to end free memory.
     #[must_use]
     pub fn steps_to_free(&self, tokens: f64) -> f64 {
         let mark = tokens.min(self.mean[0] * RATE_SHARE).max(1.0);
--- a/fireflycroft/src/query_budget.rs
+++ b/fireflycroft/src/query_budget.rs
@@ -1,25 +1,25 @@
-//! How many upstreams a choice asks about.
+//! Token bucket for load queries; sets the candidate count of a choice.
 //!
-//! Each question costs a datagram and its reply, here and at the owner. An entry
-//! that chooses now and then asks about many upstreams; one that chooses often
-//! asks about fewer each time, so that what it sends stays bounded. The best of
-//! four drawn ones is already far better than any one of them.
+//! Each query costs a datagram and its reply, here and at the owner. The more
+//! often an entry chooses, the fewer candidates it queries each time, which
+//! bounds its traffic. The best of four random candidates is already far better
+//! than a single one.
 
 use crate::time::Time;
 
-/// Questions that an entry sends a second in the long run.
+/// Long-run rate of queries of one entry.
 const QUERIES_PER_SECOND: f64 = 128.0;
 
-/// Questions that may have been saved up: those of a second.
+/// Capacity of the bucket: the queries of one second.
 const MAX_AVAILABLE: f64 = QUERIES_PER_SECOND;
 
-/// Most upstreams that one choice asks about.
+/// Maximum candidates of one choice.
 const MAX_CANDIDATES: usize = 64;
 
-/// Least of them, however many choices there are.
+/// Minimum candidates of one choice, even with the budget exhausted.
 const MIN_CANDIDATES: usize = 4;
 
-/// Questions that an entry may send.
+/// Queries that an entry may send.
 #[derive(Clone, Copy, Debug)]
 pub struct QueryBudget {
     available: f64,
@@ -36,7 +36,7 @@
 }
 
 impl QueryBudget {
-    /// Upstreams that a choice asks about now.
+    /// Returns the candidate count for a choice at `now`.
     pub fn candidate_count(&mut self, now: Time) -> usize {
         let gained = now.since(self.at).as_secs_f64() * QUERIES_PER_SECOND;
         self.at = now;
@@ -46,7 +46,7 @@
         affordable.clamp(MIN_CANDIDATES, MAX_CANDIDATES)
     }
 
-    /// Notes so many questions as sent.
+    /// Records `queries` as sent.
     #[allow(clippy::cast_precision_loss)]
     pub fn record_sent(&mut self, queries: usize) {
         self.available = (self.available - queries as f64).max(0.0);
--- a/fireflycroft/src/rate_limit.rs
+++ b/fireflycroft/src/rate_limit.rs
@@ -1,14 +1,13 @@
-//! Rates that upstreams in need name in their answers.
+//! Rate limits in the responses of upstreams.
 //!
-//! A rate holds for all entries together, for as long as the upstream's answers
-//! name it. Answers overtake each other, and an entry that stood still reads old
-//! ones late, so each word counts from a moment: a rate from when it was heard,
-//! its absence from when the request that was answered had been sent.
+//! A limit holds for all entries together, for as long as the upstream's responses
+//! carry it. Responses overtake each other, and an entry that was suspended reads
+//! old ones late, so each has an effective time: a limit counts from its receipt,
+//! its absence from the sending of the answered request.
 //!
-//! Nobody is asked for leave: the requests of a span are divided among the
-//! entries ([`FleetView`]), and each keeps to its part. The owners of the upstream
-//! come first, so that a rate too low for all still has entries that hear of its
-//! end.
+//! Entries don't coordinate: the requests of a span are divided among them
+//! ([`FleetView`]), and each keeps to its share. The owners of the upstream come
+//! first, so that with a rate too low for all some entries still see the limit end.
 
 use crate::fleet_view::FleetView;
 use crate::ids::Name;
@@ -26,27 +25,27 @@
 }
 
 impl RateLimit {
-    /// A rate of so many requests a second; none if that is negative or no number.
+    /// Returns the limit of `per_second` requests; none if that is negative or not a number.
     #[must_use]
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn new(per_second: f64) -> Option<Self> {
-        // A rate beyond the range is as good as none and saturates.
+        // A rate beyond the range saturates: it is no limit in practice.
         (per_second >= 0.0).then(|| Self::from_thousandths((per_second * 1_000.0) as u32))
     }
 
-    /// A rate of so many thousandths of a request a second.
+    /// Returns the limit of `thousandths` of a request a second.
     #[must_use]
     pub const fn from_thousandths(thousandths: u32) -> Self {
         Self { thousandths }
     }
 
-    /// The same, to be told.
+    /// Returns the thousandths of a request a second, as announced.
     #[must_use]
     pub const fn thousandths(self) -> u32 {
         self.thousandths
     }
 
-    /// Requests a second.
+    /// Returns the requests a second.
     #[must_use]
     pub fn per_second(self) -> f64 {
         f64::from(self.thousandths) / 1_000.0
@@ -59,18 +58,18 @@
     }
 }
 
-/// Shortest span in which requests to a limited upstream are counted; most are a little longer, so that
-/// a whole number of requests makes up the rate.
+/// Shortest span in which requests to a rate-limited upstream are counted; most are a little longer, so
+/// that a whole number of requests makes up the rate.
 const MIN_SPAN: Duration = Duration::from_secs(4);
 
-/// Requests of the fleet that every rate has room for, in a longer span if need be: their answers tell
-/// when it has been lifted.
+/// Minimum requests of the fleet in a span, which is longer for low rates: their responses show when the
+/// limit has been lifted.
 const MIN_REQUESTS: f64 = 2.0;
 
-/// Longest span, for rates of next to nothing.
+/// Longest span, for rates close to zero.
 pub(crate) const MAX_RATE_SPAN: Duration = Duration::from_secs(20);
 
-/// Requests of the whole fleet to one upstream.
+/// Requests of the whole fleet to one upstream in a span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Allowance {
     requests: usize,
@@ -90,53 +89,53 @@
         }
     }
 
-    /// Requests of one entry in the span.
+    /// Returns the share of this entry in the span's requests.
     fn share(&self, fleet: &FleetView, upstream: &Name) -> usize {
         fleet.part(OwnedKey::of_upstream(upstream), self.requests)
     }
 }
 
-/// The rate of an upstream, as entries tell it each other.
+/// Rate limit of an upstream, as entries announce it to each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ToldRate {
-    /// The upstream.
+    /// Incarnation of the upstream.
     pub life: Life,
-    /// The rate that it names; none once it takes any again.
+    /// The limit; none once it is lifted.
     pub limit: Option<RateLimit>,
-    /// Time since the moment from which that counts.
+    /// Time since the effective time.
     pub age: Duration,
 }
 
-/// Rates told at a time; more take turns.
+/// Rates in one announcement; more take turns.
 const MAX_ANNOUNCED: usize = 4;
 
-/// Time for which it is told that an upstream takes any rate again: tellings reach all entries of a
-/// large fleet within a few seconds.
+/// Time for which a lifted limit is announced: announcements reach all entries of a large fleet within
+/// a few seconds.
 const LIFTED_ANNOUNCED_FOR: Duration = Duration::from_secs(10);
 
-/// What is known of an upstream's rate.
+/// Last known rate limit of an upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct KnownRate {
     limit: Option<RateLimit>,
-    /// Moment from which that counts; none until a rate is first known.
+    /// Effective time; none until a limit is first known.
     as_of: Option<Time>,
     changed_at: Time,
-    /// When it was told last, if it was since it changed.
+    /// Time of the last announcement since the last change.
     announced_at: Option<Time>,
 }
 
-/// A rate that an upstream names, and the one before.
+/// Change of an upstream's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateChange {
-    /// The rate before.
+    /// Previous limit.
     pub was: Option<RateLimit>,
-    /// The rate now; none once the upstream takes any again.
+    /// Present limit; none once it is lifted.
     pub is: Option<RateLimit>,
 }
 
 impl Pool {
-    /// Takes the rate that an upstream named, or didn't name, in the answer to a request of `sent`;
-    /// tells whether it is another one than before.
+    /// Records the rate limit, or its absence, in the response to a request sent at `sent`; returns
+    /// the change, if any.
     pub fn record_rate_limit(
         &mut self,
         now: Time,
@@ -148,7 +147,7 @@
         self.upstreams[ix.0].rate.apply(now, as_of, named)
     }
 
-    /// Takes a rate that another entry told; tells whether it is another one than before.
+    /// Applies a rate limit that another entry announced; returns the change, if any.
     pub fn apply_rate(
         &mut self,
         now: Time,
@@ -163,8 +162,8 @@
         Some((ix, change))
     }
 
-    /// Rates to tell the others now: those in force and those lifted of late, the longest untold
-    /// first.
+    /// Returns the rate limits to announce now: those in force or lifted recently, the least recently
+    /// announced first.
     pub fn rates_to_announce(&mut self, now: Time) -> Vec<ToldRate> {
         let known = self.upstreams.iter_mut().filter(|u| !u.gone);
         let to_announce = known.filter(|u| u.rate.needs_announcement(now));
@@ -181,14 +180,14 @@
         announced.collect()
     }
 
-    /// Whether an upstream names a rate and has had this entry's share of requests for now.
+    /// Returns whether an upstream is rate-limited and this entry's share of requests is exhausted.
     pub(crate) fn is_rate_share_exhausted(&self, now: Time, u: &Upstream) -> bool {
         self.until_rate_share(now, u)
             .is_some_and(|wait| wait > Duration::ZERO)
     }
 
-    /// Time until a limited upstream may get a request of this entry: zero now, and a whole span where
-    /// this entry has no share.
+    /// Returns the time until a rate-limited upstream may get a request of this entry: zero if now, a
+    /// whole span if this entry has no share, none if there is no limit.
     pub(crate) fn until_rate_share(&self, now: Time, u: &Upstream) -> Option<Duration> {
         let allowance = Allowance::of(u.rate.limit?);
         let share = allowance.share(&self.fleet, &u.record.instance);
@@ -196,7 +195,7 @@
         Some(wait.unwrap_or(allowance.span))
     }
 
-    /// The rate that an upstream names.
+    /// Returns the rate limit of an upstream.
     #[must_use]
     pub fn rate_limit(&self, ix: UpstreamIx) -> Option<RateLimit> {
         self.upstreams[ix.0].rate.limit
@@ -204,7 +203,7 @@
 }
 
 impl KnownRate {
-    /// Takes a word that counts from `as_of`, unless a later one is known.
+    /// Applies a limit or its absence as of `as_of`, unless a later one is known.
     fn apply(&mut self, now: Time, as_of: Time, limit: Option<RateLimit>) -> Option<RateChange> {
         let stays_unlimited = self.limit.is_none() && limit.is_none();
         if stays_unlimited || self.as_of.is_some_and(|known| as_of <= known) {
@@ -220,17 +219,17 @@
         Some(RateChange { was, is: limit })
     }
 
-    /// The rate that the upstream names.
+    /// Returns the limit.
     pub(crate) const fn limit(&self) -> Option<RateLimit> {
         self.limit
     }
 
-    /// Whether the upstream has ever named one.
+    /// Returns whether there has ever been a limit.
     pub(crate) const fn is_known(&self) -> bool {
         self.as_of.is_some()
     }
 
-    /// Whether other entries may not have heard of it.
+    /// Returns whether other entries may not have received it yet.
     fn needs_announcement(&self, now: Time) -> bool {
         let is_lifted_recently =
             self.as_of.is_some() && now.since(self.changed_at) < LIFTED_ANNOUNCED_FOR;
--- a/fireflycroft/src/region.rs
+++ b/fireflycroft/src/region.rs
@@ -1,8 +1,8 @@
-//! Regions, and which of them a request may be run in.
+//! Regions, and the home regions of requests.
 //!
-//! A route or a workspace may name home regions; a request of both is bound by
-//! both. Wherever an upstream is chosen for it, for its run, a copy of its memory
-//! or a move, only those in its homes count.
+//! A route or a workspace may name home regions; the homes of both apply to a
+//! request. Upstreams for its run, a memory backup or a migration are chosen
+//! only from its homes.
 
 use crate::ids::Name;
 use crate::pool::Pool;
@@ -13,7 +13,7 @@
 pub struct RegionSet(u64);
 
 impl RegionSet {
-    /// The regions in both sets.
+    /// Returns the intersection of both sets.
     #[must_use]
     pub const fn and(self, other: Self) -> Self {
         Self(self.0 & other.0)
@@ -28,7 +28,7 @@
 }
 
 impl Regions {
-    /// The regions of data centres, each pair a data centre and its region.
+    /// Builds the regions from pairs of a data centre and its region.
     #[must_use]
     pub fn new(data_centres: impl IntoIterator<Item = (Name, Name)>) -> Self {
         let mut regions = Self::default();
@@ -42,8 +42,8 @@
         regions
     }
 
-    /// The set of the regions with these names, those that have no data centre left out; none where
-    /// no region is named, so that any will do.
+    /// Returns the set of the named regions that have a data centre; none, for any region, if no
+    /// region is named.
     #[must_use]
     pub fn homes(&self, names: &[Name]) -> Option<RegionSet> {
         if names.is_empty() {
@@ -54,14 +54,14 @@
         Some(RegionSet(set))
     }
 
-    /// Whether a data centre is in one of the regions; one that isn't known is in none.
+    /// Returns whether a data centre is in one of the regions; an unknown one is in none.
     fn contains(&self, homes: RegionSet, data_centre: &Name) -> bool {
         let region = self.of_data_centre.get(data_centre);
         region.is_some_and(|region| homes.and(*region).0 != 0)
     }
 }
 
-/// The set of one region; beyond the 64th, the empty one.
+/// Returns the set of one region; empty beyond the 64th.
 const fn singleton(number: u32) -> RegionSet {
     match 1_u64.checked_shl(number) {
         Some(bit) => RegionSet(bit),
@@ -75,8 +75,8 @@
         self.regions = regions;
     }
 
-    /// The regions in which a request of a route and a workspace with these homes may run; none where
-    /// neither has any.
+    /// Returns the regions in which a request of a route and a workspace with these homes may run;
+    /// none where neither has any.
     #[must_use]
     pub fn homes(&self, of_route: &[Name], of_workspace: &[Name]) -> Option<RegionSet> {
         let both = [
--- a/fireflycroft/src/withheld.rs
+++ b/fireflycroft/src/withheld.rs
@@ -1,4 +1,4 @@
-//! What keeps requests from an upstream that is sound and takes new work.
+//! Reasons to send no request to a healthy upstream that takes new work.
 
 use crate::placed::Need;
 use crate::pool::Pool;
@@ -7,16 +7,16 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Why an upstream gets no request of this entry for now.
+/// Reason for which an upstream gets no request of this entry for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withheld {
     /// Its data centre is evacuated.
     Evacuated,
-    /// It is cold, and this entry has sent its share.
+    /// It is cold, and this entry's share is exhausted.
     ColdShareExhausted,
-    /// It names a rate, and this entry has sent its share.
+    /// It is rate-limited, and this entry's share is exhausted.
     RateShareExhausted,
-    /// It turned a request of this entry away and asked for a pause.
+    /// It refused a request of this entry and requested a pause.
     Paused,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl Pool {
-    /// Why an upstream gets no request of this entry now; none where it may get one.
+    /// Returns the reason to send an upstream no request now; none where it may get one.
     #[must_use]
     pub fn withheld(&self, now: Time, ix: UpstreamIx) -> Option<Withheld> {
         self.withheld_reason(now, &self.upstreams[ix.0])
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Time until an upstream that could serve `need`, and that gets no request of this entry by its
-    /// own word, gets one again; none where there is no such upstream.
+    /// Returns the time until the first upstream for `need` that is rate-limited or paused may get a
+    /// request of this entry again; none where there is no such upstream.
     #[must_use]
     pub fn until_any_is_free(&self, now: Time, service: &str, need: &Need) -> Option<Duration> {
         let open = self.serving(service).map(|i| &self.upstreams[i]);
@@ -65,7 +65,7 @@
         waits.filter(|wait| !wait.is_zero()).min()
     }
 
-    /// Notes that an upstream turned a request of this entry away and wants nothing more for a pause.
+    /// Records that an upstream refused a request of this entry and requested a pause.
     pub fn pause(&mut self, now: Time, ix: UpstreamIx, span: Duration) {
         let u = &mut self.upstreams[ix.0];
         u.paused_until = u.paused_until.max(now + span);
