--- a/fireflycroft/src/room.rs
+++ b/fireflycroft/src/admission_limit.rs
@@ -18,52 +18,52 @@
 use std::time::Duration;
 
 /// Share of the memory up to which long generations are let in.
-pub const ROOM_FOR_LONG: f64 = 0.88;
+pub const LONG_LIMIT: f64 = 0.88;
 
 /// The same for those that come back after a refusal: refusing them twice is worse than refusing
 /// another once.
-pub const ROOM_FOR_RETURNING: f64 = 1.02;
+pub const RETURNING_LIMIT: f64 = 1.02;
 
 /// The same for those that come back when their objective has passed: they bring little, and hold
 /// as much as others.
-pub const ROOM_FOR_LATE: f64 = 0.9;
+pub const LATE_LIMIT: f64 = 0.9;
 
 /// Share of the memory up to which a generation of e times the worth for its memory goes further.
-const ROOM_BY_YIELD: f64 = 0.12;
+const DENSITY_BONUS: f64 = 0.12;
 
 /// Share of the memory up to which short generations are let in.
-pub const ROOM_FOR_SHORT: f64 = 1.4;
+pub const SHORT_LIMIT: f64 = 1.4;
 
 /// Share of the memory that is kept for those of the first rank.
-pub const ROOM_FOR_FIRST: f64 = 0.05;
+pub const FIRST_RANK_RESERVE: f64 = 0.05;
 
 /// Share by which the memory of all engines may be fuller than that of the one engine: it counts
 /// what runs on engines that leave, part of which ends by itself.
-const SERVICE_LATER: f64 = 0.05;
+const SERVICE_TOLERANCE: f64 = 0.05;
 
 /// Answers that are expected to be no longer are short.
 pub const SHORT_TOKENS: u64 = 64;
 
 /// Worth that every generation has, against one of the mean size of its kind, as the users count.
-const BASE_WORTH: f64 = 0.3;
+const BASE_VALUE: f64 = 0.3;
 
 /// Tokens of a prompt that count as much as one of the answer in a generation's size, as the users
 /// count.
-const PROMPT_PER_ANSWER: f64 = 10.0;
+const ANSWER_TOKEN_SIZE: f64 = 10.0;
 
 /// Tokens of a prompt that are read in the time in which one of an answer is made; engines read 14
 /// in a millisecond and make one in about ten.
-const READ_PER_MADE: f64 = 140.0;
+const PROMPT_TOKENS_PER_ANSWER_TOKEN: f64 = 140.0;
 
 /// Weight of the newest generation in what is typical of its kind: some hundred count.
 const TYPICAL_WEIGHT: f64 = 0.01;
 
 /// Times its typical size or holding that a generation counts for at most in what is typical, so
 /// that a caller who states absurd sizes decides nothing for others.
-const MOST_TIMES: f64 = 8.0;
+const MAX_RATIO: f64 = 8.0;
 
-/// Generations in a row that hold less by [`MOST_TIMES`] after which the typical one is learned anew.
-const FAR_BELOW_IN_A_ROW: u8 = 3;
+/// Generations in a row that hold less by [`MAX_RATIO`] after which the typical one is learned anew.
+const FAR_BELOW_LIMIT: u8 = 3;
 
 /// Kinds whose typical generation is remembered.
 const MAX_KINDS: usize = 4_096;
@@ -74,7 +74,7 @@
 
 /// Whether a generation was refused before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Coming {
+pub enum ArrivalKind {
     /// It was not.
     First,
     /// It was, and can still begin within its objective.
@@ -83,7 +83,7 @@
     AgainLate,
 }
 
-impl Coming {
+impl ArrivalKind {
     /// Tells by the time since the caller was refused, if it was.
     #[must_use]
     pub fn after(waited: Option<Duration>, objective: Duration) -> Self {
@@ -97,20 +97,20 @@
 
 /// A generation that asks to be let in.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Asking {
+pub struct AdmissionRequest {
     /// Tokens that its answer is expected to have.
     pub expected_tokens: u64,
     /// Worth for the memory that it holds, as the logarithm against its kind.
-    pub yields: f64,
+    pub value_density: f64,
     /// Whether it was refused before.
-    pub coming: Coming,
+    pub coming: ArrivalKind,
     /// Urgency that the operator gave its workspace or route; 0 goes first.
     pub rank: u8,
 }
 
 /// Memory that would be spoken for with one more generation, as shares.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fill {
+pub struct MemoryUsage {
     /// On the engine that suits it best.
     pub engine: f64,
     /// On all engines of the service.
@@ -119,23 +119,23 @@
 
 /// Whether a generation is let in.
 #[must_use]
-pub fn is_room(asking: &Asking, fill: &Fill) -> bool {
-    let limit = if asking.expected_tokens <= SHORT_TOKENS {
-        ROOM_FOR_SHORT
+pub fn is_admitted(request: &AdmissionRequest, fill: &MemoryUsage) -> bool {
+    let limit = if request.expected_tokens <= SHORT_TOKENS {
+        SHORT_LIMIT
     } else {
-        let base = match asking.coming {
-            Coming::First => ROOM_FOR_LONG,
-            Coming::AgainInTime => ROOM_FOR_RETURNING,
-            Coming::AgainLate => ROOM_FOR_LATE,
+        let base = match request.coming {
+            ArrivalKind::First => LONG_LIMIT,
+            ArrivalKind::AgainInTime => RETURNING_LIMIT,
+            ArrivalKind::AgainLate => LATE_LIMIT,
         };
-        base + ROOM_BY_YIELD * asking.yields.clamp(-1.0, 1.0)
+        base + DENSITY_BONUS * request.value_density.clamp(-1.0, 1.0)
     };
-    let first = if asking.rank == 0 {
-        ROOM_FOR_FIRST
+    let first_rank_reserve = if request.rank == 0 {
+        FIRST_RANK_RESERVE
     } else {
         0.0
     };
-    fill.engine.max(fill.service - SERVICE_LATER) <= limit + first
+    fill.engine.max(fill.service - SERVICE_TOLERANCE) <= limit + first_rank_reserve
 }
 
 /// When there is likely to be room, if `fill` of all memory is spoken for.
@@ -143,7 +143,7 @@
 /// Some engine ends a run within a fraction of a second, however full all are, and a caller who comes
 /// back soon is still in time for its objective.
 #[must_use]
-pub fn room_after(fill: f64) -> Duration {
+pub fn capacity_expected_after(fill: f64) -> Duration {
     const FREE_SECONDS: f64 = 0.3;
     const SECONDS_BEYOND: f64 = 0.3;
     let beyond = (fill - 0.9).clamp(0.0, 1.0);
@@ -154,17 +154,17 @@
 #[derive(Clone, Copy, Debug)]
 struct Typical {
     size: f64,
-    held: f64,
-    seen: f64,
+    memory_time: f64,
+    count: f64,
     far_below: u8,
 }
 
 impl Typical {
-    const fn of(size: f64, held: f64) -> Self {
+    const fn of(size: f64, memory_time: f64) -> Self {
         Self {
             size,
-            held,
-            seen: 0.0,
+            memory_time,
+            count: 0.0,
             far_below: 0,
         }
     }
@@ -172,40 +172,42 @@
     /// Learns from one more; the first ones count equally.
     ///
     /// Where several in a row hold far less, what was taken for typical was not.
-    fn note(&mut self, size: f64, held: f64) {
-        let is_far_below = held * MOST_TIMES < self.held;
+    fn record(&mut self, size: f64, memory_time: f64) {
+        let is_far_below = memory_time * MAX_RATIO < self.memory_time;
         self.far_below = if is_far_below { self.far_below + 1 } else { 0 };
-        if self.far_below >= FAR_BELOW_IN_A_ROW {
-            *self = Self::of(size, held);
+        if self.far_below >= FAR_BELOW_LIMIT {
+            *self = Self::of(size, memory_time);
         }
-        self.seen += 1.0;
-        let weight = TYPICAL_WEIGHT.max(1.0 / self.seen);
-        self.size += weight * (size.min(MOST_TIMES * self.size) - self.size);
-        self.held += weight * (held.min(MOST_TIMES * self.held) - self.held);
+        self.count += 1.0;
+        let weight = TYPICAL_WEIGHT.max(1.0 / self.count);
+        self.size += weight * (size.min(MAX_RATIO * self.size) - self.size);
+        self.memory_time +=
+            weight * (memory_time.min(MAX_RATIO * self.memory_time) - self.memory_time);
     }
 }
 
 /// What generations of each kind typically bring and hold.
 #[derive(Clone, Debug, Default)]
-pub struct Yields {
+pub struct ValueDensities {
     kinds: HashMap<Name, Typical>,
 }
 
-impl Yields {
+impl ValueDensities {
     /// Worth of a generation for the memory that it is expected to hold, as the logarithm against
     /// the mean of its kind; learns the kind from it.
-    pub fn note(&mut self, kind: &Name, prompt: u64, expected: u64) -> f64 {
+    pub fn record(&mut self, kind: &Name, prompt: u64, expected: u64) -> f64 {
         let (prompt, answer) = (to_f64(prompt), to_f64(expected.max(1)));
-        let size = prompt + PROMPT_PER_ANSWER * answer;
-        let held = (prompt + answer / 2.0) * (answer + prompt / READ_PER_MADE);
+        let size = prompt + ANSWER_TOKEN_SIZE * answer;
+        let memory_time =
+            (prompt + answer / 2.0) * (answer + prompt / PROMPT_TOKENS_PER_ANSWER_TOKEN);
         if self.kinds.len() >= MAX_KINDS {
             self.kinds.clear();
         }
         let typical = self.kinds.entry(kind.clone());
-        let typical = typical.or_insert(Typical::of(size, held));
-        typical.note(size, held);
-        let worth = BASE_WORTH + (1.0 - BASE_WORTH) * size / typical.size;
-        (worth * typical.held / held).ln()
+        let typical = typical.or_insert(Typical::of(size, memory_time));
+        typical.record(size, memory_time);
+        let value = BASE_VALUE + (1.0 - BASE_VALUE) * size / typical.size;
+        (value * typical.memory_time / memory_time).ln()
     }
 }
 
--- a/fireflycroft/src/lib.rs
+++ b/fireflycroft/src/lib.rs
@@ -9,7 +9,7 @@
 //! - the agents' path (`fireflyd`): [`Entry`] and [`Agent`] with `member`,
 //!   `route`, `admit`, `place`, `lease`, `claim` and what belongs to them;
 //! - the direct entry (`fireflydirect`): [`Pool`] with `upstream`, `listing`,
-//!   `loads`, `pace` and `room` says where a request goes, and
+//!   `loads`, `pace` and `admission_limit` says where a request goes, and
 //!   `evacuation`, `cold`, `rate_limit` and `region` where it may not; `owners`, `repeat`,
 //!   `returns`, `watchers` and `contact` say what entries know of each other and
 //!   of the platform's store; `attempt`, `relay` and `rescue` follow a request.
@@ -44,6 +44,7 @@
 //! assert_ne!(first, second);
 //! ```
 
+mod admission_limit;
 mod admit;
 mod agent;
 mod allowance;
@@ -117,7 +118,6 @@
 mod retry;
 mod returns;
 mod revision;
-mod room;
 mod roster;
 mod route;
 mod sent_requests;
@@ -134,6 +134,7 @@
 mod withheld;
 mod work;
 
+pub use admission_limit::*;
 pub use admit::*;
 pub use agent::*;
 pub use ask::*;
@@ -189,7 +190,6 @@
 pub use retry::*;
 pub use returns::*;
 pub use revision::*;
-pub use room::*;
 pub use route::*;
 pub use snapshot::*;
 pub use snapshot_error::*;
--- a/fireflycroft/src/mechanism.rs
+++ b/fireflycroft/src/mechanism.rs
@@ -15,11 +15,11 @@
     Moves,
     /// Asking upstreams that leave when they are gone ([`crate::Departure`]).
     Departures,
-    /// Refusing generations for which there is no room ([`crate::is_room`]).
+    /// Refusing generations for which there is no room ([`crate::is_admitted`]).
     Door,
     /// Knowing refused callers when they come back ([`crate::Returns`]).
     Returns,
-    /// Letting in first what brings more for its memory ([`crate::Yields`]).
+    /// Letting in first what brings more for its memory ([`crate::ValueDensities`]).
     Yields,
     /// Sending prompts where they aren't read too late.
     Reading,
@@ -57,7 +57,7 @@
 
     /// Its word in settings and logs.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn name(self) -> &'static str {
         match self {
             Self::Copies => "copies",
             Self::Moves => "moves",
@@ -86,8 +86,8 @@
 
 impl fmt::Display for UnknownMechanism {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let words = Mechanism::ALL.map(Mechanism::word).join(", ");
-        write!(f, "{:?} is no mechanism; there are {words}", self.0)
+        let names = Mechanism::ALL.map(Mechanism::name).join(", ");
+        write!(f, "{:?} is no mechanism; there are {names}", self.0)
     }
 }
 
@@ -96,10 +96,10 @@
 impl FromStr for Mechanism {
     type Err = UnknownMechanism;
 
-    fn from_str(word: &str) -> Result<Self, Self::Err> {
+    fn from_str(name: &str) -> Result<Self, Self::Err> {
         let mut all = Self::ALL.into_iter();
-        all.find(|m| m.word() == word)
-            .ok_or_else(|| UnknownMechanism(word.to_owned()))
+        all.find(|m| m.name() == name)
+            .ok_or_else(|| UnknownMechanism(name.to_owned()))
     }
 }
 
--- a/fireflycroft/src/upstream.rs
+++ b/fireflycroft/src/upstream.rs
@@ -1,5 +1,6 @@
 //! One upstream as a direct entry sees it, and what one more request there costs.
 
+use crate::admission_limit::SHORT_TOKENS;
 use crate::ids::{Incarnation, Name};
 use crate::leave_notice::LeaveNotice;
 use crate::loads::Replied;
@@ -8,7 +9,6 @@
 use crate::pace::{Pace, SeenPace};
 use crate::placed::{Need, Placed, PlacedAt};
 use crate::rate_limit::KnownRate;
-use crate::room::SHORT_TOKENS;
 use crate::sent_requests::SentRequests;
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
--- a/fireflycroft/tests/door_load.rs
+++ b/fireflycroft/tests/admission_load.rs
@@ -11,17 +11,17 @@
 mod pools;
 
 use fireflycroft::{
-    Asking, Coming, Fill, Name, Need, Pool, Time, UpstreamIx, Yields, is_room, room_after,
-    whole_millis,
+    AdmissionRequest, ArrivalKind, MemoryUsage, Name, Need, Pool, Time, UpstreamIx, ValueDensities,
+    capacity_expected_after, is_admitted, whole_millis,
 };
 use pools::{at, record};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 cases! {
-    callers_of_a_calm_load_are_let_in => calm_load();
+    callers_of_a_calm_load_are_let_in => moderate_load();
     engines_of_a_heavy_load_do_not_run_out => heavy_load();
-    heavy_load_lets_in_more_of_what_yields_more => heavy_load_by_yield();
+    heavy_load_lets_in_more_of_what_yields_more => heavy_load_by_density();
 }
 
 /// Engines that serve, each with memory for some five generations.
@@ -32,7 +32,7 @@
 const TOKEN_MILLIS: u64 = 10;
 
 /// Length of the load.
-const LASTS: u64 = 40_000;
+const LOAD_MILLIS: u64 = 40_000;
 
 /// One caller's generation.
 #[derive(Clone, Copy)]
@@ -43,9 +43,9 @@
 }
 
 /// Random numbers, the same in each run.
-struct Draws(u64);
+struct Rng(u64);
 
-impl Draws {
+impl Rng {
     fn next(&mut self) -> f64 {
         self.0 = self
             .0
@@ -75,11 +75,11 @@
 /// What callers got.
 #[derive(Default)]
 struct Outcome {
-    asked: u32,
+    requested: u32,
     refused_for_good: u32,
     /// Logarithms of the yield of those let in and those refused for good.
-    yields_in: Vec<f64>,
-    yields_out: Vec<f64>,
+    admitted_densities: Vec<f64>,
+    refused_densities: Vec<f64>,
     /// Milliseconds in which an engine held more than its memory, all engines together.
     beyond_memory: u64,
 }
@@ -101,15 +101,15 @@
 }
 
 /// Plays callers who come every `gap` milliseconds in the mean and come back once.
-fn play(gap: u64) -> Outcome {
+fn simulate(mean_gap_millis: u64) -> Outcome {
     let mut pool = engines();
-    let mut draws = Draws(7);
-    let mut yields = Yields::default();
+    let mut rng = Rng(7);
+    let mut value_densities = ValueDensities::default();
     let mut waiting: BTreeMap<(u64, u32), (Generation, f64, Option<Time>)> = BTreeMap::new();
     let mut running: Vec<Running> = Vec::new();
     let mut outcome = Outcome::default();
     let mut next = 0;
-    for millis in (0..LASTS).step_by(10) {
+    for millis in (0..LOAD_MILLIS).step_by(10) {
         running.retain(|run| {
             let ends = run.since + run.generation.made * TOKEN_MILLIS;
             if ends <= millis {
@@ -119,19 +119,19 @@
         });
         outcome.beyond_memory += 10 * beyond_memory(&running, millis);
         while next <= millis {
-            let generation = draws.generation();
+            let generation = rng.generation();
             let (prompt, expected) = (generation.prompt, generation.expected);
-            let yielded = yields.note(&Name::from("kind"), prompt, expected);
-            waiting.insert((next, outcome.asked), (generation, yielded, None));
-            outcome.asked += 1;
-            let share = -draws.next().max(1e-9).ln();
-            next += whole_millis(Duration::from_millis(gap).mul_f64(share));
+            let value_density = value_densities.record(&Name::from("kind"), prompt, expected);
+            waiting.insert((next, outcome.requested), (generation, value_density, None));
+            outcome.requested += 1;
+            let share = -rng.next().max(1e-9).ln();
+            next += whole_millis(Duration::from_millis(mean_gap_millis).mul_f64(share));
         }
         let due: Vec<_> = waiting
             .range(..=(millis, u32::MAX))
             .map(|(k, v)| (*k, *v))
             .collect();
-        for (key, (generation, yielded, refused)) in due {
+        for (key, (generation, value_density, refused)) in due {
             waiting.remove(&key);
             let now = at(millis);
             let need = Need {
@@ -141,20 +141,20 @@
                 ..Need::default()
             };
             let waited = refused.map(|since| now.since(since));
-            let asking = Asking {
+            let request = AdmissionRequest {
                 expected_tokens: generation.expected,
-                yields: yielded,
-                coming: Coming::after(waited, Duration::from_millis(1_800)),
+                value_density,
+                coming: ArrivalKind::after(waited, Duration::from_millis(1_800)),
                 rank: 1,
             };
             let best = pool.choose(now, "models", &need, &[]).unwrap();
-            let fill = Fill {
+            let fill = MemoryUsage {
                 engine: pool.fill_with(now, best, &need),
                 service: pool.runs_fill_of(now, "models"),
             };
-            if is_room(&asking, &fill) {
+            if is_admitted(&request, &fill) {
                 pool.place(now, best, &need);
-                outcome.yields_in.push(yielded);
+                outcome.admitted_densities.push(value_density);
                 running.push(Running {
                     at: best,
                     need,
@@ -162,11 +162,14 @@
                     since: millis,
                 });
             } else if refused.is_none() {
-                let back = whole_millis(room_after(fill.service));
-                waiting.insert((millis + back, key.1), (generation, yielded, Some(now)));
+                let back = whole_millis(capacity_expected_after(fill.service));
+                waiting.insert(
+                    (millis + back, key.1),
+                    (generation, value_density, Some(now)),
+                );
             } else {
                 outcome.refused_for_good += 1;
-                outcome.yields_out.push(yielded);
+                outcome.refused_densities.push(value_density);
             }
         }
     }
@@ -189,30 +192,33 @@
 }
 
 /// Expected answers and prompts take two thirds of the memory.
-fn calm_load() {
-    let outcome = play(50);
-    assert!(outcome.asked > 700, "{}", outcome.asked);
+fn moderate_load() {
+    let outcome = simulate(50);
+    assert!(outcome.requested > 700, "{}", outcome.requested);
     assert!(
-        outcome.refused_for_good * 100 <= outcome.asked,
+        outcome.refused_for_good * 100 <= outcome.requested,
         "{} of {} refused for good",
         outcome.refused_for_good,
-        outcome.asked
+        outcome.requested
     );
 }
 
 /// Half as many again: one engine in a hundred may run out for a moment.
 fn heavy_load() {
-    let outcome = play(33);
-    let share = outcome.beyond_memory * 100 / (ENGINES * LASTS);
+    let outcome = simulate(33);
+    let share = outcome.beyond_memory * 100 / (ENGINES * LOAD_MILLIS);
     assert!(share <= 1, "{share} in 100 beyond memory");
 }
 
-fn heavy_load_by_yield() {
-    let outcome = play(25);
+fn heavy_load_by_density() {
+    let outcome = simulate(25);
     assert!(outcome.refused_for_good > 0);
-    let (let_in, refused) = (mean(&outcome.yields_in), mean(&outcome.yields_out));
+    let (admitted, refused) = (
+        mean(&outcome.admitted_densities),
+        mean(&outcome.refused_densities),
+    );
     assert!(
-        let_in > refused + 0.3,
-        "{let_in:.2} let in, {refused:.2} refused"
+        admitted > refused + 0.3,
+        "{admitted:.2} admitted, {refused:.2} refused"
     );
 }
--- a/fireflycroft/tests/mechanism.rs
+++ b/fireflycroft/tests/mechanism.rs
@@ -32,7 +32,7 @@
 
 fn words() {
     for m in Mechanism::ALL {
-        assert_eq!(m.word().parse(), Ok(m));
+        assert_eq!(m.name().parse(), Ok(m));
     }
 }
 
@@ -77,7 +77,7 @@
 }
 
 /// What is asked for: a long answer with a part that others share.
-const ASKED: Need = Need {
+const LONG_SHARED: Need = Need {
     is_copy: false,
     tokens: 2_000,
     prompt: 1_000,
@@ -94,7 +94,10 @@
     let chosen = |policy, draw| {
         let (mut pool, first, second) = two_engines(policy);
         prepare(&mut pool, first, second);
-        let need = Need { draw, ..ASKED };
+        let need = Need {
+            draw,
+            ..LONG_SHARED
+        };
         pool.choose(NOW, "models", &need, &[]) == Some(second)
     };
     let draws = 0..200;
@@ -125,7 +128,7 @@
 
 fn part_at_second(pool: &mut Pool, _: UpstreamIx, second: UpstreamIx) {
     let same_part = Need {
-        shared: ASKED.shared,
+        shared: LONG_SHARED.shared,
         ..Need::default()
     };
     pool.place(NOW, second, &same_part);
--- a/fireflycroft/tests/owners.rs
+++ b/fireflycroft/tests/owners.rs
@@ -11,7 +11,7 @@
     Digest, Incarnation, Life, Name, Need, OWNERS, OwnedKey, OwnedLoad, Pace, Placed, Pool,
     QueryBudget, Time, UpstreamIx, owners_of,
 };
-use pools::{at, chosen, ix, leaving, need, pool, told};
+use pools::{announced_work, at, chosen, ix, leaving, need, pool};
 use proptest::prelude::*;
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -105,8 +105,8 @@
 
 fn replies_of_others() {
     let mut owner = pool(&["a", "b"]);
-    owner.note_others(at(0), &Name::from("x"), &[told("a", 1_000)], true);
-    owner.note_others(at(0), &Name::from("y"), &[told("a", 500)], true);
+    owner.note_others(at(0), &Name::from("x"), &[announced_work("a", 1_000)], true);
+    owner.note_others(at(0), &Name::from("y"), &[announced_work("a", 500)], true);
     let a = ix(&owner, "a");
     owner.place(at(0), a, &need(40));
     let loads = owner.loads_for(at(10), &Name::from("x"), &[life("a"), life("unknown")]);
@@ -196,7 +196,7 @@
 fn told_before_old() {
     let mut pool = pool(&["a"]);
     reply(&mut pool, &[("a", 9_000)]);
-    pool.note_others(at(500), &Name::from("x"), &[told("a", 300)], true);
+    pool.note_others(at(500), &Name::from("x"), &[announced_work("a", 300)], true);
     assert_eq!(pool.view(at(600), ix(&pool, "a")).placed.tokens, 300);
 }
 
--- a/fireflycroft/tests/pool.rs
+++ b/fireflycroft/tests/pool.rs
@@ -10,7 +10,7 @@
 use fireflycroft::{
     ListChange, Name, Need, Pace, Placed, PlacedAt, Pool, PoolChange, UpstreamIx, UpstreamRecord,
 };
-use pools::{MEMORY, at, chosen, ix, leaving, need, pool, record, told};
+use pools::{MEMORY, announced_work, at, chosen, ix, leaving, need, pool, record};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -143,7 +143,7 @@
     let mut tell = |entry: usize, pace| {
         let of_slow = PlacedAt {
             pace,
-            ..told("slow", 0)
+            ..announced_work("slow", 0)
         };
         pool.note_others(at(0), &Name::from(format!("e{entry}")), &[of_slow], false);
         pool.relative_pace(ix(&pool, "slow"))
@@ -166,7 +166,7 @@
     assert_eq!(chosen(&pool, at(0), &answer(800)), "slow");
     let of_slow = PlacedAt {
         pace: SLOW,
-        ..told("slow", 0)
+        ..announced_work("slow", 0)
     };
     pool.note_others(at(0), &Name::from("other"), &[of_slow], false);
     assert_eq!(chosen(&pool, at(0), &answer(800)), "fast");
@@ -174,13 +174,23 @@
 
 fn counts_others() {
     let mut pool = pool(&["a", "b"]);
-    pool.note_others(at(0), &Name::from("other"), &[told("a", 5_000)], false);
+    pool.note_others(
+        at(0),
+        &Name::from("other"),
+        &[announced_work("a", 5_000)],
+        false,
+    );
     assert_eq!(chosen(&pool, at(100), &need(100)), "b");
 }
 
 fn forgets_others() {
     let mut pool = pool(&["a", "b"]);
-    pool.note_others(at(0), &Name::from("other"), &[told("a", 9_000)], false);
+    pool.note_others(
+        at(0),
+        &Name::from("other"),
+        &[announced_work("a", 9_000)],
+        false,
+    );
     let b = ix(&pool, "b");
     pool.place(at(5_000), b, &need(5_000));
     assert_eq!(chosen(&pool, at(5_000), &need(100)), "a");
@@ -189,11 +199,16 @@
 fn keeps_the_rest() {
     let mut pool = pool(&["a", "b"]);
     let other = Name::from("other");
-    pool.note_others(at(0), &other, &[told("a", 1_000), told("b", 2_000)], false);
-    pool.note_others(at(10), &other, &[told("a", 5_000)], true);
+    pool.note_others(
+        at(0),
+        &other,
+        &[announced_work("a", 1_000), announced_work("b", 2_000)],
+        false,
+    );
+    pool.note_others(at(10), &other, &[announced_work("a", 5_000)], true);
     let fills = ["a", "b"].map(|i| pool.view(at(20), ix(&pool, i)).placed.tokens);
     assert_eq!(fills, [5_000, 2_000]);
-    pool.note_others(at(30), &other, &[told("a", 5_000)], false);
+    pool.note_others(at(30), &other, &[announced_work("a", 5_000)], false);
     assert_eq!(pool.view(at(40), ix(&pool, "b")).placed.tokens, 0);
 }
 
--- a/fireflycroft/tests/pool_lives.rs
+++ b/fireflycroft/tests/pool_lives.rs
@@ -11,7 +11,7 @@
     Incarnation, Name, Placed, PlacedAt, Pool, PoolChange, UpstreamIx, UpstreamRecord,
     UpstreamState,
 };
-use pools::{MEMORY, at, chosen, ix, need, pool, record, told};
+use pools::{MEMORY, announced_work, at, chosen, ix, need, pool, record};
 use std::time::Duration;
 
 cases! {
@@ -68,7 +68,7 @@
         &Name::from("other"),
         &[PlacedAt {
             incarnation: Incarnation(100),
-            ..told("a", 3_000)
+            ..announced_work("a", 3_000)
         }],
         false,
     );
@@ -111,7 +111,7 @@
     pool.learn(at(10), life("a", 200, 5));
     let of_old = PlacedAt {
         incarnation: Incarnation(100),
-        ..told("a", 7_000)
+        ..announced_work("a", 7_000)
     };
     pool.note_others(at(20), &Name::from("other"), &[of_old], false);
     assert_eq!(pool.view(at(20), ix(&pool, "a")).placed, Placed::default());
--- a/fireflycroft/tests/rescue.rs
+++ b/fireflycroft/tests/rescue.rs
@@ -5,10 +5,10 @@
 mod cases;
 
 use fireflycroft::{
-    Asking, BACKUP_FILL, Coming, Departure, Fill, Incarnation, Name, Need, OnNotice, Pool,
-    ROOM_FOR_FIRST, ROOM_FOR_LATE, ROOM_FOR_LONG, ROOM_FOR_RETURNING, STEP_DOWN_AFTER,
-    STOP_AFTER_NOTICE, Time, UpstreamRecord, UpstreamState, WATCHERS, WatchDuty, WatchView, Yields,
-    is_room, on_notice, pick_backup, room_after,
+    AdmissionRequest, ArrivalKind, BACKUP_FILL, Departure, FIRST_RANK_RESERVE, Incarnation,
+    LATE_LIMIT, LONG_LIMIT, MemoryUsage, Name, Need, OnNotice, Pool, RETURNING_LIMIT,
+    STEP_DOWN_AFTER, STOP_AFTER_NOTICE, Time, UpstreamRecord, UpstreamState, ValueDensities,
+    WATCHERS, WatchDuty, WatchView, capacity_expected_after, is_admitted, on_notice, pick_backup,
 };
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -19,8 +19,8 @@
     copy_is_kept_elsewhere => copy_is_elsewhere();
     no_copy_where_memory_is_short => no_copy_when_short();
     no_copy_where_there_is_nobody_else => no_copy_alone();
-    long_generation_needs_room => assert!(!room(500, Coming::First, 1.0, 0.1) && room(500, Coming::First, 0.5, 0.5));
-    long_generation_needs_room_for_what_moves => assert!(!room(500, Coming::First, 0.5, 1.0));
+    long_generation_needs_room => assert!(!room(500, ArrivalKind::First, 1.0, 0.1) && room(500, ArrivalKind::First, 0.5, 0.5));
+    long_generation_needs_room_for_what_moves => assert!(!room(500, ArrivalKind::First, 0.5, 1.0));
     generation_that_is_too_late_gives_way => late_gives_way();
     caller_in_time_and_late_are_told_apart => told_apart();
     generation_that_yields_more_goes_first => yields_go_first();
@@ -34,8 +34,8 @@
     engine_that_stays_long_puts_nothing_off => assert_eq!(leaving(Some(9_000), 100), STOP_AFTER_NOTICE);
     returning_generation_is_let_in_first => returning_first();
     first_rank_is_let_in_first => first_rank();
-    short_generation_is_let_in_beyond => assert!(room(10, Coming::First, 1.0, 1.0) && !room(10, Coming::First, 2.0, 1.0));
-    fuller_memory_says_come_back_later => assert!(room_after(1.5) > room_after(0.5));
+    short_generation_is_let_in_beyond => assert!(room(10, ArrivalKind::First, 1.0, 1.0) && !room(10, ArrivalKind::First, 2.0, 1.0));
+    fuller_memory_says_come_back_later => assert!(capacity_expected_after(1.5) > capacity_expected_after(0.5));
     lone_entry_watches => assert!(WatchDuty::new(addr(0), true).is_watching());
     enough_watchers_are_found => enough_watchers();
     watcher_that_fails_is_replaced => failed_is_replaced();
@@ -45,70 +45,73 @@
     calls_of_a_silent_store_do_not_grow_with_the_fleet => calls_stay_few();
 }
 
-fn asking(expected_tokens: u64, coming: Coming) -> Asking {
-    Asking {
+fn asking(expected_tokens: u64, coming: ArrivalKind) -> AdmissionRequest {
+    AdmissionRequest {
         expected_tokens,
-        yields: 0.0,
+        value_density: 0.0,
         coming,
         rank: 1,
     }
 }
 
-fn room(expected_tokens: u64, coming: Coming, engine: f64, service: f64) -> bool {
-    is_room(&asking(expected_tokens, coming), &Fill { engine, service })
+fn room(expected_tokens: u64, coming: ArrivalKind, engine: f64, service: f64) -> bool {
+    is_admitted(
+        &asking(expected_tokens, coming),
+        &MemoryUsage { engine, service },
+    )
 }
 
 fn returning_first() {
-    let between = f64::midpoint(ROOM_FOR_LONG, ROOM_FOR_RETURNING);
-    assert!(room(500, Coming::AgainInTime, between, 0.5));
-    assert!(!room(500, Coming::First, between, 0.5));
+    let between = f64::midpoint(LONG_LIMIT, RETURNING_LIMIT);
+    assert!(room(500, ArrivalKind::AgainInTime, between, 0.5));
+    assert!(!room(500, ArrivalKind::First, between, 0.5));
     assert!(!room(
         500,
-        Coming::AgainInTime,
-        ROOM_FOR_RETURNING + 0.01,
+        ArrivalKind::AgainInTime,
+        RETURNING_LIMIT + 0.01,
         0.5
     ));
 }
 
 fn late_gives_way() {
-    let between = f64::midpoint(ROOM_FOR_LATE, ROOM_FOR_RETURNING);
-    assert!(room(500, Coming::AgainInTime, between, 0.5));
-    assert!(!room(500, Coming::AgainLate, between, 0.5));
+    let between = f64::midpoint(LATE_LIMIT, RETURNING_LIMIT);
+    assert!(room(500, ArrivalKind::AgainInTime, between, 0.5));
+    assert!(!room(500, ArrivalKind::AgainLate, between, 0.5));
 }
 
 fn told_apart() {
     let after = |waited: Option<u64>| {
         let waited = waited.map(Duration::from_millis);
-        Coming::after(waited, Duration::from_millis(1_800))
+        ArrivalKind::after(waited, Duration::from_millis(1_800))
     };
-    assert_eq!(after(None), Coming::First);
-    assert_eq!(after(Some(0)), Coming::AgainInTime);
-    assert_eq!(after(Some(600)), Coming::AgainInTime);
-    assert_eq!(after(Some(1_500)), Coming::AgainLate);
+    assert_eq!(after(None), ArrivalKind::First);
+    assert_eq!(after(Some(0)), ArrivalKind::AgainInTime);
+    assert_eq!(after(Some(600)), ArrivalKind::AgainInTime);
+    assert_eq!(after(Some(1_500)), ArrivalKind::AgainLate);
 }
 
 fn yields_go_first() {
-    let fill = Fill {
-        engine: ROOM_FOR_LONG + 0.05,
+    let fill = MemoryUsage {
+        engine: LONG_LIMIT + 0.05,
         service: 0.5,
     };
-    let of_yield = |yields| Asking {
-        yields,
-        ..asking(500, Coming::First)
+    let of_yield = |yields| AdmissionRequest {
+        value_density: yields,
+        ..asking(500, ArrivalKind::First)
     };
-    assert!(is_room(&of_yield(0.5), &fill));
-    assert!(!is_room(&of_yield(0.0), &fill));
-    assert!(!is_room(&of_yield(-0.5), &fill));
+    assert!(is_admitted(&of_yield(0.5), &fill));
+    assert!(!is_admitted(&of_yield(0.0), &fill));
+    assert!(!is_admitted(&of_yield(-0.5), &fill));
 }
 
 /// Yield of a generation beside many of 3,000 and 600 tokens.
 fn yield_of(prompt: u64, expected: u64) -> f64 {
-    let mut yields = Yields::default();
+    let mut yields = ValueDensities::default();
     let kind = Name::from("log");
     for _ in 0..100 {
-        yields.note(&kind, 3_000, 600);
+        yields.record(&kind, 3_000, 600);
     }
-    yields.note(&kind, prompt, expected)
+    yields.record(&kind, prompt, expected)
 }
 
 fn shorter_prompt() {
@@ -128,22 +131,22 @@
 
 fn absurd_sizes() {
     let kind = Name::from("log");
-    let mut yields = Yields::default();
-    yields.note(&kind, 4_000_000_000, 4_000_000_000);
+    let mut yields = ValueDensities::default();
+    yields.record(&kind, 4_000_000_000, 4_000_000_000);
     for _ in 0..100 {
-        yields.note(&kind, 3_000, 600);
+        yields.record(&kind, 3_000, 600);
     }
-    yields.note(&kind, 4_000_000_000, 4_000_000_000);
-    let usual = yields.note(&kind, 3_000, 600);
+    yields.record(&kind, 4_000_000_000, 4_000_000_000);
+    let usual = yields.record(&kind, 3_000, 600);
     assert!(usual.abs() < 0.2, "{usual}");
 }
 
 fn own_kinds() {
-    let mut yields = Yields::default();
+    let mut yields = ValueDensities::default();
     for _ in 0..100 {
-        yields.note(&Name::from("log"), 3_000, 600);
+        yields.record(&Name::from("log"), 3_000, 600);
     }
-    let of_grade = yields.note(&Name::from("grade"), 500, 20);
+    let of_grade = yields.record(&Name::from("grade"), 500, 20);
     assert!(of_grade.abs() < 0.05, "{of_grade}");
 }
 
@@ -170,16 +173,16 @@
 }
 
 fn first_rank() {
-    let fill = Fill {
-        engine: ROOM_FOR_LONG + ROOM_FOR_FIRST / 2.0,
+    let fill = MemoryUsage {
+        engine: LONG_LIMIT + FIRST_RANK_RESERVE / 2.0,
         service: 0.5,
     };
-    let of_rank = |rank| Asking {
+    let of_rank = |rank| AdmissionRequest {
         rank,
-        ..asking(500, Coming::First)
+        ..asking(500, ArrivalKind::First)
     };
-    assert!(is_room(&of_rank(0), &fill));
-    assert!(!is_room(&of_rank(1), &fill));
+    assert!(is_admitted(&of_rank(0), &fill));
+    assert!(!is_admitted(&of_rank(1), &fill));
 }
 
 fn at(millis: u64) -> Time {
--- a/fireflycroft/tests/returns.rs
+++ b/fireflycroft/tests/returns.rs
@@ -4,21 +4,21 @@
 #[path = "support/cases.rs"]
 mod cases;
 
-use fireflycroft::{Coming, Digest, Refusal, Returns, Time};
+use fireflycroft::{ArrivalKind, Digest, Refusal, Returns, Time};
 use proptest::prelude::*;
 use std::time::Duration;
 
 const OBJECTIVE: Duration = Duration::from_millis(1_800);
 
 cases! {
-    first_caller_is_no_returning_one => assert_eq!(coming(&Returns::default(), 0, 1), Coming::First);
-    refused_caller_is_known_when_it_comes_back => assert_eq!(coming(&refused(1), 350, 1), Coming::AgainInTime);
-    another_caller_of_the_kind_is_not => assert_eq!(coming(&refused(1), 350, 2), Coming::First);
-    caller_that_comes_back_late_is_told_apart => assert_eq!(coming(&refused(1), 1_500, 1), Coming::AgainLate);
-    refusal_is_forgotten => assert_eq!(coming(&refused(1), 60_000, 1), Coming::First);
+    first_caller_is_no_returning_one => assert_eq!(coming(&Returns::default(), 0, 1), ArrivalKind::First);
+    refused_caller_is_known_when_it_comes_back => assert_eq!(coming(&refused(1), 350, 1), ArrivalKind::AgainInTime);
+    another_caller_of_the_kind_is_not => assert_eq!(coming(&refused(1), 350, 2), ArrivalKind::First);
+    caller_that_comes_back_late_is_told_apart => assert_eq!(coming(&refused(1), 1_500, 1), ArrivalKind::AgainLate);
+    refusal_is_forgotten => assert_eq!(coming(&refused(1), 60_000, 1), ArrivalKind::First);
     second_refusal_counts_from_the_first => counts_from_first();
     refusal_told_by_another_entry_counts => told_counts();
-    age_of_a_told_refusal_counts => assert_eq!(coming(&told(1_500), 5_100, 1), Coming::AgainLate);
+    age_of_a_told_refusal_counts => assert_eq!(coming(&told(1_500), 5_100, 1), ArrivalKind::AgainLate);
     refusal_long_after_another_counts_anew => counts_anew();
     own_refusals_alone_are_told => tells_own();
     refusals_told_are_bounded => bounds_told();
@@ -49,8 +49,8 @@
     returns
 }
 
-fn coming(returns: &Returns, now: u64, content: u128) -> Coming {
-    Coming::after(returns.waited(at(now), Digest(content)), OBJECTIVE)
+fn coming(returns: &Returns, now: u64, content: u128) -> ArrivalKind {
+    ArrivalKind::after(returns.waited(at(now), Digest(content)), OBJECTIVE)
 }
 
 fn counts_from_first() {
@@ -63,12 +63,12 @@
 fn counts_anew() {
     let mut returns = refused(1);
     returns.note_refused(at(60_000), Digest(1));
-    assert_eq!(coming(&returns, 60_300, 1), Coming::AgainInTime);
+    assert_eq!(coming(&returns, 60_300, 1), ArrivalKind::AgainInTime);
 }
 
 fn told_counts() {
     let returns = told(50);
-    assert_eq!(coming(&returns, 5_300, 1), Coming::AgainInTime);
+    assert_eq!(coming(&returns, 5_300, 1), ArrivalKind::AgainInTime);
 }
 
 fn tells_own() {
@@ -98,10 +98,13 @@
     for n in 2..100_000_u128 {
         returns.note_refused(at(10), Digest(n));
     }
-    assert_eq!(coming(&returns, 300, 1), Coming::AgainInTime);
+    assert_eq!(coming(&returns, 300, 1), ArrivalKind::AgainInTime);
     // And there is place again when they are forgotten.
     returns.note_refused(at(60_000), Digest(7_777_777));
-    assert_eq!(coming(&returns, 60_100, 7_777_777), Coming::AgainInTime);
+    assert_eq!(
+        coming(&returns, 60_100, 7_777_777),
+        ArrivalKind::AgainInTime
+    );
 }
 
 proptest! {
--- a/fireflycroft/tests/support/pools.rs
+++ b/fireflycroft/tests/support/pools.rs
@@ -79,7 +79,7 @@
 }
 
 /// What another entry has placed on an engine.
-pub(crate) fn told(instance: &str, tokens: u64) -> PlacedAt {
+pub(crate) fn announced_work(instance: &str, tokens: u64) -> PlacedAt {
     PlacedAt {
         instance: Name::from(instance),
         incarnation: Incarnation::default(),
--- a/fireflydirect/src/call.rs
+++ b/fireflydirect/src/call.rs
@@ -8,8 +8,8 @@
 use crate::{repeats, returns};
 use bytes::Bytes;
 use fireflycroft::{
-    Asking, Code, Fill, Mechanism, Need, NextStep, RunClaim, Tries, TryOutcome, UpstreamIx,
-    WORTH_SAVING_TOKENS, is_room, pick_backup, room_after,
+    AdmissionRequest, Code, Mechanism, MemoryUsage, Need, NextStep, RunClaim, Tries, TryOutcome,
+    UpstreamIx, WORTH_SAVING_TOKENS, capacity_expected_after, is_admitted, pick_backup,
 };
 use hyper::http::response::Parts;
 use rand::RngExt;
@@ -142,23 +142,25 @@
     }
     job.node.note_refused(job.content);
     let pool = job.node.pool.borrow();
-    Some(room_after(pool.runs_fill_of(job.now(), &job.service)))
+    Some(capacity_expected_after(
+        pool.runs_fill_of(job.now(), &job.service),
+    ))
 }
 
 fn has_room(job: &Job, ix: UpstreamIx, need: &Need) -> bool {
     let pool = job.node.pool.borrow();
     let now = job.now();
-    let fill = Fill {
+    let fill = MemoryUsage {
         engine: pool.fill_with(now, ix, need),
         service: pool.runs_fill_of(now, &job.service),
     };
-    let asking = Asking {
+    let asking = AdmissionRequest {
         expected_tokens: job.expected_tokens(),
-        yields: job.yields,
+        value_density: job.yields,
         coming: returns::coming(job),
         rank: job.rank,
     };
-    is_room(&asking, &fill)
+    is_admitted(&asking, &fill)
 }
 
 fn refuse_for_room(job: &Job, ix: UpstreamIx, tries: &RefCell<Tries>, wait: Duration) -> Reply {
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -13,7 +13,7 @@
 use fireflycroft::{
     ALL_HEARD_AFTER, Catalog, Digest, Evacuations, FleetView, LengthEstimator, Life, Policy, Pool,
     PoolChange, Quarantine, QueryBudget, Refusal, Regions, RepeatBudget, Returns, Time, UpstreamIx,
-    WatchDuty, Yields,
+    ValueDensities, WatchDuty,
 };
 use fireflycroft_platform::{Place, StoreObject};
 use std::cell::{Cell, RefCell};
@@ -63,7 +63,7 @@
     /// Lengths of answers.
     pub lengths: RefCell<LengthEstimator>,
     /// What generations bring for the memory that they hold.
-    pub yields: RefCell<Yields>,
+    pub yields: RefCell<ValueDensities>,
     /// Connections to upstreams.
     pub links: Links,
     /// Streams under way.
--- a/fireflydirect/src/returns.rs
+++ b/fireflydirect/src/returns.rs
@@ -2,18 +2,18 @@
 
 use crate::job::Job;
 use crate::questions;
-use fireflycroft::{Coming, Mechanism, OwnedKey, OwnerAsk};
+use fireflycroft::{ArrivalKind, Mechanism, OwnedKey, OwnerAsk};
 
 /// Whether the caller comes back, as far as is known here.
 #[must_use]
-pub fn coming(job: &Job) -> Coming {
+pub fn coming(job: &Job) -> ArrivalKind {
     let waited = job.node.returns.borrow().waited(job.arrival, job.content);
-    Coming::after(waited.filter(|_| is_on(job)), job.route.objective)
+    ArrivalKind::after(waited.filter(|_| is_on(job)), job.route.objective)
 }
 
 /// Asks the owners of the request whether its caller was refused; true if it was.
 pub async fn learn(job: &Job) -> bool {
-    if !is_on(job) || coming(job) != Coming::First {
+    if !is_on(job) || coming(job) != ArrivalKind::First {
         return false;
     }
     let key = OwnedKey::of_content(job.content);
@@ -27,7 +27,7 @@
         .into_iter()
         .map(|o| (o, OwnerAsk::Refused(job.content)));
     questions::ask(&job.node, asks).await;
-    coming(job) != Coming::First
+    coming(job) != ArrivalKind::First
 }
 
 fn is_on(job: &Job) -> bool {
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -170,7 +170,7 @@
     }
     let prompt = u64::from(size.prompt_tokens);
     let mut yields = job.node.yields.borrow_mut();
-    yields.note(&job.route.name, prompt, job.expected_tokens())
+    yields.record(&job.route.name, prompt, job.expected_tokens())
 }
 
 fn find_route(catalog: &Catalog, parts: &Parts) -> Option<Arc<RouteSpec>> {
--- a/fireflydirect/src/settings.rs
+++ b/fireflydirect/src/settings.rs
@@ -53,7 +53,7 @@
     /// Words of those that are off, for the log.
     #[must_use]
     pub fn without(&self) -> String {
-        let words: Vec<&str> = self.off.iter().map(|m| m.word()).collect();
+        let words: Vec<&str> = self.off.iter().map(|m| m.name()).collect();
         words.join(",")
     }
 
