--- a/fireflycroft/src/admission_limit.rs
+++ b/fireflycroft/src/admission_limit.rs
@@ -1,90 +1,89 @@
-//! Whether engines have room for one more generation, or it is refused at once.
+//! Admission limits: whether engines have the capacity for one more generation.
 //!
-//! An engine whose memory runs out preempts runs in the middle of their answers
-//! and reads them anew, so that all of them end late. Refusing the generations
-//! for which there is no room keeps the others on time. Short ones are let in
-//! beyond that: they are gone before the memory is needed.
+//! An engine that runs out of memory preempts runs in the middle of their answers
+//! and recomputes them, so that all of them end late. Refusing generations beyond
+//! capacity keeps the others on time. Short ones are admitted beyond it: they end
+//! before the memory is needed.
 //!
-//! Among the long ones, those that bring more for the memory that they hold go
-//! first. A generation holds its prompt and its answer for as long as the answer
-//! lasts, so its cost grows with the square of its length and its worth with the
-//! length; and what comes back too late for its objective brings little.
+//! Long ones are preferred by value density, their value per memory held. A
+//! generation holds its prompt and its answer until the answer ends, so its cost
+//! grows with the square of its length and its value linearly; one that returns
+//! too late for its objective has little value.
 //!
-//! Ranks of workspaces and routes decide here, at the door. Told to the
-//! engines, they would make them preempt running answers for waiting ones.
+//! Ranks of workspaces and routes apply here. If engines knew them, they would
+//! preempt running answers for waiting ones.
 
 use crate::ids::Name;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Share of the memory up to which long generations are let in.
+/// Share of the memory up to which long generations are admitted.
 pub const LONG_LIMIT: f64 = 0.88;
 
-/// The same for those that come back after a refusal: refusing them twice is worse than refusing
-/// another once.
+/// The same for those that return after a refusal: a second refusal is worse than a first one of
+/// another.
 pub const RETURNING_LIMIT: f64 = 1.02;
 
-/// The same for those that come back when their objective has passed: they bring little, and hold
-/// as much as others.
+/// The same for those that return after their objective has passed: they have little value, and
+/// hold as much as others.
 pub const LATE_LIMIT: f64 = 0.9;
 
-/// Share of the memory up to which a generation of e times the worth for its memory goes further.
+/// Share of the memory that is added to the limit for e times the value density.
 const DENSITY_BONUS: f64 = 0.12;
 
-/// Share of the memory up to which short generations are let in.
+/// Share of the memory up to which short generations are admitted.
 pub const SHORT_LIMIT: f64 = 1.4;
 
-/// Share of the memory that is kept for those of the first rank.
+/// Share of the memory that is reserved for the first rank.
 pub const FIRST_RANK_RESERVE: f64 = 0.05;
 
-/// Share by which the memory of all engines may be fuller than that of the one engine: it counts
-/// what runs on engines that leave, part of which ends by itself.
+/// Share by which the service's memory use may exceed that of the one engine: it includes runs on
+/// departing engines, part of which end before they migrate.
 const SERVICE_TOLERANCE: f64 = 0.05;
 
-/// Answers that are expected to be no longer are short.
+/// Maximum expected tokens of a short answer.
 pub const SHORT_TOKENS: u64 = 64;
 
-/// Worth that every generation has, against one of the mean size of its kind, as the users count.
+/// Base value of every generation, relative to one of the mean size of its kind, as users count.
 const BASE_VALUE: f64 = 0.3;
 
-/// Tokens of a prompt that count as much as one of the answer in a generation's size, as the users
-/// count.
+/// Prompt tokens that count as much as one answer token in a generation's size, as users count.
 const ANSWER_TOKEN_SIZE: f64 = 10.0;
 
-/// Tokens of a prompt that are read in the time in which one of an answer is made; engines read 14
-/// in a millisecond and make one in about ten.
+/// Prompt tokens read in the time of one answer token; engines read 14 per millisecond and produce
+/// one in about ten milliseconds.
 const PROMPT_TOKENS_PER_ANSWER_TOKEN: f64 = 140.0;
 
-/// Weight of the newest generation in what is typical of its kind: some hundred count.
+/// Weight of the newest generation in the mean of its kind: about a hundred count.
 const TYPICAL_WEIGHT: f64 = 0.01;
 
-/// Times its typical size or holding that a generation counts for at most in what is typical, so
-/// that a caller who states absurd sizes decides nothing for others.
+/// Maximum ratio to the mean at which a generation enters the mean, so that a caller's absurd sizes
+/// don't affect others.
 const MAX_RATIO: f64 = 8.0;
 
-/// Generations in a row that hold less by [`MAX_RATIO`] after which the typical one is learned anew.
+/// Consecutive generations below the mean by [`MAX_RATIO`] after which the mean is reset.
 const FAR_BELOW_LIMIT: u8 = 3;
 
-/// Kinds whose typical generation is remembered.
+/// Maximum number of kinds.
 const MAX_KINDS: usize = 4_096;
 
-/// Time that a generation takes to its first event on an engine that has room: a prompt is read in
-/// some 200 ms, and half of that again beside others.
+/// Time to the first event on an engine with capacity: a prompt is read in about 200 ms, and in half
+/// as long again beside others.
 const FIRST_EVENT: Duration = Duration::from_millis(400);
 
-/// Whether a generation was refused before.
+/// Whether a generation is new or returns after a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ArrivalKind {
-    /// It was not.
+    /// Not refused before.
     First,
-    /// It was, and can still begin within its objective.
+    /// Refused before, and can still begin within its objective.
     AgainInTime,
-    /// It was, and its objective has passed.
+    /// Refused before, and its objective has passed.
     AgainLate,
 }
 
 impl ArrivalKind {
-    /// Tells by the time since the caller was refused, if it was.
+    /// Classifies a generation by the time since its refusal, if any.
     #[must_use]
     pub fn after(waited: Option<Duration>, objective: Duration) -> Self {
         match waited {
@@ -95,29 +94,29 @@
     }
 }
 
-/// A generation that asks to be let in.
+/// Generation that requests admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionRequest {
-    /// Tokens that its answer is expected to have.
+    /// Expected tokens of its answer.
     pub expected_tokens: u64,
-    /// Worth for the memory that it holds, as the logarithm against its kind.
+    /// Logarithm of its value density relative to the mean of its kind.
     pub value_density: f64,
-    /// Whether it was refused before.
+    /// Whether it is new or returns after a refusal.
     pub coming: ArrivalKind,
-    /// Urgency that the operator gave its workspace or route; 0 goes first.
+    /// Rank of its workspace or route as set by the operator; 0 is the first.
     pub rank: u8,
 }
 
-/// Memory that would be spoken for with one more generation, as shares.
+/// Shares of memory that would be reserved with one more generation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemoryUsage {
-    /// On the engine that suits it best.
+    /// Share on the best engine for it.
     pub engine: f64,
-    /// On all engines of the service.
+    /// Share on all engines of the service.
     pub service: f64,
 }
 
-/// Whether a generation is let in.
+/// Returns whether a generation is admitted.
 #[must_use]
 pub fn is_admitted(request: &AdmissionRequest, fill: &MemoryUsage) -> bool {
     let limit = if request.expected_tokens <= SHORT_TOKENS {
@@ -138,10 +137,10 @@
     fill.engine.max(fill.service - SERVICE_TOLERANCE) <= limit + first_rank_reserve
 }
 
-/// When there is likely to be room, if `fill` of all memory is spoken for.
+/// Returns the time until capacity is expected, if the share `fill` of all memory is reserved.
 ///
-/// Some engine ends a run within a fraction of a second, however full all are, and a caller who comes
-/// back soon is still in time for its objective.
+/// Some engine ends a run within a fraction of a second, however full all are, and a caller who
+/// returns soon can still meet its objective.
 #[must_use]
 pub fn capacity_expected_after(fill: f64) -> Duration {
     const FREE_SECONDS: f64 = 0.3;
@@ -150,7 +149,7 @@
     Duration::from_secs_f64(FREE_SECONDS + beyond * SECONDS_BEYOND)
 }
 
-/// The mean generation of a kind.
+/// Running means of a kind of generation.
 #[derive(Clone, Copy, Debug)]
 struct Typical {
     size: f64,
@@ -169,9 +168,9 @@
         }
     }
 
-    /// Learns from one more; the first ones count equally.
+    /// Updates the means with a generation; the first ones count equally.
     ///
-    /// Where several in a row hold far less, what was taken for typical was not.
+    /// Resets them after several generations in a row far below: the earlier ones were atypical.
     fn record(&mut self, size: f64, memory_time: f64) {
         let is_far_below = memory_time * MAX_RATIO < self.memory_time;
         self.far_below = if is_far_below { self.far_below + 1 } else { 0 };
@@ -186,15 +185,15 @@
     }
 }
 
-/// What generations of each kind typically bring and hold.
+/// Mean size and memory use of generations, by kind.
 #[derive(Clone, Debug, Default)]
 pub struct ValueDensities {
     kinds: HashMap<Name, Typical>,
 }
 
 impl ValueDensities {
-    /// Worth of a generation for the memory that it is expected to hold, as the logarithm against
-    /// the mean of its kind; learns the kind from it.
+    /// Records a generation and returns the logarithm of its value density relative to the mean of
+    /// its kind.
     pub fn record(&mut self, kind: &Name, prompt: u64, expected: u64) -> f64 {
         let (prompt, answer) = (to_f64(prompt), to_f64(expected.max(1)));
         let size = prompt + ANSWER_TOKEN_SIZE * answer;
--- a/fireflycroft/src/mechanism.rs
+++ b/fireflycroft/src/mechanism.rs
@@ -1,7 +1,7 @@
 //! Mechanisms of the direct entry that can be switched off, one by one.
 //!
-//! All are on. Operators switch one off when it does harm in an incident, and
-//! measurements do to tell what it is worth.
+//! All are on by default. Operators switch one off if it does harm in an incident;
+//! measurements do so to determine its effect.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,25 +9,25 @@
 /// A mechanism that can be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Copies of runs that are kept as they grow ([`crate::pick_backup`]).
+    /// Memory backups of runs, updated as they grow ([`crate::pick_backup`]).
     Copies,
-    /// Moving runs off upstreams that leave ([`crate::on_notice`]).
+    /// Migration of runs off departing upstreams ([`crate::on_notice`]).
     Moves,
-    /// Asking upstreams that leave when they are gone ([`crate::Departure`]).
+    /// Queries to departing upstreams for the time of their end ([`crate::Departure`]).
     Departures,
-    /// Refusing generations for which there is no room ([`crate::is_admitted`]).
+    /// Admission limits for generations ([`crate::is_admitted`]).
     Door,
     /// Knowing refused callers when they come back ([`crate::Returns`]).
     Returns,
-    /// Letting in first what brings more for its memory ([`crate::ValueDensities`]).
+    /// Preference by value density at admission ([`crate::ValueDensities`]).
     Yields,
-    /// Sending prompts where they aren't read too late.
+    /// Cost of unread prompts in the choice of an upstream.
     Reading,
-    /// Sending long generations to fast engines ([`crate::Pace`]).
+    /// Preference of fast engines for long generations ([`crate::Pace`]).
     Pace,
-    /// Sending prompts where a shared part lies.
+    /// Preference of engines that hold a shared part of the prompt.
     Shared,
-    /// Leaving upstreams alone that fail.
+    /// Cost of failures in the choice of an upstream.
     Failing,
     /// Trying a call to the store beside one that hangs ([`crate::Overlap`]).
     Overlap,
@@ -38,7 +38,7 @@
 }
 
 impl Mechanism {
-    /// All of them.
+    /// All mechanisms.
     pub const ALL: [Self; 13] = [
         Self::Copies,
         Self::Moves,
@@ -55,7 +55,7 @@
         Self::Owners,
     ];
 
-    /// Its word in settings and logs.
+    /// Returns its name in settings and logs.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -80,7 +80,7 @@
     }
 }
 
-/// No mechanism has that word.
+/// Error for a name that no mechanism has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownMechanism(String);
 
@@ -103,14 +103,14 @@
     }
 }
 
-/// Which mechanisms are on; all by default.
+/// Set of the enabled mechanisms; all by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Policy {
     off: u16,
 }
 
 impl Policy {
-    /// All mechanisms but those.
+    /// Returns the policy with all mechanisms except `off`.
     #[must_use]
     pub fn without(off: impl IntoIterator<Item = Mechanism>) -> Self {
         let off = off.into_iter();
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Whether a mechanism is on.
+    /// Returns whether a mechanism is on.
     #[must_use]
     pub const fn uses(self, mechanism: Mechanism) -> bool {
         self.off & mechanism.bit() == 0
--- a/fireflycroft/tests/admission_load.rs
+++ b/fireflycroft/tests/admission_load.rs
@@ -1,7 +1,7 @@
-//! A load played at the door in virtual time, and what callers get.
+//! Simulation of admission under load, in virtual time.
 //!
-//! Users' callers were refused while a fifth of all memory and more was free: where a request takes a
-//! fifth of an engine, a limit that falls by a quarter of the memory for a low yield leaves room unused.
+//! Guards against refusing callers while a fifth of all memory or more is free: where a request takes a
+//! fifth of an engine, a limit lowered by a quarter of the memory for a low value density wastes capacity.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -24,11 +24,11 @@
     heavy_load_lets_in_more_of_what_yields_more => heavy_load_by_density();
 }
 
-/// Engines that serve, each with memory for some five generations.
+/// Serving engines, each with memory for about five generations.
 const ENGINES: u64 = 36;
 const MEMORY: u64 = 22_054;
 
-/// Time in which an engine makes a token.
+/// Time of an engine for a token.
 const TOKEN_MILLIS: u64 = 10;
 
 /// Length of the load.
@@ -42,7 +42,7 @@
     made: u64,
 }
 
-/// Random numbers, the same in each run.
+/// Deterministic random numbers.
 struct Rng(u64);
 
 impl Rng {
@@ -54,7 +54,7 @@
         f64::from(u32::try_from(self.0 >> 32).unwrap()) / f64::from(u32::MAX)
     }
 
-    /// About normal, with a deviation of one.
+    /// Approximates a standard normal variate.
     fn normal(&mut self) -> f64 {
         (0..12).map(|_| self.next()).sum::<f64>() - 6.0
     }
@@ -72,15 +72,15 @@
     }
 }
 
-/// What callers got.
+/// Result of a simulation.
 #[derive(Default)]
 struct Outcome {
     requested: u32,
     refused_for_good: u32,
-    /// Logarithms of the yield of those let in and those refused for good.
+    /// Logarithms of the value density of admitted and finally refused generations.
     admitted_densities: Vec<f64>,
     refused_densities: Vec<f64>,
-    /// Milliseconds in which an engine held more than its memory, all engines together.
+    /// Milliseconds with an engine beyond its memory, summed over all engines.
     beyond_memory: u64,
 }
 
@@ -100,7 +100,7 @@
     pool
 }
 
-/// Plays callers who come every `gap` milliseconds in the mean and come back once.
+/// Simulates callers with a mean gap of `mean_gap_millis`, each of whom returns once.
 fn simulate(mean_gap_millis: u64) -> Outcome {
     let mut pool = engines();
     let mut rng = Rng(7);
@@ -176,7 +176,7 @@
     outcome
 }
 
-/// Engines that hold more than their memory.
+/// Counts the engines beyond their memory.
 fn beyond_memory(running: &[Running], millis: u64) -> u64 {
     let mut held: BTreeMap<UpstreamIx, u64> = BTreeMap::new();
     for run in running {
@@ -203,7 +203,7 @@
     );
 }
 
-/// Half as many again: one engine in a hundred may run out for a moment.
+/// Half as many again: memory may run out on one engine in a hundred.
 fn heavy_load() {
     let outcome = simulate(33);
     let share = outcome.beyond_memory * 100 / (ENGINES * LOAD_MILLIS);
--- a/fireflycroft/tests/cold.rs
+++ b/fireflycroft/tests/cold.rs
@@ -1,7 +1,6 @@
-//! Requests that a fleet sends to a cold upstream.
+//! Bound on the requests of a fleet to a cold upstream.
 //!
-//! Nothing bounded them: an engine that comes back cold and empty is the best choice of every entry
-//! at once.
+//! Without it an engine that restarts cold and empty is the best choice of all entries at once.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -42,12 +41,12 @@
     }
 }
 
-/// A fleet of so many entries.
+/// Returns the view of a fleet of `entries`.
 fn fleet_of(entries: usize) -> FleetView {
     FleetView::default().at_least(entries)
 }
 
-/// A pool of one of so many entries, with cold engines that bear `per_second` requests each.
+/// Returns the pool of one of `entries`, with cold engines that take `per_second` requests each.
 fn pool_of(entry: usize, entries: usize, per_second: f64, engines: &[&str]) -> Pool {
     let mut pool = Pool::new(Name::from("dc"));
     let models = Name::from("models");
@@ -60,7 +59,7 @@
     pool
 }
 
-/// Sends at once all that an entry may send.
+/// Sends as many requests as an entry may send at once.
 fn send_all(pool: &mut Pool, millis: u64, engine: UpstreamIx) -> usize {
     let mut sent = 0;
     while sent < 10_000 && pool.withheld(at(millis), engine).is_none() {
@@ -123,7 +122,7 @@
     assert_eq!(chosen(&pool, at(0), &need(100)), "b");
 }
 
-/// Callers of a fleet all of whose engines are cold are served at the rate that these bear.
+/// A fleet with only cold engines serves at their cold rate.
 fn small_fleet_serves() {
     let sent: usize = (0..5)
         .map(|entry| {
@@ -162,7 +161,7 @@
     }
 }
 
-/// Each half goes on counting the entries that it doesn't hear any more.
+/// Each half of a partition still counts the unreachable entries.
 fn halves() {
     let sent: usize = (0..68)
         .map(|entry| {
@@ -179,7 +178,7 @@
         rng_seed: RngSeed::Fixed(62), cases: 24, ..ProptestConfig::default()
     })]
 
-    /// Whenever entries send, and as much as each may, no second has more than the bound.
+    /// No second exceeds the bound, whenever entries send and however much of their share.
     #[test]
     fn no_second_has_more_than_the_bound(
         entries in prop::sample::select(vec![5_usize, 23, 68, 350]),
--- a/fireflycroft/tests/evacuation.rs
+++ b/fireflycroft/tests/evacuation.rs
@@ -1,7 +1,7 @@
-//! Data centres that are evacuated.
+//! Evacuated data centres.
 //!
-//! Users saw requests reach engines of a data centre 5.0 to 8 s after the operator had evacuated it,
-//! five seconds being allowed: nothing in the program knew of evacuations.
+//! Guards against requests that reach engines of a data centre more than 5 s, the time allowed, after
+//! its evacuation: without this support they did so for 5.0 to 8 s.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -32,7 +32,7 @@
     }
 }
 
-/// One engine in each of two data centres; the first one is the emptier.
+/// Returns a pool with one engine in each of two data centres; the first is the emptier.
 fn two_places() -> Pool {
     let mut pool = Pool::new(Name::from("north"));
     pool.learn(at(0), in_place("a", "north", 1));
--- a/fireflycroft/tests/leave_notice.rs
+++ b/fireflycroft/tests/leave_notice.rs
@@ -1,4 +1,4 @@
-//! Upstreams that say in their answers that they leave.
+//! Leave notices in the responses of upstreams.
 
 #[macro_use]
 #[path = "support/cases.rs"]
--- a/fireflycroft/tests/length_estimator.rs
+++ b/fireflycroft/tests/length_estimator.rs
@@ -1,4 +1,4 @@
-//! Lengths learned from hints and answers.
+//! Length estimates from hints and earlier answers.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -23,7 +23,7 @@
     Name::from("log")
 }
 
-/// Lengths spread around their hints by half and twice, as learned from 400 answers.
+/// Returns an estimator after 400 answers of 0.4 to 2.5 times their hints.
 fn learned() -> LengthEstimator {
     let mut estimator = LengthEstimator::default();
     for i in 0..400_u32 {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Answers that would be longer than the bound end there, so the mean is well below it.
+/// Longer answers end at the bound, so the mean is well below it.
 fn bound_counts() {
     let expected = learned().expect(&kind(), Some(1_900), MOST);
     assert!((1_000..1_800).contains(&expected), "{expected}");
--- a/fireflycroft/tests/long_on_fast.rs
+++ b/fireflycroft/tests/long_on_fast.rs
@@ -1,8 +1,8 @@
-//! Long generations before engines of two speeds.
+//! Placement of long generations on engines of two speeds.
 //!
-//! A quarter of the engines takes 0.55 of the usual time for a token, the others 1.2 of it, and all are slowed
-//! down for spans that nobody foresees. On the slower ones a prompt that is read in such a span holds the
-//! answers beside it up for longer than their callers may wait for an event; on the faster ones it doesn't.
+//! A quarter of the engines takes 0.55 of the usual time for a token, the others 1.2 of it, and all slow down
+//! at unpredictable times. On a slow engine a prompt that is read at such a time delays events of the other
+//! answers beyond their objective; on a fast one it doesn't.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -20,10 +20,10 @@
     engines_of_one_speed_share_all => fill_is_even();
 }
 
-/// Engines; the first of each four is the fast one.
+/// Number of engines; the first of each four is fast.
 const ENGINES: usize = 40;
 
-/// Tokens that one holds.
+/// Memory of an engine in tokens.
 const MEMORY: u64 = 27_000;
 
 /// Tokens of a long generation: its prompt and its answer.
@@ -33,10 +33,10 @@
 /// Time for a token on an engine of the usual speed.
 const TOKEN: Duration = Duration::from_millis(9);
 
-/// Time between two arrivals.
+/// Gap between arrivals.
 const GAP: Duration = Duration::from_millis(50);
 
-/// Arrivals that are counted, after as many that aren't.
+/// Number of counted arrivals, after as many for warm-up.
 const COUNTED: usize = 1_200;
 
 struct Run {
@@ -45,12 +45,12 @@
     ends: Time,
 }
 
-/// Time for an answer on an engine of a speed.
+/// Returns the time for an answer on an engine of a speed.
 fn answer_takes(speed: f64) -> Duration {
     (TOKEN * ANSWER).mul_f64(speed)
 }
 
-/// The engines with their speeds, by number, and all runs under way.
+/// Engines, their speeds by number, and the running generations.
 struct Service {
     pool: Pool,
     runs: Vec<Run>,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Places the next generation; gives the speed of its engine.
+    /// Places the next generation and returns the speed of its engine.
     fn arrive(&mut self, now: Time) -> f64 {
         self.end_runs(now);
         self.drawn = self.drawn.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -115,8 +115,8 @@
     }
 }
 
-/// Of [`COUNTED`] generations, those on slow engines are no more than `allowed` in a thousand: what the fast
-/// ones can't hold in three quarters of their memory. No engine runs out of it.
+/// Checks that at most `allowed` in a thousand of [`COUNTED`] generations run on slow engines, the overflow
+/// of the fast ones at three quarters of their memory, and that no engine runs out of memory.
 fn few_are_held_up(speeds: &[f64], allowed: usize) {
     let mut service = Service::new(speeds);
     let mut slow = 0;
--- a/fireflycroft/tests/mechanism.rs
+++ b/fireflycroft/tests/mechanism.rs
@@ -1,4 +1,4 @@
-//! Mechanisms that can be switched off: their words, and that each one off changes a choice.
+//! Mechanisms that can be switched off: their names, and the effect of each on a choice.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -46,7 +46,7 @@
 
 const NOW: Time = Time(0);
 
-/// A pool of two engines; the second one holds a little more, so that nothing else decides for it.
+/// Returns a pool of two engines, of which the second is slightly fuller.
 fn two_engines(policy: Policy) -> (Pool, UpstreamIx, UpstreamIx) {
     let mut pool = Pool::new(Name::from("dc"));
     pool.set_policy(policy);
@@ -66,7 +66,7 @@
     }
     pool.set_memory(&Name::from("models"), Some(100_000));
     let (first, second) = (pool.find("first").unwrap(), pool.find("second").unwrap());
-    // More than the draw of near ties makes up for, less than any mechanism.
+    // More than the random tie-break outweighs, less than any mechanism.
     let need = Need {
         tokens: 1_000,
         is_copy: true,
@@ -76,7 +76,7 @@
     (pool, first, second)
 }
 
-/// What is asked for: a long answer with a part that others share.
+/// Need of a long answer whose prompt has a shared part.
 const LONG_SHARED: Need = Need {
     is_copy: false,
     tokens: 2_000,
@@ -88,8 +88,8 @@
     copied_from: None,
 };
 
-/// The second engine is chosen with the mechanism for at least one draw for which the first is
-/// without it, and never the other way round.
+/// Checks that for some draws the second engine is chosen only with the mechanism, and for none
+/// only without it.
 fn changes(mechanism: Mechanism, prepare: fn(&mut Pool, UpstreamIx, UpstreamIx)) {
     let chosen = |policy, draw| {
         let (mut pool, first, second) = two_engines(policy);
--- a/fireflycroft/tests/rate_limit.rs
+++ b/fireflycroft/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Rates that upstreams in need name, and what a fleet then sends them.
+//! Rate limits of upstreams, and the requests that a fleet sends within them.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -44,7 +44,7 @@
     RateLimit::new(per_second)
 }
 
-/// Takes an answer that came at one moment to a request of another.
+/// Records the response received at `came` to the request sent at `sent`.
 fn answer(pool: &mut Pool, sent: u64, came: u64, named: Option<RateLimit>) -> Option<RateChange> {
     let a = ix(pool, "a");
     pool.record_rate_limit(at(came), a, at(sent), named)
@@ -73,7 +73,7 @@
     assert_eq!(pool.rate_limit(ix(&pool, "b")), None);
 }
 
-/// Tells one pool all that another one has to tell.
+/// Announces the rates of one pool to another; returns the number of changes.
 fn tell(from: &mut Pool, to: &mut Pool, millis: u64) -> usize {
     let told = from.rates_to_announce(at(millis));
     let taken = told.iter().filter_map(|t| to.apply_rate(at(millis), t));
@@ -160,7 +160,7 @@
     assert_eq!(pool.rate_limit(ix(&pool, "a")), rate(2.5));
 }
 
-/// Addresses of a fleet of so many entries.
+/// Returns the addresses of a fleet of `entries`.
 fn addrs(entries: usize) -> Vec<Ipv4Addr> {
     let last = u32::try_from(entries).unwrap();
     (1..=last)
@@ -168,7 +168,7 @@
         .collect()
 }
 
-/// A pool of each entry of such a fleet, all of which know that `a` names a rate.
+/// Returns the pools of such a fleet, all of which know the rate limit of `a`.
 fn fleet(entries: usize, per_second: f64) -> Vec<Pool> {
     let all = addrs(entries);
     let of_entry = |me: &Ipv4Addr| {
@@ -181,7 +181,7 @@
     all.iter().map(of_entry).collect()
 }
 
-/// Sends at once all that an entry may send.
+/// Sends as many requests as an entry may send at once.
 fn send_all(pool: &mut Pool, millis: u64) -> usize {
     let a = ix(pool, "a");
     let mut sent = 0;
@@ -210,7 +210,7 @@
     assert_eq!(chosen(&pool, at(3), &need(100)), "b");
 }
 
-/// Need of a copy of a run on `source`.
+/// Returns the need of a backup of a run on `source`.
 fn copy_of(pool: &Pool, source: &str) -> Need {
     Need {
         copied_from: Some(ix(pool, source)),
@@ -266,7 +266,7 @@
     assert_eq!(wait(&fleet[0], 4_010), None);
 }
 
-/// Requests of a fleet whose entries have more callers than they may send on.
+/// Counts the requests of a fleet whose demand exceeds the rate.
 fn sent_in(entries: usize, per_second: f64, millis: u64) -> usize {
     let mut fleet = fleet(entries, per_second);
     let times = (10..millis).step_by(50);
@@ -306,11 +306,11 @@
     }
 }
 
-/// Of a hundred callers, those that come to each of five entries: as uneven as a balancer that
-/// hashes few callers makes them.
+/// Percentage of callers at each of five entries: the imbalance of a load balancer that hashes few
+/// callers.
 const CALLERS_AT: [u64; 5] = [38, 27, 18, 11, 6];
 
-/// Forty calls a second come to a service whose three upstreams name 2.9 each.
+/// A service with three upstreams limited to 2.9 each gets forty calls a second.
 fn uneven_callers_are_served() {
     let names = ["a", "b", "c"];
     let mut fleet = fleet(5, 2.9);
@@ -365,7 +365,7 @@
         rng_seed: RngSeed::Fixed(71), cases: 24, ..ProptestConfig::default()
     })]
 
-    /// Whenever entries send, and as much as each may, no span has more than the users' bound.
+    /// No span exceeds the users' bound, whenever entries send and however much of their share.
     #[test]
     fn no_span_has_more_than_the_bound(
         entries in prop::sample::select(vec![1_usize, 5, 23, 68, 350]),
--- a/fireflycroft/tests/region.rs
+++ b/fireflycroft/tests/region.rs
@@ -24,7 +24,7 @@
     all.iter().map(|name| Name::from(*name)).collect()
 }
 
-/// One engine in each of three data centres in two regions, and one that nobody knows the place of.
+/// Returns a pool with an engine in each of three data centres in two regions, and one elsewhere.
 fn pool() -> Pool {
     let mut pool = Pool::new(Name::from("n1"));
     let places = [("n1", "north"), ("n2", "north"), ("s1", "south")];
--- a/fireflycroft/tests/support/pools.rs
+++ b/fireflycroft/tests/support/pools.rs
@@ -1,6 +1,6 @@
-//! Pools of engines for tests of the choice among them.
+//! Pools of engines for tests of the choice of an upstream.
 
-// Each test file uses another part of it.
+// Each test file uses a different part of it.
 #![allow(dead_code)]
 
 use fireflycroft::{
@@ -9,15 +9,15 @@
 };
 use std::time::Duration;
 
-/// Tokens that each engine holds.
+/// Memory of each engine in tokens.
 pub(crate) const MEMORY: u64 = 10_000;
 
-/// Time since the start.
+/// Returns the time `millis` after the start.
 pub(crate) fn at(millis: u64) -> Time {
     Time::from_millis(millis)
 }
 
-/// Record of an engine of `models`.
+/// Returns the record of an engine of `models`.
 pub(crate) fn record(instance: &str, revision: u64) -> UpstreamRecord {
     UpstreamRecord {
         instance: Name::from(instance),
@@ -32,7 +32,7 @@
     }
 }
 
-/// The same of one that leaves.
+/// Returns the record of a departing engine of `models`.
 pub(crate) fn leaving(instance: &str, revision: u64) -> UpstreamRecord {
     UpstreamRecord {
         state: UpstreamState::Leaving,
@@ -40,7 +40,7 @@
     }
 }
 
-/// A pool that knows these engines.
+/// Returns a pool with these engines.
 pub(crate) fn pool(instances: &[&str]) -> Pool {
     let mut pool = Pool::new(Name::from("dc"));
     for (i, instance) in instances.iter().enumerate() {
@@ -50,7 +50,7 @@
     pool
 }
 
-/// The list of data centres that are evacuated, as of a revision.
+/// Returns the list of evacuated data centres as of a revision.
 pub(crate) fn evacuated(revision: u64, data_centres: &[&str]) -> Evacuations {
     let names = data_centres.iter().map(|name| Name::from(*name));
     Evacuations {
@@ -59,7 +59,7 @@
     }
 }
 
-/// Need of so many tokens.
+/// Returns a need of `tokens`.
 pub(crate) fn need(tokens: u64) -> Need {
     Need {
         tokens,
@@ -67,18 +67,18 @@
     }
 }
 
-/// The engine that is chosen.
+/// Returns the instance of the chosen engine.
 pub(crate) fn chosen(pool: &Pool, now: Time, need: &Need) -> String {
     let ix = pool.choose(now, "models", need, &[]).unwrap();
     pool.record(ix).instance.to_string()
 }
 
-/// Index of an engine.
+/// Returns the index of an engine.
 pub(crate) fn ix(pool: &Pool, instance: &str) -> UpstreamIx {
     pool.find(instance).unwrap()
 }
 
-/// What another entry has placed on an engine.
+/// Returns the work of another entry on an engine, as announced.
 pub(crate) fn announced_work(instance: &str, tokens: u64) -> PlacedAt {
     PlacedAt {
         instance: Name::from(instance),
--- a/fireflycroft/tests/withheld.rs
+++ b/fireflycroft/tests/withheld.rs
@@ -1,4 +1,4 @@
-//! Upstreams that want nothing of this entry for now, and the time until that ends.
+//! Upstreams that get no request of this entry for now, and the time until they do.
 
 #[macro_use]
 #[path = "support/cases.rs"]
