--- a/fireflycroft/src/listing.rs
+++ b/fireflycroft/src/listing.rs
@@ -10,7 +10,7 @@
 
 use crate::ids::{Digest, Name};
 use crate::leave_notice::LeaveNotice;
-use crate::pace::SeenPace;
+use crate::pace::ObservedPace;
 use crate::placed::Placed;
 use crate::pool::Pool;
 use crate::rate_limit::KnownRate;
@@ -230,7 +230,7 @@
             paused_until: Time::default(),
             failing: 0.0,
             read: HashMap::new(),
-            pace: SeenPace::default(),
+            pace: ObservedPace::default(),
         };
         let free = |u: &Upstream| {
             u.gone
--- a/fireflycroft/src/loads.rs
+++ b/fireflycroft/src/loads.rs
@@ -10,7 +10,7 @@
 use crate::pool::Pool;
 use crate::time::Time;
 use crate::upstream::{
-    Life, REPLY_HOLDS, REPLY_IS_FRESH, TOLD_FOR, Upstream, UpstreamIx, draw_index, share,
+    ANNOUNCED_FOR, Life, REPLY_HOLDS, REPLY_IS_FRESH, Upstream, UpstreamIx, draw_index, share,
 };
 use std::time::Duration;
 
@@ -23,17 +23,17 @@
 
 /// Entries that have to find an upstream unreachable before others are told: one alone may be cut
 /// off from it.
-const WITNESSES: usize = 2;
+const MIN_WITNESSES: usize = 2;
 
 /// Replies fewer than this leave a choice to all that is believed.
-pub(crate) const FEW_REPLIES: usize = 3;
+pub(crate) const MIN_REPLIES: usize = 3;
 
 impl Pool {
     /// Takes what another entry has placed.
     ///
     /// With `changes_only`, what it has told of other upstreams still holds. What it has placed on
     /// another life of an upstream counts for nothing on this one.
-    pub fn note_others(
+    pub fn apply_placed(
         &mut self,
         now: Time,
         entry: &Name,
@@ -41,7 +41,7 @@
         changes_only: bool,
     ) {
         if !changes_only {
-            for i in self.told_by.remove(entry).unwrap_or_default() {
+            for i in self.announced_by.remove(entry).unwrap_or_default() {
                 self.upstreams[i].others.remove(entry);
             }
         }
@@ -51,10 +51,13 @@
             if let Some(ix) = known.filter(same_life) {
                 let u = &mut self.upstreams[ix.0];
                 u.others
-                    .retain(|_, (told_at, _)| now.since(*told_at) < TOLD_FOR);
+                    .retain(|_, (told_at, _)| now.since(*told_at) < ANNOUNCED_FOR);
                 u.others.insert(entry.clone(), (now, at.placed));
-                u.pace.note_other(entry, at.pace);
-                self.told_by.entry(entry.clone()).or_default().insert(ix.0);
+                u.pace.apply_other(entry, at.pace);
+                self.announced_by
+                    .entry(entry.clone())
+                    .or_default()
+                    .insert(ix.0);
             }
         }
     }
@@ -70,11 +73,11 @@
     /// All that this entry has placed, to tell the owners.
     #[must_use]
     pub fn placed(&self) -> Vec<PlacedAt> {
-        let busy = self
+        let non_idle = self
             .upstreams
             .iter()
             .filter(|u| !u.ended && u.mine != Placed::default());
-        busy.map(Upstream::placed_at).collect()
+        non_idle.map(Upstream::placed_at).collect()
     }
 
     /// What is known of an upstream's load, and how old the oldest part of it is.
@@ -82,42 +85,43 @@
     pub fn view(&self, now: Time, ix: UpstreamIx) -> LoadView {
         let u = &self.upstreams[ix.0];
         let ages = u.others.values().map(|(at, _)| now.since(*at));
-        let told = ages.filter(|a| *a < TOLD_FOR).max();
+        let announced = ages.filter(|a| *a < ANNOUNCED_FOR).max();
         let replied = u.reply(now).map(|r| now.since(r.at));
         let placed = u.load(now);
         LoadView {
             placed,
             memory: share(placed.memory(), u.memory_tokens.unwrap_or(0)),
             failing: u.failing,
-            age: replied.or(told).unwrap_or_default(),
+            age: replied.or(announced).unwrap_or_default(),
         }
     }
 
-    /// Upstreams whose owners a choice asks: at most so many that serve, those believed to suit best
-    /// and as many drawn ones, which may have become better; and those that leave, whose runs look
-    /// for room on the others.
+    /// Returns the upstreams whose owners a choice queries: at most `max_queries` serving ones, half of
+    /// them the cheapest known and half random, which may have become cheaper; and up to as many departing
+    /// ones, whose runs will need capacity on the others.
     #[must_use]
-    pub fn to_query(
+    pub fn upstreams_to_query(
         &self,
         now: Time,
         service: &str,
         need: &Need,
         tried: &[UpstreamIx],
-        most: usize,
+        max_queries: usize,
     ) -> Vec<UpstreamIx> {
-        let open: Vec<usize> = self.untried(now, service, need, tried).collect();
-        let mut asked: Vec<usize> = if open.len() <= most {
-            open
+        let candidates: Vec<usize> = self.untried(now, service, need, tried).collect();
+        let mut queried: Vec<usize> = if candidates.len() <= max_queries {
+            candidates
         } else {
-            let drawn = (0..most / 2).map(|k| open[draw_index(need.draw, k, open.len())]);
-            let drawn: Vec<usize> = drawn.collect();
-            let best = self.cheapest(now, need, &open, most - most / 2);
-            drawn.into_iter().chain(best).collect()
+            let random = (0..max_queries / 2)
+                .map(|k| candidates[draw_index(need.draw, k, candidates.len())]);
+            let random: Vec<usize> = random.collect();
+            let best = self.cheapest(now, need, &candidates, max_queries - max_queries / 2);
+            random.into_iter().chain(best).collect()
         };
-        asked.extend(self.leaving(now, service).take(most));
-        asked.sort_unstable();
-        asked.dedup();
-        asked.into_iter().map(UpstreamIx).collect()
+        queried.extend(self.leaving(now, service).take(max_queries));
+        queried.sort_unstable();
+        queried.dedup();
+        queried.into_iter().map(UpstreamIx).collect()
     }
 
     /// Upstreams of a service that leave and may still run something.
@@ -131,14 +135,14 @@
 
     /// The loads that another entry asks for, but for its own work.
     #[must_use]
-    pub fn loads_for(&self, now: Time, entry: &Name, lives: &[Life]) -> Vec<OwnedLoad> {
-        let known = lives.iter().filter_map(|life| {
+    pub fn loads_for(&self, now: Time, entry: &Name, incarnations: &[Life]) -> Vec<OwnedLoad> {
+        let known = incarnations.iter().filter_map(|life| {
             let u = &self.upstreams[self.find(&life.instance)?.0];
             (u.record.incarnation == life.incarnation).then(|| OwnedLoad {
                 life: life.clone(),
-                serves: u.is_serving() && u.witnesses(now) < WITNESSES,
-                placed: u.mine.plus(u.told(now, Some(entry))),
-                pace: u.pace.but_of(entry),
+                serves: u.is_serving() && u.witnesses(now) < MIN_WITNESSES,
+                placed: u.mine.plus(u.announced(now, Some(entry))),
+                pace: u.pace.except(entry),
             })
         });
         known.collect()
@@ -148,7 +152,7 @@
     ///
     /// Upstreams that leave while the store is silent stay on the list, and look empty. Each entry
     /// would find out for itself, and refuse callers who find three of them in a row.
-    pub fn note_unreachable(&mut self, now: Time, entry: &Name, life: &Life) {
+    pub fn record_unreachable(&mut self, now: Time, entry: &Name, life: &Life) {
         let Some(ix) = self.find(&life.instance) else {
             return;
         };
@@ -164,7 +168,7 @@
     ///
     /// Of two owners the one that knows of more is right: the other has begun to own the upstream
     /// only now, or a report to it was lost.
-    pub fn note_reply(&mut self, now: Time, owner: &Name, loads: &[OwnedLoad]) {
+    pub fn apply_reply(&mut self, now: Time, owner: &Name, loads: &[OwnedLoad]) {
         for load in loads {
             let Some(ix) = self.find(&load.life.instance) else {
                 continue;
@@ -173,8 +177,8 @@
             if u.record.incarnation != load.life.incarnation {
                 continue;
             }
-            u.note_reply(now, load.placed);
-            u.pace.note_other(owner, load.pace);
+            u.apply_reply(now, load.placed);
+            u.pace.apply_other(owner, load.pace);
             if !load.serves {
                 u.avoid_until = u.avoid_until.max(now + AVOID_LEAVING);
             }
@@ -184,21 +188,23 @@
 
 /// What an owner of an upstream replied.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Replied {
+pub(crate) struct OwnerReply {
     pub(crate) at: Time,
     pub(crate) placed: Placed,
 }
 
 impl Upstream {
     /// The last reply of its owners, unless it is too old to tell anything.
-    pub(crate) fn reply(&self, now: Time) -> Option<Replied> {
+    pub(crate) fn reply(&self, now: Time) -> Option<OwnerReply> {
         self.replied.filter(|r| now.since(r.at) < REPLY_HOLDS)
     }
 
     /// Entries that couldn't reach it of late.
     fn witnesses(&self, now: Time) -> usize {
-        let told = self.unreachable.values();
-        told.filter(|at| now.since(**at) < UNREACHABLE_FOR).count()
+        let announced = self.unreachable.values();
+        announced
+            .filter(|at| now.since(**at) < UNREACHABLE_FOR)
+            .count()
     }
 
     /// Whether its owners have replied just now.
@@ -207,35 +213,35 @@
             .is_some_and(|r| now.since(r.at) < REPLY_IS_FRESH)
     }
 
-    fn note_reply(&mut self, now: Time, placed: Placed) {
+    fn apply_reply(&mut self, now: Time, placed: Placed) {
         let placed = match self.replied.filter(|_| self.is_fresh(now)) {
-            Some(other) => other.placed.most(placed),
+            Some(other) => other.placed.larger_of_each(placed),
             None => placed,
         };
-        self.replied = Some(Replied { at: now, placed });
+        self.replied = Some(OwnerReply { at: now, placed });
     }
 
     /// Work that others have told this entry of, but for one of them.
-    pub(crate) fn told(&self, now: Time, but_of: Option<&Name>) -> Placed {
-        let told = self.others.iter();
-        let told =
-            told.filter(|(name, (at, _))| Some(*name) != but_of && now.since(*at) < TOLD_FOR);
-        told.fold(Placed::default(), |sum, (_, (_, placed))| sum.plus(*placed))
+    pub(crate) fn announced(&self, now: Time, except: Option<&Name>) -> Placed {
+        let announced = self.others.iter();
+        let announced = announced
+            .filter(|(name, (at, _))| Some(*name) != except && now.since(*at) < ANNOUNCED_FOR);
+        announced.fold(Placed::default(), |sum, (_, (_, placed))| sum.plus(*placed))
     }
 
     /// Work of all entries.
     pub(crate) fn load(&self, now: Time) -> Placed {
-        let told = self.told(now, None);
+        let announced = self.announced(now, None);
         // What an owner was told itself goes before an older reply of the other one.
-        let counts = |_: &Replied| self.is_fresh(now) || told == Placed::default();
+        let counts = |_: &OwnerReply| self.is_fresh(now) || announced == Placed::default();
         let replied = self.reply(now).filter(counts);
         self.mine
-            .plus(replied.map_or(told, |r| told.most(r.placed)))
+            .plus(replied.map_or(announced, |r| announced.larger_of_each(r.placed)))
     }
 
     /// Whether anything was heard of what others have placed here.
     pub(crate) fn is_known(&self, now: Time) -> bool {
-        let mut told = self.others.values();
-        self.reply(now).is_some() || told.any(|(at, _)| now.since(*at) < TOLD_FOR)
+        let mut announced = self.others.values();
+        self.reply(now).is_some() || announced.any(|(at, _)| now.since(*at) < ANNOUNCED_FOR)
     }
 }
--- a/fireflycroft/src/mechanism.rs
+++ b/fireflycroft/src/mechanism.rs
@@ -87,7 +87,11 @@
 impl fmt::Display for UnknownMechanism {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let names = Mechanism::ALL.map(Mechanism::name).join(", ");
-        write!(f, "{:?} is no mechanism; there are {names}", self.0)
+        write!(
+            f,
+            "{:?} is not a mechanism; the mechanisms are {names}",
+            self.0
+        )
     }
 }
 
--- a/fireflycroft/src/pace.rs
+++ b/fireflycroft/src/pace.rs
@@ -34,19 +34,19 @@
 
 impl Pace {
     /// Adds what a stream of an engine made in a span without a break.
-    pub(crate) fn note_of_engine(&mut self, tokens: u64, span: Duration) {
-        self.note(tokens, span, ENGINE_TOKENS);
+    pub(crate) fn record_for_engine(&mut self, tokens: u64, span: Duration) {
+        self.record(tokens, span, ENGINE_TOKENS);
     }
 
     /// Adds what a stream of any engine of a service made.
-    pub(crate) fn note_of_service(&mut self, tokens: u64, span: Duration) {
-        self.note(tokens, span, SERVICE_TOKENS);
+    pub(crate) fn record_for_service(&mut self, tokens: u64, span: Duration) {
+        self.record(tokens, span, SERVICE_TOKENS);
     }
 
-    fn note(&mut self, tokens: u64, span: Duration, most: u64) {
+    fn record(&mut self, tokens: u64, span: Duration, max_tokens: u64) {
         self.tokens += tokens;
         self.micros += u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-        if self.tokens > most {
+        if self.tokens > max_tokens {
             self.tokens /= 2;
             self.micros /= 2;
         }
@@ -62,23 +62,23 @@
 
 /// What all entries have seen of one engine.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SeenPace {
-    pub(crate) mine: Pace,
+pub(crate) struct ObservedPace {
+    pub(crate) own: Pace,
     others: HashMap<Name, Pace>,
 }
 
-impl SeenPace {
+impl ObservedPace {
     /// Takes what another entry has seen; of many, those count that have seen most.
-    pub(crate) fn note_other(&mut self, entry: &Name, pace: Pace) {
+    pub(crate) fn apply_other(&mut self, entry: &Name, pace: Pace) {
         if pace.tokens == 0 {
             return;
         }
         if self.others.len() >= MAX_OTHERS && !self.others.contains_key(entry) {
             let least = self.others.iter().min_by_key(|(_, p)| p.tokens);
-            let Some((least, seen)) = least.map(|(e, p)| (e.clone(), p.tokens)) else {
+            let Some((least, observed)) = least.map(|(e, p)| (e.clone(), p.tokens)) else {
                 return;
             };
-            if seen >= pace.tokens {
+            if observed >= pace.tokens {
                 return;
             }
             self.others.remove(&least);
@@ -87,9 +87,9 @@
     }
 
     /// What all but one entry have seen.
-    pub(crate) fn but_of(&self, entry: &Name) -> Pace {
+    pub(crate) fn except(&self, entry: &Name) -> Pace {
         let others = self.others.iter().filter(|(name, _)| *name != entry);
-        others.fold(self.mine, |sum, (_, pace)| sum.with(*pace))
+        others.fold(self.own, |sum, (_, pace)| sum.with(*pace))
     }
 
     /// Time that it takes for a token against what the service's engines take.
@@ -98,9 +98,9 @@
             return 1.0;
         }
         let mean = to_f64(service.micros) / to_f64(service.tokens);
-        let seen = self.others.values().fold(self.mine, |sum, p| sum.with(*p));
-        let micros = to_f64(seen.micros) + PRIOR_TOKENS * mean;
-        micros / (to_f64(seen.tokens) + PRIOR_TOKENS) / mean
+        let observed = self.others.values().fold(self.own, |sum, p| sum.with(*p));
+        let micros = to_f64(observed.micros) + PRIOR_TOKENS * mean;
+        micros / (to_f64(observed.tokens) + PRIOR_TOKENS) / mean
     }
 }
 
--- a/fireflycroft/src/placed.rs
+++ b/fireflycroft/src/placed.rs
@@ -36,7 +36,7 @@
     }
 
     /// The more of each.
-    pub(crate) fn most(self, other: Self) -> Self {
+    pub(crate) fn larger_of_each(self, other: Self) -> Self {
         Self {
             running: self.running.max(other.running),
             tokens: self.tokens.max(other.tokens),
--- a/fireflycroft/src/pool.rs
+++ b/fireflycroft/src/pool.rs
@@ -11,7 +11,7 @@
 use crate::fleet_view::FleetView;
 use crate::ids::Name;
 use crate::listing::ListChange;
-use crate::loads::FEW_REPLIES;
+use crate::loads::MIN_REPLIES;
 use crate::mechanism::Policy;
 use crate::pace::Pace;
 use crate::placed::{Need, Placed};
@@ -46,7 +46,7 @@
     pub(crate) memory_of: HashMap<Name, u64>,
     pub(crate) pace_of: HashMap<Name, Pace>,
     /// Upstreams of which each other entry has told this one.
-    pub(crate) told_by: HashMap<Name, HashSet<usize>>,
+    pub(crate) announced_by: HashMap<Name, HashSet<usize>>,
     pub(crate) policy: Policy,
     pub(crate) regions: Regions,
     pub(crate) fleet: FleetView,
@@ -234,9 +234,9 @@
     /// Notes that an upstream made tokens of a stream in a span without a break.
     pub fn note_pace(&mut self, ix: UpstreamIx, tokens: u64, span: Duration) {
         let u = &mut self.upstreams[ix.0];
-        u.pace.mine.note_of_engine(tokens, span);
+        u.pace.own.record_for_engine(tokens, span);
         let of_service = self.pace_of.entry(u.record.service.clone()).or_default();
-        of_service.note_of_service(tokens, span);
+        of_service.record_for_service(tokens, span);
     }
 
     /// Time that an upstream takes for a token, against the mean of its service.
@@ -341,7 +341,7 @@
     fn known_or_drawn<'a>(&self, now: Time, need: &Need, open: &'a [usize]) -> Cow<'a, [usize]> {
         let fresh = |i: &&usize| self.upstreams[**i].is_fresh(now);
         let fresh: Vec<usize> = open.iter().filter(fresh).copied().collect();
-        if fresh.len() >= FEW_REPLIES && need.tokens > 0 {
+        if fresh.len() >= MIN_REPLIES && need.tokens > 0 {
             return Cow::Owned(fresh);
         }
         sample(open, need.draw)
--- a/fireflycroft/src/repeat.rs
+++ b/fireflycroft/src/repeat.rs
@@ -220,7 +220,7 @@
     }
 
     /// Takes the counts that another entry told.
-    pub fn note_others(&mut self, now: Time, entry: &Name, counts: Vec<RepeatCount>) {
+    pub fn apply_placed(&mut self, now: Time, entry: &Name, counts: Vec<RepeatCount>) {
         // What an entry that has died spent still counts within the window.
         let window = self.limits.window;
         self.others.retain(|_, (at, _)| now.since(*at) < window);
--- a/fireflycroft/src/upstream.rs
+++ b/fireflycroft/src/upstream.rs
@@ -3,10 +3,10 @@
 use crate::admission_limit::SHORT_TOKENS;
 use crate::ids::{Incarnation, Name};
 use crate::leave_notice::LeaveNotice;
-use crate::loads::Replied;
+use crate::loads::OwnerReply;
 use crate::mechanism::{Mechanism, Policy};
 use crate::missing::Missing;
-use crate::pace::{Pace, SeenPace};
+use crate::pace::{ObservedPace, Pace};
 use crate::placed::{Need, Placed, PlacedAt};
 use crate::rate_limit::KnownRate;
 use crate::sent_requests::SentRequests;
@@ -94,7 +94,7 @@
     /// Entries that couldn't reach it, and when.
     pub(crate) unreachable: HashMap<Name, Time>,
     /// What an owner has told this entry.
-    pub(crate) replied: Option<Replied>,
+    pub(crate) replied: Option<OwnerReply>,
     pub(crate) avoid_until: Time,
     pub(crate) paused_until: Time,
     pub(crate) failing: f64,
@@ -103,13 +103,13 @@
     pub(crate) sent_requests: SentRequests,
     pub(crate) rate: KnownRate,
     pub(crate) read: HashMap<u64, Time>,
-    pub(crate) pace: SeenPace,
+    pub(crate) pace: ObservedPace,
 }
 
 /// Time for which what another entry told counts.
 ///
 /// Entries tell twice a second; three lost in a row mean that it is gone.
-pub(crate) const TOLD_FOR: Duration = Duration::from_millis(1_600);
+pub(crate) const ANNOUNCED_FOR: Duration = Duration::from_millis(1_600);
 
 /// Age up to which a choice goes by what an owner replied: replies are waited for for a little less.
 ///
@@ -218,7 +218,7 @@
             instance: self.record.instance.clone(),
             incarnation: self.record.incarnation,
             placed: self.mine,
-            pace: self.pace.mine,
+            pace: self.pace.own,
         }
     }
 
--- a/fireflycroft/src/withheld.rs
+++ b/fireflycroft/src/withheld.rs
@@ -25,8 +25,8 @@
         f.write_str(match self {
             Self::Evacuated => "it is evacuated",
             Self::ColdShareExhausted => "it is cold",
-            Self::RateShareExhausted => "its rate limit is spent",
-            Self::Paused => "it asked for a pause",
+            Self::RateShareExhausted => "its rate limit is exhausted",
+            Self::Paused => "it requested a pause",
         })
     }
 }
--- a/fireflycroft/tests/owners.rs
+++ b/fireflycroft/tests/owners.rs
@@ -100,13 +100,13 @@
 /// Takes a reply of an owner at time zero.
 fn reply(pool: &mut Pool, loads: &[(&str, u64)]) {
     let loads: Vec<OwnedLoad> = loads.iter().map(|(i, tokens)| load(i, *tokens)).collect();
-    pool.note_reply(at(0), &Name::from("owner"), &loads);
+    pool.apply_reply(at(0), &Name::from("owner"), &loads);
 }
 
 fn replies_of_others() {
     let mut owner = pool(&["a", "b"]);
-    owner.note_others(at(0), &Name::from("x"), &[announced_work("a", 1_000)], true);
-    owner.note_others(at(0), &Name::from("y"), &[announced_work("a", 500)], true);
+    owner.apply_placed(at(0), &Name::from("x"), &[announced_work("a", 1_000)], true);
+    owner.apply_placed(at(0), &Name::from("y"), &[announced_work("a", 500)], true);
     let a = ix(&owner, "a");
     owner.place(at(0), a, &need(40));
     let loads = owner.loads_for(at(10), &Name::from("x"), &[life("a"), life("unknown")]);
@@ -150,7 +150,7 @@
         ..load("a", 0)
     };
     let loads = [leaves, load("b", 3_000), load("c", 5_000)];
-    pool.note_reply(at(0), &Name::from("owner"), &loads);
+    pool.apply_reply(at(0), &Name::from("owner"), &loads);
     assert_eq!(chosen(&pool, at(5), &need(100)), "b");
     let mut owner = pools::pool(&["a"]);
     owner.learn(at(0), leaving("a", 9));
@@ -163,18 +163,18 @@
     let mut owner = pool(&["a"]);
     let serves =
         |owner: &Pool, now| owner.loads_for(at(now), &Name::from("x"), &[life("a")])[0].serves;
-    owner.note_unreachable(at(0), &Name::from("y"), &life("a"));
-    owner.note_unreachable(at(10), &Name::from("y"), &life("a"));
+    owner.record_unreachable(at(0), &Name::from("y"), &life("a"));
+    owner.record_unreachable(at(10), &Name::from("y"), &life("a"));
     assert!(serves(&owner, 20), "one entry alone may be cut off from it");
-    owner.note_unreachable(at(20), &Name::from("z"), &life("a"));
+    owner.record_unreachable(at(20), &Name::from("z"), &life("a"));
     assert!(!serves(&owner, 30));
     assert!(serves(&owner, 3_000), "somebody tries again");
     let later = Life {
         incarnation: Incarnation(9),
         ..life("a")
     };
-    owner.note_unreachable(at(4_000), &Name::from("y"), &later);
-    owner.note_unreachable(at(4_000), &Name::from("z"), &later);
+    owner.record_unreachable(at(4_000), &Name::from("y"), &later);
+    owner.record_unreachable(at(4_000), &Name::from("z"), &later);
     assert!(serves(&owner, 4_010), "that was another life");
 }
 
@@ -196,7 +196,7 @@
 fn told_before_old() {
     let mut pool = pool(&["a"]);
     reply(&mut pool, &[("a", 9_000)]);
-    pool.note_others(at(500), &Name::from("x"), &[announced_work("a", 300)], true);
+    pool.apply_placed(at(500), &Name::from("x"), &[announced_work("a", 300)], true);
     assert_eq!(pool.view(at(600), ix(&pool, "a")).placed.tokens, 300);
 }
 
@@ -217,7 +217,7 @@
 
 fn asked(pool: &Pool, draw: u64, most: usize) -> Vec<UpstreamIx> {
     let need = Need { draw, ..need(100) };
-    pool.to_query(at(5), "models", &need, &[], most)
+    pool.upstreams_to_query(at(5), "models", &need, &[], most)
 }
 
 fn asks_about_all() {
@@ -229,7 +229,7 @@
     let loads: Vec<OwnedLoad> = (0..50)
         .map(|n| load(&format!("i-{n}"), 9_000 - n * 100))
         .collect();
-    pool.note_reply(at(0), &Name::from("owner"), &loads);
+    pool.apply_reply(at(0), &Name::from("owner"), &loads);
     let best = ix(&pool, "i-49");
     let mut drawn = HashMap::new();
     for draw in 0..200 {
@@ -248,7 +248,7 @@
     pool.learn(at(0), leaving("i-2", 90));
     let asked = asked(&pool, 1, 16);
     assert!(asked.contains(&ix(&pool, "i-2")));
-    let long_after = pool.to_query(at(9_000), "models", &need(1), &[], 16);
+    let long_after = pool.upstreams_to_query(at(9_000), "models", &need(1), &[], 16);
     assert_eq!(long_after.len(), 3);
 }
 
@@ -331,7 +331,8 @@
     need: &Need,
     breadth: &mut QueryBudget,
 ) {
-    let asked = pools[&ip].to_query(now, "models", need, &[], breadth.candidate_count(now));
+    let asked =
+        pools[&ip].upstreams_to_query(now, "models", need, &[], breadth.candidate_count(now));
     for ix in asked {
         let life = pools[&ip].record(ix).life();
         let owners = owners(ips, &life.instance).into_iter().filter(|o| *o != ip);
@@ -341,7 +342,7 @@
             pools
                 .get_mut(&ip)
                 .unwrap()
-                .note_reply(now, &name(owner), &loads);
+                .apply_reply(now, &name(owner), &loads);
         }
     }
 }
@@ -358,7 +359,7 @@
     for at in placed {
         for owner in owners(ips, &at.instance).into_iter().filter(|o| *o != ip) {
             let pool = pools.get_mut(&owner).unwrap();
-            pool.note_others(now, &name(ip), std::slice::from_ref(&at), true);
+            pool.apply_placed(now, &name(ip), std::slice::from_ref(&at), true);
         }
     }
 }
--- a/fireflycroft/tests/pool.rs
+++ b/fireflycroft/tests/pool.rs
@@ -145,7 +145,7 @@
             pace,
             ..announced_work("slow", 0)
         };
-        pool.note_others(at(0), &Name::from(format!("e{entry}")), &[of_slow], false);
+        pool.apply_placed(at(0), &Name::from(format!("e{entry}")), &[of_slow], false);
         pool.relative_pace(ix(&pool, "slow"))
     };
     let seen_little = Pace {
@@ -168,13 +168,13 @@
         pace: SLOW,
         ..announced_work("slow", 0)
     };
-    pool.note_others(at(0), &Name::from("other"), &[of_slow], false);
+    pool.apply_placed(at(0), &Name::from("other"), &[of_slow], false);
     assert_eq!(chosen(&pool, at(0), &answer(800)), "fast");
 }
 
 fn counts_others() {
     let mut pool = pool(&["a", "b"]);
-    pool.note_others(
+    pool.apply_placed(
         at(0),
         &Name::from("other"),
         &[announced_work("a", 5_000)],
@@ -185,7 +185,7 @@
 
 fn forgets_others() {
     let mut pool = pool(&["a", "b"]);
-    pool.note_others(
+    pool.apply_placed(
         at(0),
         &Name::from("other"),
         &[announced_work("a", 9_000)],
@@ -199,16 +199,16 @@
 fn keeps_the_rest() {
     let mut pool = pool(&["a", "b"]);
     let other = Name::from("other");
-    pool.note_others(
+    pool.apply_placed(
         at(0),
         &other,
         &[announced_work("a", 1_000), announced_work("b", 2_000)],
         false,
     );
-    pool.note_others(at(10), &other, &[announced_work("a", 5_000)], true);
+    pool.apply_placed(at(10), &other, &[announced_work("a", 5_000)], true);
     let fills = ["a", "b"].map(|i| pool.view(at(20), ix(&pool, i)).placed.tokens);
     assert_eq!(fills, [5_000, 2_000]);
-    pool.note_others(at(30), &other, &[announced_work("a", 5_000)], false);
+    pool.apply_placed(at(30), &other, &[announced_work("a", 5_000)], false);
     assert_eq!(pool.view(at(40), ix(&pool, "b")).placed.tokens, 0);
 }
 
--- a/fireflycroft/tests/pool_lives.rs
+++ b/fireflycroft/tests/pool_lives.rs
@@ -63,7 +63,7 @@
     let (mut pool, old) = pool_of_one_life();
     pool.note_outcome(old, true);
     pool.avoid(at(0), old, Duration::from_mins(1));
-    pool.note_others(
+    pool.apply_placed(
         at(5),
         &Name::from("other"),
         &[PlacedAt {
@@ -113,7 +113,7 @@
         incarnation: Incarnation(100),
         ..announced_work("a", 7_000)
     };
-    pool.note_others(at(20), &Name::from("other"), &[of_old], false);
+    pool.apply_placed(at(20), &Name::from("other"), &[of_old], false);
     assert_eq!(pool.view(at(20), ix(&pool, "a")).placed, Placed::default());
 }
 
--- a/fireflycroft/tests/repeat.rs
+++ b/fireflycroft/tests/repeat.rs
@@ -72,7 +72,7 @@
     let part = taken(&mut mine.clone(), at(0), 4);
     for other in ["a", "b", "c"] {
         let told = RepeatBudget::new(LIMITS).tell(at(0));
-        mine.note_others(at(0), &Name::from(other), told);
+        mine.apply_placed(at(0), &Name::from(other), told);
     }
     assert!(taken(&mut mine, at(0), 4) > part);
 }
@@ -81,7 +81,7 @@
     let mut mine = RepeatBudget::new(LIMITS);
     let part = taken(&mut mine.clone(), at(5_000), 4);
     for other in ["a", "b", "c"] {
-        mine.note_others(at(0), &Name::from(other), Vec::new());
+        mine.apply_placed(at(0), &Name::from(other), Vec::new());
     }
     assert_eq!(taken(&mut mine, at(5_000), 4), part);
 }
@@ -91,7 +91,7 @@
     let mut owner = RepeatBudget::new(LIMITS);
     for other in 0..others {
         let told = RepeatBudget::new(LIMITS).tell(at(20_000));
-        owner.note_others(at(20_000), &Name::from(other.to_string()), told);
+        owner.apply_placed(at(20_000), &Name::from(other.to_string()), told);
     }
     owner
 }
@@ -142,7 +142,7 @@
     let mut owner = owner(3);
     let mut dead = RepeatBudget::new(LIMITS);
     let sent = taken(&mut dead, at(20_000), 1);
-    owner.note_others(at(20_000), &Name::from("dead"), dead.tell(at(20_000)));
+    owner.apply_placed(at(20_000), &Name::from("dead"), dead.tell(at(20_000)));
     assert!(sent >= 30 && !owner.lend(at(25_000), &service()));
     assert!(owner.lend(at(31_000), &service()));
 }
@@ -178,7 +178,7 @@
                 let name = Name::from(who.to_string());
                 for (i, entry) in entries.iter_mut().enumerate() {
                     if i != who {
-                        entry.note_others(at(now), &name, told.clone());
+                        entry.apply_placed(at(now), &name, told.clone());
                     }
                 }
             }
@@ -222,7 +222,7 @@
             let name = Name::from(who.to_string());
             for (i, owner) in entries.iter_mut().take(2).enumerate() {
                 if i != who {
-                    owner.note_others(at(now), &name, told.clone());
+                    owner.apply_placed(at(now), &name, told.clone());
                 }
             }
         }
--- a/fireflydirect/src/hear.rs
+++ b/fireflydirect/src/hear.rs
@@ -101,7 +101,7 @@
         fetch(node, from, behind);
     }
     let mut budget = node.budget.borrow_mut();
-    budget.note_others(now, &news.name, news.repeats);
+    budget.apply_placed(now, &news.name, news.repeats);
 }
 
 /// What this entry has to fetch of what another one tells.
--- a/fireflydirect/src/loads.rs
+++ b/fireflydirect/src/loads.rs
@@ -35,7 +35,7 @@
     let pool = node.pool.borrow();
     let peers = node.peers.borrow();
     let mut queries: HashMap<Ipv4Addr, Vec<Life>> = HashMap::new();
-    for ix in pool.to_query(now, service, need, tried, most) {
+    for ix in pool.upstreams_to_query(now, service, need, tried, most) {
         let life = pool.record(ix).life();
         let key = OwnedKey::of_upstream(&life.instance);
         for owner in peers.other_owners(now, key) {
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -397,7 +397,7 @@
     pub fn note_unreachable(&self, ix: UpstreamIx) {
         let mut pool = self.pool.borrow_mut();
         let life = pool.record(ix).life();
-        pool.note_unreachable(self.now(), &self.place.vm, &life);
+        pool.record_unreachable(self.now(), &self.place.vm, &life);
         self.unreachable.borrow_mut().push(life);
         self.to_report.notify_one();
     }
--- a/fireflydirect/src/questions.rs
+++ b/fireflydirect/src/questions.rs
@@ -136,7 +136,7 @@
     match reply.answer {
         OwnerAnswer::Loads(loads) => {
             let mut pool = node.pool.borrow_mut();
-            pool.note_reply(now, &reply.entry, &loads);
+            pool.apply_reply(now, &reply.entry, &loads);
         }
         OwnerAnswer::Repeat { service, lent } => {
             if lent {
@@ -157,9 +157,9 @@
 pub fn take_report(node: &Node, report: &OwnerReport) {
     let now = node.now();
     let mut pool = node.pool.borrow_mut();
-    pool.note_others(now, &report.entry, &report.placed, !report.is_whole);
+    pool.apply_placed(now, &report.entry, &report.placed, !report.is_whole);
     for life in &report.unreachable {
-        pool.note_unreachable(now, &report.entry, life);
+        pool.record_unreachable(now, &report.entry, life);
     }
     drop(pool);
     for refusal in &report.refused {
