--- a/fireflycroft/src/loads.rs
+++ b/fireflycroft/src/loads.rs
@@ -1,8 +1,8 @@
-//! The load of upstreams as entries tell it each other.
+//! Load of upstreams, as entries announce it to each other.
 //!
-//! Each entry tells the owners of an upstream ([`crate::owners_of`]) what it has
-//! placed there, at once and again twice a second. Before it places a generation
-//! it asks the owners of some upstreams, and chooses by what they reply.
+//! Each entry announces its work on an upstream to the owners
+//! ([`crate::owners_of`]), at once and again twice a second. Before it places a
+//! generation it queries the owners of some upstreams and chooses by their replies.
 
 use crate::ids::Name;
 use crate::owner_news::OwnedLoad;
@@ -14,25 +14,24 @@
 };
 use std::time::Duration;
 
-/// Time for which an upstream that its owner knows to leave is left out: news of it is on its way.
+/// Time for which an upstream is avoided if its owner knows it to leave; the announcement follows.
 const AVOID_LEAVING: Duration = Duration::from_secs(1);
 
-/// Time for which an upstream that couldn't be reached is taken to be gone; after it somebody tries
-/// again.
+/// Time for which an unreachable upstream counts as gone; then it is tried again.
 const UNREACHABLE_FOR: Duration = Duration::from_millis(1_500);
 
-/// Entries that have to find an upstream unreachable before others are told: one alone may be cut
-/// off from it.
+/// Entries that must find an upstream unreachable before others are told so: a single one may be
+/// partitioned from it.
 const MIN_WITNESSES: usize = 2;
 
-/// Replies fewer than this leave a choice to all that is believed.
+/// Minimum fresh replies for a choice among these alone.
 pub(crate) const MIN_REPLIES: usize = 3;
 
 impl Pool {
-    /// Takes what another entry has placed.
+    /// Applies the placed work that another entry announced.
     ///
-    /// With `changes_only`, what it has told of other upstreams still holds. What it has placed on
-    /// another life of an upstream counts for nothing on this one.
+    /// With `changes_only`, its earlier announcements for other upstreams remain valid. Work on
+    /// another incarnation of an upstream is ignored.
     pub fn apply_placed(
         &mut self,
         now: Time,
@@ -62,7 +61,7 @@
         }
     }
 
-    /// What this entry has placed on some upstreams, to tell their owners.
+    /// Returns this entry's work on some upstreams, to announce to their owners.
     #[must_use]
     pub fn placed_at(&self, some: impl IntoIterator<Item = UpstreamIx>) -> Vec<PlacedAt> {
         let at = |ix: UpstreamIx| &self.upstreams[ix.0];
@@ -70,7 +69,7 @@
         current.map(Upstream::placed_at).collect()
     }
 
-    /// All that this entry has placed, to tell the owners.
+    /// Returns all work of this entry, to announce to the owners.
     #[must_use]
     pub fn placed(&self) -> Vec<PlacedAt> {
         let non_idle = self
@@ -80,7 +79,7 @@
         non_idle.map(Upstream::placed_at).collect()
     }
 
-    /// What is known of an upstream's load, and how old the oldest part of it is.
+    /// Returns the known load of an upstream and its age.
     #[must_use]
     pub fn view(&self, now: Time, ix: UpstreamIx) -> LoadView {
         let u = &self.upstreams[ix.0];
@@ -124,7 +123,7 @@
         queried.into_iter().map(UpstreamIx).collect()
     }
 
-    /// Upstreams of a service that leave and may still run something.
+    /// Returns the departing upstreams of a service that may still have runs.
     fn leaving(&self, now: Time, service: &str) -> impl Iterator<Item = usize> {
         let of_service = self.of_service(service).iter().copied();
         of_service.filter(move |i| {
@@ -133,7 +132,7 @@
         })
     }
 
-    /// The loads that another entry asks for, but for its own work.
+    /// Returns the loads that another entry queries, without its own work.
     #[must_use]
     pub fn loads_for(&self, now: Time, entry: &Name, incarnations: &[Life]) -> Vec<OwnedLoad> {
         let known = incarnations.iter().filter_map(|life| {
@@ -148,10 +147,10 @@
         known.collect()
     }
 
-    /// Notes that an entry couldn't reach an upstream.
+    /// Records that an entry couldn't reach an upstream.
     ///
-    /// Upstreams that leave while the store is silent stay on the list, and look empty. Each entry
-    /// would find out for itself, and refuse callers who find three of them in a row.
+    /// Upstreams that leave during a store outage stay on the list and look empty. Without reports
+    /// each entry would have to find out itself, and refuse callers after three of them in a row.
     pub fn record_unreachable(&mut self, now: Time, entry: &Name, life: &Life) {
         let Some(ix) = self.find(&life.instance) else {
             return;
@@ -164,10 +163,10 @@
         }
     }
 
-    /// Takes the loads that an owner replied.
+    /// Applies the loads in an owner's reply.
     ///
-    /// Of two owners the one that knows of more is right: the other has begun to own the upstream
-    /// only now, or a report to it was lost.
+    /// Of two owners the one with the higher load is right: the other has become an owner only now,
+    /// or a report to it was lost.
     pub fn apply_reply(&mut self, now: Time, owner: &Name, loads: &[OwnedLoad]) {
         for load in loads {
             let Some(ix) = self.find(&load.life.instance) else {
@@ -186,7 +185,7 @@
     }
 }
 
-/// What an owner of an upstream replied.
+/// Load in the last reply of an upstream's owners.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OwnerReply {
     pub(crate) at: Time,
@@ -194,12 +193,12 @@
 }
 
 impl Upstream {
-    /// The last reply of its owners, unless it is too old to tell anything.
+    /// Returns the last reply of its owners, unless it is too old.
     pub(crate) fn reply(&self, now: Time) -> Option<OwnerReply> {
         self.replied.filter(|r| now.since(r.at) < REPLY_HOLDS)
     }
 
-    /// Entries that couldn't reach it of late.
+    /// Counts the entries that couldn't reach it recently.
     fn witnesses(&self, now: Time) -> usize {
         let announced = self.unreachable.values();
         announced
@@ -207,7 +206,7 @@
             .count()
     }
 
-    /// Whether its owners have replied just now.
+    /// Returns whether its owners' last reply is fresh.
     pub(crate) fn is_fresh(&self, now: Time) -> bool {
         self.replied
             .is_some_and(|r| now.since(r.at) < REPLY_IS_FRESH)
@@ -221,7 +220,7 @@
         self.replied = Some(OwnerReply { at: now, placed });
     }
 
-    /// Work that others have told this entry of, but for one of them.
+    /// Returns the work that others have announced, except one of them.
     pub(crate) fn announced(&self, now: Time, except: Option<&Name>) -> Placed {
         let announced = self.others.iter();
         let announced = announced
@@ -229,17 +228,17 @@
         announced.fold(Placed::default(), |sum, (_, (_, placed))| sum.plus(*placed))
     }
 
-    /// Work of all entries.
+    /// Returns the work of all entries.
     pub(crate) fn load(&self, now: Time) -> Placed {
         let announced = self.announced(now, None);
-        // What an owner was told itself goes before an older reply of the other one.
+        // Announcements to this entry as an owner precede an older reply of the other owner.
         let counts = |_: &OwnerReply| self.is_fresh(now) || announced == Placed::default();
         let replied = self.reply(now).filter(counts);
         self.mine
             .plus(replied.map_or(announced, |r| announced.larger_of_each(r.placed)))
     }
 
-    /// Whether anything was heard of what others have placed here.
+    /// Returns whether anything is known of the work of others here.
     pub(crate) fn is_known(&self, now: Time) -> bool {
         let mut announced = self.others.values();
         self.reply(now).is_some() || announced.any(|(at, _)| now.since(*at) < ANNOUNCED_FOR)
--- a/fireflycroft/src/pace.rs
+++ b/fireflycroft/src/pace.rs
@@ -1,29 +1,29 @@
-//! How fast an engine makes tokens, against the others of its service.
+//! Token rate of an engine relative to the others of its service.
 //!
-//! Engines of one service differ in speed. A long generation holds its memory for
-//! as long as its answer lasts, so it is worth most to place those on the fast
-//! ones. What each entry sees of its own streams is told to the others, since an
-//! engine lives for some twenty seconds and an entry has a stream or two there.
+//! Engines of one service differ in speed. A long generation holds its memory
+//! until its answer ends, so fast engines are most valuable for those. Entries
+//! announce the pace of their own streams to each other, since an engine lives for
+//! about twenty seconds and an entry has only one or two streams there.
 
 use crate::ids::Name;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Tokens for which the pace of an engine counts; what is older fades by halves.
+/// Tokens beyond which the counts of an engine are halved, so that older ones fade.
 const ENGINE_TOKENS: u64 = 2_000;
 
 /// The same for the mean of a service.
 const SERVICE_TOKENS: u64 = 100_000;
 
-/// Tokens at the mean pace that an engine is taken to have made before anything was seen of it.
+/// Weight of the prior, in tokens at the mean pace of the service.
 const PRIOR_TOKENS: f64 = 300.0;
 
-/// Other entries whose view of an engine is kept.
+/// Maximum other entries whose pace of an engine is kept.
 ///
-/// State would otherwise grow with entries times upstreams, and sixteen streams say enough of one.
+/// State would otherwise grow with entries times upstreams, and sixteen streams are enough.
 const MAX_OTHERS: usize = 16;
 
-/// Tokens that were made, and the time that it took.
+/// Number of tokens and the time that they took.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Pace {
     /// Tokens.
@@ -33,12 +33,12 @@
 }
 
 impl Pace {
-    /// Adds what a stream of an engine made in a span without a break.
+    /// Adds the tokens of an uninterrupted span of a stream to the pace of its engine.
     pub(crate) fn record_for_engine(&mut self, tokens: u64, span: Duration) {
         self.record(tokens, span, ENGINE_TOKENS);
     }
 
-    /// Adds what a stream of any engine of a service made.
+    /// Adds the tokens of a span of a stream to the pace of its service.
     pub(crate) fn record_for_service(&mut self, tokens: u64, span: Duration) {
         self.record(tokens, span, SERVICE_TOKENS);
     }
@@ -60,7 +60,7 @@
     }
 }
 
-/// What all entries have seen of one engine.
+/// Pace of one engine as observed by all entries.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ObservedPace {
     pub(crate) own: Pace,
@@ -68,7 +68,7 @@
 }
 
 impl ObservedPace {
-    /// Takes what another entry has seen; of many, those count that have seen most.
+    /// Applies the pace that another entry observed; beyond [`MAX_OTHERS`], keeps those with most tokens.
     pub(crate) fn apply_other(&mut self, entry: &Name, pace: Pace) {
         if pace.tokens == 0 {
             return;
@@ -86,13 +86,13 @@
         self.others.insert(entry.clone(), pace);
     }
 
-    /// What all but one entry have seen.
+    /// Returns the pace as observed by all entries but one.
     pub(crate) fn except(&self, entry: &Name) -> Pace {
         let others = self.others.iter().filter(|(name, _)| *name != entry);
         others.fold(self.own, |sum, (_, pace)| sum.with(*pace))
     }
 
-    /// Time that it takes for a token against what the service's engines take.
+    /// Returns the time per token relative to the mean of the service.
     pub(crate) fn relative(&self, service: Pace) -> f64 {
         if service.tokens == 0 || service.micros == 0 {
             return 1.0;
--- a/fireflycroft/src/placed.rs
+++ b/fireflycroft/src/placed.rs
@@ -1,4 +1,4 @@
-//! Work that is placed on upstreams, and what a request needs of one.
+//! Work placed on upstreams, and the needs of a request.
 
 use crate::ids::{Incarnation, Name};
 use crate::pace::Pace;
@@ -9,23 +9,23 @@
 /// Work placed on an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Placed {
-    /// Requests under way.
+    /// Running requests.
     pub running: u32,
-    /// Tokens of memory that they are expected to need.
+    /// Tokens of memory that they are expected to need in all.
     pub tokens: u64,
-    /// Tokens of memory that copies of runs elsewhere take.
+    /// Tokens of memory taken by backups of runs elsewhere.
     pub copies: u64,
-    /// Tokens of prompts that are still to be read.
+    /// Tokens of prompts not read yet.
     pub unread: u64,
 }
 
 impl Placed {
-    /// Memory in all.
+    /// Returns the memory of runs and backups.
     pub(crate) const fn memory(&self) -> u64 {
         self.tokens + self.copies
     }
 
-    /// This work and that.
+    /// Returns the sum.
     pub(crate) const fn plus(self, other: Self) -> Self {
         Self {
             running: self.running + other.running,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The more of each.
+    /// Returns the larger value of each field.
     pub(crate) fn larger_of_each(self, other: Self) -> Self {
         Self {
             running: self.running.max(other.running),
@@ -76,49 +76,49 @@
     }
 }
 
-/// Work that one entry has placed on one upstream, as it tells the others.
+/// Work that one entry has placed on one upstream, as announced to the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacedAt {
     /// The upstream.
     pub instance: Name,
-    /// Which life of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// What is placed there.
+    /// Work placed there.
     pub placed: Placed,
-    /// How fast it made tokens for this entry.
+    /// Pace as observed by this entry.
     pub pace: Pace,
 }
 
-/// What a request needs of an upstream.
+/// Needs of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Need {
-    /// Whether it is a copy of a run's memory, which takes no place in the batch.
+    /// Whether it is a backup of a run's memory, which takes no slot of the batch.
     pub is_copy: bool,
-    /// Tokens of memory that it is expected to need; zero for a plain call.
+    /// Expected tokens of memory; zero for a plain call.
     pub tokens: u64,
-    /// Tokens of its prompt, which are part of `tokens`.
+    /// Tokens of its prompt, included in `tokens`.
     pub prompt: u64,
-    /// Tokens of its prompt that the upstream has to read first.
+    /// Tokens of its prompt that the upstream hasn't read yet.
     pub unread: u64,
-    /// Parts of its prompt that others may share, folded into one number.
+    /// Hash of the shareable parts of its prompt.
     pub shared: Option<u64>,
-    /// Random number that tells near ties apart, another one for each request.
+    /// Random number of the request that breaks near ties.
     pub draw: u64,
-    /// Regions in which it may run; none where any will do.
+    /// Regions in which it may run; none for any.
     pub homes: Option<RegionSet>,
-    /// Upstream that its memory is copied from, over links that are shorter within a data centre.
+    /// Upstream from which its memory is copied; links are shorter within a data centre.
     pub copied_from: Option<UpstreamIx>,
 }
 
-/// Load of an upstream, as a choice saw it.
+/// Load of an upstream at the time of a choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadView {
     /// Work of all entries.
     pub placed: Placed,
-    /// Share of its memory that is spoken for; zero for a plain service.
+    /// Reserved share of its memory; zero for a plain service.
     pub memory: f64,
-    /// Share of the newest requests that failed there.
+    /// Share of recent requests that failed there.
     pub failing: f64,
-    /// Age of what an owner replied, or else of the oldest telling that counts.
+    /// Age of the owner's reply, or else of the oldest valid announcement.
     pub age: Duration,
 }
