--- a/fireflycroft/src/admit.rs
+++ b/fireflycroft/src/admit.rs
@@ -10,9 +10,9 @@
 //! request that has waited long.
 
 use crate::length::{AnswerLengths, LengthKey, Survival};
+use crate::memory_forecast::MemoryForecast;
 use crate::message::Load;
 use crate::offer::{AdmitDecision, AdmitPolicy, Capacity, OfferId, UpstreamReport};
-use crate::outlook::Outlook;
 use crate::time::Time;
 use crate::work::{Demand, Priority};
 use std::cmp::Reverse;
@@ -26,7 +26,7 @@
     arrived: Time,
     deadline: Time,
     /// Memory that it is expected to need once it runs.
-    forecast: Outlook,
+    forecast: MemoryForecast,
 }
 
 #[derive(Clone, Debug)]
@@ -42,19 +42,19 @@
 /// Moving averages of recent requests' forecasts, by priority.
 #[derive(Clone, Copy, Debug, Default)]
 struct TypicalForecasts {
-    interactive: Outlook,
-    batch: Outlook,
+    interactive: MemoryForecast,
+    batch: MemoryForecast,
 }
 
 impl TypicalForecasts {
-    const fn of(&self, priority: Priority) -> &Outlook {
+    const fn of(&self, priority: Priority) -> &MemoryForecast {
         match priority {
             Priority::Interactive => &self.interactive,
             Priority::Batch => &self.batch,
         }
     }
 
-    const fn of_mut(&mut self, priority: Priority) -> &mut Outlook {
+    const fn of_mut(&mut self, priority: Priority) -> &mut MemoryForecast {
         match priority {
             Priority::Interactive => &mut self.interactive,
             Priority::Batch => &mut self.batch,
@@ -75,7 +75,7 @@
     /// Prefill time of one prompt token.
     prefill: Duration,
     report: UpstreamReport,
-    forecast: Outlook,
+    forecast: MemoryForecast,
     /// Tokens produced since the forecast was computed.
     tokens_since_forecast: u64,
 }
@@ -150,7 +150,7 @@
             step: Duration::ZERO,
             prefill: Duration::ZERO,
             report: UpstreamReport::default(),
-            forecast: Outlook::default(),
+            forecast: MemoryForecast::default(),
             tokens_since_forecast: 0,
         }
     }
@@ -303,7 +303,7 @@
     }
 
     /// Returns the time until the requests ahead and this one fit.
-    fn expected_wait_for(&self, priority: Priority, own: &Outlook) -> Duration {
+    fn expected_wait_for(&self, priority: Priority, own: &MemoryForecast) -> Duration {
         let mut more = *own;
         let ahead = |w: &&WaitingRequest| w.demand.priority >= priority;
         for w in self.waiting.iter().filter(ahead) {
@@ -368,7 +368,7 @@
     }
 
     /// Returns whether the longest-waiting aged batch request still fits.
-    fn leaves_capacity_for_aged(&self, now: Time, own: &Outlook) -> bool {
+    fn leaves_capacity_for_aged(&self, now: Time, own: &MemoryForecast) -> bool {
         let aged = |w: &&WaitingRequest| w.demand.priority == Priority::Batch && is_aged(now, w);
         let Some(aged) = self.waiting.iter().filter(aged).min_by_key(|w| w.arrived) else {
             return true;
@@ -403,9 +403,9 @@
         }
     }
 
-    fn forecast_of(&self, demand: &Demand) -> Outlook {
+    fn forecast_of(&self, demand: &Demand) -> MemoryForecast {
         let survival = self.lengths.survival(&LengthKey::of(demand));
-        Outlook::of(&survival, demand.prompt_tokens, 0, demand.max_tokens)
+        MemoryForecast::of(&survival, demand.prompt_tokens, 0, demand.max_tokens)
     }
 
     /// Recomputes the forecast after enough tokens were produced.
@@ -417,12 +417,12 @@
         }
         self.tokens_since_forecast = 0;
         let mut survivals: HashMap<&LengthKey, Survival> = HashMap::new();
-        let mut forecast = Outlook::default();
+        let mut forecast = MemoryForecast::default();
         for a in self.admitted.values() {
             let survival = survivals
                 .entry(&a.key)
                 .or_insert_with(|| self.lengths.survival(&a.key));
-            forecast.add(&Outlook::of(survival, a.prompt, a.produced, a.limit));
+            forecast.add(&MemoryForecast::of(survival, a.prompt, a.produced, a.limit));
         }
         self.forecast = forecast;
     }
--- a/fireflycroft/src/lib.rs
+++ b/fireflycroft/src/lib.rs
@@ -9,8 +9,8 @@
 //! - the agents' path (`fireflyd`): [`Entry`] and [`Agent`] with `member`, `route`, `admit`,
 //!   `placement`, `lease`, `claim` and related modules;
 //! - the direct entry (`fireflydirect`): [`Pool`] with `upstream`, `listing`, `loads`, `pace` and
-//!   `room` selects the upstream of a request, and `evacuation`, `cold`, `rate_limit` and `region`
-//!   exclude upstreams; `owners`, `retry_budget`, `returning_callers`, `watchers` and
+//!   `admission_limit` selects the upstream of a request, and `evacuation`, `cold`, `rate_limit`
+//!   and `region` exclude upstreams; `owners`, `retry_budget`, `returning_callers`, `watchers` and
 //!   `store_connectivity` hold what entries know of each other and of the platform's store;
 //!   `attempt`, `relay` and `failover` handle one request.
 //!
@@ -44,6 +44,7 @@
 //! assert_ne!(first, second);
 //! ```
 
+mod admission_limit;
 mod admit;
 mod agent;
 mod agent_generations;
@@ -52,7 +53,6 @@
 mod agent_reservations;
 mod attempt;
 mod await_config;
-mod breadth;
 mod catalog;
 mod claim;
 mod code;
@@ -73,28 +73,28 @@
 mod generation;
 mod generation_store;
 mod gossip;
-mod guess;
 mod hedging;
 mod http_head;
 mod ids;
 mod inventory;
 mod lease;
 mod leave_broadcast;
-mod leaving;
+mod leave_notice;
 mod length;
+mod length_estimator;
 mod listing;
 mod loads;
 mod log_event;
 mod mechanism;
 mod member;
 mod member_record;
+mod memory_forecast;
 mod merge;
 mod message;
 mod missing;
 mod objective;
 mod offer;
 mod order;
-mod outlook;
 mod overview;
 mod owner_messages;
 mod owners;
@@ -106,6 +106,7 @@
 mod pool;
 mod probe;
 mod quarantine;
+mod query_budget;
 mod quota;
 mod rate_limit;
 mod rate_limiter;
@@ -117,10 +118,9 @@
 mod retry_budget;
 mod returning_callers;
 mod revision;
-mod room;
 mod roster;
 mod route;
-mod sent_lately;
+mod sent_requests;
 mod snapshot;
 mod snapshot_error;
 mod store_connectivity;
@@ -134,10 +134,10 @@
 mod withheld;
 mod work;
 
+pub use admission_limit::*;
 pub use admit::*;
 pub use agent::*;
 pub use attempt::*;
-pub use breadth::*;
 pub use catalog::*;
 pub use claim::*;
 pub use code::*;
@@ -152,23 +152,23 @@
 pub use evacuation::*;
 pub use failover::*;
 pub use fleet_view::*;
-pub use guess::*;
 pub use hedging::*;
 pub use http_head::*;
 pub use ids::*;
 pub use inventory::*;
 pub use lease::*;
 pub use length::*;
+pub use length_estimator::*;
 pub use listing::*;
 pub use log_event::*;
 pub use mechanism::*;
 pub use member::*;
 pub use member_record::*;
+pub use memory_forecast::*;
 pub use message::*;
 pub use objective::MeasuredRequest;
 pub use offer::*;
 pub use order::*;
-pub use outlook::*;
 pub use overview::*;
 pub use owner_messages::*;
 pub use owners::*;
@@ -178,6 +178,7 @@
 pub use placement::*;
 pub use pool::*;
 pub use quarantine::*;
+pub use query_budget::*;
 pub use quota::*;
 pub use rate_limit::*;
 pub use region::*;
@@ -187,7 +188,6 @@
 pub use retry_budget::*;
 pub use returning_callers::*;
 pub use revision::*;
-pub use room::*;
 pub use route::*;
 pub use snapshot::*;
 pub use snapshot_error::*;
--- a/fireflycroft/src/upstream.rs
+++ b/fireflycroft/src/upstream.rs
@@ -1,15 +1,15 @@
 //! One upstream as a direct entry sees it, and what one more request there costs.
 
+use crate::admission_limit::SHORT_TOKENS;
 use crate::ids::{Incarnation, Name};
-use crate::leaving::SaidLeaving;
-use crate::loads::Replied;
+use crate::leave_notice::LeaveNotice;
+use crate::loads::OwnerReply;
 use crate::mechanism::{Mechanism, Policy};
 use crate::missing::Missing;
-use crate::pace::{Pace, SeenPace};
+use crate::pace::{ObservedPace, Pace};
 use crate::placed::{Need, Placed, PlacedAt};
 use crate::rate_limit::KnownRate;
-use crate::room::SHORT_TOKENS;
-use crate::sent_lately::SentLately;
+use crate::sent_requests::SentRequests;
 use crate::time::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -86,7 +86,7 @@
     /// Whether a later life has taken its id: all that it ran or held is lost.
     pub(crate) ended: bool,
     pub(crate) left_at: Option<Time>,
-    pub(crate) said_leaving: SaidLeaving,
+    pub(crate) leave_notice: LeaveNotice,
     pub(crate) missing: Option<Missing>,
     pub(crate) mine: Placed,
     /// What other entries have told this one as an owner.
@@ -94,22 +94,22 @@
     /// Entries that couldn't reach it, and when.
     pub(crate) unreachable: HashMap<Name, Time>,
     /// What an owner has told this entry.
-    pub(crate) replied: Option<Replied>,
+    pub(crate) replied: Option<OwnerReply>,
     pub(crate) avoid_until: Time,
     pub(crate) paused_until: Time,
     pub(crate) failing: f64,
     pub(crate) cold_until: Time,
     /// Requests of this entry, where a cold one bears only so many.
-    pub(crate) sent_lately: SentLately,
+    pub(crate) sent_requests: SentRequests,
     pub(crate) rate: KnownRate,
     pub(crate) read: HashMap<u64, Time>,
-    pub(crate) pace: SeenPace,
+    pub(crate) pace: ObservedPace,
 }
 
 /// Time for which what another entry told counts.
 ///
 /// Entries tell twice a second; three lost in a row mean that it is gone.
-pub(crate) const TOLD_FOR: Duration = Duration::from_millis(1_600);
+pub(crate) const ANNOUNCED_FOR: Duration = Duration::from_millis(1_600);
 
 /// Age up to which a choice goes by what an owner replied: replies are waited for for a little less.
 ///
@@ -195,7 +195,7 @@
 
 impl Upstream {
     pub(crate) fn is_serving(&self) -> bool {
-        self.is_listed_as_serving() && !self.has_said_leaving()
+        self.is_listed_as_serving() && !self.has_sent_leave_notice()
     }
 
     /// Whether the list has it, and as one that takes new work.
@@ -218,7 +218,7 @@
             instance: self.record.instance.clone(),
             incarnation: self.record.incarnation,
             placed: self.mine,
-            pace: self.pace.mine,
+            pace: self.pace.own,
         }
     }
 
@@ -269,7 +269,7 @@
 }
 
 /// The `most` of some upstreams that were told to other entries longest ago.
-pub(crate) fn longest_untold<'a>(
+pub(crate) fn least_recently_announced<'a>(
     some: impl Iterator<Item = &'a mut Upstream>,
     told_at: impl Fn(&Upstream) -> Option<Time>,
     most: usize,
--- a/fireflycroft/src/withheld.rs
+++ b/fireflycroft/src/withheld.rs
@@ -1,4 +1,4 @@
-//! What keeps requests from an upstream that is sound and takes new work.
+//! Reasons to send no request to a healthy upstream that takes new work.
 
 use crate::placed::Need;
 use crate::pool::Pool;
@@ -7,16 +7,16 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Why an upstream gets no request of this entry for now.
+/// Reason for which an upstream gets no request of this entry for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withheld {
     /// Its data centre is evacuated.
     Evacuated,
-    /// It is cold, and this entry has sent its share.
-    ColdShareSpent,
-    /// It names a rate, and this entry has sent its share.
-    RateShareSpent,
-    /// It turned a request of this entry away and asked for a pause.
+    /// It is cold, and this entry's share is exhausted.
+    ColdShareExhausted,
+    /// It is rate-limited, and this entry's share is exhausted.
+    RateShareExhausted,
+    /// It refused a request of this entry and requested a pause.
     Paused,
 }
 
@@ -24,27 +24,27 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Evacuated => "it is evacuated",
-            Self::ColdShareSpent => "it is cold",
-            Self::RateShareSpent => "its rate limit is spent",
-            Self::Paused => "it asked for a pause",
+            Self::ColdShareExhausted => "it is cold",
+            Self::RateShareExhausted => "its rate limit is exhausted",
+            Self::Paused => "it requested a pause",
         })
     }
 }
 
 impl Pool {
-    /// Why an upstream gets no request of this entry now; none where it may get one.
+    /// Returns the reason to send an upstream no request now; none where it may get one.
     #[must_use]
     pub fn withheld(&self, now: Time, ix: UpstreamIx) -> Option<Withheld> {
-        self.withheld_of(now, &self.upstreams[ix.0])
+        self.withheld_reason(now, &self.upstreams[ix.0])
     }
 
-    pub(crate) fn withheld_of(&self, now: Time, u: &Upstream) -> Option<Withheld> {
-        if self.takes_nothing_new(&u.record.data_centre) {
+    pub(crate) fn withheld_reason(&self, now: Time, u: &Upstream) -> Option<Withheld> {
+        if self.is_closed_to_new_work(&u.record.data_centre) {
             Some(Withheld::Evacuated)
-        } else if self.has_cold_share_spent(now, u) {
-            Some(Withheld::ColdShareSpent)
-        } else if self.has_rate_share_spent(now, u) {
-            Some(Withheld::RateShareSpent)
+        } else if self.is_cold_share_exhausted(now, u) {
+            Some(Withheld::ColdShareExhausted)
+        } else if self.is_rate_share_exhausted(now, u) {
+            Some(Withheld::RateShareExhausted)
         } else if now < u.paused_until {
             Some(Withheld::Paused)
         } else {
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Time until an upstream that could serve `need`, and that gets no request of this entry by its
-    /// own word, gets one again; none where there is no such upstream.
+    /// Returns the time until the first upstream for `need` that is rate-limited or paused may get a
+    /// request of this entry again; none where there is no such upstream.
     #[must_use]
     pub fn until_any_is_free(&self, now: Time, service: &str, need: &Need) -> Option<Duration> {
         let open = self.serving(service).map(|i| &self.upstreams[i]);
@@ -65,7 +65,7 @@
         waits.filter(|wait| !wait.is_zero()).min()
     }
 
-    /// Notes that an upstream turned a request of this entry away and wants nothing more for a pause.
+    /// Records that an upstream refused a request of this entry and requested a pause.
     pub fn pause(&mut self, now: Time, ix: UpstreamIx, span: Duration) {
         let u = &mut self.upstreams[ix.0];
         u.paused_until = u.paused_until.max(now + span);
--- a/fireflycroft/tests/door_load.rs
+++ b/fireflycroft/tests/admission_load.rs
@@ -1,7 +1,7 @@
-//! A load played at the door in virtual time, and what callers get.
+//! Simulation of admission under load, in virtual time.
 //!
-//! Users' callers were refused while a fifth of all memory and more was free: where a request takes a
-//! fifth of an engine, a limit that falls by a quarter of the memory for a low yield leaves room unused.
+//! Guards against refusing callers while a fifth of all memory or more is free: where a request takes a
+//! fifth of an engine, a limit lowered by a quarter of the memory for a low value density wastes capacity.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -11,28 +11,28 @@
 mod pools;
 
 use fireflycroft::{
-    Asking, Coming, Fill, Name, Need, Pool, Time, UpstreamIx, Yields, is_room, room_after,
-    whole_millis,
+    AdmissionRequest, ArrivalKind, MemoryUsage, Name, Need, Pool, Time, UpstreamIx, ValueDensities,
+    capacity_expected_after, is_admitted, whole_millis,
 };
 use pools::{at, record};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 cases! {
-    callers_of_a_calm_load_are_let_in => calm_load();
+    callers_of_a_calm_load_are_let_in => moderate_load();
     engines_of_a_heavy_load_do_not_run_out => heavy_load();
-    heavy_load_lets_in_more_of_what_yields_more => heavy_load_by_yield();
+    heavy_load_lets_in_more_of_what_yields_more => heavy_load_by_density();
 }
 
-/// Engines that serve, each with memory for some five generations.
+/// Serving engines, each with memory for about five generations.
 const ENGINES: u64 = 36;
 const MEMORY: u64 = 22_054;
 
-/// Time in which an engine makes a token.
+/// Time of an engine for a token.
 const TOKEN_MILLIS: u64 = 10;
 
 /// Length of the load.
-const LASTS: u64 = 40_000;
+const LOAD_MILLIS: u64 = 40_000;
 
 /// One caller's generation.
 #[derive(Clone, Copy)]
@@ -42,10 +42,10 @@
     made: u64,
 }
 
-/// Random numbers, the same in each run.
-struct Draws(u64);
+/// Deterministic random numbers.
+struct Rng(u64);
 
-impl Draws {
+impl Rng {
     fn next(&mut self) -> f64 {
         self.0 = self
             .0
@@ -54,7 +54,7 @@
         f64::from(u32::try_from(self.0 >> 32).unwrap()) / f64::from(u32::MAX)
     }
 
-    /// About normal, with a deviation of one.
+    /// Approximates a standard normal variate.
     fn normal(&mut self) -> f64 {
         (0..12).map(|_| self.next()).sum::<f64>() - 6.0
     }
@@ -72,15 +72,15 @@
     }
 }
 
-/// What callers got.
+/// Result of a simulation.
 #[derive(Default)]
 struct Outcome {
-    asked: u32,
+    requested: u32,
     refused_for_good: u32,
-    /// Logarithms of the yield of those let in and those refused for good.
-    yields_in: Vec<f64>,
-    yields_out: Vec<f64>,
-    /// Milliseconds in which an engine held more than its memory, all engines together.
+    /// Logarithms of the value density of admitted and finally refused generations.
+    admitted_densities: Vec<f64>,
+    refused_densities: Vec<f64>,
+    /// Milliseconds with an engine beyond its memory, summed over all engines.
     beyond_memory: u64,
 }
 
@@ -100,16 +100,16 @@
     pool
 }
 
-/// Plays callers who come every `gap` milliseconds in the mean and come back once.
-fn play(gap: u64) -> Outcome {
+/// Simulates callers with a mean gap of `mean_gap_millis`, each of whom returns once.
+fn simulate(mean_gap_millis: u64) -> Outcome {
     let mut pool = engines();
-    let mut draws = Draws(7);
-    let mut yields = Yields::default();
+    let mut rng = Rng(7);
+    let mut value_densities = ValueDensities::default();
     let mut waiting: BTreeMap<(u64, u32), (Generation, f64, Option<Time>)> = BTreeMap::new();
     let mut running: Vec<Running> = Vec::new();
     let mut outcome = Outcome::default();
     let mut next = 0;
-    for millis in (0..LASTS).step_by(10) {
+    for millis in (0..LOAD_MILLIS).step_by(10) {
         running.retain(|run| {
             let ends = run.since + run.generation.made * TOKEN_MILLIS;
             if ends <= millis {
@@ -119,19 +119,19 @@
         });
         outcome.beyond_memory += 10 * beyond_memory(&running, millis);
         while next <= millis {
-            let generation = draws.generation();
+            let generation = rng.generation();
             let (prompt, expected) = (generation.prompt, generation.expected);
-            let yielded = yields.note(&Name::from("kind"), prompt, expected);
-            waiting.insert((next, outcome.asked), (generation, yielded, None));
-            outcome.asked += 1;
-            let share = -draws.next().max(1e-9).ln();
-            next += whole_millis(Duration::from_millis(gap).mul_f64(share));
+            let value_density = value_densities.record(&Name::from("kind"), prompt, expected);
+            waiting.insert((next, outcome.requested), (generation, value_density, None));
+            outcome.requested += 1;
+            let share = -rng.next().max(1e-9).ln();
+            next += whole_millis(Duration::from_millis(mean_gap_millis).mul_f64(share));
         }
         let due: Vec<_> = waiting
             .range(..=(millis, u32::MAX))
             .map(|(k, v)| (*k, *v))
             .collect();
-        for (key, (generation, yielded, refused)) in due {
+        for (key, (generation, value_density, refused)) in due {
             waiting.remove(&key);
             let now = at(millis);
             let need = Need {
@@ -141,20 +141,20 @@
                 ..Need::default()
             };
             let waited = refused.map(|since| now.since(since));
-            let asking = Asking {
+            let request = AdmissionRequest {
                 expected_tokens: generation.expected,
-                yields: yielded,
-                coming: Coming::after(waited, Duration::from_millis(1_800)),
+                value_density,
+                coming: ArrivalKind::after(waited, Duration::from_millis(1_800)),
                 rank: 1,
             };
             let best = pool.choose(now, "models", &need, &[]).unwrap();
-            let fill = Fill {
+            let fill = MemoryUsage {
                 engine: pool.fill_with(now, best, &need),
                 service: pool.runs_fill_of(now, "models"),
             };
-            if is_room(&asking, &fill) {
+            if is_admitted(&request, &fill) {
                 pool.place(now, best, &need);
-                outcome.yields_in.push(yielded);
+                outcome.admitted_densities.push(value_density);
                 running.push(Running {
                     at: best,
                     need,
@@ -162,18 +162,21 @@
                     since: millis,
                 });
             } else if refused.is_none() {
-                let back = whole_millis(room_after(fill.service));
-                waiting.insert((millis + back, key.1), (generation, yielded, Some(now)));
+                let back = whole_millis(capacity_expected_after(fill.service));
+                waiting.insert(
+                    (millis + back, key.1),
+                    (generation, value_density, Some(now)),
+                );
             } else {
                 outcome.refused_for_good += 1;
-                outcome.yields_out.push(yielded);
+                outcome.refused_densities.push(value_density);
             }
         }
     }
     outcome
 }
 
-/// Engines that hold more than their memory.
+/// Counts the engines beyond their memory.
 fn beyond_memory(running: &[Running], millis: u64) -> u64 {
     let mut held: BTreeMap<UpstreamIx, u64> = BTreeMap::new();
     for run in running {
@@ -189,30 +192,33 @@
 }
 
 /// Expected answers and prompts take two thirds of the memory.
-fn calm_load() {
-    let outcome = play(50);
-    assert!(outcome.asked > 700, "{}", outcome.asked);
+fn moderate_load() {
+    let outcome = simulate(50);
+    assert!(outcome.requested > 700, "{}", outcome.requested);
     assert!(
-        outcome.refused_for_good * 100 <= outcome.asked,
+        outcome.refused_for_good * 100 <= outcome.requested,
         "{} of {} refused for good",
         outcome.refused_for_good,
-        outcome.asked
+        outcome.requested
     );
 }
 
-/// Half as many again: one engine in a hundred may run out for a moment.
+/// Half as many again: memory may run out on one engine in a hundred.
 fn heavy_load() {
-    let outcome = play(33);
-    let share = outcome.beyond_memory * 100 / (ENGINES * LASTS);
+    let outcome = simulate(33);
+    let share = outcome.beyond_memory * 100 / (ENGINES * LOAD_MILLIS);
     assert!(share <= 1, "{share} in 100 beyond memory");
 }
 
-fn heavy_load_by_yield() {
-    let outcome = play(25);
+fn heavy_load_by_density() {
+    let outcome = simulate(25);
     assert!(outcome.refused_for_good > 0);
-    let (let_in, refused) = (mean(&outcome.yields_in), mean(&outcome.yields_out));
+    let (admitted, refused) = (
+        mean(&outcome.admitted_densities),
+        mean(&outcome.refused_densities),
+    );
     assert!(
-        let_in > refused + 0.3,
-        "{let_in:.2} let in, {refused:.2} refused"
+        admitted > refused + 0.3,
+        "{admitted:.2} admitted, {refused:.2} refused"
     );
 }
--- a/fireflycroft/tests/failover.rs
+++ b/fireflycroft/tests/failover.rs
@@ -5,10 +5,11 @@
 mod cases;
 
 use fireflycroft::{
-    Asking, Coming, Departure, DepartureAction, Fill, Incarnation, MAX_SERVICE_FILL_FOR_BACKUP,
-    Name, Need, Pool, ROOM_FOR_FIRST, ROOM_FOR_LATE, ROOM_FOR_LONG, ROOM_FOR_RETURNING,
-    STEP_DOWN_AFTER, STOP_AFTER_LEAVE_NOTICE, Time, UpstreamRecord, UpstreamState, WATCHERS,
-    WatcherRole, WatcherView, Yields, departure_action, is_room, pick_backup_holder, room_after,
+    AdmissionRequest, ArrivalKind, Departure, DepartureAction, FIRST_RANK_RESERVE, Incarnation,
+    LATE_LIMIT, LONG_LIMIT, MAX_SERVICE_FILL_FOR_BACKUP, MemoryUsage, Name, Need, Pool,
+    RETURNING_LIMIT, STEP_DOWN_AFTER, STOP_AFTER_LEAVE_NOTICE, Time, UpstreamRecord, UpstreamState,
+    ValueDensities, WATCHERS, WatcherRole, WatcherView, capacity_expected_after, departure_action,
+    is_admitted, pick_backup_holder,
 };
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -19,8 +20,8 @@
     copy_is_kept_elsewhere => copy_is_elsewhere();
     no_copy_where_memory_is_short => no_copy_when_short();
     no_copy_where_there_is_nobody_else => no_copy_alone();
-    long_generation_needs_capacity => assert!(!is_admitted(500, Coming::First, 1.0, 0.1) && is_admitted(500, Coming::First, 0.5, 0.5));
-    long_generation_leaves_capacity_for_migrations => assert!(!is_admitted(500, Coming::First, 0.5, 1.0));
+    long_generation_needs_capacity => assert!(!admits(500, ArrivalKind::First, 1.0, 0.1) && admits(500, ArrivalKind::First, 0.5, 0.5));
+    long_generation_leaves_capacity_for_migrations => assert!(!admits(500, ArrivalKind::First, 0.5, 1.0));
     late_generation_is_refused_first => late_is_refused_first();
     caller_in_time_and_late_are_distinguished => distinguished();
     generation_of_higher_value_density_goes_first => higher_value_goes_first();
@@ -34,8 +35,8 @@
     late_departure_does_not_delay_the_stop => assert_eq!(leaving(Some(9_000), 100), STOP_AFTER_LEAVE_NOTICE);
     returning_generation_is_admitted_first => returning_first();
     first_rank_is_admitted_first => first_rank();
-    short_generation_is_admitted_beyond => assert!(is_admitted(10, Coming::First, 1.0, 1.0) && !is_admitted(10, Coming::First, 2.0, 1.0));
-    fuller_memory_gives_a_later_retry_time => assert!(room_after(1.5) > room_after(0.5));
+    short_generation_is_admitted_beyond => assert!(admits(10, ArrivalKind::First, 1.0, 1.0) && !admits(10, ArrivalKind::First, 2.0, 1.0));
+    fuller_memory_gives_a_later_retry_time => assert!(capacity_expected_after(1.5) > capacity_expected_after(0.5));
     lone_entry_watches => assert!(WatcherRole::new(addr(0), true).is_watching());
     enough_watchers_are_found => enough_watchers();
     watcher_that_fails_is_replaced => failed_is_replaced();
@@ -45,70 +46,73 @@
     calls_of_a_silent_store_do_not_grow_with_the_fleet => calls_stay_few();
 }
 
-fn asking(expected_tokens: u64, coming: Coming) -> Asking {
-    Asking {
+fn asking(expected_tokens: u64, coming: ArrivalKind) -> AdmissionRequest {
+    AdmissionRequest {
         expected_tokens,
-        yields: 0.0,
+        value_density: 0.0,
         coming,
         rank: 1,
     }
 }
 
-fn is_admitted(expected_tokens: u64, coming: Coming, engine: f64, service: f64) -> bool {
-    is_room(&asking(expected_tokens, coming), &Fill { engine, service })
+fn admits(expected_tokens: u64, coming: ArrivalKind, engine: f64, service: f64) -> bool {
+    is_admitted(
+        &asking(expected_tokens, coming),
+        &MemoryUsage { engine, service },
+    )
 }
 
 fn returning_first() {
-    let between = f64::midpoint(ROOM_FOR_LONG, ROOM_FOR_RETURNING);
-    assert!(is_admitted(500, Coming::AgainInTime, between, 0.5));
-    assert!(!is_admitted(500, Coming::First, between, 0.5));
-    assert!(!is_admitted(
+    let between = f64::midpoint(LONG_LIMIT, RETURNING_LIMIT);
+    assert!(admits(500, ArrivalKind::AgainInTime, between, 0.5));
+    assert!(!admits(500, ArrivalKind::First, between, 0.5));
+    assert!(!admits(
         500,
-        Coming::AgainInTime,
-        ROOM_FOR_RETURNING + 0.01,
+        ArrivalKind::AgainInTime,
+        RETURNING_LIMIT + 0.01,
         0.5
     ));
 }
 
 fn late_is_refused_first() {
-    let between = f64::midpoint(ROOM_FOR_LATE, ROOM_FOR_RETURNING);
-    assert!(is_admitted(500, Coming::AgainInTime, between, 0.5));
-    assert!(!is_admitted(500, Coming::AgainLate, between, 0.5));
+    let between = f64::midpoint(LATE_LIMIT, RETURNING_LIMIT);
+    assert!(admits(500, ArrivalKind::AgainInTime, between, 0.5));
+    assert!(!admits(500, ArrivalKind::AgainLate, between, 0.5));
 }
 
 fn distinguished() {
     let after = |waited: Option<u64>| {
         let waited = waited.map(Duration::from_millis);
-        Coming::after(waited, Duration::from_millis(1_800))
+        ArrivalKind::after(waited, Duration::from_millis(1_800))
     };
-    assert_eq!(after(None), Coming::First);
-    assert_eq!(after(Some(0)), Coming::AgainInTime);
-    assert_eq!(after(Some(600)), Coming::AgainInTime);
-    assert_eq!(after(Some(1_500)), Coming::AgainLate);
+    assert_eq!(after(None), ArrivalKind::First);
+    assert_eq!(after(Some(0)), ArrivalKind::AgainInTime);
+    assert_eq!(after(Some(600)), ArrivalKind::AgainInTime);
+    assert_eq!(after(Some(1_500)), ArrivalKind::AgainLate);
 }
 
 fn higher_value_goes_first() {
-    let fill = Fill {
-        engine: ROOM_FOR_LONG + 0.05,
+    let fill = MemoryUsage {
+        engine: LONG_LIMIT + 0.05,
         service: 0.5,
     };
-    let with_value = |yields| Asking {
-        yields,
-        ..asking(500, Coming::First)
+    let with_value = |yields| AdmissionRequest {
+        value_density: yields,
+        ..asking(500, ArrivalKind::First)
     };
-    assert!(is_room(&with_value(0.5), &fill));
-    assert!(!is_room(&with_value(0.0), &fill));
-    assert!(!is_room(&with_value(-0.5), &fill));
+    assert!(is_admitted(&with_value(0.5), &fill));
+    assert!(!is_admitted(&with_value(0.0), &fill));
+    assert!(!is_admitted(&with_value(-0.5), &fill));
 }
 
 /// Returns the value density of a generation among many of 3,000 and 600 tokens.
 fn value_of(prompt: u64, expected: u64) -> f64 {
-    let mut yields = Yields::default();
+    let mut yields = ValueDensities::default();
     let kind = Name::from("log");
     for _ in 0..100 {
-        yields.note(&kind, 3_000, 600);
+        yields.record(&kind, 3_000, 600);
     }
-    yields.note(&kind, prompt, expected)
+    yields.record(&kind, prompt, expected)
 }
 
 fn shorter_prompt() {
@@ -128,22 +132,22 @@
 
 fn absurd_sizes() {
     let kind = Name::from("log");
-    let mut yields = Yields::default();
-    yields.note(&kind, 4_000_000_000, 4_000_000_000);
+    let mut yields = ValueDensities::default();
+    yields.record(&kind, 4_000_000_000, 4_000_000_000);
     for _ in 0..100 {
-        yields.note(&kind, 3_000, 600);
+        yields.record(&kind, 3_000, 600);
     }
-    yields.note(&kind, 4_000_000_000, 4_000_000_000);
-    let usual = yields.note(&kind, 3_000, 600);
+    yields.record(&kind, 4_000_000_000, 4_000_000_000);
+    let usual = yields.record(&kind, 3_000, 600);
     assert!(usual.abs() < 0.2, "{usual}");
 }
 
 fn own_kinds() {
-    let mut yields = Yields::default();
+    let mut yields = ValueDensities::default();
     for _ in 0..100 {
-        yields.note(&Name::from("log"), 3_000, 600);
+        yields.record(&Name::from("log"), 3_000, 600);
     }
-    let of_grade = yields.note(&Name::from("grade"), 500, 20);
+    let of_grade = yields.record(&Name::from("grade"), 500, 20);
     assert!(of_grade.abs() < 0.05, "{of_grade}");
 }
 
@@ -171,16 +175,16 @@
 }
 
 fn first_rank() {
-    let fill = Fill {
-        engine: ROOM_FOR_LONG + ROOM_FOR_FIRST / 2.0,
+    let fill = MemoryUsage {
+        engine: LONG_LIMIT + FIRST_RANK_RESERVE / 2.0,
         service: 0.5,
     };
-    let of_rank = |rank| Asking {
+    let of_rank = |rank| AdmissionRequest {
         rank,
-        ..asking(500, Coming::First)
+        ..asking(500, ArrivalKind::First)
     };
-    assert!(is_room(&of_rank(0), &fill));
-    assert!(!is_room(&of_rank(1), &fill));
+    assert!(is_admitted(&of_rank(0), &fill));
+    assert!(!is_admitted(&of_rank(1), &fill));
 }
 
 fn at(millis: u64) -> Time {
--- a/fireflycroft/tests/owners.rs
+++ b/fireflycroft/tests/owners.rs
@@ -9,9 +9,9 @@
 
 use fireflycroft::{
     Digest, Incarnation, Life, Name, Need, OWNERS_PER_KEY, OwnedKey, OwnedLoad, Pace, Placed, Pool,
-    QueryBreadth, Time, UpstreamIx, owners_of,
+    QueryBudget, Time, UpstreamIx, owners_of,
 };
-use pools::{at, chosen, ix, leaving, need, pool, told};
+use pools::{announced_work, at, chosen, ix, leaving, need, pool};
 use proptest::prelude::*;
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -100,13 +100,13 @@
 /// Applies a reply of an owner at time zero.
 fn reply(pool: &mut Pool, loads: &[(&str, u64)]) {
     let loads: Vec<OwnedLoad> = loads.iter().map(|(i, tokens)| load(i, *tokens)).collect();
-    pool.note_reply(at(0), &Name::from("owner"), &loads);
+    pool.apply_reply(at(0), &Name::from("owner"), &loads);
 }
 
 fn replies_of_others() {
     let mut owner = pool(&["a", "b"]);
-    owner.note_others(at(0), &Name::from("x"), &[told("a", 1_000)], true);
-    owner.note_others(at(0), &Name::from("y"), &[told("a", 500)], true);
+    owner.apply_placed(at(0), &Name::from("x"), &[announced_work("a", 1_000)], true);
+    owner.apply_placed(at(0), &Name::from("y"), &[announced_work("a", 500)], true);
     let a = ix(&owner, "a");
     owner.place(at(0), a, &need(40));
     let loads = owner.loads_for(
@@ -154,7 +154,7 @@
         ..load("a", 0)
     };
     let loads = [departing, load("b", 3_000), load("c", 5_000)];
-    pool.note_reply(at(0), &Name::from("owner"), &loads);
+    pool.apply_reply(at(0), &Name::from("owner"), &loads);
     assert_eq!(chosen(&pool, at(5), &need(100)), "b");
     let mut owner = pools::pool(&["a"]);
     owner.learn(at(0), leaving("a", 9));
@@ -168,18 +168,18 @@
     let mut owner = pool(&["a"]);
     let serves =
         |owner: &Pool, now| owner.loads_for(at(now), &Name::from("x"), &[upstream("a")])[0].serves;
-    owner.note_unreachable(at(0), &Name::from("y"), &upstream("a"));
-    owner.note_unreachable(at(10), &Name::from("y"), &upstream("a"));
+    owner.record_unreachable(at(0), &Name::from("y"), &upstream("a"));
+    owner.record_unreachable(at(10), &Name::from("y"), &upstream("a"));
     assert!(serves(&owner, 20), "one entry alone may be cut off from it");
-    owner.note_unreachable(at(20), &Name::from("z"), &upstream("a"));
+    owner.record_unreachable(at(20), &Name::from("z"), &upstream("a"));
     assert!(!serves(&owner, 30));
     assert!(serves(&owner, 3_000), "another entry tries again");
     let later = Life {
         incarnation: Incarnation(9),
         ..upstream("a")
     };
-    owner.note_unreachable(at(4_000), &Name::from("y"), &later);
-    owner.note_unreachable(at(4_000), &Name::from("z"), &later);
+    owner.record_unreachable(at(4_000), &Name::from("y"), &later);
+    owner.record_unreachable(at(4_000), &Name::from("z"), &later);
     assert!(serves(&owner, 4_010), "that was another incarnation");
 }
 
@@ -201,7 +201,7 @@
 fn report_before_old_reply() {
     let mut pool = pool(&["a"]);
     reply(&mut pool, &[("a", 9_000)]);
-    pool.note_others(at(500), &Name::from("x"), &[told("a", 300)], true);
+    pool.apply_placed(at(500), &Name::from("x"), &[announced_work("a", 300)], true);
     assert_eq!(pool.view(at(600), ix(&pool, "a")).placed.tokens, 300);
 }
 
@@ -222,7 +222,7 @@
 
 fn queried(pool: &Pool, draw: u64, most: usize) -> Vec<UpstreamIx> {
     let need = Need { draw, ..need(100) };
-    pool.to_query(at(5), "models", &need, &[], most)
+    pool.upstreams_to_query(at(5), "models", &need, &[], most)
 }
 
 fn queries_all() {
@@ -234,7 +234,7 @@
     let loads: Vec<OwnedLoad> = (0..50)
         .map(|n| load(&format!("i-{n}"), 9_000 - n * 100))
         .collect();
-    pool.note_reply(at(0), &Name::from("owner"), &loads);
+    pool.apply_reply(at(0), &Name::from("owner"), &loads);
     let best = ix(&pool, "i-49");
     let mut drawn = HashMap::new();
     for draw in 0..200 {
@@ -253,20 +253,20 @@
     pool.learn(at(0), leaving("i-2", 90));
     let queried = queried(&pool, 1, 16);
     assert!(queried.contains(&ix(&pool, "i-2")));
-    let long_after = pool.to_query(at(9_000), "models", &need(1), &[], 16);
+    let long_after = pool.upstreams_to_query(at(9_000), "models", &need(1), &[], 16);
     assert_eq!(long_after.len(), 3);
 }
 
 fn queries_fewer() {
-    let mut query_limit = QueryBreadth::default();
-    let first = query_limit.upstreams(at(0));
+    let mut query_limit = QueryBudget::default();
+    let first = query_limit.candidate_count(at(0));
     for n in 0..100 {
-        let queried = query_limit.upstreams(at(n * 10));
-        query_limit.note_sent(queried * OWNERS_PER_KEY);
+        let queried = query_limit.candidate_count(at(n * 10));
+        query_limit.record_sent(queried * OWNERS_PER_KEY);
     }
-    let busy = query_limit.upstreams(at(1_000));
+    let busy = query_limit.candidate_count(at(1_000));
     assert!(busy < first && busy > 1, "{first} {busy}");
-    assert_eq!(query_limit.upstreams(at(9_000)), first);
+    assert_eq!(query_limit.candidate_count(at(9_000)), first);
 }
 
 /// Guards against overbooked engines: entries that know only their own placements and query owners
@@ -288,7 +288,7 @@
     let ips = self::entries(entries);
     let mut pools: HashMap<Ipv4Addr, Pool> =
         ips.iter().map(|ip| (*ip, engines_pool(engines))).collect();
-    let mut query_limits: HashMap<Ipv4Addr, QueryBreadth> = HashMap::new();
+    let mut query_limits: HashMap<Ipv4Addr, QueryBudget> = HashMap::new();
     let mut on_each: HashMap<UpstreamIx, u64> = HashMap::new();
     let mut reported_at = at(0);
     for run in 0..engines * 8 {
@@ -336,21 +336,22 @@
     ip: Ipv4Addr,
     now: Time,
     need: &Need,
-    query_limit: &mut QueryBreadth,
+    query_limit: &mut QueryBudget,
 ) {
-    let queried = pools[&ip].to_query(now, "models", need, &[], query_limit.upstreams(now));
+    let queried =
+        pools[&ip].upstreams_to_query(now, "models", need, &[], query_limit.candidate_count(now));
     for ix in queried {
         let upstream = pools[&ip].record(ix).life();
         let owners = owners(ips, &upstream.instance)
             .into_iter()
             .filter(|o| *o != ip);
         for owner in owners {
-            query_limit.note_sent(1);
+            query_limit.record_sent(1);
             let loads = pools[&owner].loads_for(now, &name(ip), std::slice::from_ref(&upstream));
             pools
                 .get_mut(&ip)
                 .unwrap()
-                .note_reply(now, &name(owner), &loads);
+                .apply_reply(now, &name(owner), &loads);
         }
     }
 }
@@ -367,7 +368,7 @@
     for at in placed {
         for owner in owners(ips, &at.instance).into_iter().filter(|o| *o != ip) {
             let pool = pools.get_mut(&owner).unwrap();
-            pool.note_others(now, &name(ip), std::slice::from_ref(&at), true);
+            pool.apply_placed(now, &name(ip), std::slice::from_ref(&at), true);
         }
     }
 }
--- a/fireflycroft/tests/rate_limit.rs
+++ b/fireflycroft/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Rates that upstreams in need name, and what a fleet then sends them.
+//! Rate limits of upstreams, and the requests that a fleet sends within them.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -44,10 +44,10 @@
     RateLimit::new(per_second)
 }
 
-/// Takes an answer that came at one moment to a request of another.
+/// Records the response received at `came` to the request sent at `sent`.
 fn answer(pool: &mut Pool, sent: u64, came: u64, named: Option<RateLimit>) -> Option<RateChange> {
     let a = ix(pool, "a");
-    pool.note_rate_limit(at(came), a, at(sent), named)
+    pool.record_rate_limit(at(came), a, at(sent), named)
 }
 
 fn rate_is_known() {
@@ -73,10 +73,10 @@
     assert_eq!(pool.rate_limit(ix(&pool, "b")), None);
 }
 
-/// Tells one pool all that another one has to tell.
+/// Announces the rates of one pool to another; returns the number of changes.
 fn tell(from: &mut Pool, to: &mut Pool, millis: u64) -> usize {
-    let told = from.tell_rates(at(millis));
-    let taken = told.iter().filter_map(|t| to.take_rate(at(millis), t));
+    let told = from.rates_to_announce(at(millis));
+    let taken = told.iter().filter_map(|t| to.apply_rate(at(millis), t));
     taken.count()
 }
 
@@ -107,7 +107,7 @@
         limit: rate(1.0),
         age: Duration::ZERO,
     };
-    assert_eq!(pool.take_rate(at(50), &told), None);
+    assert_eq!(pool.apply_rate(at(50), &told), None);
     assert_eq!(pool.rate_limit(ix(&pool, "a")), None);
 }
 
@@ -118,9 +118,9 @@
     answer(&mut first, 1_000, 1_010, None);
     assert_eq!(tell(&mut first, &mut second, 1_020), 1);
     assert_eq!(second.rate_limit(ix(&second, "a")), None);
-    assert_eq!(first.tell_rates(at(9_000)).len(), 1);
+    assert_eq!(first.rates_to_announce(at(9_000)).len(), 1);
     answer(&mut first, 10_900, 10_910, None);
-    assert!(first.tell_rates(at(11_100)).is_empty());
+    assert!(first.rates_to_announce(at(11_100)).is_empty());
 }
 
 fn rates_take_turns() {
@@ -128,7 +128,7 @@
     let mut first = pool(&names);
     for name in names {
         let upstream = ix(&first, name);
-        first.note_rate_limit(at(110), upstream, at(100), rate(2.5));
+        first.record_rate_limit(at(110), upstream, at(100), rate(2.5));
     }
     let mut second = pool(&names);
     tell(&mut first, &mut second, 200);
@@ -160,7 +160,7 @@
     assert_eq!(pool.rate_limit(ix(&pool, "a")), rate(2.5));
 }
 
-/// Addresses of a fleet of so many entries.
+/// Returns the addresses of a fleet of `entries`.
 fn addrs(entries: usize) -> Vec<Ipv4Addr> {
     let last = u32::try_from(entries).unwrap();
     (1..=last)
@@ -168,7 +168,7 @@
         .collect()
 }
 
-/// A pool of each entry of such a fleet, all of which know that `a` names a rate.
+/// Returns the pools of such a fleet, all of which know the rate limit of `a`.
 fn fleet(entries: usize, per_second: f64) -> Vec<Pool> {
     let all = addrs(entries);
     let of_entry = |me: &Ipv4Addr| {
@@ -181,12 +181,12 @@
     all.iter().map(of_entry).collect()
 }
 
-/// Sends at once all that an entry may send.
+/// Sends as many requests as an entry may send at once.
 fn send_all(pool: &mut Pool, millis: u64) -> usize {
     let a = ix(pool, "a");
     let mut sent = 0;
     while sent < 10_000 && pool.withheld(at(millis), a).is_none() {
-        pool.note_sending(at(millis), a);
+        pool.record_sending(at(millis), a);
         sent += 1;
     }
     sent
@@ -210,7 +210,7 @@
     assert_eq!(chosen(&pool, at(3), &need(100)), "b");
 }
 
-/// Need of a copy of a run on `source`.
+/// Returns the need of a backup of a run on `source`.
 fn copy_of(pool: &Pool, source: &str) -> Need {
     Need {
         copied_from: Some(ix(pool, source)),
@@ -259,14 +259,14 @@
     let wait = |pool: &Pool, now| pool.until_any_is_free(at(now), "models", &need(1));
     assert_eq!(wait(&fleet[0], 9), None);
     let a = ix(&fleet[0], "a");
-    fleet[0].note_sending(at(10), a);
+    fleet[0].record_sending(at(10), a);
     assert_eq!(wait(&fleet[0], 10), None);
-    fleet[0].note_sending(at(500), a);
+    fleet[0].record_sending(at(500), a);
     assert_eq!(wait(&fleet[0], 1_000), Some(Duration::from_millis(3_010)));
     assert_eq!(wait(&fleet[0], 4_010), None);
 }
 
-/// Requests of a fleet whose entries have more callers than they may send on.
+/// Counts the requests of a fleet whose demand exceeds the rate.
 fn sent_in(entries: usize, per_second: f64, millis: u64) -> usize {
     let mut fleet = fleet(entries, per_second);
     let times = (10..millis).step_by(50);
@@ -306,11 +306,11 @@
     }
 }
 
-/// Of a hundred callers, those that come to each of five entries: as uneven as a balancer that
-/// hashes few callers makes them.
+/// Percentage of callers at each of five entries: the imbalance of a load balancer that hashes few
+/// callers.
 const CALLERS_AT: [u64; 5] = [38, 27, 18, 11, 6];
 
-/// Forty calls a second come to a service whose three upstreams name 2.9 each.
+/// A service with three upstreams limited to 2.9 each gets forty calls a second.
 fn uneven_callers_are_served() {
     let names = ["a", "b", "c"];
     let mut fleet = fleet(5, 2.9);
@@ -318,7 +318,7 @@
         for (revision, name) in (2..).zip(&names[1..]) {
             pool.learn(at(0), pools::record(name, revision));
             let upstream = ix(pool, name);
-            pool.note_rate_limit(at(1), upstream, at(0), rate(2.9));
+            pool.record_rate_limit(at(1), upstream, at(0), rate(2.9));
         }
         assert_eq!(pool.count("models"), 3, "entry {i}");
     }
@@ -333,7 +333,7 @@
         });
         let pool = &mut fleet[entry.unwrap()];
         if let Some(chosen) = pool.choose(now, "models", &need(0), &[]) {
-            pool.note_sending(now, chosen);
+            pool.record_sending(now, chosen);
             served += 1;
         }
     }
@@ -365,7 +365,7 @@
         rng_seed: RngSeed::Fixed(71), cases: 24, ..ProptestConfig::default()
     })]
 
-    /// Whenever entries send, and as much as each may, no span has more than the users' bound.
+    /// No span exceeds the users' bound, whenever entries send and however much of their share.
     #[test]
     fn no_span_has_more_than_the_bound(
         entries in prop::sample::select(vec![1_usize, 5, 23, 68, 350]),
--- a/fireflycroft/tests/returning_callers.rs
+++ b/fireflycroft/tests/returning_callers.rs
@@ -4,21 +4,21 @@
 #[path = "support/cases.rs"]
 mod cases;
 
-use fireflycroft::{Coming, Digest, Refusal, ReturningCallers, Time};
+use fireflycroft::{ArrivalKind, Digest, Refusal, ReturningCallers, Time};
 use proptest::prelude::*;
 use std::time::Duration;
 
 const OBJECTIVE: Duration = Duration::from_millis(1_800);
 
 cases! {
-    first_caller_is_no_returning_one => assert_eq!(coming(&ReturningCallers::default(), 0, 1), Coming::First);
-    refused_caller_is_known_when_it_comes_back => assert_eq!(coming(&refused(1), 350, 1), Coming::AgainInTime);
-    another_caller_of_the_kind_is_not => assert_eq!(coming(&refused(1), 350, 2), Coming::First);
-    caller_that_returns_late_is_distinguished => assert_eq!(coming(&refused(1), 1_500, 1), Coming::AgainLate);
-    refusal_is_forgotten => assert_eq!(coming(&refused(1), 60_000, 1), Coming::First);
+    first_caller_is_no_returning_one => assert_eq!(coming(&ReturningCallers::default(), 0, 1), ArrivalKind::First);
+    refused_caller_is_known_when_it_comes_back => assert_eq!(coming(&refused(1), 350, 1), ArrivalKind::AgainInTime);
+    another_caller_of_the_kind_is_not => assert_eq!(coming(&refused(1), 350, 2), ArrivalKind::First);
+    caller_that_returns_late_is_distinguished => assert_eq!(coming(&refused(1), 1_500, 1), ArrivalKind::AgainLate);
+    refusal_is_forgotten => assert_eq!(coming(&refused(1), 60_000, 1), ArrivalKind::First);
     second_refusal_counts_from_the_first => counts_from_first();
     refusal_reported_by_another_entry_counts => reported_counts();
-    age_of_a_reported_refusal_counts => assert_eq!(coming(&reported(1_500), 5_100, 1), Coming::AgainLate);
+    age_of_a_reported_refusal_counts => assert_eq!(coming(&reported(1_500), 5_100, 1), ArrivalKind::AgainLate);
     later_refusal_counts_as_new => counts_as_new();
     only_own_refusals_are_reported => reports_own();
     reported_refusals_are_bounded => bounds_reported();
@@ -49,8 +49,8 @@
     callers
 }
 
-fn coming(callers: &ReturningCallers, now: u64, content: u128) -> Coming {
-    Coming::after(callers.waited(at(now), Digest(content)), OBJECTIVE)
+fn coming(callers: &ReturningCallers, now: u64, content: u128) -> ArrivalKind {
+    ArrivalKind::after(callers.waited(at(now), Digest(content)), OBJECTIVE)
 }
 
 fn counts_from_first() {
@@ -63,12 +63,12 @@
 fn counts_as_new() {
     let mut callers = refused(1);
     callers.record_refusal(at(60_000), Digest(1));
-    assert_eq!(coming(&callers, 60_300, 1), Coming::AgainInTime);
+    assert_eq!(coming(&callers, 60_300, 1), ArrivalKind::AgainInTime);
 }
 
 fn reported_counts() {
     let callers = reported(50);
-    assert_eq!(coming(&callers, 5_300, 1), Coming::AgainInTime);
+    assert_eq!(coming(&callers, 5_300, 1), ArrivalKind::AgainInTime);
 }
 
 fn reports_own() {
@@ -98,10 +98,13 @@
     for n in 2..100_000_u128 {
         callers.record_refusal(at(10), Digest(n));
     }
-    assert_eq!(coming(&callers, 300, 1), Coming::AgainInTime);
+    assert_eq!(coming(&callers, 300, 1), ArrivalKind::AgainInTime);
     // There is space again once the refusals have expired.
     callers.record_refusal(at(60_000), Digest(7_777_777));
-    assert_eq!(coming(&callers, 60_100, 7_777_777), Coming::AgainInTime);
+    assert_eq!(
+        coming(&callers, 60_100, 7_777_777),
+        ArrivalKind::AgainInTime
+    );
 }
 
 proptest! {
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -11,9 +11,9 @@
 use crate::questions::Questions;
 use crate::runs::Runs;
 use fireflycroft::{
-    Catalog, Digest, Evacuations, FULL_VIEW_AFTER, FleetView, LengthGuess, Life, Policy, Pool,
-    PoolChange, Quarantine, QueryBreadth, Refusal, Regions, ReturningCallers, SharedRetryBudget,
-    Time, UpstreamIx, WatcherRole, Yields,
+    Catalog, Digest, Evacuations, FULL_VIEW_AFTER, FleetView, LengthEstimator, Life, Policy, Pool,
+    PoolChange, Quarantine, QueryBudget, Refusal, Regions, ReturningCallers, SharedRetryBudget,
+    Time, UpstreamIx, ValueDensities, WatcherRole,
 };
 use fireflycroft_platform::{Place, StoreObject};
 use std::cell::{Cell, RefCell};
@@ -61,9 +61,9 @@
     /// Callers who were refused and come back.
     pub returns: RefCell<ReturningCallers>,
     /// Lengths of answers.
-    pub lengths: RefCell<LengthGuess>,
+    pub lengths: RefCell<LengthEstimator>,
     /// What generations bring for the memory that they hold.
-    pub yields: RefCell<Yields>,
+    pub yields: RefCell<ValueDensities>,
     /// Connections to upstreams.
     pub links: Links,
     /// Streams under way.
@@ -75,7 +75,7 @@
     /// Questions to owners of upstreams that wait for replies.
     pub questions: Questions,
     /// How many upstreams a choice asks about.
-    pub breadth: RefCell<QueryBreadth>,
+    pub breadth: RefCell<QueryBudget>,
     /// Whether this entry watches the store for the others.
     pub duty: RefCell<WatcherRole>,
     /// Rings when that has changed.
@@ -279,13 +279,13 @@
     /// Takes a list of evacuated data centres unless it is not newer than the one in force.
     ///
     /// Whoever has it from the store tells all others at once.
-    pub fn take_evacuations(&self, told: Evacuations, source: &str) {
+    pub fn apply_evacuations(&self, told: Evacuations, source: &str) {
         let revision = told.revision;
         let data_centres = told.data_centres.iter();
         let data_centres: Vec<&str> = data_centres.map(|name| &**name).collect();
         let data_centres = data_centres.join(",");
         let now = self.now();
-        if !self.pool.borrow_mut().take_evacuations(now, told) {
+        if !self.pool.borrow_mut().apply_evacuations(now, told) {
             return;
         }
         log::info!(
@@ -397,7 +397,7 @@
     pub fn note_unreachable(&self, ix: UpstreamIx) {
         let mut pool = self.pool.borrow_mut();
         let life = pool.record(ix).life();
-        pool.note_unreachable(self.now(), &self.place.vm, &life);
+        pool.record_unreachable(self.now(), &self.place.vm, &life);
         self.unreachable.borrow_mut().push(life);
         self.to_report.notify_one();
     }
--- a/fireflydirect/src/tell.rs
+++ b/fireflydirect/src/tell.rs
@@ -95,8 +95,8 @@
 fn news(node: &Node) -> EntryAnnouncement {
     let now = node.now();
     let retries = node.budget.borrow_mut().report(now);
-    let rate_limits = node.pool.borrow_mut().tell_rates(now);
-    let departing = node.pool.borrow_mut().tell_said_leaving(now);
+    let rate_limits = node.pool.borrow_mut().rates_to_announce(now);
+    let departing = node.pool.borrow_mut().leave_notices_to_announce(now);
     let peers = node.peers.borrow();
     EntryAnnouncement {
         name: node.place.vm.clone(),
