--- a/fireflyctl/src/cli.rs
+++ b/fireflyctl/src/cli.rs
@@ -8,7 +8,7 @@
 use crate::failure::{Failure, Result};
 use crate::fleet::Fleet;
 use crate::report::{self, BurnJob};
-use crate::{drain, explain, keys, record, show, status, story, vms};
+use crate::{drain, explain, keys, record, show, status, timeline, vms};
 use clap::ArgMatches;
 use fireflycroft::Name;
 use fireflyd::metrics::Metrics;
@@ -74,7 +74,7 @@
             let id = text(args, "request-id")?;
             if let Some(files) = args.get_many::<PathBuf>("logs") {
                 let files: Vec<PathBuf> = files.cloned().collect();
-                return story::explain_logs(&files, id, args.get_flag("json"), console);
+                return timeline::explain_logs(&files, id, args.get_flag("json"), console);
             }
             explain::explain(&fleet(args)?, id, args.get_flag("json"), console).await
         }
--- a/fireflyctl/src/lib.rs
+++ b/fireflyctl/src/lib.rs
@@ -27,8 +27,8 @@
 mod span;
 mod status;
 mod store;
-mod story;
 mod table;
+mod timeline;
 mod vms;
 mod wait;
 
@@ -41,7 +41,7 @@
 pub use command::{command, env_name};
 pub use console::Console;
 pub use failure::{Conflict, Failure, FileFault, Result};
-pub use log_line::{LogLine, read_line};
+pub use log_line::{LogLine, parse_line};
 pub use publish::{
     Base, Outcome, base, confirm_parts, past_document, publish_head, put_head, put_parts, put_past,
     read_back,
@@ -49,4 +49,4 @@
 pub use record::{GoalTally, Interval, Recorder};
 pub use scrape::{Goal, Tallies, Tally, parse_metrics};
 pub use store::{Store, StoreObject};
-pub use story::{Story, StoryLine, tell};
+pub use timeline::{Timeline, TimelineEvent, build_timeline};
--- a/fireflyctl/src/log_line.rs
+++ b/fireflyctl/src/log_line.rs
@@ -29,7 +29,7 @@
 /// What stands before the first pair is taken for a collector's prefix; its last word names the
 /// process then.
 #[must_use]
-pub fn read_line(process: &str, text: &str) -> Option<LogLine> {
+pub fn parse_line(process: &str, text: &str) -> Option<LogLine> {
     let at = text.find("time=")?;
     let prefix = text[..at].split_whitespace().last();
     let mut line = LogLine {
@@ -39,7 +39,7 @@
         req: None,
         pairs: Vec::new(),
     };
-    for (key, value) in read_pairs(&text[at..]) {
+    for (key, value) in parse_pairs(&text[at..]) {
         match key {
             "time" => line.time = value,
             "event" => line.event = value,
@@ -51,11 +51,11 @@
     (!line.event.is_empty()).then_some(line)
 }
 
-fn read_pairs(text: &str) -> Vec<(&str, String)> {
+fn parse_pairs(text: &str) -> Vec<(&str, String)> {
     let mut pairs = Vec::new();
     let mut rest = text.trim();
     while let Some((key, after)) = rest.split_once('=') {
-        let (value, left) = read_value(after);
+        let (value, left) = parse_value(after);
         pairs.push((key.trim(), value));
         rest = left;
     }
@@ -63,7 +63,7 @@
 }
 
 /// A value and what follows it; quotes and escapes are taken off.
-fn read_value(text: &str) -> (String, &str) {
+fn parse_value(text: &str) -> (String, &str) {
     let Some(quoted) = text.strip_prefix('"') else {
         let end = text.find(' ').unwrap_or(text.len());
         return (text[..end].to_owned(), text[end..].trim_start());
--- a/fireflyctl/src/story.rs
+++ b/fireflyctl/src/timeline.rs
@@ -6,7 +6,7 @@
 
 use crate::console::Console;
 use crate::failure::{Failure, Result};
-use crate::log_line::{LogLine, read_line};
+use crate::log_line::{LogLine, parse_line};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashSet};
 use std::fmt::Write as _;
@@ -17,7 +17,7 @@
 const CONTEXT_LINES: usize = 12;
 
 /// Events about the fleet that may explain what became of a request.
-const OF_THE_FLEET: [&str; 11] = [
+const FLEET_EVENTS: [&str; 11] = [
     "upstream_leaves",
     "upstream_removed",
     "upstream_missing",
@@ -32,22 +32,22 @@
 ];
 
 /// Longest pause between events that callers of streams bear without a thought, in milliseconds.
-const LONG_PAUSE_MS: u64 = 180;
+const MAX_SMOOTH_PAUSE_MS: u64 = 180;
 
 /// A request's lines, and what decided its outcome.
 #[derive(Clone, Debug, Serialize)]
-pub struct Story {
+pub struct Timeline {
     /// The request.
     pub request: String,
     /// Its lines and those about the fleet, in order.
-    pub lines: Vec<StoryLine>,
+    pub lines: Vec<TimelineEvent>,
     /// What decided the outcome.
     pub cause: String,
 }
 
 /// One line of a story.
 #[derive(Clone, Debug, Serialize)]
-pub struct StoryLine {
+pub struct TimelineEvent {
     /// When, as written.
     pub time: String,
     /// Process that wrote it.
@@ -71,18 +71,18 @@
     for file in files {
         let text = read_text(file)?;
         let name = process_name(file);
-        lines.extend(text.lines().filter_map(|line| read_line(&name, line)));
+        lines.extend(text.lines().filter_map(|line| parse_line(&name, line)));
     }
-    let Some(story) = tell(lines, id) else {
+    let Some(timeline) = build_timeline(lines, id) else {
         return Err(anyhow::anyhow!("no line of these logs is about request {id}").into());
     };
     if json {
-        return console.json(&story);
+        return console.json(&timeline);
     }
-    for line in &story.lines {
-        console.say(show(line))?;
+    for line in &timeline.lines {
+        console.say(format_event(line))?;
     }
-    console.say(format!("cause: {}", story.cause))
+    console.say(format!("cause: {}", timeline.cause))
 }
 
 fn read_text(file: &Path) -> Result<String> {
@@ -102,7 +102,7 @@
     stem.to_string_lossy().into_owned()
 }
 
-fn show(line: &StoryLine) -> String {
+fn format_event(line: &TimelineEvent) -> String {
     let mark = if line.own { ' ' } else { '|' };
     let mut text = format!("{}  {}  {mark} {}", line.time, line.process, line.event);
     for (key, value) in &line.pairs {
@@ -114,40 +114,43 @@
 
 /// The story of request `id`, if any line is about it.
 #[must_use]
-pub fn tell(mut lines: Vec<LogLine>, id: &str) -> Option<Story> {
+pub fn build_timeline(mut lines: Vec<LogLine>, id: &str) -> Option<Timeline> {
     lines.sort_by(|a, b| a.time.cmp(&b.time));
     let is_own = |line: &LogLine| line.req.as_deref() == Some(id);
     let first = lines.iter().position(is_own)?;
     let last = lines.iter().rposition(is_own)?;
     let own: Vec<&LogLine> = lines.iter().filter(|l| is_own(l)).collect();
     let cause = cause_of(&own, &lines);
-    let met: HashSet<&str> = own.iter().flat_map(|l| instances(l)).collect();
+    let used: HashSet<&str> = own.iter().flat_map(|l| upstreams_named(l)).collect();
     let process = own[0].process.as_str();
-    let of_fleet = |line: &LogLine| {
-        let about_met = line.get("instance").is_none_or(|i| met.contains(i));
+    let is_fleet_event = |line: &LogLine| {
+        let concerns_used = line.get("instance").is_none_or(|i| used.contains(i));
         let of_process = line.process == process;
-        OF_THE_FLEET.contains(&line.event.as_str()) && about_met && of_process
+        FLEET_EVENTS.contains(&line.event.as_str()) && concerns_used && of_process
     };
-    let mut before: Vec<&LogLine> = lines[..first].iter().filter(|l| of_fleet(l)).collect();
+    let mut before: Vec<&LogLine> = lines[..first]
+        .iter()
+        .filter(|l| is_fleet_event(l))
+        .collect();
     let skipped = before.len().saturating_sub(CONTEXT_LINES);
     before.drain(..skipped);
     let within = lines[first..=last]
         .iter()
-        .filter(|l| is_own(l) || of_fleet(l));
+        .filter(|l| is_own(l) || is_fleet_event(l));
     let after = lines[last + 1..]
         .iter()
-        .filter(|l| of_fleet(l))
+        .filter(|l| is_fleet_event(l))
         .take(CONTEXT_LINES);
-    let told = before.into_iter().chain(within).chain(after);
-    Some(Story {
+    let shown = before.into_iter().chain(within).chain(after);
+    Some(Timeline {
         request: id.to_owned(),
-        lines: told.map(|l| story_line(l, is_own(l))).collect(),
+        lines: shown.map(|l| timeline_event(l, is_own(l))).collect(),
         cause,
     })
 }
 
-fn story_line(line: &LogLine, own: bool) -> StoryLine {
-    StoryLine {
+fn timeline_event(line: &LogLine, own: bool) -> TimelineEvent {
+    TimelineEvent {
         time: line.time.clone(),
         process: line.process.clone(),
         event: line.event.clone(),
@@ -157,7 +160,7 @@
 }
 
 /// Upstreams that a line names.
-fn instances(line: &LogLine) -> impl Iterator<Item = &str> {
+fn upstreams_named(line: &LogLine) -> impl Iterator<Item = &str> {
     ["instance", "from", "to"]
         .into_iter()
         .filter_map(|key| line.get(key))
@@ -170,7 +173,7 @@
         return format!("refused before it was sent: {}", code_of(line));
     }
     if let Some(line) = last_of("stream_cut") {
-        return cut(line, own, all);
+        return cut_cause(line, own, all);
     }
     if let Some(line) = last_of("no_room") {
         let memory = line.get("memory").unwrap_or("?");
@@ -178,8 +181,8 @@
     }
     let answered = last_of("answered");
     if let Some(line) = answered.filter(|l| l.get("code") != Some("3000")) {
-        let tries = own.iter().rev().find(|l| l.event == "try_failed");
-        let why = tries.map_or(String::new(), |t| {
+        let attempt = own.iter().rev().find(|l| l.event == "try_failed");
+        let why = attempt.map_or(String::new(), |t| {
             let instance = t.get("instance").unwrap_or("?");
             let outcome = t.get("outcome").unwrap_or("?");
             format!(
@@ -190,7 +193,7 @@
         return format!("{}{why}", code_of(line));
     }
     if let Some(line) = last_of("stream_ended") {
-        return ended(line);
+        return ended_cause(line);
     }
     match answered {
         Some(line) if line.get("status").is_some_and(|s| s.starts_with('5')) => {
@@ -214,15 +217,15 @@
 }
 
 /// Why a stream was cut: the upstream's end, and why it didn't go on elsewhere.
-fn cut(line: &LogLine, own: &[&LogLine], all: &[LogLine]) -> String {
+fn cut_cause(line: &LogLine, own: &[&LogLine], all: &[LogLine]) -> String {
     let instance = line.get("instance").unwrap_or("?");
-    let about = |event: &str| {
+    let has_event = |event: &str| {
         let mut of_event = all.iter().filter(|l| l.event == event);
         of_event.any(|l| l.get("instance") == Some(instance))
     };
-    let end = if about("upstream_leaves") {
+    let end = if has_event("upstream_leaves") {
         "which had announced that it leaves"
-    } else if about("upstream_crashed") || about("upstream_removed") {
+    } else if has_event("upstream_crashed") || has_event("upstream_removed") {
         "which crashed"
     } else {
         "whose connection was lost"
@@ -246,7 +249,7 @@
     format!("cut after {events} events by the end of {instance}, {end}; {next}")
 }
 
-fn ended(line: &LogLine) -> String {
+fn ended_cause(line: &LogLine) -> String {
     let number = |key: &str| line.get(key).and_then(|v| v.parse::<u64>().ok());
     let first = number("first_ms").unwrap_or(0);
     let pause = number("longest_pause_ms").unwrap_or(0);
@@ -256,7 +259,7 @@
     } else {
         String::new()
     };
-    if pause > LONG_PAUSE_MS {
+    if pause > MAX_SMOOTH_PAUSE_MS {
         return format!("served whole, late by a pause of {pause} ms{moved}");
     }
     format!("served whole, first event after {first} ms{moved}")
--- a/fireflyctl/tests/story.rs
+++ b/fireflyctl/tests/timeline.rs
@@ -1,6 +1,6 @@
 //! Log lines read back, and the story of a request told from them.
 
-use fireflyctl::{LogLine, read_line, tell};
+use fireflyctl::{LogLine, build_timeline, parse_line};
 use proptest::prelude::*;
 
 macro_rules! cases {
@@ -18,26 +18,26 @@
     line_is_read => reads_line();
     prefix_names_the_process => reads_prefix();
     quoted_value_is_read => reads_quoted();
-    line_without_event_is_none => assert_eq!(read_line("p", "time=1 level=info"), None);
-    other_text_is_none => assert_eq!(read_line("p", "thread panicked at x"), None);
-    unknown_request_has_no_story => assert!(tell(lines(CUT), "r9").is_none());
-    lines_are_in_order_of_time => in_order();
-    upstreams_met_are_told_of => tells_of_upstreams();
-    cut_names_the_leaving_upstream => cause(CUT, "r1",
+    line_without_event_is_none => assert_eq!(parse_line("p", "time=1 level=info"), None);
+    other_text_is_none => assert_eq!(parse_line("p", "thread panicked at x"), None);
+    unknown_request_has_no_timeline => assert!(build_timeline(lines(CUT), "r9").is_none());
+    lines_are_in_order_of_time => lines_sorted_by_time();
+    events_of_used_upstreams_are_shown => events_of_used_upstreams();
+    cut_names_the_leaving_upstream => check_cause(CUT, "r1",
         "cut after 9 events by the end of i-1, which had announced that it leaves; there was no copy of its memory");
-    cut_names_the_copy_that_failed => cause(REFUSED_COPY, "r1",
+    cut_names_the_copy_that_failed => check_cause(REFUSED_COPY, "r1",
         "cut after 9 events by the end of i-1, whose connection was lost; its copy at i-2 was of no use: 503");
-    spent_budget_is_named => cause(BUDGET, "r1",
+    exhausted_budget_is_named => check_cause(BUDGET, "r1",
         "cut after 9 events by the end of i-1, which crashed; the budget of repeats was spent");
-    unknown_outcome_names_the_last_try => cause(UNKNOWN, "r2",
+    unknown_outcome_names_the_last_try => check_cause(UNKNOWN, "r2",
         "4001 contact was lost; whether the request ran is not known; last try at i-3: Lost, connection closed");
-    refusal_names_the_code => cause(REFUSED, "r3", "refused before it was sent: 2004 the key is missing or unknown");
-    full_memory_is_named => cause(NO_ROOM, "r4",
+    refusal_names_the_code => check_cause(REFUSED, "r3", "refused before it was sent: 2004 the key is missing or unknown");
+    full_memory_is_named => check_cause(NO_ROOM, "r4",
         "refused as not run: the best engine's memory was spoken for to 0.97");
-    pause_is_named => cause(LATE, "r5",
+    pause_is_named => check_cause(LATE, "r5",
         "served whole, late by a pause of 640 ms, after going on elsewhere 1 times");
-    upstreams_own_failure_is_named => cause(FAILED, "r6", "the upstream answered 500");
-    killed_process_is_named => cause(KILLED, "r7", "no final line: the process was killed, or its log is missing");
+    upstreams_own_failure_is_named => check_cause(FAILED, "r6", "the upstream answered 500");
+    killed_process_is_named => check_cause(KILLED, "r7", "no final line: the process was killed, or its log is missing");
 }
 
 const CUT: &str = r#"
@@ -84,16 +84,16 @@
 
 fn lines(text: &str) -> Vec<LogLine> {
     text.lines()
-        .filter_map(|l| read_line("front-a", l))
+        .filter_map(|l| parse_line("front-a", l))
         .collect()
 }
 
-fn cause(text: &str, id: &str, expected: &str) {
-    assert_eq!(tell(lines(text), id).unwrap().cause, expected);
+fn check_cause(text: &str, id: &str, expected: &str) {
+    assert_eq!(build_timeline(lines(text), id).unwrap().cause, expected);
 }
 
 fn reads_line() {
-    let line = read_line(
+    let line = parse_line(
         "front-a",
         "time=T1 level=info event=sent req=r1 memory=0.5 empty=\"\"",
     )
@@ -111,31 +111,31 @@
 }
 
 fn reads_prefix() {
-    let line = read_line("file", "  4.66 front-b time=T1 level=info event=sent").unwrap();
+    let line = parse_line("file", "  4.66 front-b time=T1 level=info event=sent").unwrap();
     assert_eq!(line.process, "front-b");
 }
 
 fn reads_quoted() {
-    let line = read_line("p", r#"time=T event=x why="a \"b\" c=d \\" last=1"#).unwrap();
+    let line = parse_line("p", r#"time=T event=x why="a \"b\" c=d \\" last=1"#).unwrap();
     assert_eq!(line.get("why"), Some(r#"a "b" c=d \"#));
     assert_eq!(line.get("last"), Some("1"));
 }
 
-fn in_order() {
-    let story = tell(lines(CUT), "r1").unwrap();
-    assert!(story.lines.is_sorted_by(|a, b| a.time <= b.time));
-    assert_eq!(story.lines[0].event, "sent");
+fn lines_sorted_by_time() {
+    let timeline = build_timeline(lines(CUT), "r1").unwrap();
+    assert!(timeline.lines.is_sorted_by(|a, b| a.time <= b.time));
+    assert_eq!(timeline.lines[0].event, "sent");
 }
 
-fn tells_of_upstreams() {
-    let story = tell(lines(CUT), "r1").unwrap();
-    let told: Vec<&str> = story
+fn events_of_used_upstreams() {
+    let timeline = build_timeline(lines(CUT), "r1").unwrap();
+    let shown: Vec<&str> = timeline
         .lines
         .iter()
         .filter(|l| !l.own)
         .map(|l| l.pairs["instance"].as_str())
         .collect();
-    assert_eq!(told, ["i-1"]);
+    assert_eq!(shown, ["i-1"]);
 }
 
 proptest! {
@@ -143,8 +143,8 @@
 
     /// Any text is read or passed over, never a panic.
     #[test]
-    fn any_text_is_borne(text in ".{0,120}") {
-        let _ = read_line("p", &text);
-        let _ = read_line("p", &format!("time=T event=x why=\"{text}"));
+    fn any_text_is_accepted(text in ".{0,120}") {
+        let _ = parse_line("p", &text);
+        let _ = parse_line("p", &format!("time=T event=x why=\"{text}"));
     }
 }
--- a/fireflydirect/tests/support/mod.rs
+++ b/fireflydirect/tests/support/mod.rs
@@ -390,9 +390,9 @@
         let texts: Vec<String> = (0..self.entries.len()).map(|e| self.log(e)).collect();
         let lines = texts.iter().flat_map(|t| t.lines());
         let lines = lines
-            .filter_map(|l| fireflyctl::read_line("entry", l))
+            .filter_map(|l| fireflyctl::parse_line("entry", l))
             .collect();
-        fireflyctl::tell(lines, id).map_or_else(String::new, |s| s.cause)
+        fireflyctl::build_timeline(lines, id).map_or_else(String::new, |s| s.cause)
     }
 
     /// Runs `fireflyctl` against an entry; gives its exit status and what it printed.
