--- a/fireflyctl/src/apply.rs
+++ b/fireflyctl/src/apply.rs
@@ -1,13 +1,13 @@
 //! `inventory`, `rules` and `config restore`: `plan` shows what would change,
 //! `apply` changes it.
 
+use crate::baseline::Baseline;
 use crate::check::{Half, check};
 use crate::console::Console;
 use crate::failure::{Conflict, Failure, Result};
 use crate::fleet::Fleet;
-use crate::ground::Ground;
 use crate::keys;
-use crate::publish::{self, Base, Outcome};
+use crate::publish::{self, PublishOutcome, StoredConfig};
 use crate::record::now_ms;
 use crate::store::Store;
 use crate::wait;
@@ -39,7 +39,7 @@
     /// Whether to build on the platform's state though nodes are ahead of it.
     pub(crate) from_platform: bool,
     /// Who changes it.
-    pub(crate) by: Name,
+    pub(crate) author: Name,
     /// How long to wait until the nodes have it in force.
     pub(crate) wait: Option<Duration>,
 }
@@ -54,61 +54,61 @@
     if change.wait.is_some() || matches!(change.source, Source::Nodes) {
         fleet.require_nodes()?;
     }
-    let ground = Ground::find(store, fleet, change.from_platform, console).await?;
+    let baseline = Baseline::find(store, fleet, change.from_platform, console).await?;
     let doc = match &change.source {
-        Source::File(half, path) => read(*half, path, &ground.doc)?,
-        Source::Nodes => ground.doc.clone(),
+        Source::File(half, path) => read_file(*half, path, &baseline.doc)?,
+        Source::Nodes => baseline.doc.clone(),
     };
-    let mine = Diff::between(&ground.doc, &doc);
-    show_diff(change, &mine, console)?;
-    expect_version(change, store, &ground.base, &mine).await?;
+    let diff = Diff::between(&baseline.doc, &doc);
+    print_diff(change, &diff, console)?;
+    check_expected_version(change, store, &baseline.base, &diff).await?;
     if change.dry_run {
-        return say_plan(&ground.base, &mine, console);
+        return print_plan(&baseline.base, &diff, console);
     }
-    let head = put_in_force(change, store, &ground, &doc, &mine, console).await?;
+    let head = publish_if_needed(change, store, &baseline, &doc, &diff, console).await?;
     match change.wait {
-        Some(time) => wait::in_force(&head, time, fleet, console).await,
+        Some(time) => wait::until_active(&head, time, fleet, console).await,
         None => Ok(()),
     }
 }
 
 /// Publishes the document, unless it is in force already.
-async fn put_in_force(
+async fn publish_if_needed(
     change: &Change,
     store: &impl Store,
-    ground: &Ground,
+    baseline: &Baseline,
     doc: &Document,
-    mine: &Diff,
+    diff: &Diff,
     console: &mut Console<'_>,
 ) -> Result<Head> {
-    if let Some(head) = ground.base.sound_head()
-        && mine.is_empty()
-        && !ground.must_write
+    if let Some(head) = baseline.base.complete_head()
+        && diff.is_empty()
+        && !baseline.needs_write
     {
         console.say(format!("version {} holds this already", head.version))?;
         return Ok(head.clone());
     }
-    let head = publish(change, store, ground, doc, mine).await?;
+    let head = publish(change, store, baseline, doc, diff).await?;
     console.say(format!("version {} is accepted", head.version))?;
     Ok(head)
 }
 
-fn read(half: Half, path: &Path, ground: &Document) -> Result<Document> {
+fn read_file(half: Half, path: &Path, baseline: &Document) -> Result<Document> {
     let text = std::fs::read_to_string(path).with_context(|| format!("{}", path.display()))?;
-    check(half, &text, ground).map_err(|faults| Failure::Faults(path.to_owned(), faults))
+    check(half, &text, baseline).map_err(|faults| Failure::Faults(path.to_owned(), faults))
 }
 
-fn show_diff(change: &Change, mine: &Diff, console: &mut Console<'_>) -> Result<()> {
+fn print_diff(change: &Change, diff: &Diff, console: &mut Console<'_>) -> Result<()> {
     if change.json {
-        console.json(mine)
+        console.json(diff)
     } else {
-        console.say(mine)
+        console.say(diff)
     }
 }
 
-fn say_plan(base: &Base, mine: &Diff, console: &mut Console<'_>) -> Result<()> {
+fn print_plan(base: &StoredConfig, diff: &Diff, console: &mut Console<'_>) -> Result<()> {
     let version = base.version();
-    if mine.is_empty() {
+    if diff.is_empty() {
         return console.warn(format!("version {version} holds this already"));
     }
     console.warn(format!(
@@ -117,11 +117,11 @@
 }
 
 /// Fails when another version is in force than the operator planned on.
-async fn expect_version(
+async fn check_expected_version(
     change: &Change,
     store: &impl Store,
-    base: &Base,
-    mine: &Diff,
+    base: &StoredConfig,
+    diff: &Diff,
 ) -> Result<()> {
     let (Some(expected), Some(head)) = (change.expect, &base.head) else {
         return Ok(());
@@ -134,63 +134,68 @@
         _ => publish::past_document(store, head, expected).await?,
     };
     Err(Failure::Conflict(Box::new(Conflict {
-        base: expected,
+        base_version: expected,
         version: head.version,
-        by: author(Some(head)),
-        mine: mine.clone(),
-        theirs: diff_of(planned_on.as_ref(), base.doc.as_ref()),
+        author: author_or_unknown(Some(head)),
+        mine: diff.clone(),
+        theirs: diff_if_known(planned_on.as_ref(), base.doc.as_ref()),
     })))
 }
 
 async fn publish(
     change: &Change,
     store: &impl Store,
-    ground: &Ground,
+    baseline: &Baseline,
     doc: &Document,
-    mine: &Diff,
+    diff: &Diff,
 ) -> Result<Head> {
-    let (base, version) = (&ground.base, ground.next_version);
+    let (base, version) = (&baseline.base, baseline.next_version);
     let snapshot = split(doc).map_err(anyhow::Error::from)?;
     let head = snapshot
         .head(
             ConfigVersion(version),
             now_ms(),
-            change.by.clone(),
-            keys::token()?,
+            change.author.clone(),
+            keys::new_write_token()?,
         )
         .after(base.head.as_ref());
-    publish::put_parts(store, &snapshot, base.sound_head()).await?;
-    publish::put_past(store, &head).await?;
+    publish::put_parts(store, &snapshot, base.complete_head()).await?;
+    publish::put_past_head(store, &head).await?;
     match publish::publish_head(store, base, &head).await? {
-        Outcome::Accepted => {
+        PublishOutcome::Accepted => {
             publish::confirm_parts(store, &snapshot).await?;
             Ok(head)
         }
-        Outcome::Replaced(now) => Err(Failure::Replaced {
+        PublishOutcome::Replaced(now) => Err(Failure::Replaced {
             version,
-            by: author(Some(&now)),
+            author: author_or_unknown(Some(&now)),
             now: now.version,
         }),
-        Outcome::Lost(now) => Err(Failure::Conflict(Box::new(Conflict {
-            base: base.version(),
+        PublishOutcome::Lost(now) => Err(Failure::Conflict(Box::new(Conflict {
+            base_version: base.version(),
             version: now.version(),
-            by: author(now.head.as_ref()),
-            mine: mine.clone(),
-            theirs: diff_of(base.doc.as_ref(), now.doc.as_ref()),
+            author: author_or_unknown(now.head.as_ref()),
+            mine: diff.clone(),
+            theirs: diff_if_known(base.doc.as_ref(), now.doc.as_ref()),
         }))),
-        Outcome::NoEffect(e) => Err(Failure::Unavailable(format!("the head: {e}"))),
-        Outcome::Unknown => Err(Failure::Unknown(format!(
+        PublishOutcome::NoEffect(e) => Err(Failure::Unavailable(format!("the head: {e}"))),
+        PublishOutcome::Unknown => Err(Failure::Unknown(format!(
             "look for token {} in `fireflyctl config version`",
             head.token
         ))),
     }
 }
 
-fn diff_of(from: Option<&Document>, to: Option<&Document>) -> Option<Diff> {
+fn diff_if_known(from: Option<&Document>, to: Option<&Document>) -> Option<Diff> {
     Some(Diff::between(from?, to?))
 }
 
-fn author(head: Option<&Head>) -> String {
-    let by = head.map_or("", |h| &*h.by);
-    if by.is_empty() { "somebody" } else { by }.to_owned()
+fn author_or_unknown(head: Option<&Head>) -> String {
+    let author = head.map_or("", |h| &*h.by);
+    if author.is_empty() {
+        "somebody"
+    } else {
+        author
+    }
+    .to_owned()
 }
--- a/fireflyctl/src/ground.rs
+++ b/fireflyctl/src/baseline.rs
@@ -8,25 +8,25 @@
 use crate::console::Console;
 use crate::failure::{Failure, Result};
 use crate::fleet::{Fleet, NodeStatus};
-use crate::publish::{self, Base};
+use crate::publish::{self, StoredConfig};
 use crate::store::Store;
 use fireflycroft::Document;
 
 /// What a change is laid on.
 #[derive(Clone, Debug)]
-pub(crate) struct Ground {
+pub(crate) struct Baseline {
     /// What the platform holds, whose head the change replaces.
-    pub(crate) base: Base,
+    pub(crate) base: StoredConfig,
     /// What is in force.
     pub(crate) doc: Document,
     /// Version that is above the platform's and all nodes'.
     pub(crate) next_version: u64,
     /// Whether the platform's head must be written even when nothing
     /// changes, since nodes have something else in force.
-    pub(crate) must_write: bool,
+    pub(crate) needs_write: bool,
 }
 
-impl Ground {
+impl Baseline {
     /// Looks at the platform and the nodes.
     pub(crate) async fn find(
         store: &impl Store,
@@ -34,15 +34,15 @@
         from_platform: bool,
         console: &mut Console<'_>,
     ) -> Result<Self> {
-        let base = publish::base(store).await?;
-        let nodes = answers(fleet, console).await?;
-        let highest = nodes.iter().max_by_key(|(_, status)| status.config_version);
-        let most = highest.map_or(0, |(_, status)| status.config_version);
-        let doc = document(&base, highest, from_platform, fleet, console).await?;
+        let base = publish::read_stored_config(store).await?;
+        let nodes = responding_nodes(fleet, console).await?;
+        let highest_node = nodes.iter().max_by_key(|(_, status)| status.config_version);
+        let highest_version = highest_node.map_or(0, |(_, status)| status.config_version);
+        let doc = baseline_document(&base, highest_node, from_platform, fleet, console).await?;
         Ok(Self {
             doc,
-            next_version: 1 + base.version().max(most),
-            must_write: most > base.version() || has_rival(&base, &nodes),
+            next_version: 1 + base.version().max(highest_version),
+            needs_write: highest_version > base.version() || has_conflict(&base, &nodes),
             base,
         })
     }
@@ -51,65 +51,71 @@
 /// Nodes that answer, with their status.
 type Nodes = Vec<(String, NodeStatus)>;
 
-async fn answers(fleet: &Fleet, console: &mut Console<'_>) -> Result<Nodes> {
+async fn responding_nodes(fleet: &Fleet, console: &mut Console<'_>) -> Result<Nodes> {
     let mut nodes = Nodes::new();
     for (node, answer) in fleet.statuses().await {
         match answer {
             Ok(status) => nodes.push((node, status)),
-            Err(why) => console.warn(format!("{node} didn't answer: {why}"))?,
+            Err(error) => console.warn(format!("{node} didn't answer: {error}"))?,
         }
     }
     Ok(nodes)
 }
 
 /// Whether a node has other content in force under the platform's version.
-fn has_rival(base: &Base, nodes: &Nodes) -> bool {
+fn has_conflict(base: &StoredConfig, nodes: &Nodes) -> bool {
     base.head.as_ref().is_some_and(|head| {
-        let is_rival = |status: &NodeStatus| {
-            status.config_version == head.version && status.is_rival(head.digest)
+        let conflicts_with = |status: &NodeStatus| {
+            status.config_version == head.version && status.conflicts_with(head.digest)
         };
-        nodes.iter().any(|(_, status)| is_rival(status))
+        nodes.iter().any(|(_, status)| conflicts_with(status))
     })
 }
 
 /// The platform's document, unless a node is ahead of it or parts of it are
 /// gone; then the node's.
-async fn document(
-    base: &Base,
-    highest: Option<&(String, NodeStatus)>,
+async fn baseline_document(
+    base: &StoredConfig,
+    highest_node: Option<&(String, NodeStatus)>,
     from_platform: bool,
     fleet: &Fleet,
     console: &mut Console<'_>,
 ) -> Result<Document> {
-    let held = base.version();
-    let is_ahead = |status: &NodeStatus| status.config_version > held || base.doc.is_none();
-    let Some((node, status)) = highest.filter(|(_, status)| is_ahead(status)) else {
+    let stored_version = base.version();
+    let is_ahead =
+        |status: &NodeStatus| status.config_version > stored_version || base.doc.is_none();
+    let Some((node, status)) = highest_node.filter(|(_, status)| is_ahead(status)) else {
         return Ok(base.document()?.clone());
     };
     let version = status.config_version;
     let state = if base.doc.is_none() { "parts of " } else { "" };
     console.warn(format!(
-        "{node} has version {version} in force, the platform holds {state}version {held}: \
+        "{node} has version {version} in force, the platform holds {state}version {stored_version}: \
          it went back"
     ))?;
     if from_platform {
         return Ok(base.document()?.clone());
     }
-    document_of(node, version, held, fleet).await
+    document_from_node(node, version, stored_version, fleet).await
 }
 
 /// Document of a node that has `version` in force.
-async fn document_of(node: &str, version: u64, held: u64, fleet: &Fleet) -> Result<Document> {
+async fn document_from_node(
+    node: &str,
+    version: u64,
+    stored_version: u64,
+    fleet: &Fleet,
+) -> Result<Document> {
     let bundle = fleet.bundle(node).await?.ok_or_else(|| {
         Failure::Unavailable(format!(
-            "{node} doesn't show version {version}, so what was accepted since version {held} \
+            "{node} doesn't show version {version}, so what was accepted since version {stored_version} \
              can't be kept; --from-platform goes on without it"
         ))
     })?;
-    if bundle.head.version < version.max(held) {
+    if bundle.head.version < version.max(stored_version) {
         let shown = bundle.head.version;
-        let why = format!("{node} shows version {shown} alone");
-        return Err(Failure::Unavailable(why));
+        let reason = format!("{node} shows version {shown} alone");
+        return Err(Failure::Unavailable(reason));
     }
     let doc = bundle.document().map_err(anyhow::Error::from)?;
     Ok(doc)
--- a/fireflyctl/src/cli.rs
+++ b/fireflyctl/src/cli.rs
@@ -54,8 +54,8 @@
         ("rules", _) => half_job(Half::Rules, job, args, console).await,
         ("config", "restore") => restore_job(args, console).await,
         ("config", "version") => show::version(&platform(args)?, console).await,
-        ("key", "digest") => keys::digest(text(args, "key")?, console),
-        ("fleet-key", "new") => keys::new_fleet_key(*required(args, "id")?, console),
+        ("key", "digest") => keys::print_digest(text(args, "key")?, console),
+        ("fleet-key", "new") => keys::print_new_fleet_key(*required(args, "id")?, console),
         ("status", _) => status::status(&fleet(args)?, console).await,
         ("entries", _) => {
             let view = match job {
@@ -116,12 +116,12 @@
         json: args.get_flag("json"),
         from_platform: args.get_flag("from-platform"),
         expect: None,
-        by: Name::default(),
+        author: Name::default(),
         wait: None,
     };
     if !is_plan {
         change.expect = args.get_one("expect").copied();
-        change.by = text(args, "by")?.into();
+        change.author = text(args, "by")?.into();
         change.wait = seconds(args, "wait");
     }
     Ok(change)
--- a/fireflyctl/src/drain.rs
+++ b/fireflyctl/src/drain.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Time between two looks at the node.
-const POLL_EVERY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Tells the node to drain; with a wait, until it holds no work or has gone.
 pub(crate) async fn drain(
@@ -21,8 +21,8 @@
     fleet.drain(node).await?;
     console.say(format!("{node} drains"))?;
     let Some(wait) = wait else { return Ok(()) };
-    let until = Instant::now() + wait;
-    let mut shown = None;
+    let deadline = Instant::now() + wait;
+    let mut last_shown = None;
     loop {
         let Ok(status) = fleet.status(node).await else {
             return console.say(format!("{node} has gone"));
@@ -30,15 +30,15 @@
         if status.leaving && status.streams == 0 && status.queue == 0 {
             return console.say(format!("{node} holds no work"));
         }
-        let left = (status.streams, status.queue);
-        if shown != Some(left) {
-            let (streams, queue) = left;
+        let remaining = (status.streams, status.queue);
+        if last_shown != Some(remaining) {
+            let (streams, queue) = remaining;
             console.say(format!("{node} has {streams} streams, {queue} waiting"))?;
-            shown = Some(left);
+            last_shown = Some(remaining);
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return Err(Failure::StillDraining(node.to_owned()));
         }
-        tokio::time::sleep(POLL_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/fireflyctl/src/entries.rs
+++ b/fireflyctl/src/entries.rs
@@ -31,7 +31,7 @@
     console: &mut Console<'_>,
 ) -> Result<()> {
     fleet.require_nodes()?;
-    let answers: Vec<Answer<EntryOverview>> = fleet.ask_all(OVERVIEW_PATH).await;
+    let answers: Vec<Answer<EntryOverview>> = fleet.query_all(OVERVIEW_PATH).await;
     if as_json {
         console.say(to_json(view, &answers))?;
     } else {
--- a/fireflyctl/src/explain.rs
+++ b/fireflyctl/src/explain.rs
@@ -37,7 +37,7 @@
     }
     let mut events: Vec<JournalNote> = Vec::new();
     let mut silent = Vec::new();
-    for (node, answer) in fleet.ask_all(&format!("/explain/{id}")).await {
+    for (node, answer) in fleet.query_all(&format!("/explain/{id}")).await {
         match answer {
             Ok(more) => events.extend::<Vec<JournalNote>>(more),
             Err(why) => {
--- a/fireflyctl/src/failure.rs
+++ b/fireflyctl/src/failure.rs
@@ -36,12 +36,12 @@
         /// Version that was accepted.
         version: u64,
         /// Who replaced it.
-        by: String,
+        author: String,
         /// Version in force now.
         now: u64,
     },
     /// Accepted, but not in force on so many nodes.
-    NotInForce {
+    NotActive {
         /// Version that was accepted.
         version: u64,
         /// Nodes that didn't report it.
@@ -70,11 +70,11 @@
 #[derive(Debug)]
 pub struct Conflict {
     /// Version that both changed.
-    pub base: u64,
+    pub base_version: u64,
     /// Version in force now.
     pub version: u64,
     /// Who wrote it.
-    pub by: String,
+    pub author: String,
     /// What this operator wanted to change.
     pub mine: Diff,
     /// What others changed since; `None` when that isn't known any more.
@@ -91,7 +91,7 @@
             Self::Unavailable(_) | Self::NoAnswer(_) => 69,
             Self::Unknown(_) => 74,
             Self::Conflict(_) => 75,
-            Self::NotInForce { .. } | Self::Replaced { .. } | Self::StillDraining(_) => 76,
+            Self::NotActive { .. } | Self::Replaced { .. } | Self::StillDraining(_) => 76,
             Self::Other(_) => 1,
         }
     }
@@ -104,7 +104,7 @@
             Self::Faults(..) => Some(Code::BadConfig),
             Self::Unavailable(_) | Self::Unknown(_) => Some(Code::PlatformUnavailable),
             Self::Conflict(_) => Some(Code::ConfigConflict),
-            Self::NotInForce { .. }
+            Self::NotActive { .. }
             | Self::Replaced { .. }
             | Self::NoAnswer(_)
             | Self::StillDraining(_)
@@ -128,13 +128,17 @@
             Self::Unavailable(why) => write!(f, "nothing was changed: {why}"),
             Self::Unknown(why) => write!(f, "whether it took effect is not known: {why}"),
             Self::Conflict(conflict) => conflict.fmt(f),
-            Self::Replaced { version, by, now } => {
+            Self::Replaced {
+                version,
+                author,
+                now,
+            } => {
                 write!(
                     f,
-                    "version {version} was accepted, and {by} put version {now} in its place"
+                    "version {version} was accepted, and {author} put version {now} in its place"
                 )
             }
-            Self::NotInForce { version, nodes } => {
+            Self::NotActive { version, nodes } => {
                 let nodes = nodes.join(", ");
                 write!(
                     f,
@@ -161,20 +165,23 @@
 impl fmt::Display for Conflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
-            base,
+            base_version,
             version,
-            by,
+            author,
             mine,
             theirs,
         } = self;
         writeln!(
             f,
-            "{by} put version {version} in force, you built on version {base}; nothing was changed"
+            "{author} put version {version} in force, you built on version {base_version}; nothing was changed"
         )?;
         writeln!(f, "yours:\n{mine}")?;
         match theirs {
-            Some(theirs) => write!(f, "others', since version {base}:\n{theirs}"),
-            None => write!(f, "others', since version {base}: not known any more"),
+            Some(theirs) => write!(f, "others', since version {base_version}:\n{theirs}"),
+            None => write!(
+                f,
+                "others', since version {base_version}: not known any more"
+            ),
         }
     }
 }
--- a/fireflyctl/src/fleet.rs
+++ b/fireflyctl/src/fleet.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Nodes asked at once.
-const NODES_AT_ONCE: usize = 32;
+const MAX_CONCURRENT_NODES: usize = 32;
 
 /// Client of the nodes' admin ports.
 #[derive(Clone, Debug)]
@@ -37,7 +37,7 @@
 
 impl NodeStatus {
     /// Whether the node has other content in force than that of `digest`.
-    pub(crate) fn is_rival(&self, digest: Digest) -> bool {
+    pub(crate) fn conflicts_with(&self, digest: Digest) -> bool {
         let own = self.config_digest.as_ref();
         own.is_some_and(|own| *own != digest.to_string())
     }
@@ -67,14 +67,14 @@
 
     /// Status of every node, in the order given.
     pub(crate) async fn statuses(&self) -> Vec<Answer<NodeStatus>> {
-        self.ask_all("/status").await
+        self.query_all("/status").await
     }
 
     /// Readiness of every node, in the order given: `ready` or why not.
     pub(crate) async fn readiness(&self) -> Vec<String> {
         stream::iter(&self.nodes)
             .map(|node| self.readiness_of(node))
-            .buffered(NODES_AT_ONCE)
+            .buffered(MAX_CONCURRENT_NODES)
             .collect()
             .await
     }
@@ -84,12 +84,12 @@
             Ok(res) => res.text().await,
             Err(e) => Err(e),
         };
-        res.map_or_else(|e| cause(&e), |text| text.trim().to_owned())
+        res.map_or_else(|e| root_cause(&e), |text| text.trim().to_owned())
     }
 
     /// Status of one node.
     pub(crate) async fn status(&self, node: &str) -> std::result::Result<NodeStatus, String> {
-        self.ask(node, "/status").await
+        self.query(node, "/status").await
     }
 
     /// Tells a node to drain.
@@ -103,23 +103,23 @@
     /// Metrics of every node as text, in the order given.
     pub(crate) async fn metrics(&self) -> Vec<Answer<String>> {
         stream::iter(&self.nodes)
-            .map(async |node| (node.clone(), self.text(node, "/metrics").await))
-            .buffered(NODES_AT_ONCE)
+            .map(async |node| (node.clone(), self.fetch_text(node, "/metrics").await))
+            .buffered(MAX_CONCURRENT_NODES)
             .collect()
             .await
     }
 
-    async fn text(&self, node: &str, path: &str) -> std::result::Result<String, String> {
-        let res = self.get(node, path).await.map_err(|e| cause(&e))?;
-        let res = res.error_for_status().map_err(|e| cause(&e))?;
-        res.text().await.map_err(|e| cause(&e))
+    async fn fetch_text(&self, node: &str, path: &str) -> std::result::Result<String, String> {
+        let res = self.get(node, path).await.map_err(|e| root_cause(&e))?;
+        let res = res.error_for_status().map_err(|e| root_cause(&e))?;
+        res.text().await.map_err(|e| root_cause(&e))
     }
 
     /// Answer of every node to a `GET`, in the order given.
-    pub(crate) async fn ask_all<T: DeserializeOwned>(&self, path: &str) -> Vec<Answer<T>> {
+    pub(crate) async fn query_all<T: DeserializeOwned>(&self, path: &str) -> Vec<Answer<T>> {
         stream::iter(&self.nodes)
-            .map(async |node| (node.clone(), self.ask(node, path).await))
-            .buffered(NODES_AT_ONCE)
+            .map(async |node| (node.clone(), self.query(node, path).await))
+            .buffered(MAX_CONCURRENT_NODES)
             .collect()
             .await
     }
@@ -134,14 +134,14 @@
         Ok(Some(bundle))
     }
 
-    async fn ask<T: DeserializeOwned>(
+    async fn query<T: DeserializeOwned>(
         &self,
         node: &str,
         path: &str,
     ) -> std::result::Result<T, String> {
-        let res = self.get(node, path).await.map_err(|e| cause(&e))?;
-        let res = res.error_for_status().map_err(|e| cause(&e))?;
-        res.json().await.map_err(|e| cause(&e))
+        let res = self.get(node, path).await.map_err(|e| root_cause(&e))?;
+        let res = res.error_for_status().map_err(|e| root_cause(&e))?;
+        res.json().await.map_err(|e| root_cause(&e))
     }
 
     async fn get(&self, node: &str, path: &str) -> reqwest::Result<reqwest::Response> {
@@ -150,11 +150,11 @@
 }
 
 fn unreachable(node: &str) -> impl Fn(reqwest::Error) -> Failure {
-    move |e| Failure::Unavailable(format!("{node}: {}", cause(&e)))
+    move |e| Failure::Unavailable(format!("{node}: {}", root_cause(&e)))
 }
 
 /// The innermost cause, which says most.
-fn cause(e: &reqwest::Error) -> String {
+fn root_cause(e: &reqwest::Error) -> String {
     let mut inner: &dyn std::error::Error = e;
     while let Some(next) = inner.source() {
         inner = next;
--- a/fireflyctl/src/keys.rs
+++ b/fireflyctl/src/keys.rs
@@ -8,7 +8,7 @@
 use std::io::Read;
 
 /// Source of randomness.
-const RANDOM: &str = "/dev/urandom";
+const RANDOM_SOURCE: &str = "/dev/urandom";
 /// Bytes of a token.
 const TOKEN_LEN: usize = 16;
 /// Bytes of a fleet key.
@@ -16,7 +16,7 @@
 
 /// Prints the digest of a key, as the inventory holds it; `-` reads the key
 /// from standard input, where no list of processes shows it.
-pub(crate) fn digest(key: &str, console: &mut Console<'_>) -> Result<()> {
+pub(crate) fn print_digest(key: &str, console: &mut Console<'_>) -> Result<()> {
     if key != "-" {
         return console.say(hex(&digest_key(key)));
     }
@@ -28,22 +28,22 @@
 }
 
 /// Prints a line for a file of fleet keys.
-pub(crate) fn new_fleet_key(id: u8, console: &mut Console<'_>) -> Result<()> {
+pub(crate) fn print_new_fleet_key(id: u8, console: &mut Console<'_>) -> Result<()> {
     let key: [u8; FLEET_KEY_LEN] = random()?;
     console.say(format!("{id}:{}", hex(&key)))
 }
 
 /// A token that no other write has.
-pub(crate) fn token() -> Result<Name> {
+pub(crate) fn new_write_token() -> Result<Name> {
     let bytes: [u8; TOKEN_LEN] = random()?;
     Ok(hex(&bytes).into())
 }
 
 fn random<const N: usize>() -> Result<[u8; N]> {
     let mut bytes = [0; N];
-    File::open(RANDOM)
+    File::open(RANDOM_SOURCE)
         .and_then(|mut f| f.read_exact(&mut bytes))
-        .context(RANDOM)?;
+        .context(RANDOM_SOURCE)?;
     Ok(bytes)
 }
 
--- a/fireflyctl/src/lib.rs
+++ b/fireflyctl/src/lib.rs
@@ -4,6 +4,7 @@
 //! write the one head object on the platform; the others ask the nodes.
 
 mod apply;
+mod baseline;
 mod burn;
 mod check;
 mod cli;
@@ -14,7 +15,6 @@
 mod explain;
 mod failure;
 mod fleet;
-mod ground;
 mod keys;
 mod log_line;
 mod page;
@@ -43,8 +43,8 @@
 pub use failure::{Conflict, Failure, FileFault, Result};
 pub use log_line::{LogLine, parse_line};
 pub use publish::{
-    Base, Outcome, base, confirm_parts, past_document, publish_head, put_head, put_parts, put_past,
-    read_back,
+    PublishOutcome, StoredConfig, confirm_parts, past_document, publish_head, put_head, put_parts,
+    put_past_head, read_stored_config, read_write_outcome,
 };
 pub use record::{GoalTally, Interval, Recorder};
 pub use scrape::{Goal, Tallies, Tally, parse_metrics};
--- a/fireflyctl/src/publish.rs
+++ b/fireflyctl/src/publish.rs
@@ -20,17 +20,17 @@
 use std::time::Duration;
 
 /// Calls of the platform at once.
-const CALLS_AT_ONCE: usize = 16;
+const MAX_CONCURRENT_CALLS: usize = 16;
 /// Tries of a call that had no effect or may be repeated.
-const TRIES: u32 = 5;
+const MAX_ATTEMPTS: u32 = 5;
 /// Wait before the second try; doubled before each later one.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// What the platform holds.
 #[derive(Clone, Debug)]
-pub struct Base {
+pub struct StoredConfig {
     /// Version of the head object; `None` when there is none.
-    pub object: Option<u64>,
+    pub object_version: Option<u64>,
     /// The head; `None` before the first configuration.
     pub head: Option<Head>,
     /// The document; `None` when parts of it are gone, as they may be on a
@@ -40,20 +40,20 @@
 
 /// What became of a write of the head.
 #[derive(Clone, Debug)]
-pub enum Outcome {
+pub enum PublishOutcome {
     /// It is in force.
     Accepted,
     /// It was in force, and another has replaced it.
     Replaced(Box<Head>),
     /// Another write was first; it never was in force.
-    Lost(Box<Base>),
+    Lost(Box<StoredConfig>),
     /// It had no effect, and why.
     NoEffect(PlatformError),
     /// Whether it took effect is not known.
     Unknown,
 }
 
-impl Base {
+impl StoredConfig {
     /// Version in force; zero before the first.
     #[must_use]
     pub fn version(&self) -> u64 {
@@ -62,7 +62,7 @@
 
     /// The head, when all its parts are there.
     #[must_use]
-    pub fn sound_head(&self) -> Option<&Head> {
+    pub fn complete_head(&self) -> Option<&Head> {
         self.head.as_ref().filter(|_| self.doc.is_some())
     }
 
@@ -78,7 +78,8 @@
     }
 
     fn condition(&self) -> Condition {
-        self.object.map_or(Condition::Absent, Condition::Version)
+        self.object_version
+            .map_or(Condition::Absent, Condition::Version)
     }
 }
 
@@ -87,17 +88,17 @@
 /// # Errors
 ///
 /// A platform that doesn't answer, or parts that are not what they are named.
-pub async fn base(store: &impl Store) -> Result<Base> {
-    let Some((object, head)) = read_head(store).await? else {
-        return Ok(Base {
-            object: None,
+pub async fn read_stored_config(store: &impl Store) -> Result<StoredConfig> {
+    let Some((object_version, head)) = read_head(store).await? else {
+        return Ok(StoredConfig {
+            object_version: None,
             head: None,
             doc: Some(Document::default()),
         });
     };
-    let doc = document(store, &head).await?;
-    Ok(Base {
-        object: Some(object),
+    let doc = read_document(store, &head).await?;
+    Ok(StoredConfig {
+        object_version: Some(object_version),
         head: Some(head),
         doc,
     })
@@ -117,7 +118,7 @@
     let missing = snapshot.parts.iter().filter(|p| !known.contains(&p.name));
     stream::iter(missing)
         .map(|part| put_part(store, part))
-        .buffer_unordered(CALLS_AT_ONCE)
+        .buffer_unordered(MAX_CONCURRENT_CALLS)
         .try_fold(0, |count, ()| async move { Ok(count + 1) })
         .await
 }
@@ -131,7 +132,7 @@
 pub async fn confirm_parts(store: &impl Store, snapshot: &Snapshot) -> Result<()> {
     stream::iter(&snapshot.parts)
         .map(|part| confirm_part(store, part))
-        .buffer_unordered(CALLS_AT_ONCE)
+        .buffer_unordered(MAX_CONCURRENT_CALLS)
         .try_collect()
         .await
 }
@@ -139,7 +140,7 @@
 async fn confirm_part(store: &impl Store, part: &Part) -> Result<()> {
     let name = part.name.to_string();
     let read = async || store.get(PART_KIND, &name).await;
-    match retrying("a part", read).await? {
+    match retry("a part", read).await? {
         Some(_) => Ok(()),
         None => put_part(store, part).await,
     }
@@ -152,7 +153,7 @@
 /// Whatever the platform says; after `OutcomeUnknown` read back.
 pub async fn put_head(
     store: &impl Store,
-    base: &Base,
+    base: &StoredConfig,
     head: &Head,
 ) -> std::result::Result<u64, PlatformError> {
     let value = head_value(head).map_err(|e| PlatformError::Invalid(e.to_string()))?;
@@ -167,7 +168,7 @@
 /// # Errors
 ///
 /// A platform that doesn't answer.
-pub async fn put_past(store: &impl Store, head: &Head) -> Result<()> {
+pub async fn put_past_head(store: &impl Store, head: &Head) -> Result<()> {
     let value = head_value(head).map_err(anyhow::Error::from)?;
     put_immutable(store, PAST_KIND, &head.token, &value).await
 }
@@ -177,7 +178,11 @@
 /// # Errors
 ///
 /// A platform that doesn't answer.
-pub async fn read_back(store: &impl Store, base: &Base, head: &Head) -> Result<WriteOutcome> {
+pub async fn read_write_outcome(
+    store: &impl Store,
+    base: &StoredConfig,
+    head: &Head,
+) -> Result<WriteOutcome> {
     let now = read_head(store).await?.map(|(_, now)| now);
     Ok(head.write_outcome(base.head.as_ref(), now.as_ref()))
 }
@@ -188,51 +193,67 @@
 /// # Errors
 ///
 /// A head that was written by another and can't be read.
-pub async fn publish_head(store: &impl Store, from: &Base, head: &Head) -> Result<Outcome> {
-    let mut may_have_effect = false;
-    let mut last = PlatformError::OutcomeUnknown;
-    for pause in pauses() {
+pub async fn publish_head(
+    store: &impl Store,
+    from: &StoredConfig,
+    head: &Head,
+) -> Result<PublishOutcome> {
+    let mut may_have_taken_effect = false;
+    let mut last_error = PlatformError::OutcomeUnknown;
+    for delay in retry_delays() {
         match put_head(store, from, head).await {
-            Ok(_) => return Ok(Outcome::Accepted),
-            Err(PlatformError::Conflict { .. }) if !may_have_effect => {
-                return Ok(Outcome::Lost(Box::new(base(store).await?)));
+            Ok(_) => return Ok(PublishOutcome::Accepted),
+            Err(PlatformError::Conflict { .. }) if !may_have_taken_effect => {
+                return Ok(PublishOutcome::Lost(Box::new(
+                    read_stored_config(store).await?,
+                )));
             }
-            Err(PlatformError::Conflict { .. }) => return settle(store, from, head).await,
-            Err(e @ PlatformError::Invalid(_)) if !may_have_effect => {
-                return Ok(Outcome::NoEffect(e));
+            Err(PlatformError::Conflict { .. }) => return resolve_outcome(store, from, head).await,
+            Err(e @ PlatformError::Invalid(_)) if !may_have_taken_effect => {
+                return Ok(PublishOutcome::NoEffect(e));
             }
             Err(e) => {
-                may_have_effect |= e == PlatformError::OutcomeUnknown;
-                last = e;
+                may_have_taken_effect |= e == PlatformError::OutcomeUnknown;
+                last_error = e;
             }
         }
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(delay).await;
     }
-    if may_have_effect {
-        return settle(store, from, head).await;
+    if may_have_taken_effect {
+        return resolve_outcome(store, from, head).await;
     }
-    Ok(Outcome::NoEffect(last))
+    Ok(PublishOutcome::NoEffect(last_error))
 }
 
 /// Reads the head until it says what became of a write that may have taken
 /// effect, or the tries are used up.
-async fn settle(store: &impl Store, from: &Base, head: &Head) -> Result<Outcome> {
-    for pause in pauses() {
-        match read_back(store, from, head).await {
-            Ok(WriteOutcome::Active) => return Ok(Outcome::Accepted),
-            Ok(WriteOutcome::Replaced) => return replaced(store).await,
-            Ok(WriteOutcome::Lost) => return Ok(Outcome::Lost(Box::new(base(store).await?))),
+async fn resolve_outcome(
+    store: &impl Store,
+    from: &StoredConfig,
+    head: &Head,
+) -> Result<PublishOutcome> {
+    for delay in retry_delays() {
+        match read_write_outcome(store, from, head).await {
+            Ok(WriteOutcome::Active) => return Ok(PublishOutcome::Accepted),
+            Ok(WriteOutcome::Replaced) => return replaced_outcome(store).await,
+            Ok(WriteOutcome::Lost) => {
+                return Ok(PublishOutcome::Lost(Box::new(
+                    read_stored_config(store).await?,
+                )));
+            }
             // A read may lag behind the write.
-            Ok(WriteOutcome::Pending | WriteOutcome::Unknown) => tokio::time::sleep(pause).await,
+            Ok(WriteOutcome::Pending | WriteOutcome::Unknown) => tokio::time::sleep(delay).await,
             Err(_) => break,
         }
     }
-    Ok(Outcome::Unknown)
+    Ok(PublishOutcome::Unknown)
 }
 
-async fn replaced(store: &impl Store) -> Result<Outcome> {
+async fn replaced_outcome(store: &impl Store) -> Result<PublishOutcome> {
     let now = read_head(store).await?.map(|(_, head)| head);
-    Ok(now.map_or(Outcome::Unknown, |now| Outcome::Replaced(Box::new(now))))
+    Ok(now.map_or(PublishOutcome::Unknown, |now| {
+        PublishOutcome::Replaced(Box::new(now))
+    }))
 }
 
 /// Document of an earlier version in the line of `now`; `None` when it isn't
@@ -250,54 +271,54 @@
         return Ok(None);
     };
     let read = async || store.get(PAST_KIND, &write.token).await;
-    let Some(object) = retrying("an earlier head", read).await? else {
+    let Some(object) = retry("an earlier head", read).await? else {
         return Ok(None);
     };
-    let head = scan_head(object.value)?;
-    document(store, &head).await
+    let head = parse_head(object.value)?;
+    read_document(store, &head).await
 }
 
 async fn read_head(store: &impl Store) -> Result<Option<(u64, Head)>> {
     let read = async || store.get(HEAD_KIND, HEAD_NAME).await;
-    let Some(object) = retrying("the head", read).await? else {
+    let Some(object) = retry("the head", read).await? else {
         return Ok(None);
     };
-    Ok(Some((object.version, scan_head(object.value)?)))
+    Ok(Some((object.version, parse_head(object.value)?)))
 }
 
-fn scan_head(value: Value) -> Result<Head> {
+fn parse_head(value: Value) -> Result<Head> {
     let head = serde_json::from_value(value)
         .map_err(|e| anyhow::anyhow!("a head on the platform can't be read: {e}"))?;
     Ok(head)
 }
 
 /// Document of a head; `None` when a part is gone.
-async fn document(store: &impl Store, head: &Head) -> Result<Option<Document>> {
+async fn read_document(store: &impl Store, head: &Head) -> Result<Option<Document>> {
     let parts: Option<Vec<Part>> = stream::iter(&head.parts)
         .map(|name| read_part(store, *name))
-        .buffered(CALLS_AT_ONCE)
+        .buffered(MAX_CONCURRENT_CALLS)
         .try_collect::<Vec<Option<Part>>>()
         .await?
         .into_iter()
         .collect();
     let Some(parts) = parts else { return Ok(None) };
-    Ok(Some(assemble(head, &parts).map_err(unsound)?))
+    Ok(Some(assemble(head, &parts).map_err(invalid_snapshot)?))
 }
 
 async fn read_part(store: &impl Store, name: PartName) -> Result<Option<Part>> {
     let text = name.to_string();
     let read = async || store.get(PART_KIND, &text).await;
-    let Some(object) = retrying("a part", read).await? else {
+    let Some(object) = retry("a part", read).await? else {
         return Ok(None);
     };
     Ok(Some(
-        Part::from_value(name, &object.value).map_err(unsound)?,
+        Part::from_value(name, &object.value).map_err(invalid_snapshot)?,
     ))
 }
 
 async fn put_part(store: &impl Store, part: &Part) -> Result<()> {
     let name = part.name.to_string();
-    let value = part.to_value().map_err(unsound)?;
+    let value = part.to_value().map_err(invalid_snapshot)?;
     put_immutable(store, PART_KIND, &name, &value).await
 }
 
@@ -308,7 +329,7 @@
         Ok(_) | Err(PlatformError::Conflict { .. }) => Ok(()),
         Err(e) => Err(e),
     };
-    retrying(kind, write).await
+    retry(kind, write).await
 }
 
 fn head_value(head: &Head) -> serde_json::Result<Value> {
@@ -317,28 +338,28 @@
 
 /// Calls until there is an answer or the tries are used up; only for calls
 /// that may be repeated.
-async fn retrying<T>(
+async fn retry<T>(
     what: &str,
     call: impl AsyncFn() -> std::result::Result<T, PlatformError>,
 ) -> Result<T> {
-    let mut last = PlatformError::OutcomeUnknown;
-    for pause in pauses() {
+    let mut last_error = PlatformError::OutcomeUnknown;
+    for delay in retry_delays() {
         match call().await {
             Ok(answer) => return Ok(answer),
-            Err(PlatformError::Invalid(why)) => {
-                return Err(anyhow::anyhow!("the platform refused {what}: {why}").into());
+            Err(PlatformError::Invalid(reason)) => {
+                return Err(anyhow::anyhow!("the platform refused {what}: {reason}").into());
             }
-            Err(e) => last = e,
+            Err(e) => last_error = e,
         }
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(delay).await;
     }
-    Err(Failure::Unavailable(format!("{what}: {last}")))
+    Err(Failure::Unavailable(format!("{what}: {last_error}")))
 }
 
-fn pauses() -> impl Iterator<Item = Duration> {
-    (0..TRIES).map(|n| FIRST_PAUSE * 2_u32.pow(n))
+fn retry_delays() -> impl Iterator<Item = Duration> {
+    (0..MAX_ATTEMPTS).map(|n| FIRST_RETRY_DELAY * 2_u32.pow(n))
 }
 
-fn unsound(e: SnapshotError) -> anyhow::Error {
+fn invalid_snapshot(e: SnapshotError) -> anyhow::Error {
     anyhow::Error::from(e).context("the configuration on the platform is unsound")
 }
--- a/fireflyctl/src/record.rs
+++ b/fireflyctl/src/record.rs
@@ -99,13 +99,13 @@
     console: &mut Console<'_>,
 ) -> Result<()> {
     fleet.require_nodes()?;
-    let until = length.map(|length| Instant::now() + length);
+    let deadline = length.map(|length| Instant::now() + length);
     let mut recorder = Recorder::default();
     loop {
         if let Some(interval) = scrape(fleet, &mut recorder, console).await? {
             append(path, &interval)?;
         }
-        if until.is_some_and(|until| Instant::now() + every > until) {
+        if deadline.is_some_and(|deadline| Instant::now() + every > deadline) {
             return Ok(());
         }
         tokio::time::sleep(every).await;
--- a/fireflyctl/src/report.rs
+++ b/fireflyctl/src/report.rs
@@ -57,7 +57,11 @@
             let text = std::fs::read_to_string(path).context(name.clone())?;
             Ok(serde_json::from_str(&text).context(name)?)
         }
-        (None, Some(store)) => Ok(publish::base(store).await?.document()?.rules.clone()),
+        (None, Some(store)) => Ok(publish::read_stored_config(store)
+            .await?
+            .document()?
+            .rules
+            .clone()),
         (None, None) => Err(Failure::Usage(
             "--platform URL or --rules FILE is needed for the objectives".to_owned(),
         )),
--- a/fireflyctl/src/show.rs
+++ b/fireflyctl/src/show.rs
@@ -8,7 +8,7 @@
 
 /// Prints one half of what is in force, as JSON that can be applied again.
 pub(crate) async fn show(half: Half, store: &impl Store, console: &mut Console<'_>) -> Result<()> {
-    let base = publish::base(store).await?;
+    let base = publish::read_stored_config(store).await?;
     let doc = base.document()?;
     match half {
         Half::Inventory => console.json(&doc.inventory),
@@ -18,7 +18,7 @@
 
 /// Prints which version is accepted, and who wrote it.
 pub(crate) async fn version(store: &impl Store, console: &mut Console<'_>) -> Result<()> {
-    let base = publish::base(store).await?;
+    let base = publish::read_stored_config(store).await?;
     let Some(head) = base.head else {
         return console.say("no configuration yet");
     };
--- a/fireflyctl/tests/apply.rs
+++ b/fireflyctl/tests/apply.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use standins::Running;
 use standins::platform::Config;
-use support::{Node, example, file, object, platform, platform_with, run, spoil};
+use support::{Node, example, file, object, platform, platform_with, run, set_faults};
 
 async fn apply(platform: &Running, half: &str, file: &str, more: &[&str]) -> support::Ran {
     let url = platform.url();
@@ -192,7 +192,7 @@
         } else {
             &other_rules("lost-1.json", lost)
         };
-        spoil(&platform, json!({"lose_write_answers": lost})).await;
+        set_faults(&platform, json!({"lose_write_answers": lost})).await;
         apply(&platform, "rules", rules, &[])
             .await
             .exits(0)
@@ -208,10 +208,10 @@
 #[tokio::test]
 async fn outage_changes_nothing() {
     let platform = with_examples().await;
-    spoil(&platform, json!({"outage": true})).await;
+    set_faults(&platform, json!({"outage": true})).await;
     let ran = apply(&platform, "rules", &other_rules("outage.json", 9), &[]).await;
     ran.exits(69).warns("1004 nothing was changed");
-    spoil(&platform, json!({"outage": false})).await;
+    set_faults(&platform, json!({"outage": false})).await;
     assert_eq!(version(&platform).await, 2);
 }
 
@@ -354,7 +354,7 @@
     let later = other_rules("restore-later.json", 4_242);
     apply(&platform, "rules", &later, &[]).await.exits(0);
     let node = Node::start("keeper", 3).await;
-    spoil(&platform, json!({"restore_to_revision": object_version})).await;
+    set_faults(&platform, json!({"restore_to_revision": object_version})).await;
     assert_eq!(version(&platform).await, 2);
     let text = std::fs::read_to_string(example("inventory.json")).unwrap();
     let inventory = file(
@@ -380,7 +380,7 @@
         .unwrap();
     let later = other_rules("config-restore.json", 4_242);
     apply(&platform, "rules", &later, &[]).await.exits(0);
-    spoil(&platform, json!({"restore_to_revision": revision})).await;
+    set_faults(&platform, json!({"restore_to_revision": revision})).await;
     let node = Node::start("keeper", 3).await;
     node.set(|a| a.config = Some(bundle(3, &example("inventory.json"), &later)));
     let url = platform.url();
--- a/fireflyctl/tests/publish.rs
+++ b/fireflyctl/tests/publish.rs
@@ -6,8 +6,8 @@
     split,
 };
 use fireflyctl::{
-    Base, Outcome, Store, StoreObject, base, confirm_parts, past_document, publish_head, put_head,
-    put_parts, put_past, read_back,
+    PublishOutcome, Store, StoreObject, StoredConfig, confirm_parts, past_document, publish_head,
+    put_head, put_parts, put_past_head, read_stored_config, read_write_outcome,
 };
 use fireflyd::platform::{Condition, PlatformError};
 use proptest::prelude::*;
@@ -24,9 +24,9 @@
 
 /// What becomes of a write's answer, and of the write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Link {
+enum Delivery {
     /// The answer arrives.
-    Sound,
+    Delivered,
     /// The write takes effect, its answer is lost.
     AnswerLost,
     /// The write is lost.
@@ -47,42 +47,42 @@
 
 /// A platform in memory, whose link and reads a test spoils.
 #[derive(Debug)]
-struct World {
+struct FakePlatform {
     objects: BTreeMap<(String, String), (u64, Value)>,
     /// States after each write of the head, the empty one first.
     states: Vec<BTreeMap<(String, String), (u64, Value)>>,
     revision: u64,
     late: Vec<Pending>,
     /// What becomes of coming writes; sound when there is no more.
-    links: Vec<Link>,
+    deliveries: Vec<Delivery>,
     /// Writes of the head by which reads are behind.
-    stale: usize,
+    read_lag: usize,
 }
 
 #[derive(Debug)]
-struct FakeStore(RefCell<World>);
+struct FakeStore(RefCell<FakePlatform>);
 
 impl FakeStore {
     fn new() -> Self {
-        Self(RefCell::new(World {
+        Self(RefCell::new(FakePlatform {
             objects: BTreeMap::new(),
             states: vec![BTreeMap::new()],
             revision: 0,
             late: Vec::new(),
-            links: Vec::new(),
-            stale: 0,
+            deliveries: Vec::new(),
+            read_lag: 0,
         }))
     }
 
-    fn with_links(links: &[Link]) -> Self {
+    fn with_deliveries(deliveries: &[Delivery]) -> Self {
         let store = Self::new();
-        store.0.borrow_mut().links = links.to_vec();
+        store.0.borrow_mut().deliveries = deliveries.to_vec();
         store
     }
 
     fn head(&self) -> Option<Head> {
-        let world = self.0.borrow();
-        let (_, value) = world.objects.get(&head_key())?;
+        let platform = self.0.borrow();
+        let (_, value) = platform.objects.get(&head_key())?;
         serde_json::from_value(value.clone()).ok()
     }
 }
@@ -91,15 +91,15 @@
     (HEAD_KIND.to_owned(), HEAD_NAME.to_owned())
 }
 
-impl World {
+impl FakePlatform {
     fn write(&mut self, pending: Pending) -> Result<u64, PlatformError> {
         let found = self.objects.get(&pending.key).map(|(version, _)| *version);
-        let holds = match pending.condition {
+        let condition_holds = match pending.condition {
             Condition::Absent => found.is_none(),
             Condition::Version(version) => found == Some(version),
             Condition::Always => true,
         };
-        if !holds {
+        if !condition_holds {
             let version = found.unwrap_or(0);
             return Err(PlatformError::Conflict { version });
         }
@@ -113,38 +113,38 @@
         Ok(self.revision)
     }
 
-    fn land(&mut self) {
+    fn apply_late_writes(&mut self) {
         for pending in std::mem::take(&mut self.late) {
             let _ = self.write(pending);
         }
     }
 
     /// Goes back by so many writes of the head; what was under way is gone.
-    fn restore(&mut self, back: usize) {
-        let keep = self.states.len().saturating_sub(back).max(1);
+    fn restore(&mut self, undone: usize) {
+        let keep = self.states.len().saturating_sub(undone).max(1);
         self.states.truncate(keep);
         self.objects = self.states[keep - 1].clone();
         self.late.clear();
     }
 
-    fn seen(&self) -> &BTreeMap<(String, String), (u64, Value)> {
-        if self.stale == 0 {
+    fn visible_objects(&self) -> &BTreeMap<(String, String), (u64, Value)> {
+        if self.read_lag == 0 {
             return &self.objects;
         }
-        let at = self.states.len().saturating_sub(1 + self.stale);
+        let at = self.states.len().saturating_sub(1 + self.read_lag);
         &self.states[at]
     }
 }
 
 impl Store for FakeStore {
     async fn get(&self, kind: &str, name: &str) -> Result<Option<StoreObject>, PlatformError> {
-        let world = self.0.borrow();
+        let platform = self.0.borrow();
         let key = (kind.to_owned(), name.to_owned());
         // Parts never change, so that only the head is ever read stale.
         let objects = if key == head_key() {
-            world.seen()
+            platform.visible_objects()
         } else {
-            &world.objects
+            &platform.objects
         };
         Ok(objects.get(&key).map(|(version, value)| StoreObject {
             version: *version,
@@ -159,26 +159,26 @@
         value: &Value,
         condition: Condition,
     ) -> Result<u64, PlatformError> {
-        let mut world = self.0.borrow_mut();
+        let mut platform = self.0.borrow_mut();
         let pending = Pending {
             key: (kind.to_owned(), name.to_owned()),
             value: value.clone(),
             condition,
         };
         let is_head = pending.key == head_key();
-        let link = if is_head && !world.links.is_empty() {
-            world.links.remove(0)
+        let delivery = if is_head && !platform.deliveries.is_empty() {
+            platform.deliveries.remove(0)
         } else {
-            Link::Sound
+            Delivery::Delivered
         };
-        match link {
-            Link::Sound => return world.write(pending),
-            Link::Limited => return Err(PlatformError::Unavailable { retry_after: None }),
-            Link::AnswerLost => {
-                let _ = world.write(pending);
+        match delivery {
+            Delivery::Delivered => return platform.write(pending),
+            Delivery::Limited => return Err(PlatformError::Unavailable { retry_after: None }),
+            Delivery::AnswerLost => {
+                let _ = platform.write(pending);
             }
-            Link::WriteLate => world.late.push(pending),
-            Link::WriteLost => {}
+            Delivery::WriteLate => platform.late.push(pending),
+            Delivery::WriteLost => {}
         }
         Err(PlatformError::OutcomeUnknown)
     }
@@ -204,13 +204,13 @@
     }
 }
 
-fn head_over(base: &Base, content: u8, version: u64, token: &str) -> Head {
+fn head_over(base: &StoredConfig, content: u8, version: u64, token: &str) -> Head {
     let snapshot = split(&document(content)).unwrap();
     let head = snapshot.head(ConfigVersion(version), 0, "op".into(), Name::from(token));
     head.after(base.head.as_ref())
 }
 
-fn now<T>(future: impl Future<Output = T>) -> T {
+fn block_on<T>(future: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -226,15 +226,15 @@
     /// It writes the parts.
     Parts(usize),
     /// It writes the head, over such a link; again when it did before.
-    Write(usize, Link),
+    Write(usize, Delivery),
     /// It reads the head back, so many writes behind.
     ReadBack(usize, usize),
     /// Writes that were late take effect.
-    Land,
+    ApplyLateWrites,
     /// The platform goes so many writes back.
     Restore(usize),
     /// The nodes take what the platform holds.
-    Follow,
+    UpdateNodes,
 }
 
 /// One write of the head that an operator is about.
@@ -243,7 +243,7 @@
     id: usize,
     version: u64,
     /// Object version and attempt that it is written over.
-    over: Option<(u64, usize)>,
+    replaces: Option<(u64, usize)>,
     has_parts: bool,
     /// Whether the platform went back since the operator read.
     restored: bool,
@@ -253,7 +253,7 @@
 #[derive(Clone, Debug, Default)]
 struct Oracle {
     /// Heads in force one after the other: object version, attempt, version.
-    line: Vec<(u64, usize, u64)>,
+    history: Vec<(u64, usize, u64)>,
     revision: u64,
     next_id: usize,
     operators: [Option<Attempt>; OPERATORS],
@@ -267,34 +267,35 @@
 }
 
 impl Oracle {
-    fn head(&self, back: usize) -> Option<(u64, usize, u64)> {
-        let at = self.line.len().checked_sub(1 + back)?;
-        self.line.get(at).copied()
+    fn head(&self, lag: usize) -> Option<(u64, usize, u64)> {
+        let at = self.history.len().checked_sub(1 + lag)?;
+        self.history.get(at).copied()
     }
 
     fn write(&mut self, attempt: &Attempt) -> bool {
         let found = self.head(0).map(|(object, ..)| object);
-        if found != attempt.over.map(|(object, _)| object) {
+        if found != attempt.replaces.map(|(object, _)| object) {
             return false;
         }
         self.revision += 1;
-        self.line.push((self.revision, attempt.id, attempt.version));
+        self.history
+            .push((self.revision, attempt.id, attempt.version));
         self.effective.push(attempt.id);
         true
     }
 
     /// What a head read so many writes behind must tell of an attempt, if it
     /// tells anything.
-    fn is_true(&self, attempt: &Attempt, fate: WriteOutcome, back: usize) -> bool {
-        let read = self.head(back).map(|(_, id, _)| id);
-        let seen = &self.line[..self.line.len().saturating_sub(back)];
-        let in_line = seen.iter().any(|(_, id, _)| *id == attempt.id);
-        match fate {
+    fn is_consistent(&self, attempt: &Attempt, outcome: WriteOutcome, lag: usize) -> bool {
+        let read = self.head(lag).map(|(_, id, _)| id);
+        let visible = &self.history[..self.history.len().saturating_sub(lag)];
+        let in_history = visible.iter().any(|(_, id, _)| *id == attempt.id);
+        match outcome {
             WriteOutcome::Active => read == Some(attempt.id),
-            WriteOutcome::Replaced => in_line && read != Some(attempt.id),
+            WriteOutcome::Replaced => in_history && read != Some(attempt.id),
             WriteOutcome::Lost => !self.effective.contains(&attempt.id) || attempt.restored,
-            WriteOutcome::Pending => read == attempt.over.map(|(_, id)| id),
-            WriteOutcome::Unknown => !in_line,
+            WriteOutcome::Pending => read == attempt.replaces.map(|(_, id)| id),
+            WriteOutcome::Unknown => !in_history,
         }
     }
 }
@@ -309,22 +310,22 @@
 
     fn transitions(_: &Self) -> BoxedStrategy<Step> {
         let operator = 0..OPERATORS;
-        let back = prop_oneof![3 => Just(0_usize), 1 => 1_usize..3];
-        let link = prop_oneof![
-            4 => Just(Link::Sound),
-            2 => Just(Link::AnswerLost),
-            1 => Just(Link::WriteLost),
-            1 => Just(Link::WriteLate),
-            1 => Just(Link::Limited),
+        let lag = prop_oneof![3 => Just(0_usize), 1 => 1_usize..3];
+        let delivery = prop_oneof![
+            4 => Just(Delivery::Delivered),
+            2 => Just(Delivery::AnswerLost),
+            1 => Just(Delivery::WriteLost),
+            1 => Just(Delivery::WriteLate),
+            1 => Just(Delivery::Limited),
         ];
         prop_oneof![
-            4 => (operator.clone(), 0..CONTENTS, back.clone()).prop_map(|(o, c, b)| Step::Read(o, c, b)),
+            4 => (operator.clone(), 0..CONTENTS, lag.clone()).prop_map(|(o, c, lag)| Step::Read(o, c, lag)),
             4 => operator.clone().prop_map(Step::Parts),
-            6 => (operator.clone(), link).prop_map(|(o, link)| Step::Write(o, link)),
-            4 => (operator, back).prop_map(|(o, b)| Step::ReadBack(o, b)),
-            1 => Just(Step::Land),
+            6 => (operator.clone(), delivery).prop_map(|(o, delivery)| Step::Write(o, delivery)),
+            4 => (operator, lag).prop_map(|(o, lag)| Step::ReadBack(o, lag)),
+            1 => Just(Step::ApplyLateWrites),
             1 => (1_usize..3).prop_map(Step::Restore),
-            3 => Just(Step::Follow),
+            3 => Just(Step::UpdateNodes),
         ]
         .boxed()
     }
@@ -341,14 +342,14 @@
     fn apply(mut state: Self, step: &Step) -> Self {
         state.last_accepted = None;
         match *step {
-            Step::Read(o, _, back) => {
-                let read = state.head(back);
+            Step::Read(o, _, lag) => {
+                let read = state.head(lag);
                 let version = read.map_or(0, |(.., version)| version);
                 state.next_id += 1;
                 state.operators[o] = Some(Attempt {
                     id: state.next_id,
                     version: version.max(state.nodes) + 1,
-                    over: read.map(|(object, id, _)| (object, id)),
+                    replaces: read.map(|(object, id, _)| (object, id)),
                     has_parts: false,
                     restored: false,
                 });
@@ -358,33 +359,33 @@
                     attempt.has_parts = true;
                 }
             }
-            Step::Write(o, link) => {
+            Step::Write(o, delivery) => {
                 let Some(attempt) = state.operators[o].clone() else {
                     return state;
                 };
-                match link {
-                    Link::Sound => state.last_accepted = Some(state.write(&attempt)),
-                    Link::AnswerLost => {
+                match delivery {
+                    Delivery::Delivered => state.last_accepted = Some(state.write(&attempt)),
+                    Delivery::AnswerLost => {
                         state.write(&attempt);
                     }
-                    Link::WriteLate => state.late.push(attempt),
-                    Link::WriteLost | Link::Limited => {}
+                    Delivery::WriteLate => state.late.push(attempt),
+                    Delivery::WriteLost | Delivery::Limited => {}
                 }
             }
-            Step::Land => {
+            Step::ApplyLateWrites => {
                 for attempt in std::mem::take(&mut state.late) {
                     state.write(&attempt);
                 }
             }
-            Step::Restore(back) => {
-                let keep = state.line.len().saturating_sub(back);
-                state.line.truncate(keep);
+            Step::Restore(undone) => {
+                let keep = state.history.len().saturating_sub(undone);
+                state.history.truncate(keep);
                 state.late.clear();
                 for attempt in state.operators.iter_mut().flatten() {
                     attempt.restored = true;
                 }
             }
-            Step::Follow => {
+            Step::UpdateNodes => {
                 let held = state.head(0).map_or(0, |(.., version)| version);
                 state.nodes = state.nodes.max(held);
             }
@@ -396,7 +397,7 @@
 
 /// An operator at work.
 struct Operator {
-    base: Base,
+    base: StoredConfig,
     head: Head,
     content: u8,
 }
@@ -410,10 +411,10 @@
 }
 
 impl Platform {
-    fn read(&mut self, o: usize, content: u8, back: usize) {
-        self.store.0.borrow_mut().stale = back;
-        let base = now(base(&self.store)).unwrap();
-        self.store.0.borrow_mut().stale = 0;
+    fn read(&mut self, o: usize, content: u8, lag: usize) {
+        self.store.0.borrow_mut().read_lag = lag;
+        let base = block_on(read_stored_config(&self.store)).unwrap();
+        self.store.0.borrow_mut().read_lag = 0;
         self.ids += 1;
         let version = base.version().max(self.nodes) + 1;
         let head = head_over(&base, content, version, &format!("attempt-{}", self.ids));
@@ -424,13 +425,13 @@
         });
     }
 
-    fn write(&self, o: usize, link: Link) -> Option<bool> {
+    fn write(&self, o: usize, delivery: Delivery) -> Option<bool> {
         let operator = self.operators[o].as_ref()?;
-        self.store.0.borrow_mut().links = vec![link];
-        match now(put_head(&self.store, &operator.base, &operator.head)) {
+        self.store.0.borrow_mut().deliveries = vec![delivery];
+        match block_on(put_head(&self.store, &operator.base, &operator.head)) {
             Ok(_) => {
                 let snapshot = split(&document(operator.content)).unwrap();
-                now(confirm_parts(&self.store, &snapshot)).unwrap();
+                block_on(confirm_parts(&self.store, &snapshot)).unwrap();
                 Some(true)
             }
             Err(PlatformError::Conflict { .. }) => Some(false),
@@ -438,12 +439,17 @@
         }
     }
 
-    fn read_back(&self, o: usize, back: usize) -> Option<WriteOutcome> {
+    fn read_back(&self, o: usize, lag: usize) -> Option<WriteOutcome> {
         let operator = self.operators[o].as_ref()?;
-        self.store.0.borrow_mut().stale = back;
-        let fate = now(read_back(&self.store, &operator.base, &operator.head)).unwrap();
-        self.store.0.borrow_mut().stale = 0;
-        Some(fate)
+        self.store.0.borrow_mut().read_lag = lag;
+        let outcome = block_on(read_write_outcome(
+            &self.store,
+            &operator.base,
+            &operator.head,
+        ))
+        .unwrap();
+        self.store.0.borrow_mut().read_lag = 0;
+        Some(outcome)
     }
 }
 
@@ -462,26 +468,26 @@
 
     fn apply(mut sut: Self, state: &Oracle, step: Step) -> Self {
         match step {
-            Step::Read(o, content, back) => sut.read(o, content, back),
+            Step::Read(o, content, lag) => sut.read(o, content, lag),
             Step::Parts(o) => {
                 let operator = sut.operators[o].as_ref().unwrap();
                 let snapshot = split(&document(operator.content)).unwrap();
-                let known = operator.base.sound_head();
-                now(put_parts(&sut.store, &snapshot, known)).unwrap();
-                now(put_past(&sut.store, &operator.head)).unwrap();
+                let known = operator.base.complete_head();
+                block_on(put_parts(&sut.store, &snapshot, known)).unwrap();
+                block_on(put_past_head(&sut.store, &operator.head)).unwrap();
             }
-            Step::Write(o, link) => assert_eq!(sut.write(o, link), state.last_accepted),
-            Step::ReadBack(o, back) => {
-                let fate = sut.read_back(o, back).unwrap();
+            Step::Write(o, delivery) => assert_eq!(sut.write(o, delivery), state.last_accepted),
+            Step::ReadBack(o, lag) => {
+                let outcome = sut.read_back(o, lag).unwrap();
                 let attempt = state.operators[o].as_ref().unwrap();
                 assert!(
-                    state.is_true(attempt, fate, back),
-                    "{fate:?} of {attempt:?}"
+                    state.is_consistent(attempt, outcome, lag),
+                    "{outcome:?} of {attempt:?}"
                 );
             }
-            Step::Land => sut.store.0.borrow_mut().land(),
-            Step::Restore(back) => sut.store.0.borrow_mut().restore(back),
-            Step::Follow => {
+            Step::ApplyLateWrites => sut.store.0.borrow_mut().apply_late_writes(),
+            Step::Restore(undone) => sut.store.0.borrow_mut().restore(undone),
+            Step::UpdateNodes => {
                 let held = sut.store.head().map_or(0, |head| head.version);
                 sut.nodes = sut.nodes.max(held);
             }
@@ -501,7 +507,7 @@
             let attempt = state.operators.iter().flatten();
             let restored = attempt.into_iter().any(|a| a.restored);
             assert!(restored || head.version > sut.nodes);
-            let base = now(base(&sut.store)).unwrap();
+            let base = block_on(read_stored_config(&sut.store)).unwrap();
             assert_eq!(base.head, Some(head));
             assert!(
                 base.doc.is_some(),
@@ -521,20 +527,20 @@
     })]
 
     #[test]
-    fn operators_are_told_the_truth(sequential 1..50 => Platform);
+    fn operators_learn_true_outcomes(sequential 1..50 => Platform);
 }
 
 /// Outcome of publishing over such links.
 macro_rules! outcomes {
-    ($($name:ident: [$($link:ident),*] => $outcome:pat, $version:expr;)+) => {
+    ($($name:ident: [$($delivery:ident),*] => $outcome:pat, $version:expr;)+) => {
         $(
             #[test]
             fn $name() {
-                let store = FakeStore::with_links(&[$(Link::$link),*]);
-                let from = now(base(&store)).unwrap();
-                now(put_parts(&store, &split(&document(1)).unwrap(), None)).unwrap();
+                let store = FakeStore::with_deliveries(&[$(Delivery::$delivery),*]);
+                let from = block_on(read_stored_config(&store)).unwrap();
+                block_on(put_parts(&store, &split(&document(1)).unwrap(), None)).unwrap();
                 let head = head_over(&from, 1, 1, "own");
-                let outcome = now(publish_head(&store, &from, &head)).unwrap();
+                let outcome = block_on(publish_head(&store, &from, &head)).unwrap();
                 assert!(matches!(outcome, $outcome), "{outcome:?}");
                 assert_eq!(store.head().map_or(0, |h| h.version), $version);
             }
@@ -543,38 +549,42 @@
 }
 
 outcomes! {
-    sound_link: [Sound] => Outcome::Accepted, 1;
-    lost_answer_is_settled_by_reading_back: [AnswerLost] => Outcome::Accepted, 1;
-    lost_write_is_written_again: [WriteLost] => Outcome::Accepted, 1;
-    two_lost_answers: [AnswerLost, AnswerLost] => Outcome::Accepted, 1;
-    limited_write_is_written_again: [Limited, Limited] => Outcome::Accepted, 1;
+    delivered_write_is_accepted: [Delivered] => PublishOutcome::Accepted, 1;
+    lost_answer_is_settled_by_reading_back: [AnswerLost] => PublishOutcome::Accepted, 1;
+    lost_write_is_written_again: [WriteLost] => PublishOutcome::Accepted, 1;
+    two_lost_answers: [AnswerLost, AnswerLost] => PublishOutcome::Accepted, 1;
+    limited_write_is_written_again: [Limited, Limited] => PublishOutcome::Accepted, 1;
     limit_that_stays_has_no_effect: [Limited, Limited, Limited, Limited, Limited]
-        => Outcome::NoEffect(PlatformError::Unavailable { .. }), 0;
+        => PublishOutcome::NoEffect(PlatformError::Unavailable { .. }), 0;
     answers_that_stay_lost_are_settled: [WriteLost, WriteLost, WriteLost, WriteLost, AnswerLost]
-        => Outcome::Accepted, 1;
+        => PublishOutcome::Accepted, 1;
     writes_that_stay_lost_are_unknown: [WriteLost, WriteLost, WriteLost, WriteLost, WriteLost]
-        => Outcome::Unknown, 0;
+        => PublishOutcome::Unknown, 0;
 }
 
 /// An operator who read, and another whose write came first.
-fn race(links: &[Link]) -> (FakeStore, Outcome) {
+fn race(deliveries: &[Delivery]) -> (FakeStore, PublishOutcome) {
     let store = FakeStore::new();
-    let from = now(base(&store)).unwrap();
+    let from = block_on(read_stored_config(&store)).unwrap();
     for (content, token) in [(1, "own"), (2, "other")] {
-        now(put_parts(&store, &split(&document(content)).unwrap(), None)).unwrap();
-        now(put_past(&store, &head_over(&from, content, 1, token))).unwrap();
+        block_on(put_parts(&store, &split(&document(content)).unwrap(), None)).unwrap();
+        block_on(put_past_head(&store, &head_over(&from, content, 1, token))).unwrap();
     }
-    now(put_head(&store, &from, &head_over(&from, 2, 1, "other"))).unwrap();
-    store.0.borrow_mut().links = links.to_vec();
-    let outcome = now(publish_head(&store, &from, &head_over(&from, 1, 1, "own"))).unwrap();
+    block_on(put_head(&store, &from, &head_over(&from, 2, 1, "other"))).unwrap();
+    store.0.borrow_mut().deliveries = deliveries.to_vec();
+    let outcome = block_on(publish_head(&store, &from, &head_over(&from, 1, 1, "own"))).unwrap();
     (store, outcome)
 }
 
 #[test]
 fn lost_race_shows_the_winner() {
-    for links in [&[Link::Sound][..], &[Link::WriteLost], &[Link::AnswerLost]] {
-        let (_, outcome) = race(links);
-        let Outcome::Lost(winner) = outcome else {
+    for deliveries in [
+        &[Delivery::Delivered][..],
+        &[Delivery::WriteLost],
+        &[Delivery::AnswerLost],
+    ] {
+        let (_, outcome) = race(deliveries);
+        let PublishOutcome::Lost(winner) = outcome else {
             panic!("{outcome:?}");
         };
         assert_eq!(winner.doc, Some(document(2)));
@@ -583,18 +593,18 @@
 
 #[test]
 fn replaced_write_is_told_from_a_lost_one() {
-    let store = FakeStore::with_links(&[Link::AnswerLost]);
-    let from = now(base(&store)).unwrap();
+    let store = FakeStore::with_deliveries(&[Delivery::AnswerLost]);
+    let from = block_on(read_stored_config(&store)).unwrap();
     let own = head_over(&from, 1, 1, "own");
-    now(put_parts(&store, &split(&document(1)).unwrap(), None)).unwrap();
-    now(put_head(&store, &from, &own)).unwrap_err();
-    let next = now(base(&store)).unwrap();
-    now(put_parts(&store, &split(&document(2)).unwrap(), None)).unwrap();
-    now(put_head(&store, &next, &head_over(&next, 2, 2, "other"))).unwrap();
-    store.0.borrow_mut().links = vec![Link::WriteLost];
-    let outcome = now(publish_head(&store, &from, &own)).unwrap();
+    block_on(put_parts(&store, &split(&document(1)).unwrap(), None)).unwrap();
+    block_on(put_head(&store, &from, &own)).unwrap_err();
+    let next = block_on(read_stored_config(&store)).unwrap();
+    block_on(put_parts(&store, &split(&document(2)).unwrap(), None)).unwrap();
+    block_on(put_head(&store, &next, &head_over(&next, 2, 2, "other"))).unwrap();
+    store.0.borrow_mut().deliveries = vec![Delivery::WriteLost];
+    let outcome = block_on(publish_head(&store, &from, &own)).unwrap();
     assert!(
-        matches!(outcome, Outcome::Replaced(ref now) if now.version == 2),
+        matches!(outcome, PublishOutcome::Replaced(ref now) if now.version == 2),
         "{outcome:?}"
     );
 }
@@ -603,15 +613,15 @@
 fn earlier_versions_can_be_read() {
     let store = FakeStore::new();
     for content in 1..4 {
-        let from = now(base(&store)).unwrap();
+        let from = block_on(read_stored_config(&store)).unwrap();
         let head = head_over(&from, content, u64::from(content), &format!("t-{content}"));
         let snapshot = split(&document(content)).unwrap();
-        now(put_parts(&store, &snapshot, from.head.as_ref())).unwrap();
-        now(put_past(&store, &head)).unwrap();
-        now(put_head(&store, &from, &head)).unwrap();
+        block_on(put_parts(&store, &snapshot, from.head.as_ref())).unwrap();
+        block_on(put_past_head(&store, &head)).unwrap();
+        block_on(put_head(&store, &from, &head)).unwrap();
     }
     let head = store.head().unwrap();
-    let past = |version| now(past_document(&store, &head, version)).unwrap();
+    let past = |version| block_on(past_document(&store, &head, version)).unwrap();
     assert_eq!(past(1), Some(document(1)));
     assert_eq!(past(2), Some(document(2)));
     assert_eq!(past(9), None);
@@ -620,13 +630,13 @@
 #[test]
 fn few_parts_are_written_for_a_small_change() {
     let store = FakeStore::new();
-    let from = now(base(&store)).unwrap();
+    let from = block_on(read_stored_config(&store)).unwrap();
     let first = split(&document(1)).unwrap();
-    let all = now(put_parts(&store, &first, None)).unwrap();
-    now(put_head(&store, &from, &head_over(&from, 1, 1, "own"))).unwrap();
-    let from = now(base(&store)).unwrap();
+    let all = block_on(put_parts(&store, &first, None)).unwrap();
+    block_on(put_head(&store, &from, &head_over(&from, 1, 1, "own"))).unwrap();
+    let from = block_on(read_stored_config(&store)).unwrap();
     let second = split(&document(2)).unwrap();
-    let some = now(put_parts(&store, &second, from.head.as_ref())).unwrap();
+    let some = block_on(put_parts(&store, &second, from.head.as_ref())).unwrap();
     assert!(all > some && some <= 2, "{some} of {all}");
 }
 
@@ -634,15 +644,18 @@
 fn parts_that_vanished_are_written_again() {
     let store = FakeStore::new();
     let snapshot = split(&document(1)).unwrap();
-    now(put_parts(&store, &snapshot, None)).unwrap();
-    let from = now(base(&store)).unwrap();
+    block_on(put_parts(&store, &snapshot, None)).unwrap();
+    let from = block_on(read_stored_config(&store)).unwrap();
     let head = head_over(&from, 1, 1, "own");
-    now(put_head(&store, &from, &head)).unwrap();
+    block_on(put_head(&store, &from, &head)).unwrap();
     store
         .0
         .borrow_mut()
         .objects
         .retain(|key, _| *key == head_key());
-    now(confirm_parts(&store, &snapshot)).unwrap();
-    assert_eq!(now(base(&store)).unwrap().doc, Some(document(1)));
+    block_on(confirm_parts(&store, &snapshot)).unwrap();
+    assert_eq!(
+        block_on(read_stored_config(&store)).unwrap().doc,
+        Some(document(1))
+    );
 }
--- a/fireflyctl/tests/support/mod.rs
+++ b/fireflyctl/tests/support/mod.rs
@@ -97,7 +97,7 @@
 }
 
 /// Switches faults of a platform.
-pub(crate) async fn spoil(platform: &Running, faults: Value) {
+pub(crate) async fn set_faults(platform: &Running, faults: Value) {
     let url = format!("{}/standin/faults", platform.url());
     let res = reqwest::Client::new().post(url).json(&faults).send().await;
     assert!(res.unwrap().status().is_success());
