--- a/fireflyctl/src/apply.rs
+++ b/fireflyctl/src/apply.rs
@@ -2,7 +2,7 @@
 //! `apply` changes it.
 
 use crate::baseline::Baseline;
-use crate::check::{Half, check};
+use crate::check::{ConfigSection, check};
 use crate::console::Console;
 use crate::failure::{Conflict, Failure, Result};
 use crate::fleet::Fleet;
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Source {
     /// A file, for one half.
-    File(Half, PathBuf),
+    File(ConfigSection, PathBuf),
     /// What the nodes have in force, for a platform that went back.
     Nodes,
 }
@@ -56,7 +56,7 @@
     }
     let baseline = Baseline::find(store, fleet, change.from_platform, console).await?;
     let doc = match &change.source {
-        Source::File(half, path) => read_file(*half, path, &baseline.doc)?,
+        Source::File(section, path) => read_file(*section, path, &baseline.doc)?,
         Source::Nodes => baseline.doc.clone(),
     };
     let diff = Diff::between(&baseline.doc, &doc);
@@ -93,9 +93,9 @@
     Ok(head)
 }
 
-fn read_file(half: Half, path: &Path, baseline: &Document) -> Result<Document> {
+fn read_file(section: ConfigSection, path: &Path, baseline: &Document) -> Result<Document> {
     let text = std::fs::read_to_string(path).with_context(|| format!("{}", path.display()))?;
-    check(half, &text, baseline).map_err(|faults| Failure::Faults(path.to_owned(), faults))
+    check(section, &text, baseline).map_err(|faults| Failure::Faults(path.to_owned(), faults))
 }
 
 fn print_diff(change: &Change, diff: &Diff, console: &mut Console<'_>) -> Result<()> {
--- a/fireflyctl/src/check.rs
+++ b/fireflyctl/src/check.rs
@@ -6,16 +6,16 @@
 //! listed without a line.
 
 use crate::failure::FileFault;
-use crate::shape::{self, INVENTORY, RULES, Shape, ShapeFault};
-use crate::span::{self, Node};
+use crate::json_tree::{self, JsonNode};
+use crate::schema::{self, INVENTORY, RULES, Schema, SchemaFault};
 use fireflycroft::{ConfigFault, ConfigVersion, Digest, Document, compile};
 
 /// What stands for the field of a fault of the whole file.
-const WHOLE: &str = "(file)";
+const WHOLE_FILE: &str = "(file)";
 
 /// Half of a configuration that a file holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Half {
+pub enum ConfigSection {
     /// The inventory.
     Inventory,
     /// The rules.
@@ -23,7 +23,7 @@
 }
 
 /// Result of a check.
-pub type Checked = Result<Document, Vec<FileFault>>;
+pub type CheckResult = Result<Document, Vec<FileFault>>;
 
 /// Checks `text` as one half of a configuration whose other half is that of
 /// `base`; gives both together.
@@ -31,25 +31,34 @@
 /// # Errors
 ///
 /// Every fault, in the order of the file.
-pub fn check(half: Half, text: &str, base: &Document) -> Checked {
-    let tree = span::scan(text).map_err(|e| vec![syntax(&e)])?;
+pub fn check(section: ConfigSection, text: &str, base: &Document) -> CheckResult {
+    let tree = json_tree::parse(text).map_err(|e| vec![syntax_fault(&e)])?;
     let mut faults = Vec::new();
-    let value = shape::check(&tree, half.shape(), &mut faults);
-    let doc = half.lay_on(base, value).map_err(|e| vec![syntax(&e)])?;
-    let sense = match compile(ConfigVersion(0), Digest(0), &doc) {
+    let value = schema::check(&tree, section.schema(), &mut faults);
+    let doc = section
+        .merge_into(base, value)
+        .map_err(|e| vec![syntax_fault(&e)])?;
+    let config_faults = match compile(ConfigVersion(0), Digest(0), &doc) {
         Ok(_) => Vec::new(),
-        Err(sense) => sense,
+        Err(faults) => faults,
     };
-    let mut all = sense_faults(half, &tree, &sense, &faults);
-    all.extend(faults.into_iter().map(|f| (Some(f.at), f.field, f.text)));
+    let mut all = semantic_faults(section, &tree, &config_faults, &faults);
+    all.extend(
+        faults
+            .into_iter()
+            .map(|f| (Some(f.offset), f.field, f.text)),
+    );
     if all.is_empty() {
         return Ok(doc);
     }
-    all.sort_by_key(|(at, ..)| at.unwrap_or(usize::MAX));
-    Err(all.into_iter().map(|fault| place(text, fault)).collect())
+    all.sort_by_key(|(offset, ..)| offset.unwrap_or(usize::MAX));
+    Err(all
+        .into_iter()
+        .map(|fault| file_fault(text, fault))
+        .collect())
 }
 
-impl Half {
+impl ConfigSection {
     /// Name of the half, as its command has it.
     #[must_use]
     pub const fn name(self) -> &'static str {
@@ -59,7 +68,7 @@
         }
     }
 
-    const fn shape(self) -> Shape {
+    const fn schema(self) -> Schema {
         match self {
             Self::Inventory => INVENTORY,
             Self::Rules => RULES,
@@ -73,7 +82,7 @@
         of_inventory.contains(&top) == (self == Self::Inventory)
     }
 
-    fn lay_on(
+    fn merge_into(
         self,
         base: &Document,
         value: serde_json::Value,
@@ -88,23 +97,27 @@
 }
 
 /// Place in bytes, field and text.
-type Placed = (Option<usize>, String, String);
+type LocatedFault = (Option<usize>, String, String);
 
 /// Faults of the sense, without those that follow from a fault of the shape.
-fn sense_faults(
-    half: Half,
-    tree: &Node,
-    sense: &[ConfigFault],
-    shape: &[ShapeFault],
-) -> Vec<Placed> {
-    let follows = |fault: &&ConfigFault| shape.iter().any(|s| is_within(&fault.field, &s.field));
-    let own = |fault: &ConfigFault| half.owns(&fault.field);
-    sense
+fn semantic_faults(
+    section: ConfigSection,
+    tree: &JsonNode,
+    config_faults: &[ConfigFault],
+    schema_faults: &[SchemaFault],
+) -> Vec<LocatedFault> {
+    let is_consequence = |fault: &&ConfigFault| {
+        schema_faults
+            .iter()
+            .any(|s| is_within(&fault.field, &s.field))
+    };
+    let is_own = |fault: &ConfigFault| section.owns(&fault.field);
+    config_faults
         .iter()
-        .filter(|fault| !own(fault) || !follows(fault))
+        .filter(|fault| !is_own(fault) || !is_consequence(fault))
         .map(|fault| {
-            let at = own(fault).then(|| tree.locate(&fault.field));
-            (at, fault.field.clone(), fault.text.clone())
+            let offset = is_own(fault).then(|| tree.locate(&fault.field));
+            (offset, fault.field.clone(), fault.text.clone())
         })
         .collect()
 }
@@ -115,22 +128,22 @@
         .is_some_and(|rest| rest.is_empty() || rest.starts_with(['.', '[']))
 }
 
-fn place(text: &str, (at, field, what): Placed) -> FileFault {
+fn file_fault(text: &str, (offset, field, reason): LocatedFault) -> FileFault {
     FileFault {
-        at: at.map(|at| span::line_and_column(text, at)),
+        position: offset.map(|offset| json_tree::line_and_column(text, offset)),
         field: if field.is_empty() {
-            WHOLE.to_owned()
+            WHOLE_FILE.to_owned()
         } else {
             field
         },
-        text: what,
+        text: reason,
     }
 }
 
-fn syntax(e: &serde_json::Error) -> FileFault {
+fn syntax_fault(e: &serde_json::Error) -> FileFault {
     FileFault {
-        at: Some((e.line(), e.column())),
-        field: WHOLE.to_owned(),
+        position: Some((e.line(), e.column())),
+        field: WHOLE_FILE.to_owned(),
         text: e.to_string(),
     }
 }
--- a/fireflyctl/src/cli.rs
+++ b/fireflyctl/src/cli.rs
@@ -1,7 +1,7 @@
 //! Runs the job that the command line names.
 
 use crate::apply::{self, Change, Source};
-use crate::check::Half;
+use crate::check::ConfigSection;
 use crate::command::command;
 use crate::console::Console;
 use crate::entries::{self, View};
@@ -50,8 +50,8 @@
     };
     let (job, args) = sub.subcommand().unwrap_or((name, sub));
     match (name, job) {
-        ("inventory", _) => half_job(Half::Inventory, job, args, console).await,
-        ("rules", _) => half_job(Half::Rules, job, args, console).await,
+        ("inventory", _) => section_job(ConfigSection::Inventory, job, args, console).await,
+        ("rules", _) => section_job(ConfigSection::Rules, job, args, console).await,
         ("config", "restore") => restore_job(args, console).await,
         ("config", "version") => show::version(&platform(args)?, console).await,
         ("key", "digest") => keys::print_digest(text(args, "key")?, console),
@@ -88,18 +88,18 @@
     }
 }
 
-async fn half_job(
-    half: Half,
+async fn section_job(
+    section: ConfigSection,
     job: &str,
     args: &ArgMatches,
     console: &mut Console<'_>,
 ) -> Result<()> {
     let store = platform(args)?;
     if job == "show" {
-        return show::show(half, &store, console).await;
+        return show::show(section, &store, console).await;
     }
     let file = required::<PathBuf>(args, "file")?.clone();
-    let change = change_of(Source::File(half, file), job == "plan", args)?;
+    let change = change_of(Source::File(section, file), job == "plan", args)?;
     apply::change(&change, &store, &fleet(args)?, console).await
 }
 
--- a/fireflyctl/src/command.rs
+++ b/fireflyctl/src/command.rs
@@ -1,6 +1,6 @@
 //! The commands and their flags, each with its environment variable.
 
-use crate::check::Half;
+use crate::check::ConfigSection;
 use clap::{Arg, ArgAction, Command};
 use std::path::PathBuf;
 
@@ -41,8 +41,8 @@
                 .value_parser(clap::value_parser!(u64))
                 .global(true),
         )
-        .subcommand(half_command(Half::Inventory))
-        .subcommand(half_command(Half::Rules))
+        .subcommand(section_command(ConfigSection::Inventory))
+        .subcommand(section_command(ConfigSection::Rules))
         .subcommand(config_command())
         .subcommand(key_command())
         .subcommand(fleet_key_command())
@@ -54,8 +54,8 @@
         .subcommand(report_command())
 }
 
-fn half_command(half: Half) -> Command {
-    let name = half.name();
+fn section_command(section: ConfigSection) -> Command {
+    let name = section.name();
     let file = || {
         Arg::new("file")
             .value_name("FILE")
--- a/fireflyctl/src/failure.rs
+++ b/fireflyctl/src/failure.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileFault {
     /// Line and column, from 1; `None` for a fault outside the file.
-    pub at: Option<(usize, usize)>,
+    pub position: Option<(usize, usize)>,
     /// Field, such as `workspaces[3].brand`.
     pub field: String,
     /// What is wrong.
@@ -154,7 +154,7 @@
 
 impl FileFault {
     fn write(&self, f: &mut fmt::Formatter<'_>, path: &impl fmt::Display) -> fmt::Result {
-        match self.at {
+        match self.position {
             Some((line, column)) => write!(f, "\n{path}:{line}:{column}: ")?,
             None => write!(f, "\nin force: ")?,
         }
--- a/fireflyctl/src/lib.rs
+++ b/fireflyctl/src/lib.rs
@@ -15,16 +15,16 @@
 mod explain;
 mod failure;
 mod fleet;
+mod json_tree;
 mod keys;
 mod log_line;
 mod page;
 mod publish;
 mod record;
 mod report;
+mod schema;
 mod scrape;
-mod shape;
 mod show;
-mod span;
 mod status;
 mod store;
 mod table;
@@ -36,7 +36,7 @@
     Alert, Cause, GoalReport, PAGE_BURN, Report, TICKET_BURN, WINDOWS, WindowReport, burn_rate,
     report,
 };
-pub use check::{Checked, Half, check};
+pub use check::{CheckResult, ConfigSection, check};
 pub use cli::run;
 pub use command::{command, env_name};
 pub use console::Console;
--- a/fireflyctl/src/show.rs
+++ b/fireflyctl/src/show.rs
@@ -1,18 +1,22 @@
 //! `inventory show`, `rules show` and `config version`.
 
-use crate::check::Half;
+use crate::check::ConfigSection;
 use crate::console::Console;
 use crate::failure::Result;
 use crate::publish;
 use crate::store::Store;
 
 /// Prints one half of what is in force, as JSON that can be applied again.
-pub(crate) async fn show(half: Half, store: &impl Store, console: &mut Console<'_>) -> Result<()> {
+pub(crate) async fn show(
+    section: ConfigSection,
+    store: &impl Store,
+    console: &mut Console<'_>,
+) -> Result<()> {
     let base = publish::read_stored_config(store).await?;
     let doc = base.document()?;
-    match half {
-        Half::Inventory => console.json(&doc.inventory),
-        Half::Rules => console.json(&doc.rules),
+    match section {
+        ConfigSection::Inventory => console.json(&doc.inventory),
+        ConfigSection::Rules => console.json(&doc.rules),
     }
 }
 
--- a/fireflyctl/tests/check.rs
+++ b/fireflyctl/tests/check.rs
@@ -1,15 +1,15 @@
 //! Every fault of a file, with its line, column and field.
 
 use fireflycroft::{Document, Inventory, Rules};
-use fireflyctl::{FileFault, Half, check};
+use fireflyctl::{ConfigSection, FileFault, check};
 
 /// A file, and the faults that it has: place, field and what is wrong.
 macro_rules! faults {
-    ($($name:ident: $half:ident $text:expr => [$($line:literal),* $(,)?];)+) => {
+    ($($name:ident: $section:ident $text:expr => [$($line:literal),* $(,)?];)+) => {
         $(
             #[test]
             fn $name() {
-                assert_eq!(faults_of(Half::$half, $text), [$($line),*] as [&str; _]);
+                assert_eq!(faults_of(ConfigSection::$section, $text), [$($line),*] as [&str; _]);
             }
         )+
     };
@@ -25,16 +25,20 @@
     }
 }
 
-fn faults_of(half: Half, text: &str) -> Vec<String> {
-    match check(half, text, &base()) {
+fn faults_of(section: ConfigSection, text: &str) -> Vec<String> {
+    match check(section, text, &base()) {
         Ok(_) => Vec::new(),
         Err(faults) => faults.iter().map(line).collect(),
     }
 }
 
 fn line(fault: &FileFault) -> String {
-    let FileFault { at, field, text } = fault;
-    match at {
+    let FileFault {
+        position,
+        field,
+        text,
+    } = fault;
+    match position {
         Some((line, column)) => format!("{line}:{column} {field}: {text}"),
         None => format!("- {field}: {text}"),
     }
@@ -83,7 +87,7 @@
         "12:20 batch_wait_ms: expected a whole number from 0 to 18446744073709551615, found 18446744073709551616",
         "14:86 objectives[0].per_mille: over 1000: 1001",
     ];
-    null_stands_for_an_optional_field_alone: Rules r#"{"non_repeatable": [
+    null_is_allowed_for_optional_fields_only: Rules r#"{"non_repeatable": [
   {"target": null, "method": null, "path": null}
 ]}"# => ["2:14 non_repeatable[0].target: expected text, found null"];
     column_counts_characters: Inventory "{\"services\": [\"é漢\", \"a b\"]}" => [
@@ -95,7 +99,7 @@
     key_is_not_shown: Inventory r#"{"brands": [{"name": "b"}], "workspaces": [
   {"name": "w", "brand": "b", "key_digests": ["demo-key-1"]}
 ]}"# => ["2:47 workspaces[0].key_digests[0]: not 64 hexadecimal digits"];
-    fault_of_the_shape_makes_none_of_the_sense: Inventory r#"{"brands": [{"name": 7}], "workspaces": [
+    schema_fault_suppresses_semantic_faults: Inventory r#"{"brands": [{"name": 7}], "workspaces": [
   {"name": "w"},
   {"brand": 5, "name": ["w"]}
 ]}"# => [
@@ -107,33 +111,33 @@
 }
 
 #[test]
-fn change_of_one_half_that_breaks_the_other_is_told() {
+fn fault_in_the_other_section_is_reported() {
     let mut doc = base();
     doc.rules = serde_json::from_str(RULES).unwrap();
     let text = INVENTORY.replace("\"harbour-archive\"", "\"harbour-attic\"");
-    let faults = check(Half::Inventory, &text, &doc).unwrap_err();
+    let faults = check(ConfigSection::Inventory, &text, &doc).unwrap_err();
     let lines: Vec<String> = faults.iter().map(line).collect();
     let wanted = "- quotas[0].workspace: no such workspace: \"harbour-archive\"";
     assert_eq!(lines, [wanted]);
 }
 
 #[test]
-fn other_half_is_kept() {
-    let doc = check(Half::Rules, RULES, &base()).unwrap();
+fn other_section_is_kept() {
+    let doc = check(ConfigSection::Rules, RULES, &base()).unwrap();
     assert_eq!(doc.inventory, base().inventory);
-    let again = check(Half::Inventory, INVENTORY, &doc).unwrap();
+    let again = check(ConfigSection::Inventory, INVENTORY, &doc).unwrap();
     assert_eq!(again, doc);
 }
 
 /// What `serde` writes of a full document has the shape that is checked; a
 /// field that only one of the two knows shows here.
 #[test]
-fn shape_knows_every_field() {
-    let doc = check(Half::Rules, RULES, &base()).unwrap();
+fn schema_covers_every_field() {
+    let doc = check(ConfigSection::Rules, RULES, &base()).unwrap();
     let inventory = serde_json::to_string(&doc.inventory).unwrap();
     let rules = serde_json::to_string(&doc.rules).unwrap();
-    assert_eq!(faults_of(Half::Inventory, &inventory), [""; 0]);
-    assert_eq!(faults_of(Half::Rules, &rules), [""; 0]);
+    assert_eq!(faults_of(ConfigSection::Inventory, &inventory), [""; 0]);
+    assert_eq!(faults_of(ConfigSection::Rules, &rules), [""; 0]);
     assert_eq!(
         serde_json::from_str::<Inventory>(&inventory).unwrap(),
         doc.inventory
@@ -156,13 +160,18 @@
     let text = serde_json::to_string_pretty(&doc.inventory).unwrap();
     assert!(text.len() > 1024 * 1024);
     assert_eq!(
-        check(Half::Inventory, &text, &base()).unwrap().inventory,
+        check(ConfigSection::Inventory, &text, &base())
+            .unwrap()
+            .inventory,
         doc.inventory
     );
-    let spoilt = text.replace("\"workspace-37999\"", "\"workspace-0\"");
-    let faults = check(Half::Inventory, &spoilt, &base()).unwrap_err();
+    let faulty = text.replace("\"workspace-37999\"", "\"workspace-0\"");
+    let faults = check(ConfigSection::Inventory, &faulty, &base()).unwrap_err();
     assert_eq!(faults.len(), 1);
     assert_eq!(faults[0].field, "workspaces[37999].name");
-    let at = spoilt.lines().nth(faults[0].at.unwrap().0 - 1).unwrap();
-    assert!(at.contains("workspace-0"), "{at}");
+    let line = faulty
+        .lines()
+        .nth(faults[0].position.unwrap().0 - 1)
+        .unwrap();
+    assert!(line.contains("workspace-0"), "{line}");
 }
