--- a/fireflyctl/src/apply.rs
+++ b/fireflyctl/src/apply.rs
@@ -8,7 +8,7 @@
 use crate::fleet::Fleet;
 use crate::keys;
 use crate::publish::{self, PublishOutcome, StoredConfig};
-use crate::record::now_ms;
+use crate::record::unix_ms_now;
 use crate::store::Store;
 use crate::wait;
 use anyhow::Context;
@@ -85,11 +85,11 @@
         && diff.is_empty()
         && !baseline.needs_write
     {
-        console.say(format!("version {} holds this already", head.version))?;
+        console.print(format!("version {} holds this already", head.version))?;
         return Ok(head.clone());
     }
     let head = publish(change, store, baseline, doc, diff).await?;
-    console.say(format!("version {} is accepted", head.version))?;
+    console.print(format!("version {} is accepted", head.version))?;
     Ok(head)
 }
 
@@ -100,9 +100,9 @@
 
 fn print_diff(change: &Change, diff: &Diff, console: &mut Console<'_>) -> Result<()> {
     if change.json {
-        console.json(diff)
+        console.print_json(diff)
     } else {
-        console.say(diff)
+        console.print(diff)
     }
 }
 
@@ -154,7 +154,7 @@
     let head = snapshot
         .head(
             ConfigVersion(version),
-            now_ms(),
+            unix_ms_now(),
             change.author.clone(),
             keys::new_write_token()?,
         )
@@ -179,7 +179,7 @@
             theirs: diff_if_known(base.doc.as_ref(), now.doc.as_ref()),
         }))),
         PublishOutcome::NoEffect(e) => Err(Failure::Unavailable(format!("the head: {e}"))),
-        PublishOutcome::Unknown => Err(Failure::Unknown(format!(
+        PublishOutcome::Unknown => Err(Failure::OutcomeUnknown(format!(
             "look for token {} in `fireflyctl config version`",
             head.token
         ))),
--- a/fireflyctl/src/burn.rs
+++ b/fireflyctl/src/burn.rs
@@ -16,11 +16,11 @@
 pub const WINDOWS: [(&str, u64); 4] = [("5m", 300), ("1h", 3_600), ("6h", 21_600), ("3d", 259_200)];
 /// Burn over 5 minutes and an hour at which somebody should look at once: a
 /// month's budget would be gone in two days.
-pub const PAGE_BURN: f64 = 14.4;
+pub const PAGE_BURN_RATE: f64 = 14.4;
 /// Burn over 6 hours and 3 days at which somebody should look some time.
-pub const TICKET_BURN: f64 = 1.0;
+pub const TICKET_BURN_RATE: f64 = 1.0;
 /// Causes shown of each goal.
-const MAX_CAUSES: usize = 5;
+const MAX_CAUSES_SHOWN: usize = 5;
 
 /// A report over a record.
 #[derive(Clone, Debug, Serialize)]
@@ -139,7 +139,7 @@
     if tally.missed == 0 {
         return Some(0.0);
     }
-    Some(ratio(tally.missed, total) / allowed(objective))
+    Some(share(tally.missed, total) / allowed_miss_share(objective))
 }
 
 /// Goals that the record or the rules name.
@@ -164,13 +164,17 @@
     let objective = rules.objective(&goal.brand, goal.priority).cloned();
     let windows = window_reports(&goal, record, objective.as_ref());
     let longest = windows.last().map_or(0, |w| w.seconds);
-    let whole = tally(&goal, record, longest);
-    let causes = causes(&whole.by_code);
-    let failed: u64 = failed(&whole.by_code).map(|(_, count)| count).sum();
+    let total_tally = window_tally(&goal, record, longest);
+    let causes = causes(&total_tally.by_code);
+    let failed: u64 = failed_by_code(&total_tally.by_code)
+        .map(|(_, count)| count)
+        .sum();
     GoalReport {
-        budget_left: objective.as_ref().and_then(|o| budget_left(&whole, o)),
+        budget_left: objective
+            .as_ref()
+            .and_then(|o| budget_left(&total_tally, o)),
         alert: alert(&windows),
-        late: whole.missed.saturating_sub(failed),
+        late: total_tally.missed.saturating_sub(failed),
         goal,
         objective,
         windows,
@@ -187,7 +191,7 @@
     let recorded = recorded_seconds(record);
     let mut reports = Vec::new();
     for (window, seconds) in WINDOWS {
-        let tally = tally(goal, record, seconds);
+        let tally = window_tally(goal, record, seconds);
         reports.push(WindowReport {
             window,
             seconds,
@@ -211,7 +215,7 @@
 
 /// Requests of a goal in the last `seconds`; an interval that lies across the
 /// beginning counts whole.
-pub(crate) fn tally(goal: &Goal, record: &[Interval], seconds: u64) -> Tally {
+pub(crate) fn window_tally(goal: &Goal, record: &[Interval], seconds: u64) -> Tally {
     let to = record.last().map_or(0, |i| i.to_ms);
     let from = to.saturating_sub(seconds * 1_000);
     let inside = record.iter().rev().take_while(|i| i.to_ms > from);
@@ -223,20 +227,20 @@
 }
 
 fn budget_left(tally: &Tally, objective: &Objective) -> Option<f64> {
-    if allowed(objective) == 0.0 {
+    if allowed_miss_share(objective) == 0.0 {
         return None;
     }
     burn_rate(tally, objective).map(|burn| 1.0 - burn)
 }
 
 fn alert(windows: &[WindowReport]) -> Alert {
-    let above = |name: &str, least: f64| {
+    let burns_at = |name: &str, threshold: f64| {
         let window = windows.iter().find(|w| w.window == name);
-        window.is_some_and(|w| w.burn.is_some_and(|burn| burn >= least))
+        window.is_some_and(|w| w.burn.is_some_and(|burn| burn >= threshold))
     };
-    if above("5m", PAGE_BURN) && above("1h", PAGE_BURN) {
+    if burns_at("5m", PAGE_BURN_RATE) && burns_at("1h", PAGE_BURN_RATE) {
         Alert::Page
-    } else if above("6h", TICKET_BURN) && above("3d", TICKET_BURN) {
+    } else if burns_at("6h", TICKET_BURN_RATE) && burns_at("3d", TICKET_BURN_RATE) {
         Alert::Ticket
     } else {
         Alert::None
@@ -244,7 +248,7 @@
 }
 
 fn causes(by_code: &BTreeMap<u32, u64>) -> Vec<Cause> {
-    let mut causes: Vec<Cause> = failed(by_code)
+    let mut causes: Vec<Cause> = failed_by_code(by_code)
         .map(|(code, count)| Cause {
             code,
             phrase: Code::from_number(code).map_or("unknown code", Code::phrase),
@@ -252,22 +256,22 @@
         })
         .collect();
     causes.sort_by_key(|cause| std::cmp::Reverse(cause.count));
-    causes.truncate(MAX_CAUSES);
+    causes.truncate(MAX_CAUSES_SHOWN);
     causes
 }
 
-fn failed(by_code: &BTreeMap<u32, u64>) -> impl Iterator<Item = (u32, u64)> {
+fn failed_by_code(by_code: &BTreeMap<u32, u64>) -> impl Iterator<Item = (u32, u64)> {
     let ok = Code::Ok.number();
     let all = by_code.iter().map(|(code, count)| (*code, *count));
     all.filter(move |(code, count)| *code != ok && *count > 0)
 }
 
 /// Share of requests that may miss the objective.
-fn allowed(objective: &Objective) -> f64 {
+fn allowed_miss_share(objective: &Objective) -> f64 {
     f64::from(1_000_u32.saturating_sub(objective.per_mille)) / 1_000.0
 }
 
 #[allow(clippy::cast_precision_loss, reason = "counts of requests")]
-fn ratio(part: u64, whole: u64) -> f64 {
-    part as f64 / whole as f64
+fn share(part: u64, total: u64) -> f64 {
+    part as f64 / total as f64
 }
--- a/fireflyctl/src/cli.rs
+++ b/fireflyctl/src/cli.rs
@@ -22,12 +22,12 @@
     args: impl IntoIterator<Item = impl Into<OsString> + Clone>,
     console: &mut Console<'_>,
 ) -> u8 {
-    let done = match command().try_get_matches_from(args) {
+    let result = match command().try_get_matches_from(args) {
         Ok(matches) => run_matches(&matches, console),
         Err(e) if e.use_stderr() => Err(Failure::Usage(e.to_string())),
-        Err(e) => console.say(e.to_string().trim_end()),
+        Err(e) => console.print(e.to_string().trim_end()),
     };
-    match done {
+    match result {
         Ok(()) => 0,
         Err(failure) => {
             // Nobody is left to tell when this stream is closed, too.
@@ -53,7 +53,7 @@
         ("inventory", _) => section_job(ConfigSection::Inventory, job, args, console).await,
         ("rules", _) => section_job(ConfigSection::Rules, job, args, console).await,
         ("config", "restore") => restore_job(args, console).await,
-        ("config", "version") => show::version(&platform(args)?, console).await,
+        ("config", "version") => show::version(&platform_client(args)?, console).await,
         ("key", "digest") => keys::print_digest(text(args, "key")?, console),
         ("fleet-key", "new") => keys::print_new_fleet_key(*required(args, "id")?, console),
         ("status", _) => status::status(&fleet(args)?, console).await,
@@ -65,7 +65,7 @@
             };
             entries::show(view, &fleet(args)?, args.get_flag("json"), console).await
         }
-        ("vms", _) => vms::vms(&platform(args)?, console).await,
+        ("vms", _) => vms::vms(&platform_client(args)?, console).await,
         ("drain", _) => {
             let node = text(args, "node")?;
             drain::drain(&fleet(args)?, node, seconds(args, "wait"), console).await
@@ -80,10 +80,17 @@
         }
         ("report", "record") => {
             let file = required::<PathBuf>(args, "record")?;
-            let every = Duration::from_secs(*required(args, "every")?);
-            record::record(&fleet(args)?, file, every, seconds(args, "length"), console).await
+            let interval = Duration::from_secs(*required(args, "every")?);
+            record::record(
+                &fleet(args)?,
+                file,
+                interval,
+                seconds(args, "length"),
+                console,
+            )
+            .await
         }
-        ("report", "burn") => report_burn(args, console).await,
+        ("report", "burn") => burn_job(args, console).await,
         _ => Err(Failure::Usage(format!("no such job: {name} {job}"))),
     }
 }
@@ -94,22 +101,22 @@
     args: &ArgMatches,
     console: &mut Console<'_>,
 ) -> Result<()> {
-    let store = platform(args)?;
+    let store = platform_client(args)?;
     if job == "show" {
         return show::show(section, &store, console).await;
     }
     let file = required::<PathBuf>(args, "file")?.clone();
-    let change = change_of(Source::File(section, file), job == "plan", args)?;
+    let change = change_from_args(Source::File(section, file), job == "plan", args)?;
     apply::change(&change, &store, &fleet(args)?, console).await
 }
 
 async fn restore_job(args: &ArgMatches, console: &mut Console<'_>) -> Result<()> {
-    let change = change_of(Source::Nodes, false, args)?;
-    apply::change(&change, &platform(args)?, &fleet(args)?, console).await
+    let change = change_from_args(Source::Nodes, false, args)?;
+    apply::change(&change, &platform_client(args)?, &fleet(args)?, console).await
 }
 
 /// The change that the flags of `plan`, `apply` or `restore` describe.
-fn change_of(source: Source, is_plan: bool, args: &ArgMatches) -> Result<Change> {
+fn change_from_args(source: Source, is_plan: bool, args: &ArgMatches) -> Result<Change> {
     let mut change = Change {
         source,
         dry_run: is_plan || args.get_flag("dry-run"),
@@ -127,21 +134,21 @@
     Ok(change)
 }
 
-async fn report_burn(args: &ArgMatches, console: &mut Console<'_>) -> Result<()> {
+async fn burn_job(args: &ArgMatches, console: &mut Console<'_>) -> Result<()> {
     let path = |name| args.get_one::<PathBuf>(name).cloned();
     let job = BurnJob {
         record: path("record"),
-        every: Duration::from_secs(*required(args, "every")?),
+        interval: Duration::from_secs(*required(args, "every")?),
         json: args.get_flag("json"),
         html: path("html"),
     };
     let has_platform = args.contains_id("platform");
-    let store = has_platform.then(|| platform(args)).transpose()?;
+    let store = has_platform.then(|| platform_client(args)).transpose()?;
     let rules = report::rules(path("rules").as_deref(), store.as_ref()).await?;
     report::burn(&job, &rules, &fleet(args)?, console).await
 }
 
-fn platform(args: &ArgMatches) -> Result<PlatformClient> {
+fn platform_client(args: &ArgMatches) -> Result<PlatformClient> {
     let url = args
         .get_one::<String>("platform")
         .ok_or_else(|| Failure::Usage("--platform URL is needed".to_owned()))?;
--- a/fireflyctl/src/command.rs
+++ b/fireflyctl/src/command.rs
@@ -5,11 +5,11 @@
 use std::path::PathBuf;
 
 /// Bound of a call when no flag says otherwise, in milliseconds.
-const TIMEOUT_MS: &str = "5000";
+const DEFAULT_TIMEOUT_MS: &str = "5000";
 /// Time between two scrapes when no flag says otherwise, in seconds.
-const SCRAPE_EVERY: &str = "15";
+const DEFAULT_SCRAPE_INTERVAL_S: &str = "15";
 /// Wait of a flag that stands alone, in seconds.
-const A_DAY: &str = "86400";
+const DEFAULT_WAIT_S: &str = "86400";
 
 /// What the help says of exit statuses; the table is in `failure`.
 const EXIT_STATUSES: &str = "\
@@ -37,7 +37,7 @@
         .arg(nodes_flag())
         .arg(
             flag("timeout-ms", "Milliseconds that one call may take")
-                .default_value(TIMEOUT_MS)
+                .default_value(DEFAULT_TIMEOUT_MS)
                 .value_parser(clap::value_parser!(u64))
                 .global(true),
         )
@@ -186,7 +186,7 @@
 fn report_command() -> Command {
     let every = || {
         flag("every", "Seconds between two scrapes")
-            .default_value(SCRAPE_EVERY)
+            .default_value(DEFAULT_SCRAPE_INTERVAL_S)
             .value_parser(clap::value_parser!(u64).range(1..))
     };
     let record = Command::new("record")
@@ -238,7 +238,7 @@
 fn wait_flag(help: &'static str) -> Arg {
     flag("wait", help)
         .num_args(0..=1)
-        .default_missing_value(A_DAY)
+        .default_missing_value(DEFAULT_WAIT_S)
         .value_parser(clap::value_parser!(u64))
 }
 
--- a/fireflyctl/src/console.rs
+++ b/fireflyctl/src/console.rs
@@ -20,7 +20,7 @@
     /// # Errors
     ///
     /// A stream that is closed.
-    pub fn say(&mut self, line: impl Display) -> Result<()> {
+    pub fn print(&mut self, line: impl Display) -> Result<()> {
         writeln!(self.out, "{line}")?;
         Ok(())
     }
@@ -40,8 +40,8 @@
     /// # Errors
     ///
     /// A stream that is closed.
-    pub fn json(&mut self, value: &impl Serialize) -> Result<()> {
+    pub fn print_json(&mut self, value: &impl Serialize) -> Result<()> {
         let text = serde_json::to_string_pretty(value).map_err(anyhow::Error::from)?;
-        self.say(text)
+        self.print(text)
     }
 }
--- a/fireflyctl/src/drain.rs
+++ b/fireflyctl/src/drain.rs
@@ -19,21 +19,21 @@
     console: &mut Console<'_>,
 ) -> Result<()> {
     fleet.drain(node).await?;
-    console.say(format!("{node} drains"))?;
+    console.print(format!("{node} drains"))?;
     let Some(wait) = wait else { return Ok(()) };
     let deadline = Instant::now() + wait;
     let mut last_shown = None;
     loop {
         let Ok(status) = fleet.status(node).await else {
-            return console.say(format!("{node} has gone"));
+            return console.print(format!("{node} has gone"));
         };
         if status.leaving && status.streams == 0 && status.queue == 0 {
-            return console.say(format!("{node} holds no work"));
+            return console.print(format!("{node} holds no work"));
         }
         let remaining = (status.streams, status.queue);
         if last_shown != Some(remaining) {
             let (streams, queue) = remaining;
-            console.say(format!("{node} has {streams} streams, {queue} waiting"))?;
+            console.print(format!("{node} has {streams} streams, {queue} waiting"))?;
             last_shown = Some(remaining);
         }
         if Instant::now() >= deadline {
--- a/fireflyctl/src/entries.rs
+++ b/fireflyctl/src/entries.rs
@@ -33,9 +33,9 @@
     fleet.require_nodes()?;
     let answers: Vec<Answer<EntryOverview>> = fleet.query_all(OVERVIEW_PATH).await;
     if as_json {
-        console.say(to_json(view, &answers))?;
+        console.print(to_json(view, &answers))?;
     } else {
-        console.say(table(view, &answers))?;
+        console.print(table(view, &answers))?;
     }
     let silent = answers.into_iter().filter(|(_, answer)| answer.is_err());
     let silent: Vec<String> = silent.map(|(node, _)| node).collect();
@@ -46,29 +46,29 @@
 }
 
 fn to_json(view: View, answers: &[Answer<EntryOverview>]) -> serde_json::Value {
-    let of = |(node, answer): &Answer<EntryOverview>| match (answer, view) {
-        (Err(why), _) => serde_json::json!({"node": node, "error": why}),
+    let row_json = |(node, answer): &Answer<EntryOverview>| match (answer, view) {
+        (Err(error), _) => serde_json::json!({"node": node, "error": error}),
         (Ok(entry), View::Status) => {
-            let bare = EntryOverview {
+            let without_lists = EntryOverview {
                 upstreams: Vec::new(),
                 peers: Vec::new(),
                 ..entry.clone()
             };
-            serde_json::json!({"node": node, "entry": bare})
+            serde_json::json!({"node": node, "entry": without_lists})
         }
         (Ok(entry), View::Upstreams) => {
             serde_json::json!({"node": node, "upstreams": entry.upstreams})
         }
         (Ok(entry), View::Peers) => serde_json::json!({"node": node, "peers": entry.peers}),
     };
-    answers.iter().map(of).collect()
+    answers.iter().map(row_json).collect()
 }
 
 fn table(view: View, answers: &[Answer<EntryOverview>]) -> Table {
-    let mut table = Table::new(headings(view));
+    let mut table = Table::new(column_titles(view));
     for (node, answer) in answers {
         match (answer, view) {
-            (Err(why), _) => table.row([node.as_str(), UNKNOWN, why]),
+            (Err(error), _) => table.row([node.as_str(), UNKNOWN, error]),
             (Ok(entry), View::Status) => table.row(entry_cells(node, entry)),
             (Ok(entry), View::Upstreams) => {
                 for upstream in &entry.upstreams {
@@ -85,7 +85,7 @@
     table
 }
 
-const fn headings(view: View) -> &'static [&'static str] {
+const fn column_titles(view: View) -> &'static [&'static str] {
     match view {
         View::Status => &[
             "node",
@@ -125,7 +125,7 @@
 fn entry_cells(node: &str, entry: &EntryOverview) -> [String; 14] {
     let age = entry.config_age_ms.map(|ms| ms / 1_000);
     let serving = entry.upstreams.iter().filter(|u| u.serves).count();
-    let heard = entry.peers.iter().filter(|p| p.heard_ms.is_some()).count();
+    let heard_peers = entry.peers.iter().filter(|p| p.heard_ms.is_some()).count();
     [
         node.to_owned(),
         entry.name.to_string(),
@@ -140,7 +140,7 @@
         entry.calls.to_string(),
         entry.streams.to_string(),
         serving.to_string(),
-        heard.to_string(),
+        heard_peers.to_string(),
     ]
 }
 
@@ -161,7 +161,7 @@
         upstream.service.to_string(),
         upstream.addr.to_string(),
         upstream.data_centre.to_string(),
-        state_word(upstream).to_owned(),
+        state_name(upstream).to_owned(),
         upstream.running.to_string(),
         format!("{:.2}", upstream.memory),
         upstream.unread.to_string(),
@@ -172,7 +172,7 @@
     ]
 }
 
-const fn state_word(upstream: &UpstreamOverview) -> &'static str {
+const fn state_name(upstream: &UpstreamOverview) -> &'static str {
     match upstream {
         u if !u.serves => "leaving",
         u if u.evacuated => "evacuated",
@@ -198,10 +198,10 @@
     ]
 }
 
-fn or_unknown(figure: Option<u64>) -> String {
-    figure.map_or_else(|| UNKNOWN.to_owned(), |f| f.to_string())
+fn or_unknown(number: Option<u64>) -> String {
+    number.map_or_else(|| UNKNOWN.to_owned(), |f| f.to_string())
 }
 
-fn yes_or_no(is: bool) -> String {
-    if is { "yes" } else { "no" }.to_owned()
+fn yes_or_no(value: bool) -> String {
+    if value { "yes" } else { "no" }.to_owned()
 }
--- a/fireflyctl/src/explain.rs
+++ b/fireflyctl/src/explain.rs
@@ -11,7 +11,7 @@
 
 /// One note of a node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct JournalNote {
+struct JournalEvent {
     /// When, in milliseconds since 1970, by the node's clock.
     at_ms: u64,
     /// The node.
@@ -21,7 +21,7 @@
     event: String,
     /// What goes with it.
     #[serde(flatten)]
-    rest: Map<String, Value>,
+    fields: Map<String, Value>,
 }
 
 /// Prints the notes of all nodes in order of time.
@@ -35,22 +35,22 @@
     if fireflycroft::parse_request_id(id).is_none() {
         return Err(Failure::Usage(format!("{id:?} is not a request id")));
     }
-    let mut events: Vec<JournalNote> = Vec::new();
+    let mut events: Vec<JournalEvent> = Vec::new();
     let mut silent = Vec::new();
     for (node, answer) in fleet.query_all(&format!("/explain/{id}")).await {
         match answer {
-            Ok(more) => events.extend::<Vec<JournalNote>>(more),
-            Err(why) => {
-                console.warn(format!("{node} didn't answer: {why}"))?;
+            Ok(more) => events.extend::<Vec<JournalEvent>>(more),
+            Err(error) => {
+                console.warn(format!("{node} didn't answer: {error}"))?;
                 silent.push(node);
             }
         }
     }
     events.sort_by_key(|event| event.at_ms);
     if json {
-        console.json(&events)?;
+        console.print_json(&events)?;
     } else {
-        print(&events, console)?;
+        print_events(&events, console)?;
     }
     match (events.is_empty(), silent.is_empty()) {
         (_, false) => Err(Failure::NoAnswer(silent)),
@@ -59,25 +59,31 @@
     }
 }
 
-fn print(events: &[JournalNote], console: &mut Console<'_>) -> Result<()> {
+fn print_events(events: &[JournalEvent], console: &mut Console<'_>) -> Result<()> {
     let start = events.first().map_or(0, |event| event.at_ms);
     for event in events {
-        let after = event.at_ms - start;
-        let JournalNote {
-            node, event, rest, ..
+        let offset_ms = event.at_ms - start;
+        let JournalEvent {
+            node,
+            event,
+            fields,
+            ..
         } = event;
-        console.say(format!("+{after} ms  {node}  {event}{}", Rest(rest)))?;
+        console.print(format!(
+            "+{offset_ms} ms  {node}  {event}{}",
+            Fields(fields)
+        ))?;
     }
     Ok(())
 }
 
 /// What goes with an event, as `key=value`.
-struct Rest<'a>(&'a Map<String, Value>);
+struct Fields<'a>(&'a Map<String, Value>);
 
-impl std::fmt::Display for Rest<'_> {
+impl std::fmt::Display for Fields<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let told = self.0.iter().filter(|(_, value)| !value.is_null());
-        for (key, value) in told {
+        let shown = self.0.iter().filter(|(_, value)| !value.is_null());
+        for (key, value) in shown {
             write!(f, "  {key}={value}")?;
         }
         Ok(())
--- a/fireflyctl/src/failure.rs
+++ b/fireflyctl/src/failure.rs
@@ -28,7 +28,7 @@
     /// The platform or a node did not answer; nothing was changed.
     Unavailable(String),
     /// Whether the change took effect is not known.
-    Unknown(String),
+    OutcomeUnknown(String),
     /// Another operator was first.
     Conflict(Box<Conflict>),
     /// Accepted, and replaced by another operator since.
@@ -89,7 +89,7 @@
             Self::Usage(_) => 64,
             Self::Faults(..) => 65,
             Self::Unavailable(_) | Self::NoAnswer(_) => 69,
-            Self::Unknown(_) => 74,
+            Self::OutcomeUnknown(_) => 74,
             Self::Conflict(_) => 75,
             Self::NotActive { .. } | Self::Replaced { .. } | Self::StillDraining(_) => 76,
             Self::Other(_) => 1,
@@ -102,7 +102,7 @@
         match self {
             Self::Usage(_) => Some(Code::BadSettings),
             Self::Faults(..) => Some(Code::BadConfig),
-            Self::Unavailable(_) | Self::Unknown(_) => Some(Code::PlatformUnavailable),
+            Self::Unavailable(_) | Self::OutcomeUnknown(_) => Some(Code::PlatformUnavailable),
             Self::Conflict(_) => Some(Code::ConfigConflict),
             Self::NotActive { .. }
             | Self::Replaced { .. }
@@ -126,7 +126,7 @@
                 faults.iter().try_for_each(|fault| fault.write(f, &path))
             }
             Self::Unavailable(why) => write!(f, "nothing was changed: {why}"),
-            Self::Unknown(why) => write!(f, "whether it took effect is not known: {why}"),
+            Self::OutcomeUnknown(why) => write!(f, "whether it took effect is not known: {why}"),
             Self::Conflict(conflict) => conflict.fmt(f),
             Self::Replaced {
                 version,
--- a/fireflyctl/src/keys.rs
+++ b/fireflyctl/src/keys.rs
@@ -18,19 +18,19 @@
 /// from standard input, where no list of processes shows it.
 pub(crate) fn print_digest(key: &str, console: &mut Console<'_>) -> Result<()> {
     if key != "-" {
-        return console.say(hex(&digest_key(key)));
+        return console.print(hex(&digest_key(key)));
     }
     let mut text = String::new();
     std::io::stdin()
         .read_to_string(&mut text)
         .context("standard input")?;
-    console.say(hex(&digest_key(text.trim_end_matches(['\r', '\n']))))
+    console.print(hex(&digest_key(text.trim_end_matches(['\r', '\n']))))
 }
 
 /// Prints a line for a file of fleet keys.
 pub(crate) fn print_new_fleet_key(id: u8, console: &mut Console<'_>) -> Result<()> {
     let key: [u8; FLEET_KEY_LEN] = random()?;
-    console.say(format!("{id}:{}", hex(&key)))
+    console.print(format!("{id}:{}", hex(&key)))
 }
 
 /// A token that no other write has.
--- a/fireflyctl/src/lib.rs
+++ b/fireflyctl/src/lib.rs
@@ -33,8 +33,8 @@
 mod wait;
 
 pub use burn::{
-    Alert, Cause, GoalReport, PAGE_BURN, Report, TICKET_BURN, WINDOWS, WindowReport, burn_rate,
-    report,
+    Alert, Cause, GoalReport, PAGE_BURN_RATE, Report, TICKET_BURN_RATE, WINDOWS, WindowReport,
+    burn_rate, report,
 };
 pub use check::{CheckResult, ConfigSection, check};
 pub use cli::run;
--- a/fireflyctl/src/page.rs
+++ b/fireflyctl/src/page.rs
@@ -11,15 +11,15 @@
 use std::fmt::Write;
 
 /// Size of a plot, in pixels.
-const SIZE: (u32, u32) = (860, 240);
+const PLOT_SIZE_PX: (u32, u32) = (860, 240);
 /// Most points of a line.
-const MAX_POINTS: usize = 600;
+const MAX_POINTS_PER_LINE: usize = 600;
 /// Windows that are plotted, with their length in seconds.
-const PLOTTED: [(&str, u64); 2] = [("5m", 300), ("1h", 3_600)];
+const PLOTTED_WINDOWS: [(&str, u64); 2] = [("5m", 300), ("1h", 3_600)];
 /// Least upper end of the axis of burn rates.
-const MIN_TOP: f64 = 2.0;
+const MIN_AXIS_MAX: f64 = 2.0;
 /// Highest burn rate that a plot shows.
-const MAX_BURN: f64 = 100.0;
+const MAX_PLOTTED_BURN_RATE: f64 = 100.0;
 
 const STYLE: &str = "body{font:15px sans-serif;max-width:900px;margin:2em auto;color:#222}\
 table{border-collapse:collapse;margin:.6em 0}\
@@ -38,13 +38,13 @@
         report.nodes, report.silent
     )?;
     for goal in &report.goals {
-        section(&mut html, goal, record)?;
+        write_goal(&mut html, goal, record)?;
     }
     html.push_str("</body>\n</html>\n");
     Ok(html)
 }
 
-fn section(html: &mut String, goal: &GoalReport, record: &[Interval]) -> Result<()> {
+fn write_goal(html: &mut String, goal: &GoalReport, record: &[Interval]) -> Result<()> {
     let brand = escape(&goal.goal.brand);
     let priority = priority_name(goal.goal.priority);
     let alert = goal.alert.name();
@@ -68,12 +68,12 @@
     }
     html.push_str("</table>\n");
     if let Some(objective) = &goal.objective {
-        html.push_str(&plot(&goal.goal, objective, record)?);
+        html.push_str(&render_plot(&goal.goal, objective, record)?);
     }
-    causes(html, goal)
+    write_causes(html, goal)
 }
 
-fn causes(html: &mut String, goal: &GoalReport) -> Result<()> {
+fn write_causes(html: &mut String, goal: &GoalReport) -> Result<()> {
     if goal.causes.is_empty() && goal.late == 0 {
         return Ok(());
     }
@@ -99,38 +99,39 @@
 }
 
 /// Burn rate over time, as SVG.
-fn plot(goal: &Goal, objective: &Objective, record: &[Interval]) -> Result<String> {
+fn render_plot(goal: &Goal, objective: &Objective, record: &[Interval]) -> Result<String> {
     let end = record.last().map_or(0, |i| i.to_ms);
-    let lines = PLOTTED.map(|(name, seconds)| (name, line(goal, objective, record, seconds, end)));
+    let lines = PLOTTED_WINDOWS
+        .map(|(name, seconds)| (name, burn_points(goal, objective, record, seconds, end)));
     let points = lines.iter().flat_map(|(_, points)| points);
-    let (mut from, mut top) = (-1.0 / 60.0, MIN_TOP);
+    let (mut from, mut axis_max) = (-1.0 / 60.0, MIN_AXIS_MAX);
     for (x, y) in points {
         from = f64::min(from, *x);
-        top = f64::max(top, *y);
+        axis_max = f64::max(axis_max, *y);
     }
     let mut svg = String::new();
     {
-        let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let root = SVGBackend::with_string(&mut svg, PLOT_SIZE_PX).into_drawing_area();
         let mut chart = ChartBuilder::on(&root)
             .margin(8)
             .x_label_area_size(36)
             .y_label_area_size(48)
-            .build_cartesian_2d(from..0.0, 0.0..top * 1.1)
-            .map_err(failed)?;
+            .build_cartesian_2d(from..0.0, 0.0..axis_max * 1.1)
+            .map_err(plot_error)?;
         chart
             .configure_mesh()
             .x_desc("hours")
             .y_desc("burn rate")
             .draw()
-            .map_err(failed)?;
+            .map_err(plot_error)?;
         chart
             .draw_series(LineSeries::new([(from, 1.0), (0.0, 1.0)], RED.mix(0.5)))
-            .map_err(failed)?;
+            .map_err(plot_error)?;
         for (i, (name, points)) in lines.into_iter().enumerate() {
             let color = Palette99::pick(i).to_rgba();
             chart
                 .draw_series(LineSeries::new(points, &color))
-                .map_err(failed)?
+                .map_err(plot_error)?
                 .label(name)
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
         }
@@ -139,15 +140,15 @@
             .position(SeriesLabelPosition::UpperLeft)
             .background_style(WHITE.mix(0.8))
             .draw()
-            .map_err(failed)?;
-        root.present().map_err(failed)?;
+            .map_err(plot_error)?;
+        root.present().map_err(plot_error)?;
     }
     Ok(svg)
 }
 
 /// Burn rate over the window that ends at each interval, with the hours
 /// before `end`.
-fn line(
+fn burn_points(
     goal: &Goal,
     objective: &Objective,
     record: &[Interval],
@@ -156,9 +157,9 @@
 ) -> Vec<(f64, f64)> {
     let mut window: VecDeque<(u64, Tally)> = VecDeque::new();
     let mut points = Vec::new();
-    let step = record.len().div_ceil(MAX_POINTS).max(1);
+    let step = record.len().div_ceil(MAX_POINTS_PER_LINE).max(1);
     for (i, interval) in record.iter().enumerate() {
-        window.push_back((interval.to_ms, growth(goal, interval)));
+        window.push_back((interval.to_ms, tally_in(goal, interval)));
         let from = interval.to_ms.saturating_sub(seconds * 1_000);
         while window.front().is_some_and(|(to, _)| *to <= from) {
             window.pop_front();
@@ -171,13 +172,16 @@
             sum.add(tally);
         }
         if let Some(burn) = burn_rate(&sum, objective) {
-            points.push((-hours(end - interval.to_ms), burn.min(MAX_BURN)));
+            points.push((
+                -hours(end - interval.to_ms),
+                burn.min(MAX_PLOTTED_BURN_RATE),
+            ));
         }
     }
     points
 }
 
-fn growth(goal: &Goal, interval: &Interval) -> Tally {
+fn tally_in(goal: &Goal, interval: &Interval) -> Tally {
     let found = interval.goals.iter().find(|g| g.goal == *goal);
     found.map_or_else(Tally::default, |g| g.tally.clone())
 }
@@ -202,6 +206,6 @@
 }
 
 /// An error of the plotting library, which may borrow.
-fn failed(e: impl std::fmt::Display) -> anyhow::Error {
+fn plot_error(e: impl std::fmt::Display) -> anyhow::Error {
     anyhow!("plot: {e}")
 }
--- a/fireflyctl/src/record.rs
+++ b/fireflyctl/src/record.rs
@@ -45,33 +45,33 @@
 /// Turns scrapes of the nodes into intervals.
 #[derive(Debug, Default)]
 pub struct Recorder {
-    at_ms: Option<u64>,
+    last_scrape_ms: Option<u64>,
     nodes: BTreeMap<String, Tallies>,
 }
 
 impl Recorder {
     /// Takes a scrape of all nodes at `at_ms`; gives the interval since the
     /// scrape before, `None` for the first.
-    pub fn take(
+    pub fn add_scrape(
         &mut self,
-        at_ms: u64,
+        scrape_ms: u64,
         answered: impl IntoIterator<Item = (String, Tallies)>,
         silent: usize,
     ) -> Option<Interval> {
-        let mut grown = Tallies::new();
+        let mut total_growth = Tallies::new();
         let mut nodes = 0;
         for (node, tallies) in answered {
             nodes += 1;
             if let Some(before) = self.nodes.get(&node) {
-                add_growth(&mut grown, before, &tallies);
+                add_growth(&mut total_growth, before, &tallies);
             }
             self.nodes.insert(node, tallies);
         }
-        let from_ms = self.at_ms.replace(at_ms)?;
-        let goals = grown.into_iter();
+        let from_ms = self.last_scrape_ms.replace(scrape_ms)?;
+        let goals = total_growth.into_iter();
         Some(Interval {
             from_ms,
-            to_ms: at_ms,
+            to_ms: scrape_ms,
             nodes,
             silent,
             goals: goals
@@ -81,12 +81,12 @@
     }
 }
 
-fn add_growth(grown: &mut Tallies, before: &Tallies, now: &Tallies) {
+fn add_growth(total_growth: &mut Tallies, before: &Tallies, now: &Tallies) {
     let none = Tally::default();
     for (goal, tally) in now {
         let before = before.get(goal).unwrap_or(&none);
-        let growth = tally.since(before);
-        grown.entry(goal.clone()).or_default().add(&growth);
+        let growth = tally.growth_since(before);
+        total_growth.entry(goal.clone()).or_default().add(&growth);
     }
 }
 
@@ -94,21 +94,21 @@
 pub(crate) async fn record(
     fleet: &Fleet,
     path: &Path,
-    every: Duration,
-    length: Option<Duration>,
+    scrape_interval: Duration,
+    max_duration: Option<Duration>,
     console: &mut Console<'_>,
 ) -> Result<()> {
     fleet.require_nodes()?;
-    let deadline = length.map(|length| Instant::now() + length);
+    let deadline = max_duration.map(|max_duration| Instant::now() + max_duration);
     let mut recorder = Recorder::default();
     loop {
         if let Some(interval) = scrape(fleet, &mut recorder, console).await? {
             append(path, &interval)?;
         }
-        if deadline.is_some_and(|deadline| Instant::now() + every > deadline) {
+        if deadline.is_some_and(|deadline| Instant::now() + scrape_interval > deadline) {
             return Ok(());
         }
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(scrape_interval).await;
     }
 }
 
@@ -123,8 +123,8 @@
     for (node, answer) in fleet.metrics().await {
         match answer {
             Ok(text) => answered.push((node, parse_metrics(&text))),
-            Err(why) => {
-                console.warn(format!("{node} didn't answer: {why}"))?;
+            Err(error) => {
+                console.warn(format!("{node} didn't answer: {error}"))?;
                 silent.push(node);
             }
         }
@@ -132,15 +132,15 @@
     if answered.is_empty() {
         return Err(Failure::NoAnswer(silent));
     }
-    Ok(recorder.take(now_ms(), answered, silent.len()))
+    Ok(recorder.add_scrape(unix_ms_now(), answered, silent.len()))
 }
 
 /// Reads a record; a last line that was cut off is left out.
 pub(crate) fn read(path: &Path) -> Result<Vec<Interval>> {
     let text = std::fs::read_to_string(path).with_context(|| format!("{}", path.display()))?;
-    let whole = text.rfind('\n').map_or("", |end| &text[..end]);
+    let complete_lines = text.rfind('\n').map_or("", |end| &text[..end]);
     let mut intervals = Vec::new();
-    for (i, line) in whole.lines().enumerate() {
+    for (i, line) in complete_lines.lines().enumerate() {
         let interval =
             serde_json::from_str(line).with_context(|| format!("{}:{}", path.display(), i + 1))?;
         intervals.push(interval);
@@ -161,9 +161,9 @@
 }
 
 /// Now, in milliseconds since 1970.
-pub(crate) fn now_ms() -> u64 {
-    let since = SystemTime::now()
+pub(crate) fn unix_ms_now() -> u64 {
+    let since_epoch = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
--- a/fireflyctl/src/report.rs
+++ b/fireflyctl/src/report.rs
@@ -20,7 +20,7 @@
     /// Record to report on; two scrapes when there is none.
     pub(crate) record: Option<PathBuf>,
     /// Time between the two scrapes.
-    pub(crate) every: Duration,
+    pub(crate) interval: Duration,
     /// Whether to print JSON.
     pub(crate) json: bool,
     /// File that gets the page.
@@ -36,7 +36,7 @@
 ) -> Result<()> {
     let record = match &job.record {
         Some(path) => record::read(path)?,
-        None => two_scrapes(fleet, job.every, console).await?,
+        None => scrape_twice(fleet, job.interval, console).await?,
     };
     let report = burn::report(&record, rules).context("the record is empty")?;
     if let Some(path) = &job.html {
@@ -44,9 +44,9 @@
         std::fs::write(path, html).with_context(|| format!("{}", path.display()))?;
     }
     if job.json {
-        return console.json(&report);
+        return console.print_json(&report);
     }
-    print(&report, console)
+    print_report(&report, console)
 }
 
 /// Rules of a file, or those in force on the platform.
@@ -68,24 +68,24 @@
     }
 }
 
-async fn two_scrapes(
+async fn scrape_twice(
     fleet: &Fleet,
-    every: Duration,
+    interval: Duration,
     console: &mut Console<'_>,
 ) -> Result<Vec<Interval>> {
     fleet.require_nodes()?;
     let mut recorder = Recorder::default();
     record::scrape(fleet, &mut recorder, console).await?;
-    tokio::time::sleep(every).await;
+    tokio::time::sleep(interval).await;
     let interval = record::scrape(fleet, &mut recorder, console).await?;
     Ok(interval.into_iter().collect())
 }
 
-fn print(report: &Report, console: &mut Console<'_>) -> Result<()> {
+fn print_report(report: &Report, console: &mut Console<'_>) -> Result<()> {
     let seconds = report.to_ms.saturating_sub(report.from_ms) / 1_000;
-    console.say(format!(
+    console.print(format!(
         "{} recorded, {} nodes answered, {} did not",
-        span(seconds),
+        duration_phrase(seconds),
         report.nodes,
         report.silent
     ))?;
@@ -105,7 +105,7 @@
             ]);
         }
     }
-    console.say(table)?;
+    console.print(table)?;
     report
         .goals
         .iter()
@@ -115,15 +115,15 @@
 fn print_goal(goal: &GoalReport, console: &mut Console<'_>) -> Result<()> {
     let priority = priority_name(goal.goal.priority);
     let brand = &goal.goal.brand;
-    console.say(format!("{brand} {priority}: {}", budget_phrase(goal)))?;
+    console.print(format!("{brand} {priority}: {}", budget_phrase(goal)))?;
     for cause in &goal.causes {
-        console.say(format!(
+        console.print(format!(
             "  {} × {} {}",
             cause.count, cause.code, cause.phrase
         ))?;
     }
     if goal.late > 0 {
-        console.say(format!("  {} × answered, but late", goal.late))?;
+        console.print(format!("  {} × answered, but late", goal.late))?;
     }
     Ok(())
 }
@@ -157,7 +157,7 @@
     format!(
         "{} ({} recorded)",
         window.window,
-        span(window.covered_seconds)
+        duration_phrase(window.covered_seconds)
     )
 }
 
@@ -170,7 +170,7 @@
     }
 }
 
-fn span(seconds: u64) -> String {
+fn duration_phrase(seconds: u64) -> String {
     match seconds {
         0..60 => format!("{seconds}s"),
         60..3_600 => format!("{}m", seconds / 60),
--- a/fireflyctl/src/scrape.rs
+++ b/fireflyctl/src/scrape.rs
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 
 /// Counter of requests by brand, priority and result code.
-const REQUESTS: &str = "firefly_requests_total";
+const REQUESTS_COUNTER: &str = "firefly_requests_total";
 /// Counter of requests by brand, priority and whether they met the objective.
-const OBJECTIVE: &str = "firefly_objective_total";
+const OBJECTIVE_COUNTER: &str = "firefly_objective_total";
 
 /// Requests that are measured together: one brand's of one priority.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -64,20 +64,20 @@
 
     /// What came since `before`; a counter that fell began anew.
     #[must_use]
-    pub fn since(&self, before: &Self) -> Self {
+    pub fn growth_since(&self, before: &Self) -> Self {
         let code = |(code, count): (&u32, &u64)| {
             let old = before.by_code.get(code).copied().unwrap_or(0);
-            (*code, grown(*count, old))
+            (*code, counter_growth(*count, old))
         };
         Self {
-            met: grown(self.met, before.met),
-            missed: grown(self.missed, before.missed),
+            met: counter_growth(self.met, before.met),
+            missed: counter_growth(self.missed, before.missed),
             by_code: self.by_code.iter().map(code).collect(),
         }
     }
 }
 
-const fn grown(now: u64, before: u64) -> u64 {
+const fn counter_growth(now: u64, before: u64) -> u64 {
     if now < before { now } else { now - before }
 }
 
@@ -99,7 +99,7 @@
         priority,
     };
     match sample.name {
-        OBJECTIVE => {
+        OBJECTIVE_COUNTER => {
             let met = sample.labels.get("met")? == "true";
             let tally = tallies.entry(goal).or_default();
             let count = if met {
@@ -109,7 +109,7 @@
             };
             *count += sample.value;
         }
-        REQUESTS => {
+        REQUESTS_COUNTER => {
             let code = sample.labels.get("code")?.parse().ok()?;
             let tally = tallies.entry(goal).or_default();
             *tally.by_code.entry(code).or_default() += sample.value;
@@ -122,7 +122,7 @@
 /// Reads `name{label="value",…} value`, with a time behind it or not.
 fn parse_sample(line: &str) -> Option<Sample<'_>> {
     let (name, rest) = line.split_once('{')?;
-    if name != REQUESTS && name != OBJECTIVE {
+    if name != REQUESTS_COUNTER && name != OBJECTIVE_COUNTER {
         return None;
     }
     let (labels, rest) = parse_labels(rest)?;
@@ -143,14 +143,14 @@
             return Some((labels, rest));
         }
         let (name, value) = rest.split_once("=\"")?;
-        let (text, after) = parse_text(value)?;
+        let (text, after) = parse_label_value(value)?;
         labels.insert(name.trim(), text);
         rest = after;
     }
 }
 
 /// Reads text up to its closing quote, with its escapes.
-fn parse_text(text: &str) -> Option<(String, &str)> {
+fn parse_label_value(text: &str) -> Option<(String, &str)> {
     let mut value = String::new();
     let mut chars = text.char_indices();
     while let Some((at, c)) = chars.next() {
@@ -173,6 +173,8 @@
     reason = "checked to be in range"
 )]
 fn to_count(value: f64) -> Option<u64> {
-    const MOST: f64 = 9_007_199_254_740_992.0;
-    (0.0..=MOST).contains(&value).then_some(value as u64)
+    const MAX_EXACT_COUNT: f64 = 9_007_199_254_740_992.0;
+    (0.0..=MAX_EXACT_COUNT)
+        .contains(&value)
+        .then_some(value as u64)
 }
--- a/fireflyctl/src/show.rs
+++ b/fireflyctl/src/show.rs
@@ -15,8 +15,8 @@
     let base = publish::read_stored_config(store).await?;
     let doc = base.document()?;
     match section {
-        ConfigSection::Inventory => console.json(&doc.inventory),
-        ConfigSection::Rules => console.json(&doc.rules),
+        ConfigSection::Inventory => console.print_json(&doc.inventory),
+        ConfigSection::Rules => console.print_json(&doc.rules),
     }
 }
 
@@ -24,9 +24,9 @@
 pub(crate) async fn version(store: &impl Store, console: &mut Console<'_>) -> Result<()> {
     let base = publish::read_stored_config(store).await?;
     let Some(head) = base.head else {
-        return console.say("no configuration yet");
+        return console.print("no configuration yet");
     };
-    console.say(format!(
+    console.print(format!(
         "version={} digest={} parts={} at={} by={:?} token={}",
         head.version,
         head.digest,
--- a/fireflyctl/src/status.rs
+++ b/fireflyctl/src/status.rs
@@ -6,7 +6,7 @@
 use crate::table::Table;
 
 /// What stands for something that a node doesn't tell.
-const UNTOLD: &str = "-";
+const UNKNOWN: &str = "-";
 
 /// Prints the table; fails when a node didn't answer.
 pub(crate) async fn status(fleet: &Fleet, console: &mut Console<'_>) -> Result<()> {
@@ -27,13 +27,13 @@
     for ((node, answer), ready) in fleet.statuses().await.into_iter().zip(readiness) {
         match answer {
             Ok(status) => table.row(cells(node, &status, ready)),
-            Err(why) => {
-                table.row([node.as_str(), UNTOLD, UNTOLD, UNTOLD, &why]);
+            Err(error) => {
+                table.row([node.as_str(), UNKNOWN, UNKNOWN, UNKNOWN, &error]);
                 silent.push(node);
             }
         }
     }
-    console.say(table)?;
+    console.print(table)?;
     if silent.is_empty() {
         return Ok(());
     }
@@ -41,12 +41,12 @@
 }
 
 fn cells(node: String, status: &NodeStatus, ready: String) -> [String; 9] {
-    let told = |text: &str| if text.is_empty() { UNTOLD } else { text }.to_owned();
+    let or_unknown = |text: &str| if text.is_empty() { UNKNOWN } else { text }.to_owned();
     [
         node,
-        told(&status.name),
-        told(&status.role),
-        told(&status.data_centre),
+        or_unknown(&status.name),
+        or_unknown(&status.role),
+        or_unknown(&status.data_centre),
         ready,
         status.config_version.to_string(),
         status.streams.to_string(),
--- a/fireflyctl/src/table.rs
+++ b/fireflyctl/src/table.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 /// Space between two columns.
-const GAP: &str = "  ";
+const COLUMN_GAP: &str = "  ";
 
 /// A table with its headings.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
             if i > 0 {
                 writeln!(f)?;
             }
-            f.write_str(cells.join(GAP).trim_end())?;
+            f.write_str(cells.join(COLUMN_GAP).trim_end())?;
         }
         Ok(())
     }
--- a/fireflyctl/src/timeline.rs
+++ b/fireflyctl/src/timeline.rs
@@ -77,12 +77,12 @@
         return Err(anyhow::anyhow!("no line of these logs is about request {id}").into());
     };
     if json {
-        return console.json(&timeline);
+        return console.print_json(&timeline);
     }
     for line in &timeline.lines {
-        console.say(format_event(line))?;
+        console.print(format_event(line))?;
     }
-    console.say(format!("cause: {}", timeline.cause))
+    console.print(format!("cause: {}", timeline.cause))
 }
 
 fn read_text(file: &Path) -> Result<String> {
--- a/fireflyctl/src/vms.rs
+++ b/fireflyctl/src/vms.rs
@@ -13,13 +13,13 @@
         .map_err(|e| Failure::Unavailable(format!("the VM list: {e}")))?;
     let mut table = Table::new(&["name", "address", "data centre", "role", "state"]);
     for vm in vms {
-        let state = phrase(vm.state);
+        let state = state_name(vm.state);
         table.row([&*vm.name, &*vm.address, &*vm.data_centre, &*vm.role, state]);
     }
-    console.say(table)
+    console.print(table)
 }
 
-const fn phrase(state: VmState) -> &'static str {
+const fn state_name(state: VmState) -> &'static str {
     match state {
         VmState::Live => "live",
         VmState::Leaving => "leaving",
--- a/fireflyctl/src/wait.rs
+++ b/fireflyctl/src/wait.rs
@@ -25,7 +25,7 @@
     }
     for (node, answer) in &answers {
         let phrase = status_phrase(answer, head.version, head.digest);
-        console.say(format!("{node} {phrase}"))?;
+        console.print(format!("{node} {phrase}"))?;
     }
     let lagging = lagging_nodes(&answers, head);
     if lagging.is_empty() {
--- a/fireflyctl/tests/burn.rs
+++ b/fireflyctl/tests/burn.rs
@@ -105,8 +105,8 @@
             assert!(parse_metrics(text).is_empty(), "{text}");
         }
     };
-    growth_is_what_came_since => assert_eq!(tally(9, 5).since(&tally(4, 5)), tally(5, 0));
-    counter_that_fell_began_anew => assert_eq!(tally(3, 2).since(&tally(100, 1)), tally(3, 1));
+    growth_is_what_came_since => assert_eq!(tally(9, 5).growth_since(&tally(4, 5)), tally(5, 0));
+    counter_that_fell_began_anew => assert_eq!(tally(3, 2).growth_since(&tally(100, 1)), tally(3, 1));
     burn_is_missed_over_allowed => {
         assert_eq!(burn_rate(&tally(990, 10), &objective(990)), Some(1.0));
         assert_eq!(burn_rate(&tally(900, 100), &objective(990)), Some(10.0));
@@ -132,32 +132,32 @@
 cases! {
     nodes_are_summed_from_the_second_scrape_on => {
         let mut recorder = Recorder::default();
-        assert_eq!(recorder.take(1_000, [scrape("a", 100, 1), scrape("b", 50, 0)], 0), None);
-        let interval = recorder.take(2_000, [scrape("a", 110, 2), scrape("b", 55, 0)], 0);
+        assert_eq!(recorder.add_scrape(1_000, [scrape("a", 100, 1), scrape("b", 50, 0)], 0), None);
+        let interval = recorder.add_scrape(2_000, [scrape("a", 110, 2), scrape("b", 55, 0)], 0);
         assert_eq!(interval.as_ref().map(|i| (i.from_ms, i.to_ms, i.nodes)), Some((1_000, 2_000, 2)));
         assert_eq!(grown(interval), tally(15, 1));
     };
     silent_node_is_caught_up_with => {
         let mut recorder = Recorder::default();
-        recorder.take(1_000, [scrape("a", 100, 0), scrape("b", 10, 0)], 0);
-        let interval = recorder.take(2_000, [scrape("b", 11, 0)], 1);
+        recorder.add_scrape(1_000, [scrape("a", 100, 0), scrape("b", 10, 0)], 0);
+        let interval = recorder.add_scrape(2_000, [scrape("b", 11, 0)], 1);
         assert_eq!(interval.as_ref().map(|i| i.silent), Some(1));
         assert_eq!(grown(interval), tally(1, 0));
-        let interval = recorder.take(3_000, [scrape("a", 130, 0), scrape("b", 11, 0)], 0);
+        let interval = recorder.add_scrape(3_000, [scrape("a", 130, 0), scrape("b", 11, 0)], 0);
         assert_eq!(grown(interval), tally(30, 0));
     };
     new_node_counts_from_when_it_is_seen => {
         let mut recorder = Recorder::default();
-        recorder.take(1_000, [scrape("a", 1, 0)], 0);
-        let interval = recorder.take(2_000, [scrape("a", 1, 0), scrape("new", 500, 9)], 0);
+        recorder.add_scrape(1_000, [scrape("a", 1, 0)], 0);
+        let interval = recorder.add_scrape(2_000, [scrape("a", 1, 0), scrape("new", 500, 9)], 0);
         assert_eq!(grown(interval), tally(0, 0));
-        let interval = recorder.take(3_000, [scrape("a", 1, 0), scrape("new", 501, 9)], 0);
+        let interval = recorder.add_scrape(3_000, [scrape("a", 1, 0), scrape("new", 501, 9)], 0);
         assert_eq!(grown(interval), tally(1, 0));
     };
     restarted_node_counts_from_zero => {
         let mut recorder = Recorder::default();
-        recorder.take(1_000, [scrape("a", 100, 5)], 0);
-        assert_eq!(grown(recorder.take(2_000, [scrape("a", 7, 1)], 0)), tally(7, 1));
+        recorder.add_scrape(1_000, [scrape("a", 100, 5)], 0);
+        assert_eq!(grown(recorder.add_scrape(2_000, [scrape("a", 7, 1)], 0)), tally(7, 1));
     };
 }
 
