--- a/fireflyctl/tests/burn.rs
+++ b/fireflyctl/tests/burn.rs
@@ -8,7 +8,7 @@
     parse_metrics, report,
 };
 use serde_json::Value;
-use support::{Node, example, file, run};
+use support::{FakeNode, example_path, run, write_file};
 
 macro_rules! cases {
     ($($name:ident => $body:expr;)+) => {
@@ -53,17 +53,17 @@
     }
 }
 
-fn counter(name: &str, labels: &str, value: u64) -> String {
+fn counter_line(name: &str, labels: &str, value: u64) -> String {
     format!("firefly_{name}{{{labels}}} {value}\n")
 }
 
 fn metrics(met: u64, missed: u64, overloaded: u64) -> String {
     let goal = "brand=\"harbour\",priority=\"interactive\"";
     [
-        counter("objective_total", &format!("{goal},met=\"true\""), met),
-        counter("objective_total", &format!("{goal},met=\"false\""), missed),
-        counter("requests_total", &format!("{goal},code=\"3000\""), met),
-        counter(
+        counter_line("objective_total", &format!("{goal},met=\"true\""), met),
+        counter_line("objective_total", &format!("{goal},met=\"false\""), missed),
+        counter_line("requests_total", &format!("{goal},code=\"3000\""), met),
+        counter_line(
             "requests_total",
             &format!("{goal},code=\"2011\""),
             overloaded,
@@ -105,8 +105,8 @@
             assert!(parse_metrics(text).is_empty(), "{text}");
         }
     };
-    growth_is_what_came_since => assert_eq!(tally(9, 5).growth_since(&tally(4, 5)), tally(5, 0));
-    counter_that_fell_began_anew => assert_eq!(tally(3, 2).growth_since(&tally(100, 1)), tally(3, 1));
+    growth_is_the_difference => assert_eq!(tally(9, 5).growth_since(&tally(4, 5)), tally(5, 0));
+    counter_that_fell_was_reset => assert_eq!(tally(3, 2).growth_since(&tally(100, 1)), tally(3, 1));
     burn_is_missed_over_allowed => {
         assert_eq!(burn_rate(&tally(990, 10), &objective(990)), Some(1.0));
         assert_eq!(burn_rate(&tally(900, 100), &objective(990)), Some(10.0));
@@ -121,7 +121,7 @@
     (node.to_owned(), tallies)
 }
 
-fn grown(interval: Option<Interval>) -> Tally {
+fn total_growth(interval: Option<Interval>) -> Tally {
     let interval = interval.unwrap();
     interval
         .goals
@@ -135,29 +135,29 @@
         assert_eq!(recorder.add_scrape(1_000, [scrape("a", 100, 1), scrape("b", 50, 0)], 0), None);
         let interval = recorder.add_scrape(2_000, [scrape("a", 110, 2), scrape("b", 55, 0)], 0);
         assert_eq!(interval.as_ref().map(|i| (i.from_ms, i.to_ms, i.nodes)), Some((1_000, 2_000, 2)));
-        assert_eq!(grown(interval), tally(15, 1));
+        assert_eq!(total_growth(interval), tally(15, 1));
     };
     silent_node_is_caught_up_with => {
         let mut recorder = Recorder::default();
         recorder.add_scrape(1_000, [scrape("a", 100, 0), scrape("b", 10, 0)], 0);
         let interval = recorder.add_scrape(2_000, [scrape("b", 11, 0)], 1);
         assert_eq!(interval.as_ref().map(|i| i.silent), Some(1));
-        assert_eq!(grown(interval), tally(1, 0));
+        assert_eq!(total_growth(interval), tally(1, 0));
         let interval = recorder.add_scrape(3_000, [scrape("a", 130, 0), scrape("b", 11, 0)], 0);
-        assert_eq!(grown(interval), tally(30, 0));
+        assert_eq!(total_growth(interval), tally(30, 0));
     };
     new_node_counts_from_when_it_is_seen => {
         let mut recorder = Recorder::default();
         recorder.add_scrape(1_000, [scrape("a", 1, 0)], 0);
         let interval = recorder.add_scrape(2_000, [scrape("a", 1, 0), scrape("new", 500, 9)], 0);
-        assert_eq!(grown(interval), tally(0, 0));
+        assert_eq!(total_growth(interval), tally(0, 0));
         let interval = recorder.add_scrape(3_000, [scrape("a", 1, 0), scrape("new", 501, 9)], 0);
-        assert_eq!(grown(interval), tally(1, 0));
+        assert_eq!(total_growth(interval), tally(1, 0));
     };
     restarted_node_counts_from_zero => {
         let mut recorder = Recorder::default();
         recorder.add_scrape(1_000, [scrape("a", 100, 5)], 0);
-        assert_eq!(grown(recorder.add_scrape(2_000, [scrape("a", 7, 1)], 0)), tally(7, 1));
+        assert_eq!(total_growth(recorder.add_scrape(2_000, [scrape("a", 7, 1)], 0)), tally(7, 1));
     };
 }
 
@@ -224,7 +224,7 @@
         assert_eq!(report_of(&[(980, 20)], 990).budget_left, Some(-1.0));
         assert_eq!(report_of(&[(980, 20)], 1_000).budget_left, None);
     };
-    fast_burn_that_goes_on_is_a_page => {
+    continuing_fast_burn_is_a_page => {
         assert_eq!(report_of(&[(80, 20); 60], 990).alert, Alert::Page);
     };
     fast_burn_that_is_over_is_none => {
@@ -266,39 +266,44 @@
 
 #[tokio::test]
 async fn two_scrapes_make_a_report() {
-    let node = Node::start("entry-a", 1).await;
-    node.set(|a| a.metrics = vec![metrics(1_000, 0, 0), metrics(1_090, 10, 8)]);
-    let rules = example("rules.json");
+    let node = FakeNode::start("entry-a", 1).await;
+    node.update_answers(|a| a.metrics = vec![metrics(1_000, 0, 0), metrics(1_090, 10, 8)]);
+    let rules = example_path("rules.json");
     let args = [
         "report", "burn", "--nodes", &node.addr, "--rules", &rules, "--every", "1",
     ];
-    let ran = run(&args).await.exits(0);
-    let row = ran.out.lines().find(|l| l.starts_with("harbour")).unwrap();
+    let output = run(&args).await.exits(0);
+    let row = output
+        .out
+        .lines()
+        .find(|l| l.starts_with("harbour"))
+        .unwrap();
     let cells: Vec<&str> = row.split_whitespace().collect();
     assert_eq!(cells[..4], ["harbour", "interactive", "ok", "5m"]);
     assert_eq!(cells[cells.len() - 3..], ["100", "10", "20.00"]);
-    ran.says("-1900 % of the budget")
-        .says("8 × 2011 the upstreams are too loaded")
-        .says("2 × answered, but late");
+    output
+        .prints("-1900 % of the budget")
+        .prints("8 × 2011 the upstreams are too loaded")
+        .prints("2 × answered, but late");
 }
 
 #[tokio::test]
 async fn record_is_kept_and_reported_in_every_form() {
-    let node = Node::start("entry-a", 1).await;
-    node.set(|a| a.metrics = (0..6).map(|i| metrics(100 * i, i, i)).collect());
-    let path = file("burn-record.jsonl", "");
+    let node = FakeNode::start("entry-a", 1).await;
+    node.update_answers(|a| a.metrics = (0..6).map(|i| metrics(100 * i, i, i)).collect());
+    let path = write_file("burn-record.jsonl", "");
     let args = [
         "report", "record", "--nodes", &node.addr, "--record", &path, "--every", "1", "--length",
         "3",
     ];
     run(&args).await.exits(0);
-    let rules = example("rules.json");
-    let html = file("burn.html", "");
+    let rules = example_path("rules.json");
+    let html = write_file("burn.html", "");
     let args = [
         "report", "burn", "--record", &path, "--rules", &rules, "--json", "--html", &html,
     ];
-    let ran = run(&args).await.exits(0);
-    let json: Value = serde_json::from_str(&ran.out).unwrap();
+    let output = run(&args).await.exits(0);
+    let json: Value = serde_json::from_str(&output.out).unwrap();
     assert_eq!(json["goals"][0]["brand"], "harbour");
     let window = &json["goals"][0]["windows"][0];
     assert!(window["requests"].as_u64().unwrap() >= 101, "{window}");
@@ -308,22 +313,22 @@
 }
 
 #[tokio::test]
-async fn cut_off_line_is_left_out_and_a_broken_one_is_told() {
+async fn cut_off_line_is_left_out_and_an_invalid_one_is_reported() {
     let line = serde_json::to_string(&record(&[(9, 1)])[0]).unwrap();
-    let rules = example("rules.json");
-    let cut = file("burn-cut.jsonl", &format!("{line}\n{}", &line[..20]));
+    let rules = example_path("rules.json");
+    let cut = write_file("burn-cut.jsonl", &format!("{line}\n{}", &line[..20]));
     let args = ["report", "burn", "--record", &cut, "--rules", &rules];
-    run(&args).await.exits(0).says("harbour");
-    let broken = file("burn-broken.jsonl", &format!("{line}\n{{\n{line}\n"));
+    run(&args).await.exits(0).prints("harbour");
+    let broken = write_file("burn-broken.jsonl", &format!("{line}\n{{\n{line}\n"));
     let args = ["report", "burn", "--record", &broken, "--rules", &rules];
     run(&args).await.exits(1).warns("burn-broken.jsonl:2");
 }
 
 #[tokio::test]
 async fn objectives_must_come_from_somewhere() {
-    let record = file("burn-no-rules.jsonl", "");
-    let ran = run(&["report", "burn", "--record", &record]).await;
-    ran.exits(64).warns("--platform URL or --rules FILE");
+    let record = write_file("burn-no-rules.jsonl", "");
+    let output = run(&["report", "burn", "--record", &record]).await;
+    output.exits(64).warns("--platform URL or --rules FILE");
 }
 
 #[tokio::test]
@@ -331,8 +336,11 @@
     let mut record = record(&[(9, 1)]);
     record[0].goals[0].goal.brand = "<b>&\"".to_owned();
     let line = serde_json::to_string(&record[0]).unwrap();
-    let path = file("burn-escape.jsonl", &format!("{line}\n"));
-    let (rules, html) = (example("rules.json"), file("burn-escape.html", ""));
+    let path = write_file("burn-escape.jsonl", &format!("{line}\n"));
+    let (rules, html) = (
+        example_path("rules.json"),
+        write_file("burn-escape.html", ""),
+    );
     let args = [
         "report", "burn", "--record", &path, "--rules", &rules, "--html", &html,
     ];
--- a/fireflyctl/tests/check.rs
+++ b/fireflyctl/tests/check.rs
@@ -117,8 +117,8 @@
     let text = INVENTORY.replace("\"harbour-archive\"", "\"harbour-attic\"");
     let faults = check(ConfigSection::Inventory, &text, &doc).unwrap_err();
     let lines: Vec<String> = faults.iter().map(line).collect();
-    let wanted = "- quotas[0].workspace: no such workspace: \"harbour-archive\"";
-    assert_eq!(lines, [wanted]);
+    let expected = "- quotas[0].workspace: no such workspace: \"harbour-archive\"";
+    assert_eq!(lines, [expected]);
 }
 
 #[test]
--- a/fireflyctl/tests/cli.rs
+++ b/fireflyctl/tests/cli.rs
@@ -6,27 +6,27 @@
 use fireflyctl::{command, env_name};
 use fireflyd::keyring::KeyRing;
 use serde_json::{Value, json};
-use support::{Node, platform, run};
+use support::{FakeNode, platform, run};
 
-fn visit(command: &Command, check: &mut impl FnMut(&str, &clap::Arg)) {
+fn visit_args(command: &Command, check: &mut impl FnMut(&str, &clap::Arg)) {
     for arg in command.get_arguments() {
         if !matches!(arg.get_id().as_str(), "help" | "version") {
             check(command.get_name(), arg);
         }
     }
     for sub in command.get_subcommands() {
-        visit(sub, check);
+        visit_args(sub, check);
     }
 }
 
 #[test]
-fn command_is_sound() {
+fn command_definition_is_valid() {
     command().debug_assert();
 }
 
 #[test]
 fn every_flag_has_its_variable() {
-    visit(&command(), &mut |command, arg| {
+    visit_args(&command(), &mut |command, arg| {
         let id = arg.get_id().as_str();
         let env = arg.get_env().map(|env| env.to_string_lossy().into_owned());
         assert_eq!(env, Some(env_name(id)), "{command} {id}");
@@ -61,15 +61,15 @@
     run(&["--help"])
         .await
         .exits(0)
-        .says("65 faults in the file (1002)");
+        .prints("65 faults in the file (1002)");
 }
 
 #[tokio::test]
 async fn key_digest_is_that_of_the_example() {
     let digest = "080652879f31e27fad18391920a181bb8ed14606d0edb965212a8fc44eb3df82";
-    let ran = run(&["key", "digest", "demo-key-1"]).await.exits(0);
-    assert_eq!(ran.out, format!("{digest}\n"));
-    let inventory = std::fs::read_to_string(support::example("inventory.json")).unwrap();
+    let output = run(&["key", "digest", "demo-key-1"]).await.exits(0);
+    assert_eq!(output.out, format!("{digest}\n"));
+    let inventory = std::fs::read_to_string(support::example_path("inventory.json")).unwrap();
     assert!(inventory.contains(digest));
 }
 
@@ -106,12 +106,12 @@
 #[tokio::test]
 async fn status_is_a_table() {
     let (a, b) = (
-        Node::start("entry-a", 7).await,
-        Node::start("entry-b", 6).await,
+        FakeNode::start("entry-a", 7).await,
+        FakeNode::start("entry-b", 6).await,
     );
     let nodes = format!("{},{}", a.addr, b.addr);
-    let ran = run(&["status", "--nodes", &nodes]).await.exits(0);
-    let rows: Vec<Vec<&str>> = ran
+    let output = run(&["status", "--nodes", &nodes]).await.exits(0);
+    let rows: Vec<Vec<&str>> = output
         .out
         .lines()
         .map(|l| l.split_whitespace().collect())
@@ -130,39 +130,40 @@
 #[tokio::test]
 async fn status_shows_the_others_when_a_node_is_silent() {
     let (node, gone) = (
-        Node::start("entry-a", 7).await,
-        Node::start("gone", 1).await,
+        FakeNode::start("entry-a", 7).await,
+        FakeNode::start("gone", 1).await,
     );
     let nodes = format!("{},{}", node.addr, gone.addr);
     let silent = gone.addr.clone();
     drop(gone);
-    let ran = run(&["status", "--nodes", &nodes]).await;
-    ran.exits(69)
-        .says("entry-a")
+    let output = run(&["status", "--nodes", &nodes]).await;
+    output
+        .exits(69)
+        .prints("entry-a")
         .warns(&format!("no answer from {silent}"));
 }
 
 #[tokio::test]
 async fn drain_waits_until_the_node_holds_no_work() {
-    let node = Node::start("entry-a", 7).await;
-    let ran = run(&["drain", "--node", &node.addr, "--wait", "30"]).await;
-    ran.exits(0).says("drains").says("holds no work");
-    assert!(node.drained());
+    let node = FakeNode::start("entry-a", 7).await;
+    let output = run(&["drain", "--node", &node.addr, "--wait", "30"]).await;
+    output.exits(0).prints("drains").prints("holds no work");
+    assert!(node.was_drained());
 }
 
 #[tokio::test]
 async fn drain_of_a_node_that_keeps_its_streams() {
-    let node = Node::start("entry-a", 7).await;
-    let ran = run(&["drain", "--node", &node.addr]).await;
-    ran.exits(0).says("drains");
-    node.set(|a| a.status["streams"] = 1.into());
+    let node = FakeNode::start("entry-a", 7).await;
+    let output = run(&["drain", "--node", &node.addr]).await;
+    output.exits(0).prints("drains");
+    node.update_answers(|a| a.status["streams"] = 1.into());
     let looks = run(&["status", "--nodes", &node.addr]).await;
-    looks.exits(0).says("yes");
+    looks.exits(0).prints("yes");
 }
 
 #[tokio::test]
 async fn drain_of_a_silent_node_fails() {
-    let node = Node::start("gone", 7).await;
+    let node = FakeNode::start("gone", 7).await;
     let addr = node.addr.clone();
     drop(node);
     run(&["drain", "--node", &addr])
@@ -185,25 +186,31 @@
         .send()
         .await
         .unwrap();
-    let ran = run(&["vms", "--platform", &platform.url()]).await.exits(0);
-    let row: Vec<&str> = ran.out.lines().nth(1).unwrap().split_whitespace().collect();
+    let output = run(&["vms", "--platform", &platform.url()]).await.exits(0);
+    let row: Vec<&str> = output
+        .out
+        .lines()
+        .nth(1)
+        .unwrap()
+        .split_whitespace()
+        .collect();
     assert_eq!(row, ["vm-1", "10.0.0.1:7000", "dc-1", "entry", "leaving"]);
 }
 
 const REQUEST: &str = "0123456789abcdef0123456789abcdef";
 
-async fn two_nodes_with_events() -> (Node, Node, String) {
+async fn two_nodes_with_events() -> (FakeNode, FakeNode, String) {
     let (a, b) = (
-        Node::start("entry-a", 1).await,
-        Node::start("agent-b", 1).await,
+        FakeNode::start("entry-a", 1).await,
+        FakeNode::start("agent-b", 1).await,
     );
-    a.set(|n| {
+    a.update_answers(|n| {
         n.events = json!([
             {"at_ms": 1_000, "node": "entry-a", "event": "submitted", "peer": null},
             {"at_ms": 1_030, "node": "entry-a", "event": "finished", "code": 3000},
         ]);
     });
-    b.set(|n| {
+    b.update_answers(|n| {
         n.events = json!([{"at_ms": 1_010, "node": "agent-b", "event": "accepted", "count": 2}]);
     });
     let nodes = format!("{},{}", a.addr, b.addr);
@@ -213,27 +220,27 @@
 #[tokio::test]
 async fn explain_merges_the_nodes_by_time() {
     let (_a, _b, nodes) = two_nodes_with_events().await;
-    let ran = run(&["explain", REQUEST, "--nodes", &nodes]).await.exits(0);
-    let wanted = "+0 ms  entry-a  submitted\n\
+    let output = run(&["explain", REQUEST, "--nodes", &nodes]).await.exits(0);
+    let expected = "+0 ms  entry-a  submitted\n\
                   +10 ms  agent-b  accepted  count=2\n\
                   +30 ms  entry-a  finished  code=3000\n";
-    assert_eq!(ran.out, wanted);
+    assert_eq!(output.out, expected);
 }
 
 #[tokio::test]
 async fn explain_prints_json() {
     let (_a, _b, nodes) = two_nodes_with_events().await;
-    let ran = run(&["explain", REQUEST, "--nodes", &nodes, "--json"])
+    let output = run(&["explain", REQUEST, "--nodes", &nodes, "--json"])
         .await
         .exits(0);
-    let events: Value = serde_json::from_str(&ran.out).unwrap();
+    let events: Value = serde_json::from_str(&output.out).unwrap();
     assert_eq!(events[1]["event"], "accepted");
     assert_eq!(events.as_array().unwrap().len(), 3);
 }
 
 #[tokio::test]
-async fn request_that_no_node_knows_is_told() {
-    let node = Node::start("entry-a", 1).await;
-    let ran = run(&["explain", REQUEST, "--nodes", &node.addr]).await;
-    ran.exits(1).warns("no node knows of request");
+async fn request_that_no_node_knows_is_reported() {
+    let node = FakeNode::start("entry-a", 1).await;
+    let output = run(&["explain", REQUEST, "--nodes", &node.addr]).await;
+    output.exits(1).warns("no node knows of request");
 }
--- a/fireflyctl/tests/publish.rs
+++ b/fireflyctl/tests/publish.rs
@@ -497,9 +497,10 @@
 
     fn check_invariants(sut: &Self, state: &Oracle) {
         let found = sut.store.head().map(|head| (head.version, head.token));
-        let wanted = state.head(0);
-        let wanted = wanted.map(|(_, id, version)| (version, Name::from(format!("attempt-{id}"))));
-        assert_eq!(found, wanted);
+        let expected = state.head(0);
+        let expected =
+            expected.map(|(_, id, version)| (version, Name::from(format!("attempt-{id}"))));
+        assert_eq!(found, expected);
         assert_eq!(sut.nodes, state.nodes);
         // An accepted write of one who asked the nodes is above what they have.
         if state.last_accepted == Some(true) {
@@ -592,7 +593,7 @@
 }
 
 #[test]
-fn replaced_write_is_told_from_a_lost_one() {
+fn replaced_write_is_distinguished_from_a_lost_one() {
     let store = FakeStore::with_deliveries(&[Delivery::AnswerLost]);
     let from = block_on(read_stored_config(&store)).unwrap();
     let own = head_over(&from, 1, 1, "own");
@@ -641,7 +642,7 @@
 }
 
 #[test]
-fn parts_that_vanished_are_written_again() {
+fn missing_parts_are_written_again() {
     let store = FakeStore::new();
     let snapshot = split(&document(1)).unwrap();
     block_on(put_parts(&store, &snapshot, None)).unwrap();
--- a/fireflyctl/tests/support/mod.rs
+++ b/fireflyctl/tests/support/mod.rs
@@ -16,13 +16,13 @@
 
 /// What a run of the tool gave.
 #[derive(Debug)]
-pub(crate) struct Ran {
+pub(crate) struct RunOutput {
     pub(crate) exit: u8,
     pub(crate) out: String,
     pub(crate) err: String,
 }
 
-impl Ran {
+impl RunOutput {
     /// Checks the exit status and gives the output.
     pub(crate) fn exits(self, exit: u8) -> Self {
         assert_eq!(self.exit, exit, "{}\n{}", self.out, self.err);
@@ -30,7 +30,7 @@
     }
 
     /// Checks that the output holds `text`.
-    pub(crate) fn says(self, text: &str) -> Self {
+    pub(crate) fn prints(self, text: &str) -> Self {
         assert!(
             self.out.contains(text),
             "no {text:?} in {}\n{}",
@@ -53,7 +53,7 @@
 }
 
 /// Runs the tool with these arguments.
-pub(crate) async fn run(args: &[&str]) -> Ran {
+pub(crate) async fn run(args: &[&str]) -> RunOutput {
     let mut full = vec!["fireflyctl".to_owned()];
     full.extend(args.iter().map(|arg| (*arg).to_owned()));
     let run = move || {
@@ -63,7 +63,7 @@
             err: &mut err,
         };
         let exit = fireflyctl::run(full, &mut console);
-        Ran {
+        RunOutput {
             exit,
             out: String::from_utf8(out).unwrap(),
             err: String::from_utf8(err).unwrap(),
@@ -73,13 +73,13 @@
 }
 
 /// A file of the examples.
-pub(crate) fn example(name: &str) -> String {
+pub(crate) fn example_path(name: &str) -> String {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     root.join("../examples").join(name).display().to_string()
 }
 
 /// A file with this text, under a name that no other test has.
-pub(crate) fn file(name: &str, text: &str) -> String {
+pub(crate) fn write_file(name: &str, text: &str) -> String {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = dir.join(name);
     std::fs::write(&path, text).unwrap();
@@ -93,7 +93,7 @@
 
 /// A platform with these settings.
 pub(crate) async fn platform_with(cfg: &Config) -> Running {
-    platform::serve(cfg, listener().await).unwrap()
+    platform::serve(cfg, bind_listener().await).unwrap()
 }
 
 /// Switches faults of a platform.
@@ -104,12 +104,12 @@
 }
 
 /// Reads an object of a platform as JSON.
-pub(crate) async fn object(platform: &Running, path: &str) -> Value {
+pub(crate) async fn read_object(platform: &Running, path: &str) -> Value {
     let url = format!("{}/v1/objects/{path}", platform.url());
     reqwest::get(url).await.unwrap().json().await.unwrap()
 }
 
-async fn listener() -> TcpListener {
+async fn bind_listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").await.unwrap()
 }
 
@@ -127,13 +127,13 @@
 }
 
 /// A node that answers as told, until it is dropped.
-pub(crate) struct Node {
+pub(crate) struct FakeNode {
     pub(crate) addr: String,
     answers: Arc<Mutex<Answers>>,
     server: JoinHandle<()>,
 }
 
-impl Node {
+impl FakeNode {
     /// A node with that version in force.
     pub(crate) async fn start(name: &str, version: u64) -> Self {
         let answers = Answers {
@@ -150,7 +150,7 @@
             ..Answers::default()
         };
         let answers = Arc::new(Mutex::new(answers));
-        let listener = listener().await;
+        let listener = bind_listener().await;
         let addr = listener.local_addr().unwrap().to_string();
         let acceptor = TcpAcceptor::from_tokio(listener).unwrap();
         let routes = Route::new()
@@ -172,26 +172,26 @@
     }
 
     /// Changes what the node answers.
-    pub(crate) fn set(&self, change: impl FnOnce(&mut Answers)) {
+    pub(crate) fn update_answers(&self, change: impl FnOnce(&mut Answers)) {
         change(&mut self.answers.lock().unwrap());
     }
 
     /// Whether the node was told to drain.
-    pub(crate) fn drained(&self) -> bool {
+    pub(crate) fn was_drained(&self) -> bool {
         self.answers.lock().unwrap().drained
     }
 }
 
-impl Drop for Node {
+impl Drop for FakeNode {
     fn drop(&mut self) {
         self.server.abort();
     }
 }
 
-type Shared = Arc<Mutex<Answers>>;
+type SharedAnswers = Arc<Mutex<Answers>>;
 
 #[handler]
-fn status(Data(answers): Data<&Shared>) -> Json<Value> {
+fn status(Data(answers): Data<&SharedAnswers>) -> Json<Value> {
     let mut answers = answers.lock().unwrap();
     if answers.statuses.is_empty() {
         return Json(answers.status.clone());
@@ -205,7 +205,7 @@
 }
 
 #[handler]
-fn config(Data(answers): Data<&Shared>) -> Response {
+fn config(Data(answers): Data<&SharedAnswers>) -> Response {
     match answers.lock().unwrap().config.clone() {
         Some(config) => Json(config).into_response(),
         None => poem::http::StatusCode::NOT_FOUND.into_response(),
@@ -213,12 +213,12 @@
 }
 
 #[handler]
-fn explain(Path(_): Path<String>, Data(answers): Data<&Shared>) -> Json<Value> {
+fn explain(Path(_): Path<String>, Data(answers): Data<&SharedAnswers>) -> Json<Value> {
     Json(answers.lock().unwrap().events.clone())
 }
 
 #[handler]
-fn metrics(Data(answers): Data<&Shared>) -> String {
+fn metrics(Data(answers): Data<&SharedAnswers>) -> String {
     let metrics = &mut answers.lock().unwrap().metrics;
     match metrics.len() {
         0 => String::new(),
@@ -228,7 +228,7 @@
 }
 
 #[handler]
-fn drain(Data(answers): Data<&Shared>) -> Response {
+fn drain(Data(answers): Data<&SharedAnswers>) -> Response {
     let mut answers = answers.lock().unwrap();
     answers.drained = true;
     answers.status["leaving"] = true.into();
