--- a/fireflyctl/src/explain.rs
+++ b/fireflyctl/src/explain.rs
@@ -1,7 +1,7 @@
-//! `explain`: what happened to one request, from every node that knows of it.
+//! `explain`: what happened to a request, from the journals of the nodes.
 //!
-//! Each node keeps notes of late with its own clock, so that the order of
-//! notes of different nodes is only as good as their clocks.
+//! Each node keeps recent events with the time of its own clock, so that the order
+//! of events of different nodes is only as exact as their clocks.
 
 use crate::console::Console;
 use crate::failure::{Failure, Result};
@@ -9,22 +9,22 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// One note of a node.
+/// Event in a node's journal.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct JournalEvent {
-    /// When, in milliseconds since 1970, by the node's clock.
+    /// Time by the node's clock, in milliseconds since 1970.
     at_ms: u64,
-    /// The node.
+    /// Name of the node.
     #[serde(default)]
     node: String,
-    /// What happened.
+    /// Event name.
     event: String,
-    /// What goes with it.
+    /// Other fields of the event.
     #[serde(flatten)]
     fields: Map<String, Value>,
 }
 
-/// Prints the notes of all nodes in order of time.
+/// Prints the events of all nodes in order of time.
 pub(crate) async fn explain(
     fleet: &Fleet,
     id: &str,
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-/// What goes with an event, as `key=value`.
+/// Formats the fields of an event as `key=value`.
 struct Fields<'a>(&'a Map<String, Value>);
 
 impl std::fmt::Display for Fields<'_> {
--- a/fireflyctl/src/log_line.rs
+++ b/fireflyctl/src/log_line.rs
@@ -1,22 +1,22 @@
-//! Lines of key=value pairs, as the processes write them.
+//! Parser of the processes' log lines, which hold `key=value` pairs.
 
-/// One line of a process's log.
+/// Line of a process's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// Process that wrote it.
+    /// Process that wrote the line.
     pub process: String,
-    /// When, as written: UTC with milliseconds, so that it sorts as text.
+    /// Time as written: UTC with milliseconds, so that it sorts as text.
     pub time: String,
-    /// What happened.
+    /// Event name.
     pub event: String,
-    /// Request that it is about.
+    /// Id of the request.
     pub req: Option<String>,
-    /// All other pairs, in order.
+    /// Other pairs, in order.
     pub pairs: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// Value of a pair.
+    /// Returns the value of a key.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<&str> {
         let found = self.pairs.iter().find(|(k, _)| k == key);
@@ -24,10 +24,10 @@
     }
 }
 
-/// Reads a line of the process `process`; `None` when it holds no event.
+/// Parses a log line of `process`; returns `None` when it holds no event.
 ///
-/// What stands before the first pair is taken for a collector's prefix; its last word names the
-/// process then.
+/// Text before the time is taken for a log collector's prefix, whose last word then names the
+/// process.
 #[must_use]
 pub fn parse_line(process: &str, text: &str) -> Option<LogLine> {
     let at = text.find("time=")?;
@@ -62,7 +62,7 @@
     pairs
 }
 
-/// A value and what follows it; quotes and escapes are taken off.
+/// Splits off a value, without its quotes and escapes; returns it with the rest.
 fn parse_value(text: &str) -> (String, &str) {
     let Some(quoted) = text.strip_prefix('"') else {
         let end = text.find(' ').unwrap_or(text.len());
--- a/fireflyctl/src/timeline.rs
+++ b/fireflyctl/src/timeline.rs
@@ -1,8 +1,8 @@
-//! `explain --logs`: what happened to one request, from the logs of the processes.
+//! `explain --logs`: timeline of a request, from the logs of the processes.
 //!
-//! The lines of the request are put in order of time. Beside them stand lines
-//! about the upstreams that it met and about the store, shortly before and
-//! after. At the end one sentence says what decided the outcome.
+//! The log lines of the request are sorted by time, together with events of its
+//! upstreams and of the store shortly before and after. A final sentence names
+//! the cause of the outcome.
 
 use crate::console::Console;
 use crate::failure::{Failure, Result};
@@ -13,10 +13,10 @@
 use std::io::Read as _;
 use std::path::{Path, PathBuf};
 
-/// Lines about the fleet that are shown before the first and after the last line of the request.
+/// Maximum number of fleet events shown before the first and after the last line of the request.
 const CONTEXT_LINES: usize = 12;
 
-/// Events about the fleet that may explain what became of a request.
+/// Fleet events that may explain the outcome of a request.
 const FLEET_EVENTS: [&str; 11] = [
     "upstream_leaves",
     "upstream_removed",
@@ -31,36 +31,36 @@
     "started",
 ];
 
-/// Longest pause between events that callers of streams bear without a thought, in milliseconds.
+/// Longest pause between a stream's events that isn't reported as late, in milliseconds.
 const MAX_SMOOTH_PAUSE_MS: u64 = 180;
 
-/// A request's lines, and what decided its outcome.
+/// Timeline of a request, with the cause of its outcome.
 #[derive(Clone, Debug, Serialize)]
 pub struct Timeline {
-    /// The request.
+    /// Id of the request.
     pub request: String,
-    /// Its lines and those about the fleet, in order.
+    /// Events of the request and of the fleet, in order of time.
     pub lines: Vec<TimelineEvent>,
-    /// What decided the outcome.
+    /// Cause of the outcome.
     pub cause: String,
 }
 
-/// One line of a story.
+/// Event in a timeline.
 #[derive(Clone, Debug, Serialize)]
 pub struct TimelineEvent {
-    /// When, as written.
+    /// Time as written in the log.
     pub time: String,
-    /// Process that wrote it.
+    /// Process that logged the event.
     pub process: String,
-    /// What happened.
+    /// Event name.
     pub event: String,
-    /// Whether it is about the request itself.
+    /// Whether the event is about the request itself.
     pub own: bool,
-    /// What goes with it.
+    /// Other keys and values.
     pub pairs: BTreeMap<String, String>,
 }
 
-/// Prints the story of a request; `-` among the files is standard input.
+/// Prints the timeline of a request; `-` among the files is standard input.
 pub(crate) fn explain_logs(
     files: &[PathBuf],
     id: &str,
@@ -112,7 +112,7 @@
     text
 }
 
-/// The story of request `id`, if any line is about it.
+/// Builds the timeline of request `id`; returns `None` without a line about it.
 #[must_use]
 pub fn build_timeline(mut lines: Vec<LogLine>, id: &str) -> Option<Timeline> {
     lines.sort_by(|a, b| a.time.cmp(&b.time));
@@ -159,14 +159,14 @@
     }
 }
 
-/// Upstreams that a line names.
+/// Returns the upstreams named in a line.
 fn upstreams_named(line: &LogLine) -> impl Iterator<Item = &str> {
     ["instance", "from", "to"]
         .into_iter()
         .filter_map(|key| line.get(key))
 }
 
-/// What decided the outcome, from the request's last line backwards.
+/// Describes the cause of the outcome, looking backwards from the request's last line.
 fn cause_of(own: &[&LogLine], all: &[LogLine]) -> String {
     let last_of = |event: &str| own.iter().rev().find(|l| l.event == event);
     if let Some(line) = last_of("refused") {
@@ -177,7 +177,7 @@
     }
     if let Some(line) = last_of("no_room") {
         let memory = line.get("memory").unwrap_or("?");
-        return format!("refused as not run: the best engine's memory was spoken for to {memory}");
+        return format!("refused as not run: the best engine's memory was reserved to {memory}");
     }
     let answered = last_of("answered");
     if let Some(line) = answered.filter(|l| l.get("code") != Some("3000")) {
@@ -186,7 +186,7 @@
             let instance = t.get("instance").unwrap_or("?");
             let outcome = t.get("outcome").unwrap_or("?");
             format!(
-                "; last try at {instance}: {outcome}, {}",
+                "; last attempt at {instance}: {outcome}, {}",
                 t.get("why").unwrap_or("")
             )
         });
@@ -216,7 +216,7 @@
     )
 }
 
-/// Why a stream was cut: the upstream's end, and why it didn't go on elsewhere.
+/// Describes why a stream was cut: how its upstream ended, and why it wasn't resumed elsewhere.
 fn cut_cause(line: &LogLine, own: &[&LogLine], all: &[LogLine]) -> String {
     let instance = line.get("instance").unwrap_or("?");
     let has_event = |event: &str| {
@@ -224,7 +224,7 @@
         of_event.any(|l| l.get("instance") == Some(instance))
     };
     let end = if has_event("upstream_leaves") {
-        "which had announced that it leaves"
+        "which had announced its departure"
     } else if has_event("upstream_crashed") || has_event("upstream_removed") {
         "which crashed"
     } else {
@@ -233,15 +233,18 @@
     let has = |event: &str| own.iter().any(|l| l.event == event);
     let refused = own.iter().rev().find(|l| l.event == "go_on_refused");
     let next = if has("budget_spent") {
-        "the budget of repeats was spent".to_owned()
+        "the retry budget was exhausted".to_owned()
     } else if let Some(refused) = refused {
         let at = refused.get("instance").unwrap_or("?");
         format!(
-            "its copy at {at} was of no use: {}",
+            "its memory backup at {at} could not be used: {}",
             refused.get("why").unwrap_or("?")
         )
     } else if let Some(moved) = own.iter().rev().find(|l| l.event == "run_moved") {
-        format!("it was not moved: {}", moved.get("outcome").unwrap_or("?"))
+        format!(
+            "it was not migrated: {}",
+            moved.get("outcome").unwrap_or("?")
+        )
     } else {
         "there was no copy of its memory".to_owned()
     };
@@ -255,12 +258,12 @@
     let pause = number("longest_pause_ms").unwrap_or(0);
     let breaks = number("breaks").unwrap_or(0);
     let moved = if breaks > 0 {
-        format!(", after going on elsewhere {breaks} times")
+        format!(", after resuming elsewhere {breaks} times")
     } else {
         String::new()
     };
     if pause > MAX_SMOOTH_PAUSE_MS {
-        return format!("served whole, late by a pause of {pause} ms{moved}");
+        return format!("served in full, late by a pause of {pause} ms{moved}");
     }
-    format!("served whole, first event after {first} ms{moved}")
+    format!("served in full, first event after {first} ms{moved}")
 }
