--- a/fireflyctl/src/apply.rs
+++ b/fireflyctl/src/apply.rs
@@ -1,5 +1,4 @@
-//! `inventory`, `rules` and `config restore`: `plan` shows what would change,
-//! `apply` changes it.
+//! `plan` and `apply` of `inventory` and `rules`, and `config restore`.
 
 use crate::baseline::Baseline;
 use crate::check::{ConfigSection, check};
@@ -16,35 +15,36 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Where the content of a change comes from.
+/// Source of the content of a change.
 #[derive(Clone, Debug)]
 pub(crate) enum Source {
-    /// A file, for one half.
+    /// A file with one section.
     File(ConfigSection, PathBuf),
-    /// What the nodes have in force, for a platform that went back.
+    /// Active configuration of the nodes, for a platform that went back to an
+    /// older state.
     Nodes,
 }
 
-/// What is to be put in force.
+/// Requested change of the configuration.
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
-    /// Where the content comes from.
+    /// Source of the content.
     pub(crate) source: Source,
-    /// Whether only to show the difference.
+    /// Whether to show the difference only.
     pub(crate) dry_run: bool,
-    /// Whether the difference is shown as JSON.
+    /// Whether to show the difference as JSON.
     pub(crate) json: bool,
-    /// Version that the operator planned on.
+    /// Version that the change was planned on.
     pub(crate) expect: Option<u64>,
-    /// Whether to build on the platform's state though nodes are ahead of it.
+    /// Whether to build on the platform's state even if nodes are ahead of it.
     pub(crate) from_platform: bool,
-    /// Who changes it.
+    /// Author of the change.
     pub(crate) author: Name,
-    /// How long to wait until the nodes have it in force.
+    /// Time to wait until the change is active on the nodes.
     pub(crate) wait: Option<Duration>,
 }
 
-/// Shows and, unless it is a dry run, makes the change.
+/// Shows the change and, unless it is a dry run, publishes it.
 pub(crate) async fn change(
     change: &Change,
     store: &impl Store,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Publishes the document, unless it is in force already.
+/// Publishes the document unless it is accepted already; returns its head.
 async fn publish_if_needed(
     change: &Change,
     store: &impl Store,
@@ -112,11 +112,11 @@
         return console.warn(format!("version {version} holds this already"));
     }
     console.warn(format!(
-        "planned on version {version}; apply with --expect {version} to be told of other changes"
+        "planned on version {version}; apply with --expect {version} to detect changes made since"
     ))
 }
 
-/// Fails when another version is in force than the operator planned on.
+/// Fails when the current version isn't the one that the change was planned on.
 async fn check_expected_version(
     change: &Change,
     store: &impl Store,
@@ -178,7 +178,7 @@
             mine: diff.clone(),
             theirs: diff_if_known(base.doc.as_ref(), now.doc.as_ref()),
         }))),
-        PublishOutcome::NoEffect(e) => Err(Failure::Unavailable(format!("the head: {e}"))),
+        PublishOutcome::NoEffect(e) => Err(Failure::Unavailable(format!("writing the head: {e}"))),
         PublishOutcome::Unknown => Err(Failure::OutcomeUnknown(format!(
             "look for token {} in `fireflyctl config version`",
             head.token
@@ -193,7 +193,7 @@
 fn author_or_unknown(head: Option<&Head>) -> String {
     let author = head.map_or("", |h| &*h.by);
     if author.is_empty() {
-        "somebody"
+        "an unknown operator"
     } else {
         author
     }
--- a/fireflyctl/src/baseline.rs
+++ b/fireflyctl/src/baseline.rs
@@ -1,9 +1,9 @@
-//! What a change is laid on: the platform's document, or that of a node when
-//! the platform went back.
+//! Baseline of a change: the platform's document, or a node's if the platform
+//! went back to an older state.
 //!
 //! Nodes never go back, so a platform that was restored to an older state
-//! holds a lower version than they have in force. What was accepted meanwhile
-//! must not be undone by the next change, so it is taken from a node.
+//! holds a lower version than their active one. The baseline is then taken from
+//! a node, so that the next change doesn't undo what was accepted meanwhile.
 
 use crate::console::Console;
 use crate::failure::{Failure, Result};
@@ -12,22 +12,22 @@
 use crate::store::Store;
 use fireflycroft::Document;
 
-/// What a change is laid on.
+/// Configuration that a change is based on.
 #[derive(Clone, Debug)]
 pub(crate) struct Baseline {
-    /// What the platform holds, whose head the change replaces.
+    /// Configuration on the platform, whose head the change replaces.
     pub(crate) base: StoredConfig,
-    /// What is in force.
+    /// Active document.
     pub(crate) doc: Document,
-    /// Version that is above the platform's and all nodes'.
+    /// Version above the platform's and those of all nodes.
     pub(crate) next_version: u64,
-    /// Whether the platform's head must be written even when nothing
-    /// changes, since nodes have something else in force.
+    /// Whether to write the platform's head even without a change, as nodes
+    /// have other content active.
     pub(crate) needs_write: bool,
 }
 
 impl Baseline {
-    /// Looks at the platform and the nodes.
+    /// Determines the baseline from the platform and the nodes.
     pub(crate) async fn find(
         store: &impl Store,
         fleet: &Fleet,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Nodes that answer, with their status.
+/// Responding nodes, with their status.
 type Nodes = Vec<(String, NodeStatus)>;
 
 async fn responding_nodes(fleet: &Fleet, console: &mut Console<'_>) -> Result<Nodes> {
@@ -62,7 +62,7 @@
     Ok(nodes)
 }
 
-/// Whether a node has other content in force under the platform's version.
+/// Returns whether a node has other content active under the platform's version.
 fn has_conflict(base: &StoredConfig, nodes: &Nodes) -> bool {
     base.head.as_ref().is_some_and(|head| {
         let conflicts_with = |status: &NodeStatus| {
@@ -72,8 +72,8 @@
     })
 }
 
-/// The platform's document, unless a node is ahead of it or parts of it are
-/// gone; then the node's.
+/// Returns the platform's document, or a node's when that node is ahead of the
+/// platform or parts are missing there.
 async fn baseline_document(
     base: &StoredConfig,
     highest_node: Option<&(String, NodeStatus)>,
@@ -90,7 +90,7 @@
     let version = status.config_version;
     let state = if base.doc.is_none() { "parts of " } else { "" };
     console.warn(format!(
-        "{node} has version {version} in force, the platform holds {state}version {stored_version}: \
+        "{node} has version {version} active, the platform holds {state}version {stored_version}: \
          it went back"
     ))?;
     if from_platform {
@@ -99,7 +99,7 @@
     document_from_node(node, version, stored_version, fleet).await
 }
 
-/// Document of a node that has `version` in force.
+/// Fetches the document of a node on which `version` is active.
 async fn document_from_node(
     node: &str,
     version: u64,
@@ -108,13 +108,13 @@
 ) -> Result<Document> {
     let bundle = fleet.bundle(node).await?.ok_or_else(|| {
         Failure::Unavailable(format!(
-            "{node} doesn't show version {version}, so what was accepted since version {stored_version} \
-             can't be kept; --from-platform goes on without it"
+            "{node} doesn't show version {version}, so changes accepted since version {stored_version} \
+             can't be kept; --from-platform continues without them"
         ))
     })?;
     if bundle.head.version < version.max(stored_version) {
         let shown = bundle.head.version;
-        let reason = format!("{node} shows version {shown} alone");
+        let reason = format!("{node} shows only version {shown}");
         return Err(Failure::Unavailable(reason));
     }
     let doc = bundle.document().map_err(anyhow::Error::from)?;
--- a/fireflyctl/src/failure.rs
+++ b/fireflyctl/src/failure.rs
@@ -1,15 +1,15 @@
-//! Why a job failed, with the result code and the exit status.
+//! Failures of jobs, with their result codes and exit statuses.
 //!
 //! | status | meaning |
 //! |---|---|
 //! | 0 | done |
 //! | 1 | failed for another reason, which is printed |
 //! | 64 | the command line is wrong |
-//! | 65 | the file holds faults, all of which are printed (1002) |
+//! | 65 | the file has faults, all of which are printed (1002) |
 //! | 69 | the platform or a node did not answer; nothing was changed (1004) |
-//! | 74 | the platform did not answer; whether the change took effect is not known (1004) |
-//! | 75 | another operator was first; nothing was changed (1003) |
-//! | 76 | accepted, but replaced since or not seen in force on every node within the wait; a node that still drains |
+//! | 74 | the platform did not answer; it is unknown whether the change took effect (1004) |
+//! | 75 | another operator's change came first; nothing was changed (1003) |
+//! | 76 | accepted, but replaced since or not seen active on every node within the wait; or a node still has work |
 
 use fireflycroft::{Code, Diff};
 use std::fmt;
@@ -18,47 +18,47 @@
 /// Result of a job.
 pub type Result<T> = std::result::Result<T, Failure>;
 
-/// Why a job failed.
+/// Failure of a job.
 #[derive(Debug)]
 pub enum Failure {
-    /// The command line is wrong; the text to print.
+    /// Wrong command line, with the text to print.
     Usage(String),
-    /// A file holds faults.
+    /// Faults of a file.
     Faults(PathBuf, Vec<FileFault>),
     /// The platform or a node did not answer; nothing was changed.
     Unavailable(String),
-    /// Whether the change took effect is not known.
+    /// It is unknown whether the change took effect.
     OutcomeUnknown(String),
-    /// Another operator was first.
+    /// Another operator's change came first.
     Conflict(Box<Conflict>),
     /// Accepted, and replaced by another operator since.
     Replaced {
         /// Version that was accepted.
         version: u64,
-        /// Who replaced it.
+        /// Author of the replacement.
         author: String,
-        /// Version in force now.
+        /// Current version.
         now: u64,
     },
-    /// Accepted, but not in force on so many nodes.
+    /// Accepted, but not active on all nodes.
     NotActive {
         /// Version that was accepted.
         version: u64,
-        /// Nodes that didn't report it.
+        /// Nodes that didn't report it as active.
         nodes: Vec<String>,
     },
     /// These nodes didn't answer.
     NoAnswer(Vec<String>),
-    /// A node still has work at the end of the wait.
+    /// This node still has work at the end of the wait.
     StillDraining(String),
-    /// Anything else.
+    /// Any other failure.
     Other(anyhow::Error),
 }
 
-/// One fault of a file.
+/// Fault of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileFault {
-    /// Line and column, from 1; `None` for a fault outside the file.
+    /// Line and column, both from 1; `None` for a fault outside the file.
     pub position: Option<(usize, usize)>,
     /// Field, such as `workspaces[3].brand`.
     pub field: String,
@@ -66,23 +66,23 @@
     pub text: String,
 }
 
-/// Two operators' changes of one configuration.
+/// Conflicting changes of a configuration by two operators.
 #[derive(Debug)]
 pub struct Conflict {
-    /// Version that both changed.
+    /// Version that both changes are based on.
     pub base_version: u64,
-    /// Version in force now.
+    /// Current version.
     pub version: u64,
-    /// Who wrote it.
+    /// Author of the current version.
     pub author: String,
-    /// What this operator wanted to change.
+    /// Change that this operator requested.
     pub mine: Diff,
-    /// What others changed since; `None` when that isn't known any more.
+    /// Changes by others since; `None` when they are no longer known.
     pub theirs: Option<Diff>,
 }
 
 impl Failure {
-    /// Exit status.
+    /// Returns the exit status.
     #[must_use]
     pub const fn exit(&self) -> u8 {
         match self {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Result code, where there is one.
+    /// Returns the result code, if the failure has one.
     #[must_use]
     pub const fn code(&self) -> Option<Code> {
         match self {
@@ -126,7 +126,7 @@
                 faults.iter().try_for_each(|fault| fault.write(f, &path))
             }
             Self::Unavailable(why) => write!(f, "nothing was changed: {why}"),
-            Self::OutcomeUnknown(why) => write!(f, "whether it took effect is not known: {why}"),
+            Self::OutcomeUnknown(why) => write!(f, "it is unknown whether it took effect: {why}"),
             Self::Conflict(conflict) => conflict.fmt(f),
             Self::Replaced {
                 version,
@@ -135,14 +135,14 @@
             } => {
                 write!(
                     f,
-                    "version {version} was accepted, and {author} put version {now} in its place"
+                    "version {version} was accepted, but {author} has replaced it by version {now}"
                 )
             }
             Self::NotActive { version, nodes } => {
                 let nodes = nodes.join(", ");
                 write!(
                     f,
-                    "version {version} is accepted, but not seen in force on {nodes}"
+                    "version {version} is accepted, but not seen active on {nodes}"
                 )
             }
             Self::NoAnswer(nodes) => write!(f, "no answer from {}", nodes.join(", ")),
@@ -156,7 +156,7 @@
     fn write(&self, f: &mut fmt::Formatter<'_>, path: &impl fmt::Display) -> fmt::Result {
         match self.position {
             Some((line, column)) => write!(f, "\n{path}:{line}:{column}: ")?,
-            None => write!(f, "\nin force: ")?,
+            None => write!(f, "\nactive configuration: ")?,
         }
         write!(f, "{}: {}", self.field, self.text)
     }
@@ -173,15 +173,12 @@
         } = self;
         writeln!(
             f,
-            "{author} put version {version} in force, you built on version {base_version}; nothing was changed"
+            "{author} published version {version}, you built on version {base_version}; nothing was changed"
         )?;
         writeln!(f, "yours:\n{mine}")?;
         match theirs {
             Some(theirs) => write!(f, "others', since version {base_version}:\n{theirs}"),
-            None => write!(
-                f,
-                "others', since version {base_version}: not known any more"
-            ),
+            None => write!(f, "others', since version {base_version}: no longer known"),
         }
     }
 }
--- a/fireflyctl/src/fleet.rs
+++ b/fireflyctl/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The nodes' admin ports, each asked on its own.
+//! Client of the nodes' admin ports.
 
 use crate::failure::{Failure, Result};
 use anyhow::Context;
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Nodes asked at once.
+/// Maximum number of nodes queried concurrently.
 const MAX_CONCURRENT_NODES: usize = 32;
 
 /// Client of the nodes' admin ports.
@@ -19,7 +19,7 @@
     nodes: Vec<String>,
 }
 
-/// What a node says of itself; fields it doesn't know are left out.
+/// Status reported by a node; fields unknown to the node are absent.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct NodeStatus {
@@ -27,8 +27,8 @@
     pub(crate) role: String,
     pub(crate) data_centre: String,
     pub(crate) config_version: u64,
-    /// Digest of the configuration in force; `None` from a node that has none
-    /// or doesn't tell.
+    /// Digest of the active configuration; `None` from a node that has none or
+    /// doesn't report it.
     pub(crate) config_digest: Option<String>,
     pub(crate) streams: u64,
     pub(crate) queue: u64,
@@ -36,18 +36,18 @@
 }
 
 impl NodeStatus {
-    /// Whether the node has other content in force than that of `digest`.
+    /// Returns whether the node's active content differs from that of `digest`.
     pub(crate) fn conflicts_with(&self, digest: Digest) -> bool {
         let own = self.config_digest.as_ref();
         own.is_some_and(|own| *own != digest.to_string())
     }
 }
 
-/// Answer of a node, or why there is none.
+/// Node address with its answer, or the reason why there is none.
 pub(crate) type Answer<T> = (String, std::result::Result<T, String>);
 
 impl Fleet {
-    /// Client of these `host:port` addresses, each call bounded by `timeout`.
+    /// Creates a client of these `host:port` addresses, with a timeout for each call.
     pub(crate) fn new(nodes: Vec<String>, timeout: Duration) -> Result<Self> {
         let http = reqwest::Client::builder()
             .no_proxy()
@@ -57,7 +57,7 @@
         Ok(Self { http, nodes })
     }
 
-    /// Fails when there are no nodes to ask.
+    /// Fails when no nodes are given.
     pub(crate) fn require_nodes(&self) -> Result<()> {
         if self.nodes.is_empty() {
             return Err(Failure::Usage("--nodes HOST:PORT,… is needed".to_owned()));
@@ -65,12 +65,12 @@
         Ok(())
     }
 
-    /// Status of every node, in the order given.
+    /// Fetches the status of every node, in the order given.
     pub(crate) async fn statuses(&self) -> Vec<Answer<NodeStatus>> {
         self.query_all("/status").await
     }
 
-    /// Readiness of every node, in the order given: `ready` or why not.
+    /// Fetches the readiness of every node, in the order given: `ready` or a reason.
     pub(crate) async fn readiness(&self) -> Vec<String> {
         stream::iter(&self.nodes)
             .map(|node| self.readiness_of(node))
@@ -87,7 +87,7 @@
         res.map_or_else(|e| root_cause(&e), |text| text.trim().to_owned())
     }
 
-    /// Status of one node.
+    /// Fetches the status of a node.
     pub(crate) async fn status(&self, node: &str) -> std::result::Result<NodeStatus, String> {
         self.query(node, "/status").await
     }
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    /// Metrics of every node as text, in the order given.
+    /// Fetches the metrics of every node as text, in the order given.
     pub(crate) async fn metrics(&self) -> Vec<Answer<String>> {
         stream::iter(&self.nodes)
             .map(async |node| (node.clone(), self.fetch_text(node, "/metrics").await))
@@ -115,7 +115,7 @@
         res.text().await.map_err(|e| root_cause(&e))
     }
 
-    /// Answer of every node to a `GET`, in the order given.
+    /// Sends a `GET` to every node; returns the answers in the order given.
     pub(crate) async fn query_all<T: DeserializeOwned>(&self, path: &str) -> Vec<Answer<T>> {
         stream::iter(&self.nodes)
             .map(async |node| (node.clone(), self.query(node, path).await))
@@ -124,7 +124,7 @@
             .await
     }
 
-    /// Configuration that a node holds; `None` when it doesn't show it.
+    /// Fetches a node's configuration; returns `None` when the node doesn't show it.
     pub(crate) async fn bundle(&self, node: &str) -> Result<Option<ConfigBundle>> {
         let res = self.get(node, "/config").await.map_err(unreachable(node))?;
         if res.status() == StatusCode::NOT_FOUND {
@@ -153,7 +153,7 @@
     move |e| Failure::Unavailable(format!("{node}: {}", root_cause(&e)))
 }
 
-/// The innermost cause, which says most.
+/// Returns the innermost cause, which is the most specific.
 fn root_cause(e: &reqwest::Error) -> String {
     let mut inner: &dyn std::error::Error = e;
     while let Some(next) = inner.source() {
--- a/fireflyctl/src/keys.rs
+++ b/fireflyctl/src/keys.rs
@@ -1,4 +1,4 @@
-//! `key digest` and `fleet-key new`, and the tokens of writes.
+//! `key digest` and `fleet-key new`, and tokens that identify writes.
 
 use crate::console::Console;
 use crate::failure::Result;
@@ -7,15 +7,15 @@
 use std::fs::File;
 use std::io::Read;
 
-/// Source of randomness.
+/// Source of random bytes.
 const RANDOM_SOURCE: &str = "/dev/urandom";
-/// Bytes of a token.
+/// Length of a write token, in bytes.
 const TOKEN_LEN: usize = 16;
-/// Bytes of a fleet key.
+/// Length of a fleet key, in bytes.
 const FLEET_KEY_LEN: usize = 32;
 
 /// Prints the digest of a key, as the inventory holds it; `-` reads the key
-/// from standard input, where no list of processes shows it.
+/// from standard input, which keeps it out of process lists.
 pub(crate) fn print_digest(key: &str, console: &mut Console<'_>) -> Result<()> {
     if key != "-" {
         return console.print(hex(&digest_key(key)));
@@ -27,13 +27,13 @@
     console.print(hex(&digest_key(text.trim_end_matches(['\r', '\n']))))
 }
 
-/// Prints a line for a file of fleet keys.
+/// Prints a new line for a file of fleet keys.
 pub(crate) fn print_new_fleet_key(id: u8, console: &mut Console<'_>) -> Result<()> {
     let key: [u8; FLEET_KEY_LEN] = random()?;
     console.print(format!("{id}:{}", hex(&key)))
 }
 
-/// A token that no other write has.
+/// Generates a unique token for a write.
 pub(crate) fn new_write_token() -> Result<Name> {
     let bytes: [u8; TOKEN_LEN] = random()?;
     Ok(hex(&bytes).into())
--- a/fireflyctl/src/publish.rs
+++ b/fireflyctl/src/publish.rs
@@ -1,10 +1,10 @@
-//! Puts a configuration in force: the parts first, then the head.
+//! Publishes a configuration: its parts first, then its head.
 //!
-//! Parts are immutable and named by their digest, so writing one again does
-//! no harm. The head is written once under the condition that it is still the
-//! one that was read; that write alone makes a configuration accepted. When
-//! its answer is lost, the same write is sent again, which can't take effect
-//! twice, and the head is read back: its token says whose write it is.
+//! Parts are immutable and named by their digest, so writing them is idempotent.
+//! The head is written on the condition that it is still the one that was read;
+//! only that write makes a configuration accepted. When its answer is lost, the
+//! same write is sent again, which can't take effect twice, and the head is read
+//! back: its token identifies the write that produced it.
 
 use crate::failure::{Failure, Result};
 use crate::store::Store;
@@ -19,62 +19,62 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// Calls of the platform at once.
+/// Maximum number of concurrent calls to the platform.
 const MAX_CONCURRENT_CALLS: usize = 16;
-/// Tries of a call that had no effect or may be repeated.
+/// Attempts of a call that had no effect or is idempotent.
 const MAX_ATTEMPTS: u32 = 5;
-/// Wait before the second try; doubled before each later one.
+/// Delay before the second attempt; doubled before each later one.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What the platform holds.
+/// Configuration stored on the platform.
 #[derive(Clone, Debug)]
 pub struct StoredConfig {
     /// Version of the head object; `None` when there is none.
     pub object_version: Option<u64>,
-    /// The head; `None` before the first configuration.
+    /// Head; `None` before the first configuration.
     pub head: Option<Head>,
-    /// The document; `None` when parts of it are gone, as they may be on a
-    /// platform that went back in the middle of an apply.
+    /// Document; `None` when parts are missing, as they may be on a platform
+    /// that went back to an older state during an apply.
     pub doc: Option<Document>,
 }
 
-/// What became of a write of the head.
+/// Outcome of writing the head.
 #[derive(Clone, Debug)]
 pub enum PublishOutcome {
-    /// It is in force.
+    /// The head is accepted.
     Accepted,
-    /// It was in force, and another has replaced it.
+    /// The head was accepted and has been replaced by this one.
     Replaced(Box<Head>),
-    /// Another write was first; it never was in force.
+    /// Another write came first; the head was never accepted.
     Lost(Box<StoredConfig>),
-    /// It had no effect, and why.
+    /// The write had no effect, for this reason.
     NoEffect(PlatformError),
-    /// Whether it took effect is not known.
+    /// It is unknown whether the write took effect.
     Unknown,
 }
 
 impl StoredConfig {
-    /// Version in force; zero before the first.
+    /// Returns the version; zero before the first configuration.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.head.as_ref().map_or(0, |h| h.version)
     }
 
-    /// The head, when all its parts are there.
+    /// Returns the head if all its parts are present.
     #[must_use]
     pub fn complete_head(&self) -> Option<&Head> {
         self.head.as_ref().filter(|_| self.doc.is_some())
     }
 
-    /// The document.
+    /// Returns the document.
     ///
     /// # Errors
     ///
-    /// Parts that are gone.
+    /// Fails when parts are missing.
     pub fn document(&self) -> Result<&Document> {
         let version = self.version();
         let doc = self.doc.as_ref();
-        Ok(doc.with_context(|| format!("parts of version {version} are gone from the platform"))?)
+        Ok(doc.with_context(|| format!("parts of version {version} are missing on the platform"))?)
     }
 
     fn condition(&self) -> Condition {
@@ -87,7 +87,7 @@
 ///
 /// # Errors
 ///
-/// A platform that doesn't answer, or parts that are not what they are named.
+/// Fails when the platform doesn't answer, or a part doesn't match its name.
 pub async fn read_stored_config(store: &impl Store) -> Result<StoredConfig> {
     let Some((object_version, head)) = read_head(store).await? else {
         return Ok(StoredConfig {
@@ -104,11 +104,11 @@
     })
 }
 
-/// Writes the parts that `known` doesn't list.
+/// Writes the parts that `known` doesn't list; returns their number.
 ///
 /// # Errors
 ///
-/// A platform that doesn't answer.
+/// Fails when the platform doesn't answer.
 pub async fn put_parts(
     store: &impl Store,
     snapshot: &Snapshot,
@@ -123,12 +123,12 @@
         .await
 }
 
-/// Makes sure, after the head was accepted, that the platform holds its
-/// parts: had it gone back since they were written, they could be gone.
+/// Writes missing parts again after the head was accepted: the platform could
+/// have gone back to an older state since they were written.
 ///
 /// # Errors
 ///
-/// A platform that doesn't answer.
+/// Fails when the platform doesn't answer.
 pub async fn confirm_parts(store: &impl Store, snapshot: &Snapshot) -> Result<()> {
     stream::iter(&snapshot.parts)
         .map(|part| confirm_part(store, part))
@@ -146,11 +146,11 @@
     }
 }
 
-/// Writes the head once over `base`.
+/// Writes the head over `base`, in a single attempt.
 ///
 /// # Errors
 ///
-/// Whatever the platform says; after `OutcomeUnknown` read back.
+/// Returns the platform's error; after `OutcomeUnknown`, call [`read_write_outcome`].
 pub async fn put_head(
     store: &impl Store,
     base: &StoredConfig,
@@ -162,22 +162,22 @@
         .await
 }
 
-/// Writes a copy of the head under its token, so that it can be read when
-/// another is in force.
+/// Writes a copy of the head under its token, so that it can still be read
+/// after its replacement.
 ///
 /// # Errors
 ///
-/// A platform that doesn't answer.
+/// Fails when the platform doesn't answer.
 pub async fn put_past_head(store: &impl Store, head: &Head) -> Result<()> {
     let value = head_value(head).map_err(anyhow::Error::from)?;
     put_immutable(store, PAST_KIND, &head.token, &value).await
 }
 
-/// Reads the head back and says what became of the write of `head`.
+/// Reads the head back and determines the outcome of writing `head`.
 ///
 /// # Errors
 ///
-/// A platform that doesn't answer.
+/// Fails when the platform doesn't answer.
 pub async fn read_write_outcome(
     store: &impl Store,
     base: &StoredConfig,
@@ -187,12 +187,12 @@
     Ok(head.write_outcome(base.head.as_ref(), now.as_ref()))
 }
 
-/// Writes the head over `from` until its outcome is known or the tries are
-/// used up.
+/// Writes the head over `from` until the outcome is known or all attempts
+/// failed.
 ///
 /// # Errors
 ///
-/// A head that was written by another and can't be read.
+/// Fails when another operator's head can't be read.
 pub async fn publish_head(
     store: &impl Store,
     from: &StoredConfig,
@@ -225,8 +225,8 @@
     Ok(PublishOutcome::NoEffect(last_error))
 }
 
-/// Reads the head until it says what became of a write that may have taken
-/// effect, or the tries are used up.
+/// Reads the head until it shows the outcome of a write that may have taken
+/// effect, or all attempts failed.
 async fn resolve_outcome(
     store: &impl Store,
     from: &StoredConfig,
@@ -256,12 +256,12 @@
     }))
 }
 
-/// Document of an earlier version in the line of `now`; `None` when it isn't
-/// known any more.
+/// Reads the document of an earlier version in the history of `now`; returns
+/// `None` when it is no longer known.
 ///
 /// # Errors
 ///
-/// A platform that doesn't answer.
+/// Fails when the platform doesn't answer.
 pub async fn past_document(
     store: &impl Store,
     now: &Head,
@@ -288,11 +288,11 @@
 
 fn parse_head(value: Value) -> Result<Head> {
     let head = serde_json::from_value(value)
-        .map_err(|e| anyhow::anyhow!("a head on the platform can't be read: {e}"))?;
+        .map_err(|e| anyhow::anyhow!("can't parse a head on the platform: {e}"))?;
     Ok(head)
 }
 
-/// Document of a head; `None` when a part is gone.
+/// Reads the document of a head; returns `None` when a part is missing.
 async fn read_document(store: &impl Store, head: &Head) -> Result<Option<Document>> {
     let parts: Option<Vec<Part>> = stream::iter(&head.parts)
         .map(|name| read_part(store, *name))
@@ -322,8 +322,8 @@
     put_immutable(store, PART_KIND, &name, &value).await
 }
 
-/// Writes an object whose name tells its content, so that one that is there
-/// is this one.
+/// Writes an object whose name determines its content, so that an existing one
+/// is the same.
 async fn put_immutable(store: &impl Store, kind: &str, name: &str, value: &Value) -> Result<()> {
     let write = async || match store.put(kind, name, value, Condition::Absent).await {
         Ok(_) | Err(PlatformError::Conflict { .. }) => Ok(()),
@@ -336,8 +336,7 @@
     serde_json::to_value(head)
 }
 
-/// Calls until there is an answer or the tries are used up; only for calls
-/// that may be repeated.
+/// Repeats an idempotent call until it is answered or all attempts failed.
 async fn retry<T>(
     what: &str,
     call: impl AsyncFn() -> std::result::Result<T, PlatformError>,
@@ -361,5 +360,5 @@
 }
 
 fn invalid_snapshot(e: SnapshotError) -> anyhow::Error {
-    anyhow::Error::from(e).context("the configuration on the platform is unsound")
+    anyhow::Error::from(e).context("the configuration on the platform is invalid")
 }
--- a/fireflyctl/src/show.rs
+++ b/fireflyctl/src/show.rs
@@ -6,7 +6,7 @@
 use crate::publish;
 use crate::store::Store;
 
-/// Prints one half of what is in force, as JSON that can be applied again.
+/// Prints a section of the accepted configuration, as JSON that can be applied again.
 pub(crate) async fn show(
     section: ConfigSection,
     store: &impl Store,
@@ -20,7 +20,7 @@
     }
 }
 
-/// Prints which version is accepted, and who wrote it.
+/// Prints the accepted version and its author.
 pub(crate) async fn version(store: &impl Store, console: &mut Console<'_>) -> Result<()> {
     let base = publish::read_stored_config(store).await?;
     let Some(head) = base.head else {
--- a/fireflyctl/src/store.rs
+++ b/fireflyctl/src/store.rs
@@ -1,29 +1,28 @@
-//! The part of the platform that publishing needs, so that a test can stand
-//! in for it and hold each call up.
+//! Interface to the platform's object store, which tests replace by a fake.
 
 use fireflyd::platform::{Condition, PlatformClient, PlatformError};
 use serde_json::Value;
 use std::future::Future;
 
-/// An object as read.
+/// Stored object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreObject {
-    /// Version of the object.
+    /// Version.
     pub version: u64,
-    /// Its value.
+    /// Value.
     pub value: Value,
 }
 
-/// Versioned objects with conditional writes.
+/// Store of versioned objects with conditional writes.
 pub trait Store {
-    /// Reads an object; `None` when there is none.
+    /// Reads an object; returns `None` when it doesn't exist.
     fn get(
         &self,
         kind: &str,
         name: &str,
     ) -> impl Future<Output = Result<Option<StoreObject>, PlatformError>>;
 
-    /// Writes an object under a condition; gives its new version.
+    /// Writes an object under a condition; returns its new version.
     fn put(
         &self,
         kind: &str,
--- a/fireflyctl/src/wait.rs
+++ b/fireflyctl/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waits until nodes have a version in force.
+//! Waits until a version is active on the nodes.
 
 use crate::console::Console;
 use crate::failure::{Failure, Result};
@@ -6,11 +6,11 @@
 use fireflycroft::{Digest, Head};
 use std::time::{Duration, Instant};
 
-/// Time between two looks at the nodes.
+/// Interval of polling the nodes.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Waits until every node has `head` or a later version in force, and says
-/// which do.
+/// Waits until `head` or a later version is active on every node, and prints
+/// the state of each.
 pub(crate) async fn until_active(
     head: &Head,
     wait: Duration,
@@ -44,8 +44,8 @@
     lagging.map(|(node, _)| node.clone()).collect()
 }
 
-/// Whether a node has the version or a later one in force, and no rival of
-/// the same version.
+/// Returns whether the version, with this content, or a later one is active on
+/// the node.
 fn is_up_to_date(
     answer: &std::result::Result<NodeStatus, String>,
     version: u64,
@@ -68,7 +68,7 @@
         Ok(s) if s.config_version < version => {
             format!("{} still at version {}", s.name, s.config_version)
         }
-        Ok(s) => format!("{} version {} in force", s.name, s.config_version),
+        Ok(s) => format!("{} version {} active", s.name, s.config_version),
         Err(error) => format!("no answer: {error}"),
     }
 }
--- a/fireflyctl/tests/apply.rs
+++ b/fireflyctl/tests/apply.rs
@@ -1,5 +1,5 @@
-//! `plan` and `apply` against a platform: races, lost answers, outages and a
-//! platform that went back.
+//! `plan` and `apply` with a platform: races, lost answers, outages and a
+//! platform that went back to an older state.
 
 mod support;
 
@@ -18,7 +18,7 @@
     run(&args).await
 }
 
-/// A platform with both examples in force, as versions 1 and 2.
+/// Starts a platform with both examples accepted, as versions 1 and 2.
 async fn platform_with_examples() -> Running {
     let platform = platform().await;
     let inventory = example_path("inventory.json");
@@ -32,7 +32,7 @@
     platform
 }
 
-/// The example rules with another quota.
+/// Writes the example rules with another quota to a file.
 fn rules_with_quota(name: &str, tokens: u64) -> String {
     let text = std::fs::read_to_string(example_path("rules.json")).unwrap();
     write_file(name, &text.replace("200000", &tokens.to_string()))
@@ -131,7 +131,7 @@
     let output = apply(&platform, "rules", &mine, &["--expect", "2"]).await;
     let output = output
         .exits(75)
-        .warns("1003 carol put version 3 in force, you built on version 2");
+        .warns("1003 carol published version 3, you built on version 2");
     let output = output.warns("111 tokens a minute -> 222 tokens a minute");
     output.warns("200000 tokens a minute -> 111 tokens a minute");
     assert_eq!(version(&platform).await, 3);
@@ -158,7 +158,8 @@
     output.exits(75).warns("+ brand harbour");
 }
 
-/// All but one of the operators who race are told of the one who won.
+/// Of operators racing on the same version, one succeeds; the others report a
+/// conflict with its change.
 #[tokio::test(flavor = "multi_thread")]
 async fn racing_operators_win_once_each_version() {
     let platform = platform_with_examples().await;
@@ -175,7 +176,7 @@
     assert!(accepted >= 1);
     for conflict in conflicts {
         assert!(
-            conflict.err.contains("1003 racer put version"),
+            conflict.err.contains("1003 racer published version"),
             "{}",
             conflict.err
         );
@@ -188,7 +189,7 @@
 async fn lost_answer_of_the_head_is_settled() {
     let platform = platform_with_examples().await;
     let rules = rules_with_quota("lost.json", 9);
-    // The part, the copy of the head and the head itself.
+    // Lost answers of the part, the copy of the head and the head itself.
     for lost in 1..=3 {
         let rules = if lost == 3 {
             &rules
@@ -272,7 +273,7 @@
     let output = output
         .prints("near still at version 4")
         .prints("far still at version 2");
-    output.warns("version 5 is accepted, but not seen in force on");
+    output.warns("version 5 is accepted, but not seen active on");
     near.update_answers(|a| a.status["config_version"] = 5.into());
     far.update_answers(|a| a.status["config_version"] = 5.into());
     let output = apply(
@@ -284,8 +285,8 @@
     .await;
     output
         .exits(0)
-        .prints("near version 5 in force")
-        .prints("far version 5 in force");
+        .prints("near version 5 active")
+        .prints("far version 5 active");
 }
 
 #[tokio::test]
@@ -346,8 +347,8 @@
     assert_eq!(version(&platform).await, 2);
 }
 
-/// What a node shows that holds these halves as `version`.
-fn config_bundle(version: u64, inventory: &str, rules: &str) -> Value {
+/// Builds the configuration shown by a node that holds these files as `version`.
+fn bundle(version: u64, inventory: &str, rules: &str) -> Value {
     let doc = Document {
         inventory: serde_json::from_str(&std::fs::read_to_string(inventory).unwrap()).unwrap(),
         rules: serde_json::from_str(&std::fs::read_to_string(rules).unwrap()).unwrap(),
@@ -377,9 +378,7 @@
     );
     let refused = apply(&platform, "inventory", &inventory, &["--nodes", &node.addr]).await;
     refused.exits(69).warns("show version 3");
-    node.update_answers(|a| {
-        a.config = Some(config_bundle(3, &example_path("inventory.json"), &later))
-    });
+    node.update_answers(|a| a.config = Some(bundle(3, &example_path("inventory.json"), &later)));
     let output = apply(&platform, "inventory", &inventory, &["--nodes", &node.addr]).await;
     output
         .exits(0)
@@ -401,9 +400,7 @@
     apply(&platform, "rules", &later, &[]).await.exits(0);
     set_faults(&platform, json!({"restore_to_revision": revision})).await;
     let node = FakeNode::start("keeper", 3).await;
-    node.update_answers(|a| {
-        a.config = Some(config_bundle(3, &example_path("inventory.json"), &later))
-    });
+    node.update_answers(|a| a.config = Some(bundle(3, &example_path("inventory.json"), &later)));
     let url = platform.url();
     let args = [
         "config",
