--- a/fireflyctl/src/check.rs
+++ b/fireflyctl/src/check.rs
@@ -1,19 +1,19 @@
-//! Checks an operator's file whole: its form, its shape and its sense.
+//! Checks the syntax, the schema and the semantics of an operator's file.
 //!
-//! All faults are listed, each with its line, column and field. The sense is
-//! checked together with the other half in force, as rules name workspaces
-//! of the inventory; a fault that a change of one half makes in the other is
-//! listed without a line.
+//! All faults are listed, each with its line, column and field. The semantics
+//! are checked together with the other section of the baseline, as rules name
+//! workspaces of the inventory; a fault that a change of one section causes in
+//! the other is listed without a line.
 
 use crate::failure::FileFault;
 use crate::json_tree::{self, JsonNode};
 use crate::schema::{self, INVENTORY, RULES, Schema, SchemaFault};
 use fireflycroft::{ConfigFault, ConfigVersion, Digest, Document, compile};
 
-/// What stands for the field of a fault of the whole file.
+/// Field name in faults that concern the whole file.
 const WHOLE_FILE: &str = "(file)";
 
-/// Half of a configuration that a file holds.
+/// Section of a configuration, held by one file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigSection {
     /// The inventory.
@@ -22,15 +22,15 @@
     Rules,
 }
 
-/// Result of a check.
+/// Document of both sections, or all faults of the file.
 pub type CheckResult = Result<Document, Vec<FileFault>>;
 
-/// Checks `text` as one half of a configuration whose other half is that of
-/// `base`; gives both together.
+/// Checks `text` as one section of a configuration, taking the other section
+/// from `base`; returns the document of both.
 ///
 /// # Errors
 ///
-/// Every fault, in the order of the file.
+/// Returns every fault, in the order of the file.
 pub fn check(section: ConfigSection, text: &str, base: &Document) -> CheckResult {
     let tree = json_tree::parse(text).map_err(|e| vec![syntax_fault(&e)])?;
     let mut faults = Vec::new();
@@ -59,7 +59,7 @@
 }
 
 impl ConfigSection {
-    /// Name of the half, as its command has it.
+    /// Returns the name of the section, which is also its command.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether a field is of this half.
+    /// Returns whether a field belongs to this section.
     fn owns(self, field: &str) -> bool {
         let of_inventory = ["brands", "workspaces", "models", "services"];
         let top = field.split(['.', '[']).next().unwrap_or_default();
@@ -96,10 +96,10 @@
     }
 }
 
-/// Place in bytes, field and text.
+/// Byte offset, field and text of a fault.
 type LocatedFault = (Option<usize>, String, String);
 
-/// Faults of the sense, without those that follow from a fault of the shape.
+/// Returns the semantic faults, without those that follow from a schema fault.
 fn semantic_faults(
     section: ConfigSection,
     tree: &JsonNode,
--- a/fireflyctl/src/cli.rs
+++ b/fireflyctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! Runs the job that the command line names.
+//! Parses the command line and runs its job.
 
 use crate::apply::{self, Change, Source};
 use crate::check::ConfigSection;
@@ -17,7 +17,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Runs the command that `args` name; gives the exit status.
+/// Runs the command in `args` and returns the exit status.
 pub fn run(
     args: impl IntoIterator<Item = impl Into<OsString> + Clone>,
     console: &mut Console<'_>,
@@ -30,7 +30,7 @@
     match result {
         Ok(()) => 0,
         Err(failure) => {
-            // Nobody is left to tell when this stream is closed, too.
+            // With this stream closed as well, the failure can't be reported.
             let _ = console.warn(&failure);
             failure.exit()
         }
@@ -91,7 +91,7 @@
             .await
         }
         ("report", "burn") => burn_job(args, console).await,
-        _ => Err(Failure::Usage(format!("no such job: {name} {job}"))),
+        _ => Err(Failure::Usage(format!("no such command: {name} {job}"))),
     }
 }
 
@@ -115,7 +115,7 @@
     apply::change(&change, &platform_client(args)?, &fleet(args)?, console).await
 }
 
-/// The change that the flags of `plan`, `apply` or `restore` describe.
+/// Builds the change from the flags of `plan`, `apply` or `restore`.
 fn change_from_args(source: Source, is_plan: bool, args: &ArgMatches) -> Result<Change> {
     let mut change = Change {
         source,
--- a/fireflyctl/src/command.rs
+++ b/fireflyctl/src/command.rs
@@ -1,30 +1,30 @@
-//! The commands and their flags, each with its environment variable.
+//! Definition of the commands and their flags, each with its environment variable.
 
 use crate::check::ConfigSection;
 use clap::{Arg, ArgAction, Command};
 use std::path::PathBuf;
 
-/// Bound of a call when no flag says otherwise, in milliseconds.
+/// Default timeout of a call, in milliseconds.
 const DEFAULT_TIMEOUT_MS: &str = "5000";
-/// Time between two scrapes when no flag says otherwise, in seconds.
+/// Default time between two scrapes, in seconds.
 const DEFAULT_SCRAPE_INTERVAL_S: &str = "15";
-/// Wait of a flag that stands alone, in seconds.
+/// Wait in seconds when `--wait` has no value: a day.
 const DEFAULT_WAIT_S: &str = "86400";
 
-/// What the help says of exit statuses; the table is in `failure`.
+/// Help text on exit statuses; `failure` holds the full table.
 const EXIT_STATUSES: &str = "\
 Exit statuses: 0 done; 1 failed for another reason; 64 wrong command line (1001); \
 65 faults in the file (1002); 69 no answer, nothing was changed (1004); \
-74 no answer, effect unknown (1004); 75 another operator was first (1003); \
-76 accepted, but replaced since or not in force on every node in time, or a node still drains";
+74 no answer, effect unknown (1004); 75 another operator's change came first (1003); \
+76 accepted, but replaced since or not active on every node in time, or a node still has work";
 
-/// Environment variable of a flag.
+/// Returns the environment variable of a flag.
 #[must_use]
 pub fn env_name(flag: &str) -> String {
     format!("FIREFLYCTL_{}", flag.replace('-', "_").to_uppercase())
 }
 
-/// The command with all its jobs.
+/// Builds the command with all its subcommands.
 #[must_use]
 pub fn command() -> Command {
     Command::new("fireflyctl")
@@ -36,7 +36,7 @@
         .arg(flag("platform", "URL of the platform").global(true))
         .arg(nodes_flag())
         .arg(
-            flag("timeout-ms", "Milliseconds that one call may take")
+            flag("timeout-ms", "Timeout of one call, in milliseconds")
                 .default_value(DEFAULT_TIMEOUT_MS)
                 .value_parser(clap::value_parser!(u64))
                 .global(true),
@@ -46,7 +46,7 @@
         .subcommand(config_command())
         .subcommand(key_command())
         .subcommand(fleet_key_command())
-        .subcommand(Command::new("status").about("Shows how the nodes stand"))
+        .subcommand(Command::new("status").about("Shows the state of the nodes"))
         .subcommand(Command::new("vms").about("Shows the platform's list of VMs"))
         .subcommand(entries_command())
         .subcommand(drain_command())
@@ -59,7 +59,7 @@
     let file = || {
         Arg::new("file")
             .value_name("FILE")
-            .help("JSON file with the whole of it")
+            .help("JSON file with the complete inventory or rules")
             .env(env_name("file"))
             .required(true)
             .value_parser(clap::value_parser!(PathBuf))
@@ -69,14 +69,17 @@
         .arg(file())
         .args(plan_flags());
     let apply = Command::new("apply")
-        .about("Shows what the file changes and puts it in force")
+        .about("Shows what the file changes and publishes it")
         .arg(file())
         .args(plan_flags())
         .args(apply_flags());
-    group(name, "Plans, applies and shows it")
-        .subcommand(plan)
-        .subcommand(apply)
-        .subcommand(Command::new("show").about("Prints what is in force as JSON"))
+    group(
+        name,
+        "Plans, applies and shows this section of the configuration",
+    )
+    .subcommand(plan)
+    .subcommand(apply)
+    .subcommand(Command::new("show").about("Prints the accepted content as JSON"))
 }
 
 fn plan_flags() -> [Arg; 3] {
@@ -85,30 +88,30 @@
         switch("dry-run", "Change nothing, as plan does"),
         switch(
             "from-platform",
-            "Build on what the platform holds though nodes have a higher version in force",
+            "Build on the platform's configuration even if nodes have a higher version active",
         ),
     ]
 }
 
 fn apply_flags() -> [Arg; 3] {
     [
-        flag("by", "Who changes it").default_value("operator"),
+        flag("by", "Author of the change").default_value("operator"),
         flag(
             "expect",
-            "Version that was planned on; refuse when another is in force",
+            "Version that the change was planned on; fails if another is current",
         )
         .value_parser(clap::value_parser!(u64)),
-        wait_flag("Seconds to wait until the nodes have it in force"),
+        wait_flag("Seconds to wait until it is active on the nodes"),
     ]
 }
 
 fn config_command() -> Command {
     let restore = Command::new("restore")
-        .about("Puts back what the nodes have in force, after the platform went back")
+        .about("Restores the nodes' active configuration on a platform that went back")
         .args(plan_flags())
         .args(apply_flags());
     group("config", "The configuration on the platform")
-        .subcommand(Command::new("version").about("Prints the accepted version and who wrote it"))
+        .subcommand(Command::new("version").about("Prints the accepted version and its author"))
         .subcommand(restore)
 }
 
@@ -149,16 +152,16 @@
     )
     .subcommand(view(
         "status",
-        "Shows how each stands, its configuration and its age",
+        "Shows the state of each entry, its configuration and its age",
     ))
-    .subcommand(view("upstreams", "Shows the upstreams that each knows"))
-    .subcommand(view("peers", "Shows the other entries that each knows"))
+    .subcommand(view("upstreams", "Shows the upstreams known to each entry"))
+    .subcommand(view("peers", "Shows the other entries known to each entry"))
 }
 
 fn drain_command() -> Command {
     let node = flag("node", "Admin address of the node, HOST:PORT").required(true);
     Command::new("drain")
-        .about("Begins a planned stop of a node, which cuts off no stream")
+        .about("Starts a planned stop of a node without cutting off streams")
         .arg(node)
         .arg(wait_flag("Seconds to wait until the node holds no work"))
 }
@@ -170,12 +173,12 @@
         .env(env_name("request-id"))
         .required(true);
     Command::new("explain")
-        .about("Tells what happened to a request, and why")
+        .about("Shows what happened to a request, and why")
         .arg(id)
         .arg(
             path_flag(
                 "logs",
-                "Files of log lines, - for standard input; the nodes when absent",
+                "Log files, - for standard input; queries the nodes if absent",
             )
             .action(clap::ArgAction::Append)
             .num_args(1..),
@@ -190,25 +193,28 @@
             .value_parser(clap::value_parser!(u64).range(1..))
     };
     let record = Command::new("record")
-        .about("Scrapes the nodes' metrics and adds what they grew by to a record")
+        .about("Scrapes the nodes' metrics and appends the counters' growth to a record")
         .arg(path_flag("record", "File of the record").required(true))
         .arg(every())
         .arg(
-            flag("length", "Seconds after which to end; for ever when absent")
-                .value_parser(clap::value_parser!(u64)),
+            flag(
+                "length",
+                "Seconds after which to stop; runs until interrupted if absent",
+            )
+            .value_parser(clap::value_parser!(u64)),
         );
     let burn = Command::new("burn")
         .about("Shows how fast each brand and priority burns its error budget")
         .arg(path_flag(
             "record",
-            "Record to report on; two scrapes of the nodes when absent",
+            "Record to report on; two scrapes of the nodes if absent",
         ))
         .arg(every())
         .arg(path_flag(
             "rules",
-            "Rules with the objectives; those in force when absent",
+            "Rules with the objectives; those on the platform if absent",
         ))
-        .arg(path_flag("html", "File that gets a page with plots"))
+        .arg(path_flag("html", "HTML file to write, with plots"))
         .arg(switch("json", "Print as JSON"));
     group("report", "Reports on service levels")
         .subcommand(record)
@@ -234,7 +240,7 @@
         .value_name("VALUE")
 }
 
-/// A wait in seconds; a day when the flag stands alone.
+/// Builds the `--wait` flag, whose value in seconds is optional.
 fn wait_flag(help: &'static str) -> Arg {
     flag("wait", help)
         .num_args(0..=1)
--- a/fireflyctl/src/console.rs
+++ b/fireflyctl/src/console.rs
@@ -1,12 +1,11 @@
-//! Where a job writes: its result to one stream, what else it has to say to
-//! the other.
+//! Output of a job: results on one stream, warnings and failures on the other.
 
 use crate::failure::Result;
 use serde::Serialize;
 use std::fmt::Display;
 use std::io::Write;
 
-/// The two streams of a job.
+/// Output streams of a job.
 pub struct Console<'a> {
     /// Results.
     pub out: &'a mut dyn Write,
@@ -15,21 +14,21 @@
 }
 
 impl Console<'_> {
-    /// Writes one line of the result.
+    /// Writes a line of the result.
     ///
     /// # Errors
     ///
-    /// A stream that is closed.
+    /// Fails when the stream is closed.
     pub fn print(&mut self, line: impl Display) -> Result<()> {
         writeln!(self.out, "{line}")?;
         Ok(())
     }
 
-    /// Writes one line beside the result.
+    /// Writes a warning or failure.
     ///
     /// # Errors
     ///
-    /// A stream that is closed.
+    /// Fails when the stream is closed.
     pub fn warn(&mut self, line: impl Display) -> Result<()> {
         writeln!(self.err, "{line}")?;
         Ok(())
@@ -39,7 +38,7 @@
     ///
     /// # Errors
     ///
-    /// A stream that is closed.
+    /// Fails when the stream is closed.
     pub fn print_json(&mut self, value: &impl Serialize) -> Result<()> {
         let text = serde_json::to_string_pretty(value).map_err(anyhow::Error::from)?;
         self.print(text)
--- a/fireflyctl/src/json_tree.rs
+++ b/fireflyctl/src/json_tree.rs
@@ -1,18 +1,18 @@
-//! JSON with the place of each value, so that a fault is reported by line.
+//! JSON tree with the offset of each value, so that faults are reported by line.
 //!
-//! The text is checked by `serde_json` first, so the scan only has to find
-//! its way through JSON that is known to be sound.
+//! The text is validated by `serde_json` first, so this parser only has to
+//! handle valid JSON.
 
-/// A value with its place.
+/// Value with its offset.
 #[derive(Clone, Debug)]
 pub(crate) struct JsonNode {
-    /// Byte at which the value begins.
+    /// Byte offset of the value.
     pub(crate) offset: usize,
-    /// What it is.
+    /// Value.
     pub(crate) value: JsonValue,
 }
 
-/// What a value is.
+/// Kind and content of a value.
 #[derive(Clone, Debug)]
 pub(crate) enum JsonValue {
     /// `null`.
@@ -25,30 +25,30 @@
     Text(String),
     /// A list.
     List(Vec<JsonNode>),
-    /// An object's fields, in order, repeated ones included.
+    /// An object's fields in order, including duplicates.
     Object(Vec<(Key, JsonNode)>),
 }
 
-/// Name of a field, with its place.
+/// Name of a field, with its offset.
 #[derive(Clone, Debug)]
 pub(crate) struct Key {
-    /// Byte at which the name begins.
+    /// Byte offset of the name.
     pub(crate) offset: usize,
-    /// The name.
+    /// Name.
     pub(crate) name: String,
 }
 
-/// Scans `text` whole.
+/// Parses `text`.
 ///
 /// # Errors
 ///
-/// What `serde_json` says of text that is not JSON, with its line and column.
+/// Returns the error of `serde_json`, with line and column, when the text is not JSON.
 pub(crate) fn parse(text: &str) -> Result<JsonNode, serde_json::Error> {
     serde_json::from_str::<serde::de::IgnoredAny>(text)?;
     Ok(Parser { text, offset: 0 }.node())
 }
 
-/// Line and column of a byte, both from 1; the column counts characters.
+/// Returns line and column of a byte, both from 1; the column counts characters.
 pub(crate) fn line_and_column(text: &str, offset: usize) -> (usize, usize) {
     let before = String::from_utf8_lossy(&text.as_bytes()[..offset.min(text.len())]);
     let line = 1 + before.matches('\n').count();
@@ -58,8 +58,8 @@
 }
 
 impl JsonNode {
-    /// Place of the value at a path such as `workspaces[3].brand`; of what
-    /// surrounds it when there is no such value.
+    /// Returns the offset of the value at a path such as `workspaces[3].brand`, or
+    /// of its innermost existing parent.
     pub(crate) fn locate(&self, path: &str) -> usize {
         let mut node = self;
         for segment in path_segments(path) {
@@ -88,7 +88,7 @@
         .filter(|segment| !segment.is_empty())
 }
 
-/// Where a scan stands in sound JSON.
+/// Parser of valid JSON, with its position.
 struct Parser<'a> {
     text: &'a str,
     offset: usize,
@@ -137,8 +137,8 @@
         items
     }
 
-    /// Goes to the next item and over the comma before it; false, and over
-    /// the end, when there is none.
+    /// Advances to the next item, past a comma, and returns true; at the end,
+    /// advances past the closing byte and returns false.
     fn advance_to_item(&mut self, end: u8) -> bool {
         self.skip_space();
         if self.peek() == b',' {
--- a/fireflyctl/src/lib.rs
+++ b/fireflyctl/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' tool: one file for each job, the console round them.
+//! Command line of the operators, with one module for each job.
 //!
-//! Operators drive a fleet by its configuration alone, so most jobs read or
-//! write the one head object on the platform; the others ask the nodes.
+//! A fleet is operated through its configuration, so most jobs read or write
+//! the head object on the platform; the others query the nodes.
 
 mod apply;
 mod baseline;
--- a/fireflyctl/src/main.rs
+++ b/fireflyctl/src/main.rs
@@ -1,4 +1,4 @@
-//! Operators' tool of a fireflycroft fleet.
+//! Operators' command line of a fireflycroft fleet.
 
 use fireflyctl::Console;
 use std::process::ExitCode;
--- a/fireflyctl/src/schema.rs
+++ b/fireflyctl/src/schema.rs
@@ -1,30 +1,30 @@
-//! Shape of the files that operators write, checked field by field.
+//! Schema of the files that operators write, checked field by field.
 //!
-//! `serde` stops at the first fault; this check goes on, so that one run
-//! lists them all. What is at fault is replaced by a blank, so that the rest
-//! of the file can still be checked for its sense.
+//! `serde` stops at the first fault; this check continues, so that one run lists
+//! them all. It replaces faulty values by placeholders, so that the semantics of
+//! the remaining file can still be checked.
 
 use crate::json_tree::{JsonNode, JsonValue};
 use serde_json::{Map, Value};
 
-/// Shape of a value.
+/// Schema of a value.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Schema {
     /// Text.
     Text,
-    /// A whole number, at most this.
+    /// A whole number up to this maximum.
     Count(u64),
-    /// One of these words.
+    /// One of these texts.
     Choice(&'static [&'static str]),
-    /// The shape, or `null`.
+    /// A value of the schema, or `null`.
     Optional(&'static Schema),
-    /// A list of the shape.
+    /// A list of values of the schema.
     List(&'static Schema),
-    /// An object of these fields.
+    /// An object with these fields.
     Object(&'static [Field]),
 }
 
-/// One field of an object.
+/// Field of an object.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Field {
     name: &'static str,
@@ -32,14 +32,14 @@
     schema: Schema,
 }
 
-/// A fault of the shape.
+/// Mismatch between a file and its schema.
 #[derive(Clone, Debug)]
 pub(crate) struct SchemaFault {
-    /// Byte at which it is.
+    /// Byte offset of the fault.
     pub(crate) offset: usize,
     /// Path of the field.
     pub(crate) field: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub(crate) text: String,
 }
 
@@ -64,7 +64,7 @@
 const U64: Schema = Schema::Count(u64::MAX);
 const PRIORITY: Schema = Schema::Choice(&["interactive", "batch"]);
 
-/// Shape of an inventory.
+/// Schema of an inventory.
 pub(crate) const INVENTORY: Schema = Schema::Object(&[
     optional("brands", Schema::List(&BRAND)),
     optional("workspaces", Schema::List(&WORKSPACE)),
@@ -86,7 +86,7 @@
 
 const MODEL: Schema = Schema::Object(&[required("name", Schema::Text), optional("replicas", U32)]);
 
-/// Shape of rules.
+/// Schema of rules.
 pub(crate) const RULES: Schema = Schema::Object(&[
     optional("priorities", Schema::List(&PRIORITY_RULE)),
     optional("quotas", Schema::List(&QUOTA)),
@@ -123,7 +123,8 @@
     required("per_mille", U32),
 ]);
 
-/// Checks `node` against `shape`; gives its value with blanks for faults.
+/// Checks `node` against `schema`; returns its value, with placeholders for
+/// faulty parts.
 pub(crate) fn check(node: &JsonNode, schema: Schema, faults: &mut Vec<SchemaFault>) -> Value {
     Checker { faults }.value(node, schema, "")
 }
@@ -236,7 +237,7 @@
 }
 
 impl Schema {
-    /// A value of the shape that says nothing.
+    /// Returns an empty value of the schema.
     fn placeholder(self) -> Value {
         match self {
             Self::Text => "".into(),
