--- a/fireflyctl/src/burn.rs
+++ b/fireflyctl/src/burn.rs
@@ -1,10 +1,10 @@
-//! How fast each goal burns its error budget.
+//! Burn rate of each goal's error budget.
 //!
-//! An objective allows some requests in a thousand to miss it; those are its
-//! error budget. The burn rate of a window is the share of requests that
-//! missed, over the share that may: at 1 the budget lasts just as long as it
-//! should, at 10 a tenth of that. A short and a long window together tell a
-//! fast burn that goes on from one that is over.
+//! An objective allows a number of requests in a thousand to miss it: the error
+//! budget. The burn rate of a window is the share of requests that missed the
+//! objective, divided by the allowed share: at 1 the budget lasts exactly its
+//! period, at 10 a tenth of it. A short and a long window together distinguish
+//! a continuing fast burn from one that is over.
 
 use crate::record::Interval;
 use crate::scrape::{Goal, Tally};
@@ -12,96 +12,96 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Windows of a report, shortest first: name and length in seconds.
+/// Windows of a report: name and length in seconds, shortest first.
 pub const WINDOWS: [(&str, u64); 4] = [("5m", 300), ("1h", 3_600), ("6h", 21_600), ("3d", 259_200)];
-/// Burn over 5 minutes and an hour at which somebody should look at once: a
-/// month's budget would be gone in two days.
+/// Burn rate over 5 minutes and an hour that requires immediate attention: it
+/// uses up a month's budget in two days.
 pub const PAGE_BURN_RATE: f64 = 14.4;
-/// Burn over 6 hours and 3 days at which somebody should look some time.
+/// Burn rate over 6 hours and 3 days that requires attention, but not at once.
 pub const TICKET_BURN_RATE: f64 = 1.0;
-/// Causes shown of each goal.
+/// Maximum number of causes in the report of a goal.
 const MAX_CAUSES_SHOWN: usize = 5;
 
-/// A report over a record.
+/// Report on a record.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Beginning of the record, in milliseconds since 1970.
+    /// Start of the record, in milliseconds since 1970.
     pub from_ms: u64,
-    /// Its end, in milliseconds since 1970.
+    /// End of the record, in milliseconds since 1970.
     pub to_ms: u64,
-    /// Nodes that answered last.
+    /// Number of nodes that answered the last scrape.
     pub nodes: usize,
-    /// Nodes that didn't.
+    /// Number of nodes that didn't.
     pub silent: usize,
-    /// The goals, by brand and priority.
+    /// Reports by brand and priority.
     pub goals: Vec<GoalReport>,
 }
 
-/// How one goal stands.
+/// Report on a goal.
 #[derive(Clone, Debug, Serialize)]
 pub struct GoalReport {
     /// The goal.
     #[serde(flatten)]
     pub goal: Goal,
-    /// Its objective; `None` when the rules hold none.
+    /// Objective; `None` when the rules hold none.
     pub objective: Option<Objective>,
-    /// The windows, shortest first, as far as the record goes.
+    /// Windows that the record reaches into, shortest first.
     pub windows: Vec<WindowReport>,
-    /// Share of the longest window's budget that is left, below zero when it
-    /// is overspent; `None` without objective, requests or budget.
+    /// Remaining share of the longest window's budget, negative when it is
+    /// overspent; `None` without objective, requests or budget.
     pub budget_left: Option<f64>,
-    /// Whether somebody should look.
+    /// Urgency of the burn.
     pub alert: Alert,
-    /// Result codes of failed requests in the longest window, worst first.
+    /// Result codes of failed requests in the longest window, most frequent first.
     pub causes: Vec<Cause>,
-    /// Requests that were answered in full and missed the objective all the
-    /// same: at least so many in the longest window.
+    /// Lower bound of the requests in the longest window that were answered in
+    /// full but missed the objective.
     pub late: u64,
 }
 
-/// One window of a goal.
+/// Report on a window of a goal.
 #[derive(Clone, Debug, Serialize)]
 pub struct WindowReport {
     /// Name of the window.
     pub window: &'static str,
-    /// Its length in seconds.
+    /// Length in seconds.
     pub seconds: u64,
-    /// Seconds of it that the record covers.
+    /// Seconds covered by the record.
     pub covered_seconds: u64,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Requests that missed the objective.
+    /// Number of requests that missed the objective.
     pub missed: u64,
-    /// Burn rate; `None` without objective or requests. Beyond all bounds,
-    /// and `null` in JSON, when some missed where none may.
+    /// Burn rate; `None` without objective or requests. Infinite, and `null` in
+    /// JSON, when requests missed an objective that allows no miss.
     pub burn: Option<f64>,
 }
 
-/// Failed requests of one result code.
+/// Failed requests with the same result code.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Cause {
-    /// Number of the code.
+    /// Result code.
     pub code: u32,
-    /// What it means.
+    /// Meaning of the code.
     pub phrase: &'static str,
-    /// Requests.
+    /// Number of requests.
     pub count: u64,
 }
 
-/// Whether somebody should look.
+/// Urgency of a burn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Alert {
-    /// No.
+    /// Needs no attention.
     None,
-    /// Some time.
+    /// Needs attention, but not at once.
     Ticket,
-    /// At once.
+    /// Needs immediate attention.
     Page,
 }
 
 impl Alert {
-    /// The alert as a word.
+    /// Returns the name of the alert.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -112,7 +112,7 @@
     }
 }
 
-/// Reports on all goals of a record; `None` when it is empty.
+/// Reports on all goals of a record; returns `None` when it is empty.
 #[must_use]
 pub fn report(record: &[Interval], rules: &Rules) -> Option<Report> {
     let (first, last) = (record.first()?, record.last()?);
@@ -129,7 +129,7 @@
     })
 }
 
-/// Burn rate of a tally under an objective; `None` without requests.
+/// Returns the burn rate of a tally under an objective; `None` without requests.
 #[must_use]
 pub fn burn_rate(tally: &Tally, objective: &Objective) -> Option<f64> {
     let total = tally.total();
@@ -142,7 +142,7 @@
     Some(share(tally.missed, total) / allowed_miss_share(objective))
 }
 
-/// Goals that the record or the rules name.
+/// Returns the goals named in the record or the rules, sorted and unique.
 fn goals(record: &[Interval], rules: &Rules) -> Vec<Goal> {
     let seen = record
         .iter()
@@ -182,7 +182,7 @@
     }
 }
 
-/// The windows, until one covers all of the record.
+/// Reports on the windows, up to the first that covers the whole record.
 fn window_reports(
     goal: &Goal,
     record: &[Interval],
@@ -213,8 +213,8 @@
     to.saturating_sub(from) / 1_000
 }
 
-/// Requests of a goal in the last `seconds`; an interval that lies across the
-/// beginning counts whole.
+/// Sums the requests of a goal in the last `seconds`; an interval across the
+/// start of the window counts in full.
 pub(crate) fn window_tally(goal: &Goal, record: &[Interval], seconds: u64) -> Tally {
     let to = record.last().map_or(0, |i| i.to_ms);
     let from = to.saturating_sub(seconds * 1_000);
@@ -266,7 +266,7 @@
     all.filter(move |(code, count)| *code != ok && *count > 0)
 }
 
-/// Share of requests that may miss the objective.
+/// Returns the share of requests that may miss the objective.
 fn allowed_miss_share(objective: &Objective) -> f64 {
     f64::from(1_000_u32.saturating_sub(objective.per_mille)) / 1_000.0
 }
--- a/fireflyctl/src/drain.rs
+++ b/fireflyctl/src/drain.rs
@@ -1,17 +1,17 @@
-//! `drain`: begins a planned stop of one node.
+//! `drain`: starts a planned stop of a node.
 //!
-//! The node refuses new work at once and ends when its streams have ended,
-//! which may take as long as they do.
+//! The node refuses new work at once and stops when its streams have ended.
 
 use crate::console::Console;
 use crate::failure::{Failure, Result};
 use crate::fleet::Fleet;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at the node.
+/// Interval of polling the node.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Tells the node to drain; with a wait, until it holds no work or has gone.
+/// Tells the node to drain; with `wait`, also waits until it holds no work or
+/// has stopped.
 pub(crate) async fn drain(
     fleet: &Fleet,
     node: &str,
@@ -25,7 +25,7 @@
     let mut last_shown = None;
     loop {
         let Ok(status) = fleet.status(node).await else {
-            return console.print(format!("{node} has gone"));
+            return console.print(format!("{node} has stopped"));
         };
         if status.leaving && status.streams == 0 && status.queue == 0 {
             return console.print(format!("{node} holds no work"));
@@ -33,7 +33,9 @@
         let remaining = (status.streams, status.queue);
         if last_shown != Some(remaining) {
             let (streams, queue) = remaining;
-            console.print(format!("{node} has {streams} streams, {queue} waiting"))?;
+            console.print(format!(
+                "{node} has {streams} streams, {queue} queued requests"
+            ))?;
             last_shown = Some(remaining);
         }
         if Instant::now() >= deadline {
--- a/fireflyctl/src/entries.rs
+++ b/fireflyctl/src/entries.rs
@@ -1,4 +1,4 @@
-//! `entries`: how direct entries stand, and what they know of upstreams and of each other.
+//! `entries`: state of the direct entries, and their views of upstreams and of each other.
 
 use crate::console::Console;
 use crate::failure::{Failure, Result};
@@ -6,24 +6,24 @@
 use crate::table::Table;
 use fireflycroft::{EntryOverview, PeerOverview, UpstreamOverview};
 
-/// Path of the page that an entry shows.
+/// Path of an entry's overview on its admin port.
 const OVERVIEW_PATH: &str = "/fleet/overview";
 
-/// What stands for something that isn't known.
+/// Placeholder for an unknown value.
 const UNKNOWN: &str = "-";
 
-/// What to show of the entries.
+/// Table to show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum View {
-    /// A row for each entry.
+    /// One row per entry.
     Status,
-    /// A row for each upstream that an entry knows.
+    /// One row per upstream known to an entry.
     Upstreams,
-    /// A row for each other entry that an entry knows.
+    /// One row per other entry known to an entry.
     Peers,
 }
 
-/// Prints the view of all entries; fails when one didn't answer.
+/// Prints the view of all entries; fails when an entry didn't answer.
 pub(crate) async fn show(
     view: View,
     fleet: &Fleet,
@@ -115,10 +115,17 @@
             "unread",
             "failing",
             "pace",
-            "told ms ago",
+            "reported ms ago",
             "owners",
         ],
-        View::Peers => &["node", "name", "address", "heard ms ago", "store", "state"],
+        View::Peers => &[
+            "node",
+            "name",
+            "address",
+            "received ms ago",
+            "store",
+            "state",
+        ],
     }
 }
 
@@ -148,7 +155,7 @@
     match (watches, answers) {
         (true, true) => "watches",
         (true, false) => "lost",
-        (false, _) => "told by others",
+        (false, _) => "via other entries",
     }
 }
 
--- a/fireflyctl/src/page.rs
+++ b/fireflyctl/src/page.rs
@@ -1,4 +1,4 @@
-//! The burn report as a page with plots, whole in one file.
+//! The burn report as a self-contained HTML page with plots.
 
 use crate::burn::{GoalReport, Report, burn_rate};
 use crate::record::Interval;
@@ -10,15 +10,15 @@
 use std::collections::VecDeque;
 use std::fmt::Write;
 
-/// Size of a plot, in pixels.
+/// Width and height of a plot, in pixels.
 const PLOT_SIZE_PX: (u32, u32) = (860, 240);
-/// Most points of a line.
+/// Target for the number of points in a line; longer records are sampled.
 const MAX_POINTS_PER_LINE: usize = 600;
-/// Windows that are plotted, with their length in seconds.
+/// Windows plotted, with their lengths in seconds.
 const PLOTTED_WINDOWS: [(&str, u64); 2] = [("5m", 300), ("1h", 3_600)];
-/// Least upper end of the axis of burn rates.
+/// Minimum upper end of the burn rate axis.
 const MIN_AXIS_MAX: f64 = 2.0;
-/// Highest burn rate that a plot shows.
+/// Maximum burn rate in a plot; higher rates are drawn at this value.
 const MAX_PLOTTED_BURN_RATE: f64 = 100.0;
 
 const STYLE: &str = "body{font:15px sans-serif;max-width:900px;margin:2em auto;color:#222}\
@@ -26,15 +26,15 @@
 td,th{border-bottom:1px solid #ccc;padding:.2em .8em;text-align:left}\
 .page{color:#b00;font-weight:bold}.ticket{color:#a60;font-weight:bold}svg{display:block}";
 
-/// Writes the page.
+/// Renders the page.
 pub(crate) fn render(report: &Report, record: &[Interval]) -> Result<String> {
     let mut html = String::new();
     write!(
         html,
         "<!DOCTYPE html>\n<html lang=\"en\">\n<head>\n<meta charset=\"utf-8\">\n\
          <title>Burn report</title>\n<style>{STYLE}</style>\n</head>\n<body>\n\
-         <h1>Burn report</h1>\n<p>{} nodes answered, {} did not. Burn rate 1 uses up the error \
-         budget in just its time.</p>\n",
+         <h1>Burn report</h1>\n<p>{} nodes answered, {} did not. A burn rate of 1 uses up the error \
+         budget exactly over its period.</p>\n",
         report.nodes, report.silent
     )?;
     for goal in &report.goals {
@@ -98,7 +98,7 @@
     Ok(())
 }
 
-/// Burn rate over time, as SVG.
+/// Renders the burn rate over time, as SVG.
 fn render_plot(goal: &Goal, objective: &Objective, record: &[Interval]) -> Result<String> {
     let end = record.last().map_or(0, |i| i.to_ms);
     let lines = PLOTTED_WINDOWS
@@ -146,8 +146,8 @@
     Ok(svg)
 }
 
-/// Burn rate over the window that ends at each interval, with the hours
-/// before `end`.
+/// Returns points of hours relative to `end` and the burn rate of the window
+/// that ends there.
 fn burn_points(
     goal: &Goal,
     objective: &Objective,
@@ -205,7 +205,7 @@
         .replace('"', "&quot;")
 }
 
-/// An error of the plotting library, which may borrow.
+/// Converts an error of the plotting library, which may hold borrowed data.
 fn plot_error(e: impl std::fmt::Display) -> anyhow::Error {
     anyhow!("plot: {e}")
 }
--- a/fireflyctl/src/record.rs
+++ b/fireflyctl/src/record.rs
@@ -1,9 +1,9 @@
-//! Records of what the fleet's counters grew by, a line of JSON an interval.
+//! Records of the growth of the fleet's counters, with a line of JSON per interval.
 //!
-//! The growth of all nodes together is kept rather than each node's counters,
-//! so that a record of days stays small at any size of the fleet. A node that
-//! is seen for the first time counts from then on, as nobody knows when it
-//! began; one that fell silent is caught up with when it answers again.
+//! A record holds the growth over all nodes instead of each node's counters, so
+//! that a record of days stays small at any size of the fleet. A new node counts
+//! from its first scrape on, as its start time is unknown; the growth of a silent
+//! node is added when it answers again.
 
 use crate::console::Console;
 use crate::failure::{Failure, Result};
@@ -17,32 +17,32 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Growth of one interval.
+/// Growth in an interval.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Interval {
-    /// Its beginning, in milliseconds since 1970.
+    /// Start of the interval, in milliseconds since 1970.
     pub from_ms: u64,
-    /// Its end, in milliseconds since 1970.
+    /// End of the interval, in milliseconds since 1970.
     pub to_ms: u64,
-    /// Nodes that answered at its end.
+    /// Number of nodes that answered at the end.
     pub nodes: usize,
-    /// Nodes that didn't.
+    /// Number of nodes that didn't.
     pub silent: usize,
     /// Growth by goal.
     pub goals: Vec<GoalTally>,
 }
 
-/// Growth of one goal.
+/// Growth of a goal's counters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GoalTally {
     /// The goal.
     #[serde(flatten)]
     pub goal: Goal,
-    /// The growth.
+    /// Growth.
     pub tally: Tally,
 }
 
-/// Turns scrapes of the nodes into intervals.
+/// Converts scrapes of the nodes into intervals.
 #[derive(Debug, Default)]
 pub struct Recorder {
     last_scrape_ms: Option<u64>,
@@ -50,8 +50,8 @@
 }
 
 impl Recorder {
-    /// Takes a scrape of all nodes at `at_ms`; gives the interval since the
-    /// scrape before, `None` for the first.
+    /// Adds a scrape of all nodes; returns the interval since the previous one,
+    /// or `None` for the first.
     pub fn add_scrape(
         &mut self,
         scrape_ms: u64,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Scrapes the nodes every so often and adds the intervals to the file.
+/// Scrapes the nodes at regular intervals and appends the growth to the file.
 pub(crate) async fn record(
     fleet: &Fleet,
     path: &Path,
@@ -135,7 +135,7 @@
     Ok(recorder.add_scrape(unix_ms_now(), answered, silent.len()))
 }
 
-/// Reads a record; a last line that was cut off is left out.
+/// Reads a record, without a last line that was cut off.
 pub(crate) fn read(path: &Path) -> Result<Vec<Interval>> {
     let text = std::fs::read_to_string(path).with_context(|| format!("{}", path.display()))?;
     let complete_lines = text.rfind('\n').map_or("", |end| &text[..end]);
@@ -160,7 +160,7 @@
     Ok(())
 }
 
-/// Now, in milliseconds since 1970.
+/// Returns the current time, in milliseconds since 1970.
 pub(crate) fn unix_ms_now() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
--- a/fireflyctl/src/report.rs
+++ b/fireflyctl/src/report.rs
@@ -1,4 +1,4 @@
-//! `report burn`: the error budgets, as text, JSON or a page.
+//! `report burn`: burn rates and error budgets, as text, JSON or HTML.
 
 use crate::burn::{self, GoalReport, Report, WindowReport};
 use crate::console::Console;
@@ -14,20 +14,20 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What a report is made of, and where it goes.
+/// Source and output of a report.
 #[derive(Clone, Debug)]
 pub(crate) struct BurnJob {
-    /// Record to report on; two scrapes when there is none.
+    /// Record to report on; two scrapes if absent.
     pub(crate) record: Option<PathBuf>,
     /// Time between the two scrapes.
     pub(crate) interval: Duration,
-    /// Whether to print JSON.
+    /// Whether to print the report as JSON.
     pub(crate) json: bool,
-    /// File that gets the page.
+    /// HTML file to write.
     pub(crate) html: Option<PathBuf>,
 }
 
-/// Prints the report.
+/// Prints the report and writes its page.
 pub(crate) async fn burn(
     job: &BurnJob,
     rules: &Rules,
@@ -49,7 +49,7 @@
     print_report(&report, console)
 }
 
-/// Rules of a file, or those in force on the platform.
+/// Reads the rules from a file, or else from the platform.
 pub(crate) async fn rules(file: Option<&Path>, store: Option<&impl Store>) -> Result<Rules> {
     match (file, store) {
         (Some(path), _) => {
@@ -128,7 +128,7 @@
     Ok(())
 }
 
-/// The objective, and what is left of its budget.
+/// Describes the objective and the remaining budget.
 pub(crate) fn budget_phrase(goal: &GoalReport) -> String {
     let Some(objective) = &goal.objective else {
         return "no objective".to_owned();
@@ -149,7 +149,7 @@
     }
 }
 
-/// The window, and how much of it was recorded when that is less.
+/// Describes the window, with the recorded time if it is shorter.
 pub(crate) fn window_phrase(window: &WindowReport) -> String {
     if window.covered_seconds >= window.seconds {
         return window.window.to_owned();
@@ -161,7 +161,7 @@
     )
 }
 
-/// A burn rate to two digits.
+/// Formats a burn rate with two decimals.
 pub(crate) fn burn_phrase(burn: Option<f64>) -> String {
     match burn {
         Some(burn) if burn.is_finite() => format!("{burn:.2}"),
--- a/fireflyctl/src/scrape.rs
+++ b/fireflyctl/src/scrape.rs
@@ -1,8 +1,7 @@
-//! Counters that the burn report reads, out of a node's metrics.
+//! Parser of the counters for burn reports in a node's metrics.
 //!
-//! The metrics are text in the prometheus format, of which only two counters
-//! matter: requests by result code, and requests by whether they met their
-//! objective.
+//! The metrics are text in the Prometheus format. Two counters are read: requests
+//! by result code, and requests by whether they met their objective.
 
 use fireflycroft::Priority;
 use serde::{Deserialize, Serialize};
@@ -13,30 +12,30 @@
 /// Counter of requests by brand, priority and whether they met the objective.
 const OBJECTIVE_COUNTER: &str = "firefly_objective_total";
 
-/// Requests that are measured together: one brand's of one priority.
+/// Brand and priority whose requests are counted together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Goal {
-    /// The brand.
+    /// Brand.
     pub brand: String,
-    /// The priority.
+    /// Priority.
     pub priority: Priority,
 }
 
-/// Requests of one goal.
+/// Request counts of a goal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Requests that met the objective.
+    /// Number of requests that met the objective.
     pub met: u64,
-    /// Requests that missed it.
+    /// Number of requests that missed it.
     pub missed: u64,
-    /// Requests by the number of their result code.
+    /// Number of requests by result code.
     pub by_code: BTreeMap<u32, u64>,
 }
 
-/// Requests by goal.
+/// Request counts by goal.
 pub type Tallies = BTreeMap<Goal, Tally>;
 
-/// Reads the counters of a node; lines that are none are passed over.
+/// Parses the counters of a node; ignores all other lines.
 #[must_use]
 pub fn parse_metrics(text: &str) -> Tallies {
     let mut tallies = Tallies::new();
@@ -47,13 +46,13 @@
 }
 
 impl Tally {
-    /// Requests that met the objective or missed it.
+    /// Returns the number of requests that met or missed the objective.
     #[must_use]
     pub const fn total(&self) -> u64 {
         self.met + self.missed
     }
 
-    /// Adds the requests of `other`.
+    /// Adds the counts of `other`.
     pub fn add(&mut self, other: &Self) {
         self.met += other.met;
         self.missed += other.missed;
@@ -62,7 +61,7 @@
         }
     }
 
-    /// What came since `before`; a counter that fell began anew.
+    /// Returns the growth since `before`; a counter that fell was reset to zero.
     #[must_use]
     pub fn growth_since(&self, before: &Self) -> Self {
         let code = |(code, count): (&u32, &u64)| {
@@ -81,7 +80,7 @@
     if now < before { now } else { now - before }
 }
 
-/// One line of a counter.
+/// Sample of a counter.
 struct Sample<'a> {
     name: &'a str,
     labels: BTreeMap<&'a str, String>,
@@ -119,7 +118,7 @@
     Some(())
 }
 
-/// Reads `name{label="value",…} value`, with a time behind it or not.
+/// Parses `name{label="value",…} value`, optionally followed by a time.
 fn parse_sample(line: &str) -> Option<Sample<'_>> {
     let (name, rest) = line.split_once('{')?;
     if name != REQUESTS_COUNTER && name != OBJECTIVE_COUNTER {
@@ -134,7 +133,7 @@
     })
 }
 
-/// Reads labels up to the closing brace; gives them and what follows.
+/// Parses labels up to the closing brace; returns them with the rest.
 fn parse_labels(mut rest: &str) -> Option<(BTreeMap<&str, String>, &str)> {
     let mut labels = BTreeMap::new();
     loop {
@@ -149,7 +148,7 @@
     }
 }
 
-/// Reads text up to its closing quote, with its escapes.
+/// Parses a label value up to its closing quote, resolving escapes.
 fn parse_label_value(text: &str) -> Option<(String, &str)> {
     let mut value = String::new();
     let mut chars = text.char_indices();
@@ -166,7 +165,7 @@
     None
 }
 
-/// A counter's value, which is whole.
+/// Converts a counter's value, which is an integer.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/fireflyctl/src/status.rs
+++ b/fireflyctl/src/status.rs
@@ -1,11 +1,11 @@
-//! `status`: how every node stands, in one table.
+//! `status`: table with the state of every node.
 
 use crate::console::Console;
 use crate::failure::{Failure, Result};
 use crate::fleet::{Fleet, NodeStatus};
 use crate::table::Table;
 
-/// What stands for something that a node doesn't tell.
+/// Placeholder for a value that a node doesn't report.
 const UNKNOWN: &str = "-";
 
 /// Prints the table; fails when a node didn't answer.
--- a/fireflyctl/src/table.rs
+++ b/fireflyctl/src/table.rs
@@ -1,18 +1,18 @@
-//! Tables of text, their columns aligned.
+//! Text tables with aligned columns.
 
 use std::fmt;
 
-/// Space between two columns.
+/// Separator between columns.
 const COLUMN_GAP: &str = "  ";
 
-/// A table with its headings.
+/// Table, with the headings as its first row.
 #[derive(Debug)]
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// An empty table with these headings.
+    /// Creates an empty table with these headings.
     pub(crate) fn new(headings: &[&str]) -> Self {
         let headings = headings.iter().map(|h| (*h).to_owned()).collect();
         Self {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Adds a row of as many cells as there are headings.
+    /// Adds a row.
     pub(crate) fn row(&mut self, cells: impl IntoIterator<Item = impl Into<String>>) {
         self.rows.push(cells.into_iter().map(Into::into).collect());
     }
--- a/fireflyctl/src/vms.rs
+++ b/fireflyctl/src/vms.rs
@@ -1,4 +1,4 @@
-//! `vms`: the platform's list of VMs, which lags behind.
+//! `vms`: the platform's list of VMs, which may be out of date.
 
 use crate::console::Console;
 use crate::failure::{Failure, Result};
