--- a/fireflyctl/tests/burn.rs
+++ b/fireflyctl/tests/burn.rs
@@ -1,4 +1,4 @@
-//! Counters, records, burn rates and what is shown of them.
+//! Counters, records, burn rates and reports.
 
 mod support;
 
@@ -161,7 +161,7 @@
     };
 }
 
-/// A record of minutes, each with so many requests met and missed.
+/// Builds a record of one-minute intervals with counts of met and missed requests.
 fn record(minutes: &[(u64, u64)]) -> Vec<Interval> {
     let interval = |(i, (met, missed)): (u64, &(u64, u64))| Interval {
         from_ms: i * 60_000,
@@ -182,7 +182,7 @@
     report.goals[0].clone()
 }
 
-/// A record in minutes and its windows: name, seconds covered, requests, missed.
+/// Test cases: a record in minutes and its windows (name, seconds covered, requests, missed).
 macro_rules! windows {
     ($($name:ident: $minutes:expr => [$($window:expr),+ $(,)?];)+) => {
         $(
--- a/fireflyctl/tests/check.rs
+++ b/fireflyctl/tests/check.rs
@@ -1,9 +1,9 @@
-//! Every fault of a file, with its line, column and field.
+//! Checks of files: all faults, with their lines, columns and fields.
 
 use fireflycroft::{Document, Inventory, Rules};
 use fireflyctl::{ConfigSection, FileFault, check};
 
-/// A file, and the faults that it has: place, field and what is wrong.
+/// Test cases: a file and its faults (position, field and text).
 macro_rules! faults {
     ($($name:ident: $section:ident $text:expr => [$($line:literal),* $(,)?];)+) => {
         $(
@@ -129,8 +129,8 @@
     assert_eq!(again, doc);
 }
 
-/// What `serde` writes of a full document has the shape that is checked; a
-/// field that only one of the two knows shows here.
+/// Guards against fields that only one of the `serde` types and the schema
+/// knows: a full document as `serde` writes it must match the schema.
 #[test]
 fn schema_covers_every_field() {
     let doc = check(ConfigSection::Rules, RULES, &base()).unwrap();
@@ -165,11 +165,11 @@
             .inventory,
         doc.inventory
     );
-    let faulty = text.replace("\"workspace-37999\"", "\"workspace-0\"");
-    let faults = check(ConfigSection::Inventory, &faulty, &base()).unwrap_err();
+    let invalid = text.replace("\"workspace-37999\"", "\"workspace-0\"");
+    let faults = check(ConfigSection::Inventory, &invalid, &base()).unwrap_err();
     assert_eq!(faults.len(), 1);
     assert_eq!(faults[0].field, "workspaces[37999].name");
-    let line = faulty
+    let line = invalid
         .lines()
         .nth(faults[0].position.unwrap().0 - 1)
         .unwrap();
--- a/fireflyctl/tests/cli.rs
+++ b/fireflyctl/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line itself, and the jobs that ask nodes or nobody.
+//! The command line, and the jobs that query nodes or work locally.
 
 mod support;
 
@@ -34,7 +34,7 @@
     });
 }
 
-/// Command lines that are wrong.
+/// Test cases: wrong command lines and a part of their message.
 macro_rules! usage {
     ($($name:ident: [$($arg:literal),*] => $text:literal;)+) => {
         $(
--- a/fireflyctl/tests/publish.rs
+++ b/fireflyctl/tests/publish.rs
@@ -1,5 +1,5 @@
-//! Racing operators, stale reads, lost answers and a platform that goes back,
-//! against an oracle that knows every write that took effect.
+//! Racing operators, stale reads, lost answers and a platform that goes back to
+//! an older state, checked with an oracle that knows every effective write.
 
 use fireflycroft::{
     ConfigVersion, Document, HEAD_KIND, HEAD_NAME, Head, Inventory, Name, Workspace, WriteOutcome,
@@ -17,27 +17,27 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// Operators of the stateful test.
+/// Number of operators in the state machine test.
 const OPERATORS: usize = 3;
-/// Contents that they write.
+/// Number of different documents that they write.
 const CONTENTS: u8 = 6;
 
-/// What becomes of a write's answer, and of the write.
+/// Delivery of a write and of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Delivery {
-    /// The answer arrives.
+    /// The write takes effect and its answer arrives.
     Delivered,
-    /// The write takes effect, its answer is lost.
+    /// The write takes effect; its answer is lost.
     AnswerLost,
     /// The write is lost.
     WriteLost,
-    /// The write takes effect later, its answer is lost.
+    /// The write takes effect later; its answer is lost.
     WriteLate,
-    /// The platform refuses it for now.
+    /// The platform refuses the write for now.
     Limited,
 }
 
-/// One write as the platform took it.
+/// Write received by the platform.
 #[derive(Clone, Debug)]
 struct Pending {
     key: (String, String),
@@ -45,17 +45,17 @@
     condition: Condition,
 }
 
-/// A platform in memory, whose link and reads a test spoils.
+/// Platform in memory, with faults of writes and reads set by a test.
 #[derive(Debug)]
 struct FakePlatform {
     objects: BTreeMap<(String, String), (u64, Value)>,
-    /// States after each write of the head, the empty one first.
+    /// States after each write of the head, starting with the empty one.
     states: Vec<BTreeMap<(String, String), (u64, Value)>>,
     revision: u64,
     late: Vec<Pending>,
-    /// What becomes of coming writes; sound when there is no more.
+    /// Deliveries of the next writes of the head; `Delivered` when empty.
     deliveries: Vec<Delivery>,
-    /// Writes of the head by which reads are behind.
+    /// Number of head writes by which reads lag.
     read_lag: usize,
 }
 
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Goes back by so many writes of the head; what was under way is gone.
+    /// Undoes the last `undone` writes of the head and drops late writes.
     fn restore(&mut self, undone: usize) {
         let keep = self.states.len().saturating_sub(undone).max(1);
         self.states.truncate(keep);
@@ -140,7 +140,7 @@
     async fn get(&self, kind: &str, name: &str) -> Result<Option<StoreObject>, PlatformError> {
         let platform = self.0.borrow();
         let key = (kind.to_owned(), name.to_owned());
-        // Parts never change, so that only the head is ever read stale.
+        // Parts are immutable, so only reads of the head can be stale.
         let objects = if key == head_key() {
             platform.visible_objects()
         } else {
@@ -184,7 +184,7 @@
     }
 }
 
-/// A document of several parts that says which content it is.
+/// Builds a document of several parts that identifies `content`.
 fn document(content: u8) -> Document {
     let workspace = |i: usize| Workspace {
         name: format!("workspace-{i}").into(),
@@ -218,51 +218,52 @@
         .block_on(future)
 }
 
-/// What operators and the platform may do.
+/// Step of the state machine.
 #[derive(Clone, Debug)]
 enum Step {
-    /// An operator reads the platform, so many writes behind, and the nodes.
+    /// An operator reads the platform, lagging by some writes, and the nodes, to
+    /// write a content.
     Read(usize, u8, usize),
-    /// It writes the parts.
+    /// The operator writes the parts.
     Parts(usize),
-    /// It writes the head, over such a link; again when it did before.
+    /// The operator writes the head, or repeats the write, with this delivery.
     Write(usize, Delivery),
-    /// It reads the head back, so many writes behind.
+    /// The operator reads the head back, lagging by some writes.
     ReadBack(usize, usize),
-    /// Writes that were late take effect.
+    /// Late writes take effect.
     ApplyLateWrites,
-    /// The platform goes so many writes back.
+    /// The platform goes back by some writes.
     Restore(usize),
-    /// The nodes take what the platform holds.
+    /// The nodes adopt the platform's configuration.
     UpdateNodes,
 }
 
-/// One write of the head that an operator is about.
+/// An operator's write of the head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Attempt {
     id: usize,
     version: u64,
-    /// Object version and attempt that it is written over.
+    /// Object version and attempt that it replaces.
     replaces: Option<(u64, usize)>,
     has_parts: bool,
     /// Whether the platform went back since the operator read.
     restored: bool,
 }
 
-/// The oracle: what must be in force, and who wrote it.
+/// Expected state: the accepted heads and the attempts that wrote them.
 #[derive(Clone, Debug, Default)]
 struct Oracle {
-    /// Heads in force one after the other: object version, attempt, version.
+    /// Accepted heads in order: object version, attempt, version.
     history: Vec<(u64, usize, u64)>,
     revision: u64,
     next_id: usize,
     operators: [Option<Attempt>; OPERATORS],
     late: Vec<Attempt>,
-    /// Attempts that took effect at any time.
+    /// Attempts that ever took effect.
     effective: Vec<usize>,
-    /// Version that the nodes have in force.
+    /// Version active on the nodes.
     nodes: u64,
-    /// Whether the write of the last step was accepted.
+    /// Whether the last step's write was accepted; `None` without a known answer.
     last_accepted: Option<bool>,
 }
 
@@ -284,8 +285,8 @@
         true
     }
 
-    /// What a head read so many writes behind must tell of an attempt, if it
-    /// tells anything.
+    /// Returns whether `outcome` is correct for an attempt, judged by a head read
+    /// `lag` writes late.
     fn is_consistent(&self, attempt: &Attempt, outcome: WriteOutcome, lag: usize) -> bool {
         let read = self.head(lag).map(|(_, id, _)| id);
         let visible = &self.history[..self.history.len().saturating_sub(lag)];
@@ -395,7 +396,7 @@
     }
 }
 
-/// An operator at work.
+/// Operator with the configuration read and the head to write.
 struct Operator {
     base: StoredConfig,
     head: Head,
@@ -405,7 +406,7 @@
 struct Platform {
     store: FakeStore,
     operators: [Option<Operator>; OPERATORS],
-    /// Version that the nodes have in force.
+    /// Version active on the nodes.
     nodes: u64,
     ids: usize,
 }
@@ -502,7 +503,7 @@
             expected.map(|(_, id, version)| (version, Name::from(format!("attempt-{id}"))));
         assert_eq!(found, expected);
         assert_eq!(sut.nodes, state.nodes);
-        // An accepted write of one who asked the nodes is above what they have.
+        // An accepted version is above the nodes' active one, as the operator queried them.
         if state.last_accepted == Some(true) {
             let head = sut.store.head().unwrap();
             let attempt = state.operators.iter().flatten();
@@ -531,7 +532,7 @@
     fn operators_learn_true_outcomes(sequential 1..50 => Platform);
 }
 
-/// Outcome of publishing over such links.
+/// Test cases: deliveries of the head writes, the outcome and the version accepted.
 macro_rules! outcomes {
     ($($name:ident: [$($delivery:ident),*] => $outcome:pat, $version:expr;)+) => {
         $(
@@ -563,7 +564,7 @@
         => PublishOutcome::Unknown, 0;
 }
 
-/// An operator who read, and another whose write came first.
+/// Publishes after another operator's write to the same base.
 fn race(deliveries: &[Delivery]) -> (FakeStore, PublishOutcome) {
     let store = FakeStore::new();
     let from = block_on(read_stored_config(&store)).unwrap();
--- a/fireflyctl/tests/support/mod.rs
+++ b/fireflyctl/tests/support/mod.rs
@@ -1,5 +1,4 @@
-//! What the tests share: a platform, nodes that answer as told, and running
-//! the tool.
+//! Shared by the tests: a platform, fake nodes and runs of the command line.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -14,7 +13,7 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// What a run of the tool gave.
+/// Exit status and output of a run.
 #[derive(Debug)]
 pub(crate) struct RunOutput {
     pub(crate) exit: u8,
@@ -23,13 +22,13 @@
 }
 
 impl RunOutput {
-    /// Checks the exit status and gives the output.
+    /// Checks the exit status.
     pub(crate) fn exits(self, exit: u8) -> Self {
         assert_eq!(self.exit, exit, "{}\n{}", self.out, self.err);
         self
     }
 
-    /// Checks that the output holds `text`.
+    /// Checks that standard output contains `text`.
     pub(crate) fn prints(self, text: &str) -> Self {
         assert!(
             self.out.contains(text),
@@ -40,7 +39,7 @@
         self
     }
 
-    /// Checks that the other output holds `text`.
+    /// Checks that standard error contains `text`.
     pub(crate) fn warns(self, text: &str) -> Self {
         assert!(
             self.err.contains(text),
@@ -52,7 +51,7 @@
     }
 }
 
-/// Runs the tool with these arguments.
+/// Runs the command line with these arguments.
 pub(crate) async fn run(args: &[&str]) -> RunOutput {
     let mut full = vec!["fireflyctl".to_owned()];
     full.extend(args.iter().map(|arg| (*arg).to_owned()));
@@ -72,13 +71,13 @@
     tokio::task::spawn_blocking(run).await.unwrap()
 }
 
-/// A file of the examples.
+/// Returns the path of an example file.
 pub(crate) fn example_path(name: &str) -> String {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     root.join("../examples").join(name).display().to_string()
 }
 
-/// A file with this text, under a name that no other test has.
+/// Writes a file under a name that must be unique among the tests; returns its path.
 pub(crate) fn write_file(name: &str, text: &str) -> String {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = dir.join(name);
@@ -86,17 +85,17 @@
     path.display().to_string()
 }
 
-/// A platform of its own.
+/// Starts a platform.
 pub(crate) async fn platform() -> Running {
     platform_with(&Config::default()).await
 }
 
-/// A platform with these settings.
+/// Starts a platform with these settings.
 pub(crate) async fn platform_with(cfg: &Config) -> Running {
     platform::serve(cfg, bind_listener().await).unwrap()
 }
 
-/// Switches faults of a platform.
+/// Sets faults of a platform.
 pub(crate) async fn set_faults(platform: &Running, faults: Value) {
     let url = format!("{}/standin/faults", platform.url());
     let res = reqwest::Client::new().post(url).json(&faults).send().await;
@@ -113,20 +112,20 @@
     TcpListener::bind("127.0.0.1:0").await.unwrap()
 }
 
-/// What a fake node answers.
+/// Answers of a fake node.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Answers {
     pub(crate) status: Value,
-    /// Statuses of the first calls, before the lasting one.
+    /// Statuses of the first calls; `status` is used afterwards.
     pub(crate) statuses: Vec<Value>,
     pub(crate) config: Option<Value>,
     pub(crate) events: Value,
-    /// Metrics of the scrapes to come; the last one stays.
+    /// Metrics of the next scrapes; the last one is repeated.
     pub(crate) metrics: Vec<String>,
     pub(crate) drained: bool,
 }
 
-/// A node that answers as told, until it is dropped.
+/// Fake node with preset answers, served until it is dropped.
 pub(crate) struct FakeNode {
     pub(crate) addr: String,
     answers: Arc<Mutex<Answers>>,
@@ -134,7 +133,7 @@
 }
 
 impl FakeNode {
-    /// A node with that version in force.
+    /// Starts a node on which `version` is active.
     pub(crate) async fn start(name: &str, version: u64) -> Self {
         let answers = Answers {
             status: json!({
@@ -171,12 +170,12 @@
         }
     }
 
-    /// Changes what the node answers.
+    /// Changes the node's answers.
     pub(crate) fn update_answers(&self, change: impl FnOnce(&mut Answers)) {
         change(&mut self.answers.lock().unwrap());
     }
 
-    /// Whether the node was told to drain.
+    /// Returns whether the node was told to drain.
     pub(crate) fn was_drained(&self) -> bool {
         self.answers.lock().unwrap().drained
     }
