--- a/fireflyctl/src/entries.rs
+++ b/fireflyctl/src/entries.rs
@@ -132,7 +132,7 @@
 fn entry_cells(node: &str, entry: &EntryOverview) -> [String; 14] {
     let age = entry.config_age_ms.map(|ms| ms / 1_000);
     let serving = entry.upstreams.iter().filter(|u| u.serves).count();
-    let heard_peers = entry.peers.iter().filter(|p| p.heard_ms.is_some()).count();
+    let peers_seen = entry.peers.iter().filter(|p| p.heard_ms.is_some()).count();
     [
         node.to_owned(),
         entry.name.to_string(),
@@ -147,7 +147,7 @@
         entry.calls.to_string(),
         entry.streams.to_string(),
         serving.to_string(),
-        heard_peers.to_string(),
+        peers_seen.to_string(),
     ]
 }
 
--- a/fireflyctl/src/timeline.rs
+++ b/fireflyctl/src/timeline.rs
@@ -121,12 +121,14 @@
     let last = lines.iter().rposition(is_own)?;
     let own: Vec<&LogLine> = lines.iter().filter(|l| is_own(l)).collect();
     let cause = cause_of(&own, &lines);
-    let used: HashSet<&str> = own.iter().flat_map(|l| upstreams_named(l)).collect();
+    let used_upstreams: HashSet<&str> = own.iter().flat_map(|l| upstreams_named(l)).collect();
     let process = own[0].process.as_str();
     let is_fleet_event = |line: &LogLine| {
-        let concerns_used = line.get("instance").is_none_or(|i| used.contains(i));
+        let concerns_used_upstream = line
+            .get("instance")
+            .is_none_or(|i| used_upstreams.contains(i));
         let of_process = line.process == process;
-        FLEET_EVENTS.contains(&line.event.as_str()) && concerns_used && of_process
+        FLEET_EVENTS.contains(&line.event.as_str()) && concerns_used_upstream && of_process
     };
     let mut before: Vec<&LogLine> = lines[..first]
         .iter()
@@ -181,8 +183,8 @@
     }
     let answered = last_of("answered");
     if let Some(line) = answered.filter(|l| l.get("code") != Some("3000")) {
-        let attempt = own.iter().rev().find(|l| l.event == "try_failed");
-        let why = attempt.map_or(String::new(), |t| {
+        let last_attempt = own.iter().rev().find(|l| l.event == "try_failed");
+        let attempt_phrase = last_attempt.map_or(String::new(), |t| {
             let instance = t.get("instance").unwrap_or("?");
             let outcome = t.get("outcome").unwrap_or("?");
             format!(
@@ -190,7 +192,7 @@
                 t.get("why").unwrap_or("")
             )
         });
-        return format!("{}{why}", code_of(line));
+        return format!("{}{attempt_phrase}", code_of(line));
     }
     if let Some(line) = last_of("stream_ended") {
         return ended_cause(line);
@@ -219,31 +221,31 @@
 /// Describes why a stream was cut: how its upstream ended, and why it wasn't resumed elsewhere.
 fn cut_cause(line: &LogLine, own: &[&LogLine], all: &[LogLine]) -> String {
     let instance = line.get("instance").unwrap_or("?");
-    let has_event = |event: &str| {
+    let has_upstream_event = |event: &str| {
         let mut of_event = all.iter().filter(|l| l.event == event);
         of_event.any(|l| l.get("instance") == Some(instance))
     };
-    let end = if has_event("upstream_leaves") {
+    let end = if has_upstream_event("upstream_leaves") {
         "which had announced its departure"
-    } else if has_event("upstream_crashed") || has_event("upstream_removed") {
+    } else if has_upstream_event("upstream_crashed") || has_upstream_event("upstream_removed") {
         "which crashed"
     } else {
         "whose connection was lost"
     };
-    let has = |event: &str| own.iter().any(|l| l.event == event);
+    let has_own_event = |event: &str| own.iter().any(|l| l.event == event);
     let refused = own.iter().rev().find(|l| l.event == "go_on_refused");
-    let next = if has("budget_spent") {
+    let next = if has_own_event("budget_spent") {
         "the retry budget was exhausted".to_owned()
     } else if let Some(refused) = refused {
-        let at = refused.get("instance").unwrap_or("?");
+        let holder = refused.get("instance").unwrap_or("?");
         format!(
-            "its memory backup at {at} could not be used: {}",
+            "its memory backup at {holder} could not be used: {}",
             refused.get("why").unwrap_or("?")
         )
-    } else if let Some(moved) = own.iter().rev().find(|l| l.event == "run_moved") {
+    } else if let Some(migration) = own.iter().rev().find(|l| l.event == "run_moved") {
         format!(
             "it was not migrated: {}",
-            moved.get("outcome").unwrap_or("?")
+            migration.get("outcome").unwrap_or("?")
         )
     } else {
         "there was no copy of its memory".to_owned()
@@ -257,13 +259,13 @@
     let first = number("first_ms").unwrap_or(0);
     let pause = number("longest_pause_ms").unwrap_or(0);
     let breaks = number("breaks").unwrap_or(0);
-    let moved = if breaks > 0 {
+    let resumed = if breaks > 0 {
         format!(", after resuming elsewhere {breaks} times")
     } else {
         String::new()
     };
     if pause > MAX_SMOOTH_PAUSE_MS {
-        return format!("served in full, late by a pause of {pause} ms{moved}");
+        return format!("served in full, late by a pause of {pause} ms{resumed}");
     }
-    format!("served in full, first event after {first} ms{moved}")
+    format!("served in full, first event after {first} ms{resumed}")
 }
--- a/fireflyctl/tests/timeline.rs
+++ b/fireflyctl/tests/timeline.rs
@@ -25,11 +25,11 @@
     events_of_used_upstreams_are_shown => events_of_used_upstreams();
     cut_names_the_leaving_upstream => check_cause(CUT, "r1",
         "cut after 9 events by the end of i-1, which had announced its departure; there was no copy of its memory");
-    cut_names_the_copy_that_failed => check_cause(REFUSED_COPY, "r1",
+    cut_names_the_backup_that_failed => check_cause(REFUSED_BACKUP, "r1",
         "cut after 9 events by the end of i-1, whose connection was lost; its memory backup at i-2 could not be used: 503");
     exhausted_budget_is_named => check_cause(BUDGET, "r1",
         "cut after 9 events by the end of i-1, which crashed; the retry budget was exhausted");
-    unknown_outcome_names_the_last_try => check_cause(UNKNOWN, "r2",
+    unknown_outcome_names_the_last_attempt => check_cause(UNKNOWN, "r2",
         "4001 contact was lost; whether the request ran is not known; last attempt at i-3: Lost, connection closed");
     refusal_names_the_code => check_cause(REFUSED, "r3", "refused before it was sent: 2004 the key is missing or unknown");
     full_memory_is_named => check_cause(NO_ROOM, "r4",
@@ -48,7 +48,7 @@
 time=2026-01-01T00:00:01.500Z level=info event=answered req=r1 code=3000 status=200
 "#;
 
-const REFUSED_COPY: &str = r"
+const REFUSED_BACKUP: &str = r"
 time=2026-01-01T00:00:01.000Z level=info event=sent req=r1 instance=i-1
 time=2026-01-01T00:00:02.000Z level=warn event=go_on_refused req=r1 instance=i-2 why=503
 time=2026-01-01T00:00:03.000Z level=info event=stream_cut req=r1 instance=i-1 events=9
