--- a/fireflycroft/tests/support/world.rs
+++ b/fireflycroft/tests/support/world.rs
@@ -302,7 +302,7 @@
                 from,
             } => self.deliver_config(to, incarnation, from),
             ScheduledEvent::Member(entry, agent, state) => {
-                self.announce_member(entry, agent, state)
+                self.announce_member(entry, agent, state);
             }
         }
     }
--- a/fireflycroft/tests/support/world/services.rs
+++ b/fireflycroft/tests/support/world/services.rs
@@ -166,7 +166,7 @@
                 self.schedule(pause, ScheduledEvent::Emit(agent, generation, epoch));
             }
             StreamStep::Wait => {
-                self.schedule(200 * MS, ScheduledEvent::Emit(agent, generation, epoch))
+                self.schedule(200 * MS, ScheduledEvent::Emit(agent, generation, epoch));
             }
             StreamStep::Break => self.drive_agent(agent, AgentEvent::Broken { generation }),
             StreamStep::Die => self.crash(agent),
