--- a/fireflydirect/src/answer.rs
+++ b/fireflydirect/src/answer.rs
@@ -35,14 +35,14 @@
 
 /// Body that is there as a whole.
 #[must_use]
-pub fn whole(bytes: impl Into<Bytes>) -> AnswerBody {
+pub fn whole_body(bytes: impl Into<Bytes>) -> AnswerBody {
     use http_body_util::BodyExt;
     Box::pin(Full::new(bytes.into()).map_err(|never| match never {}))
 }
 
 /// Answer of an upstream, unchanged but for the headers of its connection.
 #[must_use]
-pub fn relayed(parts: &Parts, body: AnswerBody) -> Answer {
+pub fn relayed_answer(parts: &Parts, body: AnswerBody) -> Answer {
     let mut answer = Response::new(body);
     *answer.status_mut() = parts.status;
     *answer.headers_mut() = answer_headers(&parts.headers);
@@ -51,7 +51,7 @@
 
 /// The entry's own answer: why the request failed, and when to come back.
 #[must_use]
-pub fn own(code: Code, retry_after: Option<Duration>) -> Answer {
+pub fn error_answer(code: Code, retry_after: Option<Duration>) -> Answer {
     let class = match code.class() {
         Class::Operator => "operator",
         Class::NotRun => "not_run",
@@ -63,14 +63,14 @@
         "class": class,
         "message": code.phrase(),
     }});
-    let mut answer = Response::new(whole(body.to_string()));
+    let mut answer = Response::new(whole_body(body.to_string()));
     *answer.status_mut() =
         StatusCode::from_u16(code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = answer.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     headers.insert(CODE, HeaderValue::from(code.number()));
     if let Some(wait) = retry_after {
-        put_text(headers, RETRY_AFTER, &format!("{:.3}", wait.as_secs_f64()));
+        insert_text(headers, RETRY_AFTER, &format!("{:.3}", wait.as_secs_f64()));
     }
     answer
 }
@@ -82,7 +82,7 @@
         .insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-fn put_text(headers: &mut HeaderMap, name: HeaderName, text: &str) {
+fn insert_text(headers: &mut HeaderMap, name: HeaderName, text: &str) {
     // Digits and a point are always a sound value.
     if let Ok(value) = HeaderValue::from_str(text) {
         headers.insert(name, value);
@@ -91,7 +91,7 @@
 
 /// Body that keeps `guard` until it has been sent or dropped.
 #[must_use]
-pub fn guarded<G: 'static>(body: AnswerBody, guard: G) -> AnswerBody {
+pub fn with_guard<G: 'static>(body: AnswerBody, guard: G) -> AnswerBody {
     use http_body_util::BodyExt;
     let guard = std::cell::Cell::new(Some(guard));
     Box::pin(body.map_frame(move |frame| {
--- a/fireflydirect/src/call.rs
+++ b/fireflydirect/src/call.rs
@@ -1,10 +1,10 @@
 //! Getting an answer to a request: one upstream after another, as far as allowed.
 
+use crate::assignment::AssignmentGuard;
 use crate::crash;
-use crate::exchange::{Extras, Opened, Unanswered, read_whole, send};
+use crate::exchange::{Extras, ResponseStart, SendError, read_whole, send};
 use crate::figure::or_empty;
 use crate::job::Job;
-use crate::placed::PlacedGuard;
 use crate::{repeats, returns};
 use bytes::Bytes;
 use fireflycroft::{
@@ -19,14 +19,15 @@
 
 /// When to come back after upstreams were too full: about the time in which some of them end a
 /// request or two.
-const FULL_RETRY: Duration = Duration::from_millis(400);
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// When to come back while no upstream is known: about the time between two looks at the list.
-const NONE_RETRY: Duration = Duration::from_millis(800);
+const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_millis(800);
 
 /// Bounds on when to come back while upstreams want nothing more of this entry: they may take
 /// requests of others.
-const FREE_RETRY: RangeInclusive<Duration> = Duration::from_millis(200)..=Duration::from_secs(1);
+const RATE_LIMITED_RETRY_AFTER: RangeInclusive<Duration> =
+    Duration::from_millis(200)..=Duration::from_secs(1);
 
 /// Time for which an upstream that couldn't be reached is left out.
 const AVOID_UNREACHABLE: Duration = Duration::from_millis(1_500);
@@ -36,19 +37,19 @@
 
 /// Time for which an address that belongs to another instance is left out: until the list
 /// tells.
-const AVOID_MISTAKEN: Duration = Duration::from_secs(5);
+const AVOID_WRONG_INSTANCE: Duration = Duration::from_secs(5);
 
 /// Objectives after which a plain call that may run again is asked for elsewhere.
-const SILENT_OBJECTIVES: u32 = 3;
+const SILENCE_TIMEOUT_OBJECTIVES: u32 = 3;
 
 /// A stream that has begun.
-pub struct Begun {
+pub struct StartedStream {
     /// The upstream's head and body.
-    pub opened: Opened,
+    pub opened: ResponseStart,
     /// Its place on the upstream.
-    pub placed: PlacedGuard,
+    pub placed: AssignmentGuard,
     /// Place of the copy that another upstream keeps.
-    pub backup: Option<PlacedGuard>,
+    pub backup: Option<AssignmentGuard>,
 }
 
 /// What a request came to.
@@ -56,19 +57,19 @@
     /// A whole answer of an upstream.
     Whole(Parts, Bytes),
     /// A stream that has begun.
-    Stream(Box<Begun>),
+    Stream(Box<StartedStream>),
     /// No answer of an upstream: a code, and when to come back.
     Own(Code, Option<Duration>),
 }
 
 /// One try at an upstream.
-struct Tried {
+struct AttemptResult {
     outcome: AttemptOutcome,
     why: String,
     reply: Option<Reply>,
 }
 
-impl Tried {
+impl AttemptResult {
     fn failed(outcome: AttemptOutcome, why: impl Into<String>) -> Self {
         Self {
             outcome,
@@ -80,42 +81,44 @@
 
 /// Gets an answer before the job's time is up.
 pub async fn obtain(job: &Job) -> Reply {
-    let tries = RefCell::new(Attempts::new(job.route.kind, job.route.max_attempts));
-    let limit = job.node.clock.instant(job.give_up_at);
-    match tokio::time::timeout_at(limit, try_all(job, &tries)).await {
+    let attempts = RefCell::new(Attempts::new(job.route.kind, job.route.max_attempts));
+    let limit = job.node.clock.instant(job.deadline);
+    match tokio::time::timeout_at(limit, try_upstreams(job, &attempts)).await {
         Ok(reply) => reply,
-        Err(_) if tries.borrow().may_have_run() => Reply::Own(Code::DeadlineExceeded, None),
-        Err(_) => Reply::Own(Code::Overloaded, Some(FULL_RETRY)),
+        Err(_) if attempts.borrow().may_have_run() => Reply::Own(Code::DeadlineExceeded, None),
+        Err(_) => Reply::Own(Code::Overloaded, Some(FULL_RETRY_AFTER)),
     }
 }
 
-async fn try_all(job: &Job, tries: &RefCell<Attempts>) -> Reply {
+async fn try_upstreams(job: &Job, attempts: &RefCell<Attempts>) -> Reply {
     let need = job.need();
-    let mut asked = Vec::new();
+    let mut tried = Vec::new();
     let mut failure = None;
     loop {
-        let Some(ix) = job.pick(&need, &asked).await else {
-            return failure.unwrap_or_else(|| nobody(job, &need, tries));
+        let Some(ix) = job.pick(&need, &tried).await else {
+            return failure.unwrap_or_else(|| reply_without_upstream(job, &need, attempts));
         };
-        if let Some(wait) = no_room(job, ix, &need).await {
-            return failure.unwrap_or_else(|| refuse_for_room(job, ix, tries, wait));
+        if let Some(wait) = check_capacity(job, ix, &need).await {
+            return failure.unwrap_or_else(|| refuse_for_capacity(job, ix, attempts, wait));
         }
-        let one = try_one(job, ix, need, tries).await;
-        note(job, ix, &one);
-        if one.outcome == AttemptOutcome::Lost {
-            crash::suspect(job, ix);
+        let result = attempt(job, ix, need, attempts).await;
+        record_attempt(job, ix, &result);
+        if result.outcome == AttemptOutcome::Lost {
+            crash::check_for_crash(job, ix);
         }
-        asked.push(ix);
-        if tries.borrow().may_retry(one.outcome) {
+        tried.push(ix);
+        if attempts.borrow().may_retry(result.outcome) {
             repeats::prepare(job).await;
         }
-        let next = tries
+        let next = attempts
             .borrow_mut()
-            .next_step(one.outcome, || job.take_repeat());
-        match (next, one.reply) {
+            .next_step(result.outcome, || job.take_retry());
+        match (next, result.reply) {
             (NextStep::Retry, reply) => failure = reply.or(failure),
             (NextStep::Relay, Some(reply)) => return reply,
-            (NextStep::RefuseNotRun, _) => return Reply::Own(Code::Overloaded, Some(FULL_RETRY)),
+            (NextStep::RefuseNotRun, _) => {
+                return Reply::Own(Code::Overloaded, Some(FULL_RETRY_AFTER));
+            }
             (NextStep::ReportUnknown | NextStep::Relay, _) => {
                 return failure.unwrap_or(Reply::Own(Code::OutcomeUnknown, None));
             }
@@ -125,8 +128,11 @@
 
 /// When to come back where an upstream takes a request of this entry after `wait`, spread so that
 /// callers who were refused together don't return together.
-fn free_back_after(wait: Duration) -> Duration {
-    let latest = wait.clamp(*FREE_RETRY.start(), *FREE_RETRY.end());
+fn rate_limited_retry_after(wait: Duration) -> Duration {
+    let latest = wait.clamp(
+        *RATE_LIMITED_RETRY_AFTER.start(),
+        *RATE_LIMITED_RETRY_AFTER.end(),
+    );
     latest.mul_f64(rand::rng().random_range(0.5..=1.0))
 }
 
@@ -134,12 +140,12 @@
 ///
 /// A caller who was refused before is let in sooner than one who comes first. That is asked only
 /// when the first one would be refused.
-async fn no_room(job: &Job, ix: UpstreamIx, need: &Need) -> Option<Duration> {
+async fn check_capacity(job: &Job, ix: UpstreamIx, need: &Need) -> Option<Duration> {
     job.engine?;
-    if !job.node.policy.uses(Mechanism::Door) || has_room(job, ix, need) {
+    if !job.node.policy.uses(Mechanism::Door) || has_capacity(job, ix, need) {
         return None;
     }
-    if returns::learn(job).await && has_room(job, ix, need) {
+    if returns::learn(job).await && has_capacity(job, ix, need) {
         return None;
     }
     job.node.note_refused(job.content);
@@ -149,7 +155,7 @@
     ))
 }
 
-fn has_room(job: &Job, ix: UpstreamIx, need: &Need) -> bool {
+fn has_capacity(job: &Job, ix: UpstreamIx, need: &Need) -> bool {
     let pool = job.node.pool.borrow();
     let now = job.now();
     let fill = MemoryUsage {
@@ -158,78 +164,88 @@
     };
     let asking = AdmissionRequest {
         expected_tokens: job.expected_tokens(),
-        value_density: job.yields,
+        value_density: job.value_density,
         coming: returns::coming(job),
         rank: job.rank,
     };
     is_admitted(&asking, &fill)
 }
 
-fn refuse_for_room(job: &Job, ix: UpstreamIx, tries: &RefCell<Attempts>, wait: Duration) -> Reply {
+fn refuse_for_capacity(
+    job: &Job,
+    ix: UpstreamIx,
+    attempts: &RefCell<Attempts>,
+    wait: Duration,
+) -> Reply {
     let pool = job.node.pool.borrow();
     let view = pool.view(job.now(), ix);
     let of_service = pool.runs_fill_of(job.now(), &job.service);
     log::warn!(
         event = "no_room", req = &*job.request_id, route = &*job.route.name,
-        expected = job.expected_tokens(), yields = format!("{:.2}", job.yields),
+        expected = job.expected_tokens(), yields = format!("{:.2}", job.value_density),
         coming = format!("{:?}", returns::coming(job)), memory = format!("{:.2}", view.memory),
         service_memory = format!("{of_service:.2}"),
         told_age_ms = view.age.as_millis(), retry_after_ms = wait.as_millis();
         ""
     );
-    if tries.borrow().may_have_run() {
+    if attempts.borrow().may_have_run() {
         Reply::Own(Code::OutcomeUnknown, None)
     } else {
         Reply::Own(Code::Overloaded, Some(wait))
     }
 }
 
-fn nobody(job: &Job, need: &Need, tries: &RefCell<Attempts>) -> Reply {
+fn reply_without_upstream(job: &Job, need: &Need, attempts: &RefCell<Attempts>) -> Reply {
     let free_in = job.until_any_is_free(need);
     log::warn!(
         event = "no_upstream", req = &*job.request_id, service = &*job.service,
         free_in_ms = or_empty(free_in.map(|wait| wait.as_millis()));
         ""
     );
-    if tries.borrow().may_have_run() {
+    if attempts.borrow().may_have_run() {
         return Reply::Own(Code::OutcomeUnknown, None);
     }
     match free_in {
-        Some(wait) => Reply::Own(Code::Overloaded, Some(free_back_after(wait))),
-        None => Reply::Own(Code::NoUpstream, Some(NONE_RETRY)),
+        Some(wait) => Reply::Own(Code::Overloaded, Some(rate_limited_retry_after(wait))),
+        None => Reply::Own(Code::NoUpstream, Some(NO_UPSTREAM_RETRY_AFTER)),
     }
 }
 
-async fn try_one(job: &Job, ix: UpstreamIx, need: Need, tries: &RefCell<Attempts>) -> Tried {
-    note_choice(job, ix);
-    let placed = job.node.place(ix, need);
-    let backup = place_backup(job, ix, need);
-    let keeper = backup
+async fn attempt(
+    job: &Job,
+    ix: UpstreamIx,
+    need: Need,
+    attempts: &RefCell<Attempts>,
+) -> AttemptResult {
+    log_choice(job, ix);
+    let placed = job.node.assign(ix, need);
+    let backup = assign_backup(job, ix, need);
+    let backup_holder = backup
         .as_ref()
         .map(|b| job.node.pool.borrow().record(b.ix).addr);
     let extras = Extras {
-        backup: keeper,
+        backup: backup_holder,
         memory: None,
-        last_event_id: job.ask.last_event_id,
+        last_event_id: job.head.last_event_id,
     };
-    let sending = send(job, ix, &extras, || tries.borrow_mut().record_sent());
-    let sent = match silence_limit(job) {
+    let sending = send(job, ix, &extras, || attempts.borrow_mut().record_sent());
+    let sent = match silence_timeout(job) {
         Some(limit) => match tokio::time::timeout(limit, sending).await {
             Ok(sent) => sent,
-            Err(_) => Err(Unanswered::Lost("no answer in time".to_owned())),
+            Err(_) => Err(SendError::Lost("no answer in time".to_owned())),
         },
         None => sending.await,
     };
     match sent {
-        Ok(opened) => judge(job, ix, opened, placed, backup).await,
-        Err(Unanswered::NeverSent(why)) => Tried::failed(AttemptOutcome::NeverSent, why),
-        Err(Unanswered::Withheld(why)) => Tried::failed(AttemptOutcome::Withheld, why),
-        Err(Unanswered::Lost(why)) => Tried::failed(AttemptOutcome::Lost, why),
+        Ok(opened) => interpret_head(job, ix, opened, placed, backup).await,
+        Err(SendError::NeverSent(why)) => AttemptResult::failed(AttemptOutcome::NeverSent, why),
+        Err(SendError::Withheld(why)) => AttemptResult::failed(AttemptOutcome::Withheld, why),
+        Err(SendError::Lost(why)) => AttemptResult::failed(AttemptOutcome::Lost, why),
     }
 }
 
 /// Says where a request goes, and what the choice saw.
-fn note_choice(job: &Job, ix: UpstreamIx) {
+fn log_choice(job: &Job, ix: UpstreamIx) {
     let pool = job.node.pool.borrow();
     let view = pool.view(job.now(), ix);
     let of_service = pool.fill_of(job.now(), &job.service);
@@ -245,16 +261,17 @@
 }
 
 /// Longest wait for a head when another upstream may be asked instead.
-fn silence_limit(job: &Job) -> Option<Duration> {
+fn silence_timeout(job: &Job) -> Option<Duration> {
     let plain = job.engine.is_none() && job.route.kind.is_retryable();
-    plain.then(|| job.route.objective * SILENT_OBJECTIVES)
+    plain.then(|| job.route.objective * SILENCE_TIMEOUT_OBJECTIVES)
 }
 
 /// Place for a copy of a long stream, if memory is plentiful.
-pub fn place_backup(job: &Job, at: UpstreamIx, need: Need) -> Option<PlacedGuard> {
-    let can_keep = job.engine.is_some_and(|e| e.can_back_up) && job.route.kind.is_stream();
-    let keeps = can_keep && job.node.policy.uses(Mechanism::Copies);
-    if !keeps || job.expected_tokens() < MIN_BACKUP_TOKENS {
+pub fn assign_backup(job: &Job, at: UpstreamIx, need: Need) -> Option<AssignmentGuard> {
+    let can_back_up_stream =
+        job.engine.is_some_and(|e| e.can_back_up) && job.route.kind.is_stream();
+    let is_enabled = can_back_up_stream && job.node.policy.uses(Mechanism::Copies);
+    if !is_enabled || job.expected_tokens() < MIN_BACKUP_TOKENS {
         return None;
     }
     let copy = Need {
@@ -263,46 +280,53 @@
         copied_from: Some(at),
         ..need
     };
-    let keeper = pick_backup_holder(&job.node.pool.borrow(), job.now(), &job.service, &copy, at)?;
-    Some(job.node.place(keeper, copy))
+    let backup_holder =
+        pick_backup_holder(&job.node.pool.borrow(), job.now(), &job.service, &copy, at)?;
+    Some(job.node.assign(backup_holder, copy))
 }
 
 /// What the head of an answer means for the request.
-async fn judge(
+async fn interpret_head(
     job: &Job,
     ix: UpstreamIx,
-    opened: Opened,
-    placed: PlacedGuard,
-    backup: Option<PlacedGuard>,
-) -> Tried {
+    opened: ResponseStart,
+    placed: AssignmentGuard,
+    backup: Option<AssignmentGuard>,
+) -> AttemptResult {
     let status = opened.parts.status;
     let head = opened.head;
     match head.claim {
         RunClaim::MayHaveRun => {}
         RunClaim::NotRun => {
-            return Tried::failed(AttemptOutcome::NotRun, format!("turned away with {status}"));
+            return AttemptResult::failed(
+                AttemptOutcome::NotRun,
+                format!("turned away with {status}"),
+            );
         }
         RunClaim::WrongInstance => {
-            return Tried::failed(AttemptOutcome::WrongInstance, "another instance is there");
+            return AttemptResult::failed(
+                AttemptOutcome::WrongInstance,
+                "another instance is there",
+            );
         }
     }
     if status.is_success() && !head.sealed {
-        return Tried::failed(AttemptOutcome::Lost, "an answer without a seal");
+        return AttemptResult::failed(AttemptOutcome::Lost, "an answer without a seal");
     }
     if status.is_success() && job.route.kind.is_stream() {
-        let begun = Begun {
+        let begun = StartedStream {
             opened,
             placed,
             backup,
         };
-        return Tried {
+        return AttemptResult {
             outcome: AttemptOutcome::Answered,
             why: String::new(),
             reply: Some(Reply::Stream(Box::new(begun))),
         };
     }
     match read_whole(job, ix, opened).await {
-        Ok((parts, bytes)) => Tried {
+        Ok((parts, bytes)) => AttemptResult {
             outcome: if status.is_server_error() {
                 AttemptOutcome::Failed
             } else {
@@ -311,33 +335,33 @@
             why: status.to_string(),
             reply: Some(Reply::Whole(parts, bytes)),
         },
-        Err(why) => Tried::failed(AttemptOutcome::Lost, why),
+        Err(why) => AttemptResult::failed(AttemptOutcome::Lost, why),
     }
 }
 
 /// Lets the pool learn from a try, and says what came of it.
-fn note(job: &Job, ix: UpstreamIx, tried: &Tried) {
+fn record_attempt(job: &Job, ix: UpstreamIx, result: &AttemptResult) {
     let now = job.now();
-    let outcome = format!("{:?}", tried.outcome);
-    if tried.outcome == AttemptOutcome::NeverSent {
+    let outcome = format!("{:?}", result.outcome);
+    if result.outcome == AttemptOutcome::NeverSent {
         job.node.note_unreachable(ix);
     }
     job.node.metrics.tries.with_label_values(&[&outcome]).inc();
     let mut pool = job.node.pool.borrow_mut();
-    if tried.outcome != AttemptOutcome::Withheld {
-        pool.note_outcome(ix, tried.outcome != AttemptOutcome::Answered);
+    if result.outcome != AttemptOutcome::Withheld {
+        pool.note_outcome(ix, result.outcome != AttemptOutcome::Answered);
     }
-    match tried.outcome {
+    match result.outcome {
         AttemptOutcome::NeverSent | AttemptOutcome::Lost => pool.avoid(now, ix, AVOID_UNREACHABLE),
         AttemptOutcome::NotRun => pool.avoid(now, ix, AVOID_FULL),
-        AttemptOutcome::WrongInstance => pool.avoid(now, ix, AVOID_MISTAKEN),
+        AttemptOutcome::WrongInstance => pool.avoid(now, ix, AVOID_WRONG_INSTANCE),
         AttemptOutcome::Withheld | AttemptOutcome::Failed | AttemptOutcome::Answered => {}
     }
-    if tried.outcome != AttemptOutcome::Answered {
+    if result.outcome != AttemptOutcome::Answered {
         log::warn!(
             event = "try_failed", req = &*job.request_id, route = &*job.route.name,
             instance = &*pool.record(ix).instance, outcome = outcome,
-            why = &*tried.why, age_ms = job.age().as_millis();
+            why = &*result.why, age_ms = job.age().as_millis();
             ""
         );
     }
--- a/fireflydirect/src/callers.rs
+++ b/fireflydirect/src/callers.rs
@@ -14,13 +14,13 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Idle time of a connection while no configuration states one.
-const DEFAULT_IDLE: Duration = Duration::from_secs(15);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Wait after a failed accept: descriptors run out for moments only.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Bytes of a head that are read at most, the connection's buffer.
-const HEAD_BUFFER: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
 /// Headers of a head that are read at most.
 const MAX_HEADERS: usize = 128;
@@ -32,12 +32,12 @@
 }
 
 /// One call of a connection under way; ends when dropped.
-struct Calling {
+struct ActiveCall {
     node: Rc<Node>,
     activity: Rc<Activity>,
 }
 
-impl Calling {
+impl ActiveCall {
     fn begin(node: &Rc<Node>, activity: &Rc<Activity>) -> Self {
         node.busy.set(node.busy.get() + 1);
         activity.calls.set(activity.calls.get() + 1);
@@ -48,7 +48,7 @@
     }
 }
 
-impl Drop for Calling {
+impl Drop for ActiveCall {
     fn drop(&mut self) {
         self.node.busy.set(self.node.busy.get() - 1);
         self.activity.calls.set(self.activity.calls.get() - 1);
@@ -61,17 +61,17 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(talk(node.clone(), stream));
+                tokio::task::spawn_local(serve_connection(node.clone(), stream));
             }
             Err(e) => {
                 log::warn!(event = "accept_failed", error = e.to_string(); "");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn talk(node: Rc<Node>, stream: TcpStream) {
+async fn serve_connection(node: Rc<Node>, stream: TcpStream) {
     // A socket that takes no option is gone already; the first read tells.
     let _ = stream.set_nodelay(true);
     let activity = Rc::new(Activity {
@@ -79,15 +79,15 @@
         since: Cell::new(node.now()),
     });
     let service = service_fn(|req| {
-        let calling = Calling::begin(&node, &activity);
+        let active_call = ActiveCall::begin(&node, &activity);
         let node = node.clone();
         async move {
             let answer = serve(node, req).await;
-            Ok::<_, Infallible>(answer.map(|body| crate::answer::guarded(body, calling)))
+            Ok::<_, Infallible>(answer.map(|body| crate::answer::with_guard(body, active_call)))
         }
     });
     let conn = http1::Builder::new()
-        .max_buf_size(HEAD_BUFFER)
+        .max_buf_size(MAX_HEAD_BYTES)
         .max_headers(MAX_HEADERS)
         .serve_connection(TokioIo::new(stream), service);
     let mut conn = pin!(conn);
@@ -96,7 +96,7 @@
         tokio::select! {
             // A caller that breaks its own connection is no event worth a line.
             _ = conn.as_mut() => return,
-            () = until_over(&node, &activity), if !closing => {
+            () = until_close_due(&node, &activity), if !closing => {
                 closing = true;
                 conn.as_mut().graceful_shutdown();
             }
@@ -105,7 +105,7 @@
 }
 
 /// Ends when the process closes or the connection has been idle for too long.
-async fn until_over(node: &Node, activity: &Activity) {
+async fn until_close_due(node: &Node, activity: &Activity) {
     let mut stage = node.follow_stage();
     let closing = async {
         // The sender lives as long as the node.
@@ -119,7 +119,7 @@
 
 async fn until_idle(node: &Node, activity: &Activity) {
     loop {
-        let limit = idle_limit(node);
+        let limit = idle_timeout(node);
         let until = activity.since.get() + limit;
         let busy = activity.calls.get() > 0;
         if !busy && node.now() >= until {
@@ -130,8 +130,8 @@
     }
 }
 
-fn idle_limit(node: &Node) -> Duration {
+fn idle_timeout(node: &Node) -> Duration {
     let catalog = node.catalog.borrow();
     let limit = catalog.as_ref().map(|c| c.limits().idle_timeout);
-    limit.unwrap_or(DEFAULT_IDLE)
+    limit.unwrap_or(DEFAULT_IDLE_TIMEOUT)
 }
--- a/fireflydirect/src/client.rs
+++ b/fireflydirect/src/client.rs
@@ -4,7 +4,7 @@
 //! beside the one that hangs, as [`fireflycroft::HedgedCall`] decides.
 
 use crate::clock::Clock;
-use crate::links::{Answered, Link, call_watched, open};
+use crate::links::{CallResponse, Link, call_with_progress, open};
 use bytes::Bytes;
 use fireflycroft::{AttemptId, HedgeStep, HedgedCall};
 use http_body_util::Full;
@@ -17,7 +17,7 @@
 use tokio::task::{AbortHandle, JoinSet};
 
 /// What one try came to.
-type TryEnd = (AttemptId, anyhow::Result<(Link, Answered)>);
+type TryEnd = (AttemptId, anyhow::Result<(Link, CallResponse)>);
 
 /// A client of one address; one call at a time.
 pub struct Client {
@@ -56,7 +56,7 @@
         path: &str,
         overlap: HedgedCall,
         on_hang: impl Fn(),
-    ) -> anyhow::Result<Answered> {
+    ) -> anyhow::Result<CallResponse> {
         let mut running = Running {
             overlap: Rc::new(RefCell::new(overlap)),
             tasks: JoinSet::new(),
@@ -114,7 +114,7 @@
     fn take(
         &mut self,
         ended: Option<Result<TryEnd, tokio::task::JoinError>>,
-    ) -> anyhow::Result<Option<(Link, Answered)>> {
+    ) -> anyhow::Result<Option<(Link, CallResponse)>> {
         match ended {
             Some(Ok((_, Ok(answer)))) => Ok(Some(answer)),
             Some(Ok((id, Err(e)))) => {
@@ -134,11 +134,11 @@
     link: Option<Link>,
     req: Request<Full<Bytes>>,
     on_progress: impl Fn(),
-) -> anyhow::Result<(Link, Answered)> {
+) -> anyhow::Result<(Link, CallResponse)> {
     let mut link = match link.filter(|l| !l.sender.is_closed()) {
         Some(link) => link,
         None => open(addr).await?,
     };
-    let answered = call_watched(&mut link, req, on_progress).await?;
+    let answered = call_with_progress(&mut link, req, on_progress).await?;
     Ok((link, answered))
 }
--- a/fireflydirect/src/conditions.rs
+++ b/fireflydirect/src/conditions.rs
@@ -10,66 +10,72 @@
 use std::time::Duration;
 
 /// Takes what the head of an answer to a request of `sent` says of the upstream.
-pub fn take(job: &Job, ix: UpstreamIx, sent: Time, status: StatusCode, head: &ResponseHead) {
+pub fn apply_head(
+    job: &Job,
+    ix: UpstreamIx,
+    sent_at: Time,
+    status: StatusCode,
+    head: &ResponseHead,
+) {
     if head.claim == RunClaim::WrongInstance {
         return;
     }
     let node = &job.node;
-    let said = &head.conditions;
-    if let Some(span) = said.backoff {
-        node.pool.borrow_mut().pause(node.now(), ix, span);
-        say_paused(node, ix, span);
+    let conditions = &head.conditions;
+    if let Some(pause) = conditions.backoff {
+        node.pool.borrow_mut().pause(node.now(), ix, pause);
+        log_paused(node, ix, pause);
     }
-    if said.leaving {
+    if conditions.leaving {
         let change = node.pool.borrow_mut().record_leave_notice(node.now(), ix);
         node.take_changes(change, "answer");
     }
     // A failure may have been answered before the upstream looked at its need.
-    let tells_rate = said.rate_limit.is_some() || (status.is_success() && head.sealed);
-    if tells_rate {
-        apply_rate(node, ix, sent, said.rate_limit);
+    let states_rate = conditions.rate_limit.is_some() || (status.is_success() && head.sealed);
+    if states_rate {
+        apply_rate_limit(node, ix, sent_at, conditions.rate_limit);
     }
 }
 
-fn apply_rate(node: &Node, ix: UpstreamIx, sent: Time, named: Option<RateLimit>) {
+fn apply_rate_limit(node: &Node, ix: UpstreamIx, sent_at: Time, named: Option<RateLimit>) {
     let mut pool = node.pool.borrow_mut();
-    let change = pool.record_rate_limit(node.now(), ix, sent, named);
+    let change = pool.record_rate_limit(node.now(), ix, sent_at, named);
     drop(pool);
     if let Some(change) = change {
-        say_rate_changed(node, ix, change, "answer");
+        log_rate_change(node, ix, change, "answer");
         node.urgent.notify_one();
     }
 }
 
 /// Takes rates of upstreams that another entry told.
-pub fn take_told_rates(node: &Node, rates: &[ToldRate]) {
-    for told in rates {
-        let change = node.pool.borrow_mut().apply_rate(node.now(), told);
+pub fn apply_announced_rates(node: &Node, rates: &[ToldRate]) {
+    for announced in rates {
+        let change = node.pool.borrow_mut().apply_rate(node.now(), announced);
         if let Some((ix, change)) = change {
-            say_rate_changed(node, ix, change, "peer");
+            log_rate_change(node, ix, change, "peer");
         }
     }
 }
 
 /// Takes upstreams that leave, as another entry has heard from themselves.
-pub fn take_told_leaving(node: &Node, lives: &[Life]) {
+pub fn apply_announced_leaving(node: &Node, lives: &[Life]) {
     for life in lives {
         let change = node.pool.borrow_mut().apply_leave_notice(node.now(), life);
         node.take_changes(change, "peer_answer");
     }
 }
 
-fn say_paused(node: &Node, ix: UpstreamIx, span: Duration) {
+fn log_paused(node: &Node, ix: UpstreamIx, pause: Duration) {
     let pool = node.pool.borrow();
     let record = pool.record(ix);
     log::info!(
         event = "upstream_paused", instance = &*record.instance, service = &*record.service,
-        for_ms = span.as_millis();
+        for_ms = pause.as_millis();
         ""
     );
 }
 
-fn say_rate_changed(node: &Node, ix: UpstreamIx, change: RateChange, source: &str) {
+fn log_rate_change(node: &Node, ix: UpstreamIx, change: RateChange, source: &str) {
     let pool = node.pool.borrow();
     let record = pool.record(ix);
     log::info!(
--- a/fireflydirect/src/crash.rs
+++ b/fireflydirect/src/crash.rs
@@ -29,7 +29,7 @@
 /// Finds out whether the upstream on which a request broke off has crashed.
 ///
 /// One that had announced its leaving ended as planned.
-pub fn suspect(job: &Job, ix: UpstreamIx) {
+pub fn check_for_crash(job: &Job, ix: UpstreamIx) {
     let node = job.node.clone();
     if node.pool.borrow().left_at(ix).is_some() {
         return;
@@ -44,7 +44,7 @@
         if node.pool.borrow().left_at(ix).is_some() {
             return;
         }
-        let crashes = count(&node, ix, content);
+        let crashes = record_crash(&node, ix, content);
         let content = content.to_string();
         log::warn!(
             event = "upstream_crashed", req = &*request_id, addr = addr.to_string(),
@@ -54,7 +54,7 @@
     });
 }
 
-fn count(node: &Rc<Node>, ix: UpstreamIx, content: Digest) -> u8 {
+fn record_crash(node: &Rc<Node>, ix: UpstreamIx, content: Digest) -> u8 {
     let now = node.now();
     node.pool.borrow_mut().avoid(now, ix, AVOID_CRASHED);
     let mut quarantine = node.quarantine.borrow_mut();
--- a/fireflydirect/src/departures.rs
+++ b/fireflydirect/src/departures.rs
@@ -5,7 +5,7 @@
 //! once, as soon as the report can show the notice.
 
 use crate::figure::or_empty;
-use crate::links::call_whole;
+use crate::links::call;
 use crate::node::Node;
 use bytes::Bytes;
 use fireflycroft::{Departure, MAX_REPORT_AGE, Time, UpstreamIx};
@@ -22,7 +22,7 @@
 const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Time after which a departure is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
+const RETENTION: Duration = Duration::from_secs(30);
 
 /// Departures of upstreams that run something of this entry.
 #[derive(Default)]
@@ -38,18 +38,18 @@
     }
 
     /// Enters a departure; true when it is new.
-    fn enter(&self, now: Time, ix: UpstreamIx, departure: Departure) -> bool {
+    fn insert(&self, now: Time, ix: UpstreamIx, departure: Departure) -> bool {
         let mut known = self.known.borrow_mut();
-        known.retain(|_, d| now.since(d.notified_at) < FORGET_AFTER);
+        known.retain(|_, d| now.since(d.notified_at) < RETENTION);
         let is_new = !known.contains_key(&ix);
         known.entry(ix).or_insert(departure);
         is_new
     }
 
-    fn learn(&self, ix: UpstreamIx, gone_at: Option<Time>, copies_take: Duration) {
+    fn update(&self, ix: UpstreamIx, gone_at: Option<Time>, copy_time: Duration) {
         if let Some(departure) = self.known.borrow_mut().get_mut(&ix) {
             departure.gone_at = gone_at;
-            departure.copy_time = copies_take;
+            departure.copy_time = copy_time;
         }
     }
 }
@@ -57,30 +57,33 @@
 /// Asks an upstream that leaves when it is gone, unless that has been asked.
 ///
 /// `token_copy_time` is the time that the memory of one token takes over its link.
-pub fn note(node: &Rc<Node>, ix: UpstreamIx, token_copy_time: Duration) {
+pub fn query_departure(node: &Rc<Node>, ix: UpstreamIx, token_copy_time: Duration) {
     let now = node.now();
-    let notice = node.pool.borrow().left_at(ix).unwrap_or(now);
-    if !node.departures.enter(now, ix, Departure::notified(notice)) {
+    let notified_at = node.pool.borrow().left_at(ix).unwrap_or(now);
+    if !node
+        .departures
+        .insert(now, ix, Departure::notified(notified_at))
+    {
         return;
     }
     let node = node.clone();
     tokio::task::spawn_local(async move {
-        let when = node.clock.instant(notice + MAX_REPORT_AGE);
+        let when = node.clock.instant(notified_at + MAX_REPORT_AGE);
         tokio::time::sleep_until(when).await;
-        learn(&node, ix, token_copy_time).await;
+        fetch_departure(&node, ix, token_copy_time).await;
     });
 }
 
-async fn learn(node: &Node, ix: UpstreamIx, token_copy_time: Duration) {
-    let asking = tokio::time::timeout(REPORT_TIMEOUT, ask(node, ix));
-    let report = match asking.await {
+async fn fetch_departure(node: &Node, ix: UpstreamIx, token_copy_time: Duration) {
+    let fetching = tokio::time::timeout(REPORT_TIMEOUT, fetch_report(node, ix));
+    let report = match fetching.await {
         Ok(Ok(report)) => report,
-        Ok(Err(e)) => return say_unknown(node, ix, &e.to_string()),
-        Err(_) => return say_unknown(node, ix, "no answer in time"),
+        Ok(Err(e)) => return log_unknown(node, ix, &e.to_string()),
+        Err(_) => return log_unknown(node, ix, "no answer in time"),
     };
-    let asked = node.pool.borrow().record(ix).incarnation;
-    if asked.is_known() && report.incarnation != asked {
-        return say_unknown(node, ix, "the report is of another life");
+    let expected = node.pool.borrow().record(ix).incarnation;
+    if expected.is_known() && report.incarnation != expected {
+        return log_unknown(node, ix, "the report is of another life");
     }
     let now = node.now();
     let gone_at = report
@@ -88,7 +91,8 @@
         .map(|left| now + left.saturating_sub(MAX_REPORT_AGE));
     let tokens: u64 = report.runs.iter().map(|r| r.memory_tokens).sum();
     let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
-    node.departures.learn(ix, gone_at, token_copy_time * tokens);
+    node.departures
+        .update(ix, gone_at, token_copy_time * tokens);
     let pool = node.pool.borrow();
     log::info!(
         event = "departure_known", instance = &*pool.record(ix).instance,
@@ -98,13 +102,13 @@
     );
 }
 
-fn say_unknown(node: &Node, ix: UpstreamIx, why: &str) {
+fn log_unknown(node: &Node, ix: UpstreamIx, why: &str) {
     let pool = node.pool.borrow();
     let instance = &*pool.record(ix).instance;
     log::warn!(event = "departure_unknown", instance = instance, why = why; "");
 }
 
-async fn ask(node: &Node, ix: UpstreamIx) -> anyhow::Result<EngineReport> {
+async fn fetch_report(node: &Node, ix: UpstreamIx) -> anyhow::Result<EngineReport> {
     let record = node.pool.borrow().record(ix).clone();
     node.pool.borrow_mut().record_sending(node.now(), ix);
     let links = &node.links;
@@ -114,7 +118,7 @@
     let req = Request::get(report_path())
         .header(HOST, record.addr.to_string())
         .body(Full::new(Bytes::new()))?;
-    let answered = call_whole(&mut link, req).await?;
+    let answered = call(&mut link, req).await?;
     anyhow::ensure!(answered.status == 200, "status {}", answered.status);
     links.put_back(&record.life(), link, None);
     Ok(read_report(&answered.body)?)
--- a/fireflydirect/src/exchange.rs
+++ b/fireflydirect/src/exchange.rs
@@ -16,16 +16,16 @@
 use std::time::Duration;
 
 /// Longest answer of a plain call that is held, in bytes.
-const MAX_WHOLE_ANSWER: usize = 8 << 20;
+const MAX_BUFFERED_BODY_BYTES: usize = 8 << 20;
 
 /// Idle time up to which a connection carries a request that may run only once.
 ///
 /// An upstream may close an idle connection at any moment, and a request that crosses the close
 /// is lost; the longer the idle time, the likelier.
-const ONCE_IDLE: Duration = Duration::from_millis(1_200);
+const SINGLE_RUN_MAX_IDLE: Duration = Duration::from_millis(1_200);
 
 /// Idle time up to which a connection carries a request that may run again.
-const REPEATABLE_IDLE: Duration = Duration::from_secs(10);
+const RETRYABLE_MAX_IDLE: Duration = Duration::from_secs(10);
 
 /// What goes along with a request beside what the caller sent.
 #[derive(Clone, Debug, Default)]
@@ -40,7 +40,7 @@
 
 /// Head of an answer, with what is needed to read the rest.
 #[derive(Debug)]
-pub struct Opened {
+pub struct ResponseStart {
     /// Status and headers.
     pub parts: Parts,
     /// What they say of the request.
@@ -53,7 +53,7 @@
 
 /// Why no head came.
 #[derive(Debug)]
-pub enum Unanswered {
+pub enum SendError {
     /// No byte of the request left this process.
     NeverSent(String),
     /// The same, since the upstream may get nothing new: the upstream is sound.
@@ -62,7 +62,7 @@
     Lost(String),
 }
 
-impl fmt::Display for Unanswered {
+impl fmt::Display for SendError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NeverSent(why) => write!(f, "never sent: {why}"),
@@ -84,44 +84,44 @@
     ix: UpstreamIx,
     extras: &Extras,
     on_sent: impl FnOnce(),
-) -> Result<Opened, Unanswered> {
+) -> Result<ResponseStart, SendError> {
     let record = job.node.pool.borrow().record(ix).clone();
-    let most_idle = if job.route.kind.is_retryable() {
-        REPEATABLE_IDLE
+    let max_idle = if job.route.kind.is_retryable() {
+        RETRYABLE_MAX_IDLE
     } else {
-        ONCE_IDLE
+        SINGLE_RUN_MAX_IDLE
     };
     let links = &job.node.links;
     let mut link = links
-        .get(&record.life(), record.addr, most_idle)
+        .get(&record.life(), record.addr, max_idle)
         .await
-        .map_err(|e| Unanswered::NeverSent(e.to_string()))?;
+        .map_err(|e| SendError::NeverSent(e.to_string()))?;
     link.sender
         .ready()
         .await
-        .map_err(|e| Unanswered::NeverSent(e.to_string()))?;
+        .map_err(|e| SendError::NeverSent(e.to_string()))?;
     // The id alone doesn't tell two lives apart, so the upstream can't refuse what is meant for the
     // one before. One that leaves may serve on for long, and refuses nothing either.
     if !job.node.pool.borrow().may_get_requests(job.now(), ix) {
-        return Err(Unanswered::NeverSent("it has ended or left".to_owned()));
+        return Err(SendError::NeverSent("it has ended or left".to_owned()));
     }
-    record_sending(job, ix)?;
-    let sent = job.now();
+    count_sending(job, ix)?;
+    let sent_at = job.now();
     let req = request(job, &record.instance, extras);
     on_sent();
     let response = tokio::select! {
-        response = link.sender.try_send_request(req) => response.map_err(unanswered)?,
+        response = link.sender.try_send_request(req) => response.map_err(send_error)?,
         () = job.node.until_ended(ix) => {
-            return Err(Unanswered::Lost("it started again".to_owned()));
+            return Err(SendError::Lost("it started again".to_owned()));
         }
     };
     let (parts, body) = response.into_parts();
     let head = read_answer_head(parts.status, &parts.headers, &job.request_id);
     if !head.is_own {
-        return Err(Unanswered::Lost("an answer to another request".to_owned()));
+        return Err(SendError::Lost("an answer to another request".to_owned()));
     }
-    conditions::take(job, ix, sent, parts.status, &head);
-    Ok(Opened {
+    conditions::apply_head(job, ix, sent_at, parts.status, &head);
+    Ok(ResponseStart {
         parts,
         head,
         body,
@@ -130,22 +130,22 @@
 }
 
 /// Counts a request to an upstream that may get one.
-fn record_sending(job: &Job, ix: UpstreamIx) -> Result<(), Unanswered> {
+fn count_sending(job: &Job, ix: UpstreamIx) -> Result<(), SendError> {
     let mut pool = job.node.pool.borrow_mut();
     if let Some(why) = pool.withheld(job.now(), ix) {
-        return Err(Unanswered::Withheld(why.to_string()));
+        return Err(SendError::Withheld(why.to_string()));
     }
     pool.record_sending(job.now(), ix);
     Ok(())
 }
 
-fn unanswered(mut e: TrySendError<Request<Full<Bytes>>>) -> Unanswered {
+fn send_error(mut e: TrySendError<Request<Full<Bytes>>>) -> SendError {
     let unsent = e.take_message().is_some();
     let why = e.into_error().to_string();
     if unsent {
-        Unanswered::NeverSent(why)
+        SendError::NeverSent(why)
     } else {
-        Unanswered::Lost(why)
+        SendError::Lost(why)
     }
 }
 
@@ -173,25 +173,25 @@
 pub async fn read_whole(
     job: &Job,
     ix: UpstreamIx,
-    opened: Opened,
+    opened: ResponseStart,
 ) -> Result<(Parts, Bytes), String> {
-    let Opened {
+    let ResponseStart {
         parts,
         head,
         body,
         link,
     } = opened;
     let whole = tokio::select! {
-        whole = Limited::new(body, MAX_WHOLE_ANSWER).collect() => whole,
+        whole = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect() => whole,
         () = job.node.until_ended(ix) => return Err("it started again".to_owned()),
     };
     let bytes = whole.map_err(|e| e.to_string())?.to_bytes();
-    give_back(job, ix, &head, link);
+    release_link(job, ix, &head, link);
     Ok((parts, bytes))
 }
 
 /// Hands a connection back after a whole answer, unless the upstream closes it.
-pub fn give_back(job: &Job, ix: UpstreamIx, head: &ResponseHead, link: Link) {
+pub fn release_link(job: &Job, ix: UpstreamIx, head: &ResponseHead, link: Link) {
     if head.closes || head.claim != RunClaim::MayHaveRun {
         return;
     }
--- a/fireflydirect/src/feed.rs
+++ b/fireflydirect/src/feed.rs
@@ -10,7 +10,7 @@
 
 use crate::client::Client;
 use crate::intake::Intake;
-use crate::links::Answered;
+use crate::links::CallResponse;
 use crate::node::Node;
 use crate::store_call::{StoreCall, page_path};
 use fireflycroft::{HedgedCall, Mechanism, Name, era_of};
@@ -257,7 +257,7 @@
         call: StoreCall,
         path: &str,
         overlap: HedgedCall,
-    ) -> anyhow::Result<Answered> {
+    ) -> anyhow::Result<CallResponse> {
         let contact = &self.contact;
         let on_hang = || {
             contact.node.metrics.note_store_call(self.kind, call, false);
@@ -349,7 +349,7 @@
 
     /// Waits for changes; while the store is lost, only asks whether it is back, by tries that
     /// overlap.
-    async fn look_or_wait(&mut self, revision: u64) -> anyhow::Result<Answered> {
+    async fn look_or_wait(&mut self, revision: u64) -> anyhow::Result<CallResponse> {
         if self.contact.lost.get() {
             let path = watch_path(self.kind, revision, LOOK_WAIT);
             return self.get(StoreCall::Watch, &path, self.patient()).await;
@@ -373,7 +373,7 @@
         }
     }
 
-    async fn watch(&mut self, revision: u64, wait: Duration) -> anyhow::Result<Answered> {
+    async fn watch(&mut self, revision: u64, wait: Duration) -> anyhow::Result<CallResponse> {
         let path = watch_path(self.kind, revision, wait);
         let overlap = HedgedCall::single(wait + WATCH_MARGIN);
         self.get(StoreCall::Watch, &path, overlap).await
@@ -461,7 +461,7 @@
 }
 
 /// The page that an answer to a list holds.
-pub(crate) fn decode_page(answered: &Answered) -> Result<StorePage, String> {
+pub(crate) fn decode_page(answered: &CallResponse) -> Result<StorePage, String> {
     let status = answered.status;
     let page = read_page(status, &answered.body).map_err(|e| format!("{status} {e:?}"))?;
     Ok(page.in_era(read_era(&answered.headers)))
--- a/fireflydirect/src/generation.rs
+++ b/fireflydirect/src/generation.rs
@@ -5,14 +5,14 @@
 //! the run's memory, or, where the route allows it, is run anew after the last
 //! event that the caller has.
 
-use crate::answer::{Answer, AnswerBody, BrokenStream, relayed};
-use crate::call::{Begun, place_backup};
+use crate::answer::{Answer, AnswerBody, BrokenStream, relayed_answer};
+use crate::assignment::AssignmentGuard;
+use crate::call::{StartedStream, assign_backup};
 use crate::crash;
-use crate::exchange::{Extras, Opened, give_back, send};
+use crate::exchange::{Extras, ResponseStart, release_link, send};
 use crate::figure::or_empty;
 use crate::job::Job;
 use crate::metrics::kind_word;
-use crate::placed::PlacedGuard;
 use crate::repeats;
 use crate::runs::Run;
 use bytes::Bytes;
@@ -26,20 +26,20 @@
 use tokio::sync::Notify;
 
 /// Times that one stream goes on elsewhere.
-const MAX_BREAKS: u32 = 6;
+const MAX_RESUMPTIONS: u32 = 6;
 
 /// Longest wait for a copy that is under way when the stream breaks; a copy of the longest
 /// prompts takes about half a second on an idle link.
-const COPY_WAIT: Duration = Duration::from_millis(1_500);
+const COPY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Tokens after which the length of an answer is expected anew.
-const EXPECT_EVERY: u64 = 64;
+const ESTIMATE_INTERVAL_TOKENS: u64 = 64;
 
 /// Tokens over which an upstream's pace is measured: about half a second.
-const PACE_TOKENS: u64 = 64;
+const PACE_WINDOW_TOKENS: u64 = 64;
 
 /// Longest wait for the head of an answer that goes on from memory.
-const GO_ON_WAIT: Duration = Duration::from_millis(1_500);
+const RESUME_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// An answer of an upstream that is being read.
 struct Source {
@@ -52,34 +52,34 @@
 struct Relay {
     job: Rc<Job>,
     run: Rc<Run>,
-    placed: PlacedGuard,
-    backup: Option<PlacedGuard>,
+    placed: AssignmentGuard,
+    backup: Option<AssignmentGuard>,
     source: Option<Source>,
     events: EventRelay,
     breaks: u32,
     ended: bool,
-    pauses: Pauses,
-    paced: Option<Paced>,
-    expected_at: u64,
+    event_times: EventTimes,
+    pace_window: Option<PaceWindow>,
+    estimated_at: u64,
 }
 
 /// Start of a stretch of a stream over which its upstream's pace is measured.
 #[derive(Clone, Copy)]
-struct Paced {
+struct PaceWindow {
     since: Time,
     produced: u64,
 }
 
 /// When events came, for the log.
 #[derive(Clone, Copy, Default)]
-struct Pauses {
+struct EventTimes {
     first: Option<Time>,
     last: Time,
     longest: Duration,
 }
 
-impl Pauses {
-    fn note(&mut self, now: Time) {
+impl EventTimes {
+    fn record(&mut self, now: Time) {
         if self.first.is_none() {
             self.first = Some(now);
         } else {
@@ -99,44 +99,44 @@
 
 /// Another upstream where a stream may go on, and from what.
 struct Continuation {
-    way: &'static str,
+    method: &'static str,
     at: UpstreamIx,
     memory: Option<MemoryCopy>,
-    placed: Option<PlacedGuard>,
+    placed: Option<AssignmentGuard>,
 }
 
 /// Answer whose body is relayed from the upstream that has begun it.
 #[must_use]
-pub fn relay(job: Rc<Job>, begun: Begun) -> Answer {
-    let Begun {
+pub fn relay(job: Rc<Job>, begun: StartedStream) -> Answer {
+    let StartedStream {
         opened,
         placed,
         backup,
     } = begun;
-    let Opened {
+    let ResponseStart {
         parts,
         head,
         body,
         link,
     } = opened;
     let mut events = EventRelay::default();
-    if let Some(last) = job.ask.last_event_id {
+    if let Some(last) = job.head.last_event_id {
         events.resume_after(last);
     }
-    let run = job.node.runs.enter(Run {
+    let run = job.node.runs.register(Run {
         request_id: job.request_id.clone(),
         service: job.service.clone(),
         at: Cell::new(placed.ix),
         backup: Cell::new(backup.as_ref().map(|b| b.ix)),
-        refuge: RefCell::new(None),
-        moving: Cell::new(false),
-        moved: Notify::new(),
+        migration_copy: RefCell::new(None),
+        migrating: Cell::new(false),
+        migration_ended: Notify::new(),
         produced: Cell::new(0),
         need: Cell::new(Need {
             unread: 0,
             ..job.need()
         }),
-        can_move: job.engine.is_some_and(|e| e.can_migrate),
+        can_migrate: job.engine.is_some_and(|e| e.can_migrate),
         token_copy_time: job.engine.map_or(Duration::ZERO, |e| e.token_copy_time),
     });
     // Notice may have come between the choice of the upstream and the head of its answer.
@@ -150,12 +150,12 @@
         events,
         breaks: 0,
         ended: false,
-        pauses: Pauses::default(),
-        paced: None,
-        expected_at: 0,
+        event_times: EventTimes::default(),
+        pace_window: None,
+        estimated_at: 0,
     };
     let body: AnswerBody = Box::pin(StreamBody::new(Box::pin(unfold(relay, Relay::next))));
-    relayed(&parts, body)
+    relayed_answer(&parts, body)
 }
 
 impl Relay {
@@ -168,27 +168,27 @@
                 Read::Data(bytes) => match self.events.push(&bytes) {
                     Ok(out) if out.is_empty() => {}
                     Ok(out) => {
-                        self.note_progress();
+                        self.record_progress();
                         return Some((Ok(Frame::data(Bytes::from(out))), self));
                     }
-                    Err(fault) => return Some(self.break_off(&format!("{fault:?}"))),
+                    Err(fault) => return Some(self.cut(&format!("{fault:?}"))),
                 },
                 Read::End => {
                     self.finish();
                     return None;
                 }
                 Read::Broke(why) => {
-                    if !self.go_on_elsewhere(&why).await {
-                        return Some(self.break_off(&why));
+                    if !self.resume_elsewhere(&why).await {
+                        return Some(self.cut(&why));
                     }
                 }
-                Read::TimeUp => return Some(self.break_off("the time is up")),
+                Read::TimeUp => return Some(self.cut("the time is up")),
             }
         }
     }
 
     async fn read(&mut self) -> Read {
-        let limit = self.job.node.clock.instant(self.job.give_up_at);
+        let limit = self.job.node.clock.instant(self.job.deadline);
         let Some(source) = &mut self.source else {
             return Read::Broke("no upstream".to_owned());
         };
@@ -208,65 +208,65 @@
         }
     }
 
-    fn note_progress(&mut self) {
-        self.pauses.note(self.job.now());
-        self.placed.note_read();
+    fn record_progress(&mut self) {
+        self.event_times.record(self.job.now());
+        self.placed.record_prompt_read();
         let per_event = self.job.engine.map_or(1, |e| e.tokens_per_event);
         let produced = self.events.relayed() * u64::from(per_event);
         self.run.produced.set(produced);
-        if produced >= self.expected_at + EXPECT_EVERY {
-            self.expected_at = produced;
+        if produced >= self.estimated_at + ESTIMATE_INTERVAL_TOKENS {
+            self.estimated_at = produced;
             let need = Need {
                 unread: 0,
                 ..self.job.need_beyond(produced)
             };
             self.run.need.set(need);
-            self.placed.note_needed(need.tokens);
+            self.placed.grow_to(need.tokens);
         }
-        self.note_pace(produced);
+        self.record_pace(produced);
     }
 
     /// Measures the upstream's pace over stretches of [`PACE_TOKENS`] tokens.
-    fn note_pace(&mut self, produced: u64) {
+    fn record_pace(&mut self, produced: u64) {
         let now = self.job.now();
-        let since = *self.paced.get_or_insert(Paced {
+        let since = *self.pace_window.get_or_insert(PaceWindow {
             since: now,
             produced,
         });
         let tokens = produced - since.produced;
-        if tokens >= PACE_TOKENS {
+        if tokens >= PACE_WINDOW_TOKENS {
             let mut pool = self.job.node.pool.borrow_mut();
             pool.note_pace(self.placed.ix, tokens, now.since(since.since));
-            self.paced = None;
+            self.pace_window = None;
         }
     }
 
     fn finish(&mut self) {
         self.ended = true;
         if let Some(source) = self.source.take() {
-            give_back(&self.job, self.placed.ix, &source.head, source.link);
+            release_link(&self.job, self.placed.ix, &source.head, source.link);
         }
         self.job
             .node
             .pool
             .borrow_mut()
             .note_outcome(self.placed.ix, false);
-        self.learn_length();
-        self.note_end("whole");
-        self.say("stream_ended", "");
+        self.record_length();
+        self.record_end("whole");
+        self.log_event("stream_ended", "");
     }
 
-    fn note_end(&self, end: &str) {
+    fn record_end(&self, end: &str) {
         let metrics = &self.job.node.metrics;
         metrics.streams.with_label_values(&[end]).inc();
         let kind = kind_word(self.job.route.kind);
         let pauses = metrics.pause_seconds.with_label_values(&[kind]);
-        pauses.observe(self.pauses.longest.as_secs_f64());
+        pauses.observe(self.event_times.longest.as_secs_f64());
     }
 
-    fn learn_length(&self) {
+    fn record_length(&self) {
         let job = &self.job;
-        if let Some(size) = &job.ask.size {
+        if let Some(size) = &job.head.size {
             let (hint, most) = (size.length_hint, size.max_tokens);
             let tokens = self.run.produced.get();
             let mut lengths = job.node.lengths.borrow_mut();
@@ -274,15 +274,15 @@
         }
     }
 
-    fn break_off(mut self, why: &str) -> (Result<Frame<Bytes>, BrokenStream>, Self) {
+    fn cut(mut self, why: &str) -> (Result<Frame<Bytes>, BrokenStream>, Self) {
         self.ended = true;
         self.source = None;
-        self.note_end("cut");
-        self.say("stream_cut", why);
+        self.record_end("cut");
+        self.log_event("stream_cut", why);
         (Err(BrokenStream(Code::UpstreamFailed)), self)
     }
 
-    fn say(&self, event: &str, why: &str) {
+    fn log_event(&self, event: &str, why: &str) {
         let job = &self.job;
         let level = if event == "stream_cut" {
             log::Level::Warn
@@ -293,35 +293,35 @@
             level, event = event, req = &*job.request_id, route = &*job.route.name,
             instance = &*job.node.pool.borrow().record(self.placed.ix).instance,
             events = self.events.relayed(), breaks = self.breaks, why = why,
-            first_ms = or_empty(self.pauses.first.map(|t| t.since(job.arrival).as_millis())),
-            longest_pause_ms = self.pauses.longest.as_millis(),
-            prompt = or_empty(job.ask.size.as_ref().map(|s| s.prompt_tokens)),
-            most = or_empty(job.ask.size.as_ref().map(|s| s.max_tokens)),
-            hint = or_empty(job.ask.size.as_ref().and_then(|s| s.length_hint)),
+            first_ms = or_empty(self.event_times.first.map(|t| t.since(job.arrival).as_millis())),
+            longest_pause_ms = self.event_times.longest.as_millis(),
+            prompt = or_empty(job.head.size.as_ref().map(|s| s.prompt_tokens)),
+            most = or_empty(job.head.size.as_ref().map(|s| s.max_tokens)),
+            hint = or_empty(job.head.size.as_ref().and_then(|s| s.length_hint)),
             age_ms = job.age().as_millis();
             ""
         );
     }
 
     /// Goes on at another upstream; false when there is no way.
-    async fn go_on_elsewhere(&mut self, why: &str) -> bool {
+    async fn resume_elsewhere(&mut self, why: &str) -> bool {
         self.source = None;
-        self.paced = None;
+        self.pace_window = None;
         self.events.discard_partial();
         self.breaks += 1;
-        self.say("stream_broke", why);
-        crash::suspect(&self.job, self.placed.ix);
-        if self.breaks > MAX_BREAKS || !self.events.can_resume() {
+        self.log_event("stream_broke", why);
+        crash::check_for_crash(&self.job, self.placed.ix);
+        if self.breaks > MAX_RESUMPTIONS || !self.events.can_resume() {
             return false;
         }
         self.wait_for_copy().await;
         let from = self.placed.ix;
-        while let Some(next) = self.continuation(from) {
+        while let Some(next) = self.next_continuation(from) {
             if !repeats::take(&self.job).await {
-                self.say("budget_spent", "");
+                self.log_event("budget_spent", "");
                 return false;
             }
-            if self.go_on_at(next).await {
+            if self.resume_at(next).await {
                 return true;
             }
         }
@@ -329,30 +329,32 @@
     }
 
     async fn wait_for_copy(&self) {
-        let moved = self.run.moved.notified();
-        if self.run.moving.get() {
+        let ended = self.run.migration_ended.notified();
+        if self.run.migrating.get() {
             // A copy that takes longer is of no use: the caller would not bear the pause.
-            let _ = tokio::time::timeout(COPY_WAIT, moved).await;
+            let _ = tokio::time::timeout(COPY_TIMEOUT, ended).await;
         }
     }
 
     /// The next way to go on; each copy is offered once.
-    fn continuation(&mut self, from: UpstreamIx) -> Option<Continuation> {
-        let refuge = self.run.refuge.borrow_mut().take();
-        if let Some(refuge) = refuge.filter(|r| self.holds(r.placed.ix, r.source)) {
+    fn next_continuation(&mut self, from: UpstreamIx) -> Option<Continuation> {
+        let migration_copy = self.run.migration_copy.borrow_mut().take();
+        if let Some(migration_copy) =
+            migration_copy.filter(|r| self.is_copy_usable(r.placed.ix, r.source))
+        {
             return Some(Continuation {
-                way: "moved",
-                at: refuge.placed.ix,
-                memory: Some(refuge.memory),
-                placed: Some(refuge.placed),
+                method: "moved",
+                at: migration_copy.placed.ix,
+                memory: Some(migration_copy.memory),
+                placed: Some(migration_copy.placed),
             });
         }
         self.run.backup.set(None);
         let backup = self.backup.take();
-        if let Some(backup) = backup.filter(|b| self.holds(b.ix, b.ix)) {
+        if let Some(backup) = backup.filter(|b| self.is_copy_usable(b.ix, b.ix)) {
             let issued_by = self.job.node.pool.borrow().record(backup.ix).addr;
             return Some(Continuation {
-                way: "copy",
+                method: "copy",
                 at: backup.ix,
                 memory: Some(MemoryCopy {
                     issued_by,
@@ -367,7 +369,7 @@
         let pool = self.job.node.pool.borrow();
         let at = pool.choose(self.job.now(), &self.job.service, &self.job.need(), &[from])?;
         Some(Continuation {
-            way: "anew",
+            method: "anew",
             at,
             memory: None,
             placed: None,
@@ -377,32 +379,35 @@
     /// Whether a copy at `keeper` that `source` made may be asked for: both are in the life in which it
     /// was made, since a handle of another life may name the memory of another request, and the
     /// keeper hasn't left for too long and isn't evacuated.
-    fn holds(&self, keeper: UpstreamIx, source: UpstreamIx) -> bool {
+    fn is_copy_usable(&self, backup_holder: UpstreamIx, source: UpstreamIx) -> bool {
         let pool = self.job.node.pool.borrow();
-        let may_get = pool.may_get_requests(self.job.now(), keeper) && !pool.is_evacuated(keeper);
+        let may_get = pool.may_get_requests(self.job.now(), backup_holder)
+            && !pool.is_evacuated(backup_holder);
         may_get && !pool.is_ended(source)
     }
 
-    async fn go_on_at(&mut self, next: Continuation) -> bool {
-        let need = self.need_left(next.memory.is_some());
+    async fn resume_at(&mut self, next: Continuation) -> bool {
+        let need = self.remaining_need(next.memory.is_some());
         let placed = next
             .placed
-            .unwrap_or_else(|| self.job.node.place(next.at, need));
-        let backup = place_backup(&self.job, next.at, need);
-        let keeper = backup
+            .unwrap_or_else(|| self.job.node.assign(next.at, need));
+        let backup = assign_backup(&self.job, next.at, need);
+        let backup_holder = backup
             .as_ref()
             .map(|b| self.job.node.pool.borrow().record(b.ix).addr);
         let extras = Extras {
-            backup: keeper,
+            backup: backup_holder,
             memory: next.memory,
             last_event_id: self.events.last_id(),
         };
         let sending = send(&self.job, next.at, &extras, || ());
-        let opened = match tokio::time::timeout(GO_ON_WAIT, sending).await {
+        let opened = match tokio::time::timeout(RESUME_TIMEOUT, sending).await {
             Ok(Ok(opened)) if is_stream(&opened) => opened,
-            Ok(Ok(opened)) => return self.refused_at(next.at, &opened.parts.status.to_string()),
-            Ok(Err(e)) => return self.refused_at(next.at, &e.to_string()),
-            Err(_) => return self.refused_at(next.at, "no answer in time"),
+            Ok(Ok(opened)) => {
+                return self.log_resume_refused(next.at, &opened.parts.status.to_string());
+            }
+            Ok(Err(e)) => return self.log_resume_refused(next.at, &e.to_string()),
+            Err(_) => return self.log_resume_refused(next.at, "no answer in time"),
         };
         self.placed = placed;
         self.run.at.set(next.at);
@@ -414,13 +419,13 @@
             link: opened.link,
             head: opened.head,
         });
-        let went_on = &self.job.node.metrics.went_on;
-        went_on.with_label_values(&[next.way]).inc();
-        self.say("stream_goes_on", next.way);
+        let resumptions = &self.job.node.metrics.went_on;
+        resumptions.with_label_values(&[next.method]).inc();
+        self.log_event("stream_goes_on", next.method);
         true
     }
 
-    fn refused_at(&self, at: UpstreamIx, why: &str) -> bool {
+    fn log_resume_refused(&self, at: UpstreamIx, why: &str) -> bool {
         let instance = self.job.node.pool.borrow().record(at).instance.clone();
         log::warn!(
             event = "go_on_refused", req = &*self.job.request_id, instance = &*instance, why = why;
@@ -430,7 +435,7 @@
     }
 
     /// What the rest of the stream needs; a copy of the memory leaves nothing to read.
-    fn need_left(&self, has_memory: bool) -> Need {
+    fn remaining_need(&self, has_memory: bool) -> Need {
         let need = self.job.need_beyond(self.run.produced.get());
         Need {
             unread: if has_memory { 0 } else { need.unread },
@@ -439,6 +444,6 @@
     }
 }
 
-fn is_stream(opened: &Opened) -> bool {
+fn is_stream(opened: &ResponseStart) -> bool {
     opened.parts.status.is_success() && opened.head.sealed
 }
--- a/fireflydirect/src/hear.rs
+++ b/fireflydirect/src/hear.rs
@@ -88,8 +88,8 @@
     if news.evacuations.revision > 0 {
         node.apply_evacuations(news.evacuations.clone(), "peer");
     }
-    conditions::take_told_rates(node, &news.rate_limits);
-    conditions::take_told_leaving(node, &news.departing);
+    conditions::apply_announced_rates(node, &news.rate_limits);
+    conditions::apply_announced_leaving(node, &news.departing);
     for crash in &news.crashes {
         learn_crash(node, now, crash);
     }
--- a/fireflydirect/src/job.rs
+++ b/fireflydirect/src/job.rs
@@ -31,9 +31,9 @@
     /// Urgency that the operator gave workspace or route; 0 goes first.
     pub rank: u8,
     /// What the head says.
-    pub ask: RequestHead,
+    pub head: RequestHead,
     /// Worth for the memory that it holds, as the logarithm against its kind.
-    pub yields: f64,
+    pub value_density: f64,
     /// The caller's id of this attempt.
     pub request_id: Name,
     /// Method of the request.
@@ -49,11 +49,11 @@
     /// When the head was read.
     pub arrival: Time,
     /// When the caller has its final answer at the latest.
-    pub give_up_at: Time,
+    pub deadline: Time,
 }
 
 /// Share of the objective for which a request is held back while there is nobody to send it to.
-const HOLD_SHARE: u32 = 8;
+const HOLD_DIVISOR: u32 = 8;
 
 impl Job {
     /// Time now.
@@ -65,7 +65,7 @@
     /// Time until the answer is given up, by the route or by the caller.
     #[must_use]
     pub fn time_left(&self) -> Duration {
-        self.give_up_at.since(self.now())
+        self.deadline.since(self.now())
     }
 
     /// Time since the head was read.
@@ -83,7 +83,7 @@
     /// The same once so many tokens of the answer are made.
     #[must_use]
     pub fn need_beyond(&self, made: u64) -> Need {
-        let Some(size) = &self.ask.size else {
+        let Some(size) = &self.head.size else {
             return Need {
                 homes: self.homes,
                 ..Need::default()
@@ -91,7 +91,7 @@
         };
         Need {
             is_copy: false,
-            tokens: u64::from(size.prompt_tokens) + self.expected_beyond(made),
+            tokens: u64::from(size.prompt_tokens) + self.expected_tokens_beyond(made),
             prompt: u64::from(size.prompt_tokens),
             unread: u64::from(size.prompt_tokens),
             shared: size.parts.first().map(|p| p.id),
@@ -104,13 +104,13 @@
     /// Tokens that the answer is expected to have; zero for a plain call.
     #[must_use]
     pub fn expected_tokens(&self) -> u64 {
-        self.expected_beyond(0)
+        self.expected_tokens_beyond(0)
     }
 
     /// The same once so many of them are made.
     #[must_use]
-    pub fn expected_beyond(&self, made: u64) -> u64 {
-        let Some(size) = &self.ask.size else {
+    pub fn expected_tokens_beyond(&self, made: u64) -> u64 {
+        let Some(size) = &self.head.size else {
             return 0;
         };
         let lengths = self.node.lengths.borrow();
@@ -119,7 +119,7 @@
 
     /// Takes one repeat from the shared budget.
     #[must_use]
-    pub fn take_repeat(&self) -> bool {
+    pub fn take_retry(&self) -> bool {
         let entries = self.node.entries();
         let mut budget = self.node.budget.borrow_mut();
         budget.take(self.now(), &self.service, entries)
@@ -128,7 +128,7 @@
     /// An upstream that isn't in `tried`; waits a little while there is none at all, unless it is known
     /// that there will be none for longer.
     pub async fn pick(&self, need: &Need, tried: &[UpstreamIx]) -> Option<UpstreamIx> {
-        let until = self.arrival + self.route.objective / HOLD_SHARE;
+        let until = self.arrival + self.route.objective / HOLD_DIVISOR;
         loads::ask(&self.node, &self.service, need, tried).await;
         loop {
             if let Some(ix) = self.pick_now(need, tried) {
@@ -160,7 +160,7 @@
     fn pick_now(&self, need: &Need, tried: &[UpstreamIx]) -> Option<UpstreamIx> {
         let pool = self.node.pool.borrow();
         let now = self.now();
-        let fresh = pool.choose(now, &self.service, need, tried);
-        fresh.or_else(|| pool.choose(now, &self.service, need, &[]))
+        let untried = pool.choose(now, &self.service, need, tried);
+        untried.or_else(|| pool.choose(now, &self.service, need, &[]))
     }
 }
--- a/fireflydirect/src/lib.rs
+++ b/fireflydirect/src/lib.rs
@@ -11,6 +11,7 @@
 //! other entries ([`peers`]); it all hangs on one [`node::Node`].
 
 pub mod answer;
+pub mod assignment;
 pub mod beginning;
 pub mod call;
 pub mod callers;
@@ -33,11 +34,10 @@
 pub mod links;
 pub mod loads;
 pub mod metrics;
-pub mod mover;
+pub mod migration;
 pub mod node;
 pub mod overview;
 pub mod peers;
-pub mod placed;
 pub mod process;
 pub mod questions;
 pub mod readiness;
--- a/fireflydirect/src/links.rs
+++ b/fireflydirect/src/links.rs
@@ -29,24 +29,24 @@
 /// Silence after which a peer is asked whether it is there, and time between two questions.
 ///
 /// The least that the kernel's keep-alive can be set to.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Questions without an answer that end a connection.
-const PROBES: u32 = 2;
+const KEEPALIVE_PROBES: u32 = 2;
 
 /// Time for which sent bytes may go without an acknowledgement: the length of a stall that
 /// callers bear without leaving.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Idle time of a connection when the upstream names none.
-const IDLE: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Taken off the idle time that an upstream names, so that a request doesn't cross its close.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
 
 /// Time for which a connection rests before it is used again, so that bytes that follow an answer
 /// without belonging to it are seen first.
-const REST: Duration = Duration::from_millis(3);
+const REUSE_DELAY: Duration = Duration::from_millis(3);
 
 /// Ends a task when dropped.
 #[derive(Debug)]
@@ -95,13 +95,8 @@
     /// # Errors
     ///
     /// When none could be opened within [`CONNECT_TIMEOUT`].
-    pub async fn get(
-        &self,
-        life: &Life,
-        addr: SocketAddr,
-        most_idle: Duration,
-    ) -> io::Result<Link> {
-        match self.take_idle(life, most_idle) {
+    pub async fn get(&self, life: &Life, addr: SocketAddr, max_idle: Duration) -> io::Result<Link> {
+        match self.take_idle(life, max_idle) {
             Some(link) => Ok(link),
             None => open(addr).await,
         }
@@ -113,8 +108,8 @@
             return;
         }
         link.reused = true;
-        let idle_for = keep_alive.map_or(IDLE, |t| t.saturating_sub(IDLE_MARGIN));
-        let from = self.clock.now() + REST;
+        let idle_for = keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |t| t.saturating_sub(IDLE_MARGIN));
+        let from = self.clock.now() + REUSE_DELAY;
         let until = from + idle_for;
         let mut idle = self.idle.borrow_mut();
         let of_life = idle.entry(life.clone()).or_default();
@@ -122,7 +117,7 @@
     }
 
     /// Closes connections that have been idle for too long.
-    pub fn tidy(&self) {
+    pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         for links in idle.values_mut() {
@@ -132,16 +127,16 @@
     }
 
     /// Closes the idle connections to a life that has ended.
-    pub fn drop_idle(&self, life: &Life) {
+    pub fn close_idle(&self, life: &Life) {
         self.idle.borrow_mut().remove(life);
     }
 
-    fn take_idle(&self, life: &Life, most_idle: Duration) -> Option<Link> {
+    fn take_idle(&self, life: &Life, max_idle: Duration) -> Option<Link> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(life)?;
         links.retain(|i| i.until > now && !i.link.sender.is_closed());
-        let usable = |i: &Idle| i.from <= now && now.since(i.from) <= most_idle;
+        let usable = |i: &Idle| i.from <= now && now.since(i.from) <= max_idle;
         let at = links.iter().rposition(usable)?;
         Some(links.swap_remove(at).link)
     }
@@ -149,7 +144,7 @@
 
 /// A whole answer to a short call.
 #[derive(Debug)]
-pub struct Answered {
+pub struct CallResponse {
     /// Its status.
     pub status: u16,
     /// Its headers.
@@ -184,8 +179,8 @@
 /// # Errors
 ///
 /// When the connection breaks before the answer is whole.
-pub async fn call_whole(link: &mut Link, req: Request<Full<Bytes>>) -> anyhow::Result<Answered> {
-    call_watched(link, req, || ()).await
+pub async fn call(link: &mut Link, req: Request<Full<Bytes>>) -> anyhow::Result<CallResponse> {
+    call_with_progress(link, req, || ()).await
 }
 
 /// The same, with a call of `on_progress` for the head and each part of the body that comes.
@@ -193,11 +188,11 @@
 /// # Errors
 ///
 /// When the connection breaks before the answer is whole.
-pub async fn call_watched(
+pub async fn call_with_progress(
     link: &mut Link,
     req: Request<Full<Bytes>>,
     on_progress: impl Fn(),
-) -> anyhow::Result<Answered> {
+) -> anyhow::Result<CallResponse> {
     link.sender.ready().await?;
     let response = link.sender.send_request(req).await?;
     on_progress();
@@ -206,7 +201,7 @@
         on_progress();
         frame
     });
-    Ok(Answered {
+    Ok(CallResponse {
         status: parts.status.as_u16(),
         headers: parts.headers,
         body: body.collect().await?.to_bytes(),
@@ -215,7 +210,7 @@
 
 async fn connect(addr: SocketAddr) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await??;
-    watch_over(&stream)?;
+    set_liveness_options(&stream)?;
     Ok(stream)
 }
 
@@ -224,13 +219,13 @@
 /// # Errors
 ///
 /// When the socket refuses an option.
-pub fn watch_over(stream: &TcpStream) -> io::Result<()> {
+pub fn set_liveness_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_AFTER)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
--- a/fireflydirect/src/mover.rs
+++ b/fireflydirect/src/migration.rs
@@ -1,12 +1,12 @@
 //! Moving runs off upstreams that have announced their leaving.
 
+use crate::assignment::AssignmentGuard;
 use crate::departures;
 use crate::figure::or_empty;
-use crate::links::call_whole;
+use crate::links::call;
 use crate::loads;
 use crate::node::Node;
-use crate::placed::PlacedGuard;
-use crate::runs::{Refuge, Run};
+use crate::runs::{MigrationCopy, Run};
 use bytes::Bytes;
 use fireflycroft::{DepartureAction, Mechanism, Need, UpstreamIx, departure_action};
 use fireflycroft_platform::{MoveOutcome, move_call, read_move};
@@ -24,13 +24,13 @@
 const MAX_TARGETS: usize = 6;
 
 /// Pause after an upstream had no room, in which the entries hear of each other's choices.
-const NO_ROOM_PAUSE: Duration = Duration::from_millis(60);
+const NO_CAPACITY_DELAY: Duration = Duration::from_millis(60);
 
 /// Time over which the choices of targets are spread when an upstream leaves.
 ///
 /// All entries hear of it within milliseconds; choosing at once, they would not know of each other's
 /// choices and crowd on the same few upstreams.
-const SPREAD: Duration = Duration::from_millis(40);
+const MAX_START_DELAY: Duration = Duration::from_millis(40);
 
 /// Saves runs for as long as the process lives.
 pub async fn run(node: Rc<Node>) {
@@ -40,130 +40,139 @@
         for ix in left {
             for run in node.runs.drop_backups_at(ix) {
                 if !node.pool.borrow().is_serving(run.at.get()) {
-                    consider(&node, run);
+                    start_migration(&node, run);
                 }
             }
             for run in node.runs.at(ix) {
-                consider(&node, run);
+                start_migration(&node, run);
             }
         }
     }
 }
 
 /// Starts to move a run off the upstream that runs it, unless it has a copy or is on its way.
-fn consider(node: &Rc<Node>, run: Rc<Run>) {
+fn start_migration(node: &Rc<Node>, run: Rc<Run>) {
     let ix = run.at.get();
     // A life that has ended runs nothing, and its id and address belong to another one.
     if node.pool.borrow().is_ended(ix) {
         return;
     }
     // A keeper may have left before the run began, while its prompt was read.
-    let keeper = run.backup.get();
-    let has_copy = keeper.is_some_and(|k| node.pool.borrow().is_serving(k));
-    let wanted = departure_action(has_copy) == DepartureAction::Migrate;
-    let can_move = run.can_move && node.policy.uses(Mechanism::Moves);
-    if !wanted || !can_move || run.moving.replace(true) {
+    let backup_holder = run.backup.get();
+    let has_copy = backup_holder.is_some_and(|k| node.pool.borrow().is_serving(k));
+    let needs_migration = departure_action(has_copy) == DepartureAction::Migrate;
+    let can_migrate = run.can_migrate && node.policy.uses(Mechanism::Moves);
+    if !needs_migration || !can_migrate || run.migrating.replace(true) {
         return;
     }
     if node.policy.uses(Mechanism::Departures) {
-        departures::note(node, ix, run.token_copy_time);
+        departures::query_departure(node, ix, run.token_copy_time);
     }
     let node = node.clone();
     tokio::task::spawn_local(async move {
-        save(&node, ix, &run).await;
-        run.moving.set(false);
-        run.moved.notify_waiters();
+        migrate(&node, ix, &run).await;
+        run.migrating.set(false);
+        run.migration_ended.notify_waiters();
     });
 }
 
 /// Copies a run's memory elsewhere, stops it, and leaves the copy for its relay to go on from.
-async fn save(node: &Rc<Node>, from: UpstreamIx, run: &Run) {
-    let mut asked = vec![from];
-    let wait = SPREAD.mul_f64(rand::rng().random());
+async fn migrate(node: &Rc<Node>, from: UpstreamIx, run: &Run) {
+    let mut tried = vec![from];
+    let wait = MAX_START_DELAY.mul_f64(rand::rng().random());
     tokio::time::sleep(wait).await;
-    while asked.len() <= MAX_TARGETS {
+    while tried.len() <= MAX_TARGETS {
         let need = Need {
             copied_from: Some(from),
             draw: rand::rng().next_u64(),
             ..run.need.get()
         };
-        loads::ask(node, &run.service, &need, &asked).await;
+        loads::ask(node, &run.service, &need, &tried).await;
         let chosen = {
             let pool = node.pool.borrow();
-            pool.choose(node.now(), &run.service, &need, &asked)
+            pool.choose(node.now(), &run.service, &need, &tried)
         };
         let Some(to) = chosen else {
-            say(node, run, from, None, "nowhere to go");
+            log_outcome(node, run, from, None, "nowhere to go");
             return;
         };
-        asked.push(to);
-        let placed = node.place(to, need);
-        if try_target(node, from, placed, run).await == Target::Settled {
+        tried.push(to);
+        let placed = node.assign(to, need);
+        if try_target(node, from, placed, run).await == TargetOutcome::Settled {
             return;
         }
-        tokio::time::sleep(NO_ROOM_PAUSE).await;
+        tokio::time::sleep(NO_CAPACITY_DELAY).await;
     }
 }
 
 /// Whether another target is worth asking.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Target {
+enum TargetOutcome {
     /// The run is moved, or can't be.
     Settled,
     /// This one has no room, and the run goes on where it is.
-    HasNoRoom,
+    NoCapacity,
 }
 
 /// Copies while the run goes on, then stops it and copies what is new.
 ///
 /// Where the time to stop has come, as after a target that had no room for the last part, the run is
 /// stopped at once: a whole copy beside it would not be done before the upstream is gone.
-async fn try_target(node: &Rc<Node>, from: UpstreamIx, placed: PlacedGuard, run: &Run) -> Target {
+async fn try_target(
+    node: &Rc<Node>,
+    from: UpstreamIx,
+    placed: AssignmentGuard,
+    run: &Run,
+) -> TargetOutcome {
     let to = placed.ix;
     let departure = node.departures.get(from);
-    let is_late = departure.is_some_and(|d| node.now() >= d.stop_at());
-    let stages: &[bool] = if is_late { &[true] } else { &[false, true] };
+    let is_past_stop = departure.is_some_and(|d| node.now() >= d.stop_at());
+    let stages: &[bool] = if is_past_stop {
+        &[true]
+    } else {
+        &[false, true]
+    };
     for &stop in stages {
         if stop {
-            wait_for_calm(node, from).await;
+            wait_until_stop(node, from).await;
         }
-        match copy(node, from, to, run, stop).await {
+        match copy_memory(node, from, to, run, stop).await {
             MoveOutcome::Copied(_) if !stop => {}
             MoveOutcome::Copied(memory) => {
-                say(node, run, from, Some(to), "moved");
-                *run.refuge.borrow_mut() = Some(Refuge {
+                log_outcome(node, run, from, Some(to), "moved");
+                *run.migration_copy.borrow_mut() = Some(MigrationCopy {
                     placed,
                     memory,
                     source: from,
                 });
-                return Target::Settled;
+                return TargetOutcome::Settled;
             }
             MoveOutcome::NoRoom(Some(memory)) if stop => {
-                say(node, run, from, Some(to), "stopped, kept at the source");
-                let placed = node.place(from, run.need.get());
-                *run.refuge.borrow_mut() = Some(Refuge {
+                log_outcome(node, run, from, Some(to), "stopped, kept at the source");
+                let placed = node.assign(from, run.need.get());
+                *run.migration_copy.borrow_mut() = Some(MigrationCopy {
                     placed,
                     memory,
                     source: from,
                 });
-                return Target::Settled;
+                return TargetOutcome::Settled;
             }
             MoveOutcome::NoRoom(_) => {
-                say(node, run, from, Some(to), "no room");
-                return Target::HasNoRoom;
+                log_outcome(node, run, from, Some(to), "no room");
+                return TargetOutcome::NoCapacity;
             }
             other => {
                 let what = if stop { "last copy" } else { "first copy" };
-                say(node, run, from, Some(to), &format!("{what}: {other:?}"));
-                return Target::Settled;
+                log_outcome(node, run, from, Some(to), &format!("{what}: {other:?}"));
+                return TargetOutcome::Settled;
             }
         }
     }
-    Target::Settled
+    TargetOutcome::Settled
 }
 
 /// Waits until the whole copies of other runs are likely to be done.
-async fn wait_for_calm(node: &Node, from: UpstreamIx) {
+async fn wait_until_stop(node: &Node, from: UpstreamIx) {
     // What the upstream says meanwhile may put the moment off.
     while let Some(departure) = node.departures.get(from) {
         let stop_at = departure.stop_at();
@@ -174,15 +183,15 @@
     }
 }
 
-async fn copy(
+async fn copy_memory(
     node: &Rc<Node>,
     from: UpstreamIx,
     to: UpstreamIx,
     run: &Run,
     stop: bool,
 ) -> MoveOutcome {
-    let calling = call(node, from, to, run, stop);
-    let answer = tokio::time::timeout(COPY_TIMEOUT, calling).await;
+    let request = request_copy(node, from, to, run, stop);
+    let answer = tokio::time::timeout(COPY_TIMEOUT, request).await;
     match answer {
         Ok(Ok(outcome)) => outcome,
         Ok(Err(e)) => {
@@ -194,7 +203,7 @@
     }
 }
 
-async fn call(
+async fn request_copy(
     node: &Rc<Node>,
     from: UpstreamIx,
     to: UpstreamIx,
@@ -215,12 +224,12 @@
         .header(HOST, source.addr.to_string())
         .header(CONTENT_TYPE, HeaderValue::from_static("application/json"))
         .body(Full::new(Bytes::from(body)))?;
-    let answered = call_whole(&mut link, req).await?;
+    let answered = call(&mut link, req).await?;
     node.links.put_back(&source.life(), link, None);
     Ok(read_move(source.addr, answered.status, &answered.body))
 }
 
-fn say(node: &Node, run: &Run, from: UpstreamIx, to: Option<UpstreamIx>, outcome: &str) {
+fn log_outcome(node: &Node, run: &Run, from: UpstreamIx, to: Option<UpstreamIx>, outcome: &str) {
     let pool = node.pool.borrow();
     let memory = to.map(|to| format!("{:.2}", pool.view(node.now(), to).memory));
     let since = pool.left_at(from).map(|t| node.now().since(t).as_millis());
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -354,7 +354,7 @@
     /// an answer of it.
     fn end_life(&self, ix: UpstreamIx) {
         let life = self.pool.borrow().record(ix).life();
-        self.links.drop_idle(&life);
+        self.links.close_idle(&life);
         self.save_if_leaving(ix);
         self.life_ended.notify_waiters();
     }
--- a/fireflydirect/src/process.rs
+++ b/fireflydirect/src/process.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{Node, Stage};
 use crate::settings::Settings;
-use crate::{callers, feed, hear, mover, readiness, reports, state_page, tell};
+use crate::{callers, feed, hear, migration, readiness, reports, state_page, tell};
 use anyhow::Context;
 use fireflycroft::Time;
 use fireflycroft_platform::Kind;
@@ -75,7 +75,7 @@
     spawn_local(state_page::answer(node.clone(), peer_listener));
     spawn_local(readiness::answer(node.clone(), readiness));
     spawn_local(callers::accept(node.clone(), callers));
-    spawn_local(mover::run(node.clone()));
+    spawn_local(migration::run(node.clone()));
     spawn_local(tidy(node.clone()));
     Ok(())
 }
@@ -88,7 +88,7 @@
 async fn tidy(node: Rc<Node>) {
     loop {
         tokio::time::sleep_until(node.clock.instant(next_tidy(&node))).await;
-        node.links.tidy();
+        node.links.close_expired();
         let now = node.now();
         let changes = node.pool.borrow_mut().drop_missing(now);
         node.take_changes(changes, "missing");
--- a/fireflydirect/src/repeats.rs
+++ b/fireflydirect/src/repeats.rs
@@ -7,7 +7,7 @@
 /// Takes one repeat from the shared budget, borrowing it if need be.
 pub async fn take(job: &Job) -> bool {
     prepare(job).await;
-    job.take_repeat()
+    job.take_retry()
 }
 
 /// Borrows one repeat if this entry's part is spent; owners are asked one after another, since each
--- a/fireflydirect/src/runs.rs
+++ b/fireflydirect/src/runs.rs
@@ -1,6 +1,6 @@
 //! Streams under way, so that those on an upstream that leaves can be saved.
 
-use crate::placed::PlacedGuard;
+use crate::assignment::AssignmentGuard;
 use fireflycroft::{MemoryCopy, Name, Need, UpstreamIx};
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -8,9 +8,9 @@
 use tokio::sync::Notify;
 
 /// A copy of a run's memory on another upstream, ready to go on from.
-pub struct Refuge {
+pub struct MigrationCopy {
     /// Its place on the upstream where the run goes on.
-    pub placed: PlacedGuard,
+    pub placed: AssignmentGuard,
     /// The memory there.
     pub memory: MemoryCopy,
     /// Upstream that made the copy and gave it its handle.
@@ -28,17 +28,17 @@
     /// Upstream that keeps a copy as the run grows.
     pub backup: Cell<Option<UpstreamIx>>,
     /// Copy that was made on notice.
-    pub refuge: RefCell<Option<Refuge>>,
+    pub migration_copy: RefCell<Option<MigrationCopy>>,
     /// Whether a copy is being made on notice.
-    pub moving: Cell<bool>,
+    pub migrating: Cell<bool>,
     /// Rings when the copy is done or has failed.
-    pub moved: Notify,
+    pub migration_ended: Notify,
     /// Tokens relayed so far.
     pub produced: Cell<u64>,
     /// What the rest of the run needs of an upstream.
     pub need: Cell<Need>,
     /// Whether its engines can copy its memory.
-    pub can_move: bool,
+    pub can_migrate: bool,
     /// Time that the memory of one token takes to another engine.
     pub token_copy_time: Duration,
 }
@@ -51,7 +51,7 @@
 
 impl Runs {
     /// Enters a run; it leaves by being dropped.
-    pub fn enter(&self, run: Run) -> Rc<Run> {
+    pub fn register(&self, run: Run) -> Rc<Run> {
         let run = Rc::new(run);
         let mut runs = self.runs.borrow_mut();
         runs.retain(|r| r.strong_count() > 0);
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -1,6 +1,6 @@
 //! One request of a caller: checked, sent on, answered.
 
-use crate::answer::{Answer, close_after, own, relayed, whole};
+use crate::answer::{Answer, close_after, error_answer, relayed_answer, whole_body};
 use crate::beginning::until_begun;
 use crate::call::{Reply, obtain};
 use crate::crash;
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 /// When to come back with a request that crashes upstreams: not within any caller's patience.
-const QUARANTINE_RETRY: Duration = Duration::from_hours(1);
+const QUARANTINE_RETRY_AFTER: Duration = Duration::from_hours(1);
 
 /// A refusal before anything was sent.
 struct Refusal {
@@ -40,7 +40,7 @@
     }
 }
 
-const fn come_back(code: Code, wait: Duration) -> Refusal {
+const fn refusal_with_retry(code: Code, wait: Duration) -> Refusal {
     Refusal {
         code,
         retry_after: Some(wait),
@@ -51,10 +51,10 @@
 pub async fn serve(node: Rc<Node>, req: Request<Incoming>) -> Answer {
     let arrival = node.now();
     let (parts, body) = req.into_parts();
-    let ask = read_ask(&parts.headers);
-    let request_id = ask.request_id.clone().unwrap_or_default();
-    let mut answer = match admit(&node, arrival, parts, ask, body).await {
-        Ok(job) => run(Rc::new(job)).await,
+    let head = read_ask(&parts.headers);
+    let request_id = head.request_id.clone().unwrap_or_default();
+    let mut answer = match admit(&node, arrival, parts, head, body).await {
+        Ok(job) => answer_job(Rc::new(job)).await,
         Err(refused) => {
             log::warn!(
                 event = "refused", req = &*request_id, code = refused.code.number(),
@@ -63,7 +63,7 @@
             );
             let age = node.now().since(arrival);
             node.metrics.note_answer(None, refused.code, age);
-            own(refused.code, refused.retry_after)
+            error_answer(refused.code, refused.retry_after)
         }
     };
     if node.stage() != Stage::Serving {
@@ -72,15 +72,15 @@
     answer
 }
 
-async fn run(job: Rc<Job>) -> Answer {
+async fn answer_job(job: Rc<Job>) -> Answer {
     let reply = obtain(&job).await;
     let (code, status) = match &reply {
         Reply::Whole(parts, _) => (Code::Ok, parts.status.as_u16()),
         Reply::Stream(begun) => (Code::Ok, begun.opened.parts.status.as_u16()),
         Reply::Own(code, _) => (*code, code.status()),
     };
-    let repeat = Some(job.route.kind);
-    job.node.metrics.note_answer(repeat, code, job.age());
+    let kind = Some(job.route.kind);
+    job.node.metrics.note_answer(kind, code, job.age());
     // What failed is kept before what was served when lines have to be dropped.
     let level = if code == Code::Ok && status < 500 {
         log::Level::Info
@@ -94,9 +94,9 @@
         ""
     );
     match reply {
-        Reply::Whole(parts, bytes) => relayed(&parts, whole(bytes)),
+        Reply::Whole(parts, bytes) => relayed_answer(&parts, whole_body(bytes)),
         Reply::Stream(begun) => relay(job, *begun),
-        Reply::Own(code, retry_after) => own(code, retry_after),
+        Reply::Own(code, retry_after) => error_answer(code, retry_after),
     }
 }
 
@@ -105,13 +105,13 @@
     node: &Rc<Node>,
     arrival: Time,
     parts: Parts,
-    ask: RequestHead,
+    head: RequestHead,
     body: Incoming,
 ) -> Result<Job, Refusal> {
     if node.stage() == Stage::Closing {
-        return Err(come_back(Code::Leaving, STARTUP_RETRY_AFTER));
+        return Err(refusal_with_retry(Code::Leaving, STARTUP_RETRY_AFTER));
     }
-    until_begun(node, ask.deadline).await;
+    until_begun(node, head.deadline).await;
     let catalog = node.catalog.borrow().clone();
     let catalog = catalog.ok_or_else(|| {
         let age = if node.policy.uses(Mechanism::Outage) {
@@ -119,20 +119,20 @@
         } else {
             Duration::ZERO
         };
-        come_back(
+        refusal_with_retry(
             Code::NotReady,
             unconfigured_retry_after(age, rand::rng().random()),
         )
     })?;
     let route = find_route(&catalog, &parts).ok_or(refusal(Code::RouteUnknown))?;
-    let workspace = check_key(&catalog, &route, &ask)?;
-    let request_id = ask.request_id.clone().ok_or(refusal(Code::BadRequest))?;
+    let workspace = check_key(&catalog, &route, &head)?;
+    let request_id = head.request_id.clone().ok_or(refusal(Code::BadRequest))?;
     let service = route.target(rand::rng().next_u32()).cloned();
-    let service = service.ok_or(come_back(Code::NoUpstream, STARTUP_RETRY_AFTER))?;
+    let service = service.ok_or(refusal_with_retry(Code::NoUpstream, STARTUP_RETRY_AFTER))?;
     let body = read_body(&catalog, body).await?;
-    let content = digest(&parts, &ask, &body);
+    let content = digest(&parts, &head, &body);
     if crash::is_refused(node, content) {
-        return Err(come_back(Code::Overloaded, QUARANTINE_RETRY));
+        return Err(refusal_with_retry(Code::Overloaded, QUARANTINE_RETRY_AFTER));
     }
     node.budget
         .borrow_mut()
@@ -144,19 +144,21 @@
         .borrow()
         .homes(&route.allowed_regions, workspace_homes);
     let workspace_rank = workspace.and_then(|w| w.rank);
-    let patience = ask.deadline.map_or(route.timeout, |d| d.min(route.timeout));
+    let timeout = head
+        .deadline
+        .map_or(route.timeout, |d| d.min(route.timeout));
     let mut job = Job {
         node: node.clone(),
-        yields: 0.0,
+        value_density: 0.0,
         version: catalog.version(),
         engine,
         homes,
         workspace: workspace.map(|w| w.name.clone()),
         rank: workspace_rank.unwrap_or(route.rank),
-        give_up_at: arrival + patience,
+        deadline: arrival + timeout,
         route,
         service,
-        ask,
+        head,
         request_id,
         method: parts.method,
         uri: origin_form(&parts.uri),
@@ -165,13 +167,13 @@
         content,
         arrival,
     };
-    job.yields = yields(&job);
+    job.value_density = value_density(&job);
     Ok(job)
 }
 
 /// What a generation brings for the memory that it holds; nothing is said of a plain call.
-fn yields(job: &Job) -> f64 {
-    let Some(size) = &job.ask.size else {
+fn value_density(job: &Job) -> f64 {
+    let Some(size) = &job.head.size else {
         return 0.0;
     };
     if !job.node.policy.uses(Mechanism::Yields) {
@@ -192,9 +194,9 @@
 fn check_key<'a>(
     catalog: &'a Catalog,
     route: &RouteSpec,
-    ask: &RequestHead,
+    head: &RequestHead,
 ) -> Result<Option<&'a WorkspaceSpec>, Refusal> {
-    let workspace = ask.key.as_ref().and_then(|key| catalog.workspace(key));
+    let workspace = head.key.as_ref().and_then(|key| catalog.workspace(key));
     if workspace.is_none() && catalog.requires_keys() && !route.open {
         return Err(refusal(Code::KeyRefused));
     }
@@ -211,9 +213,9 @@
 }
 
 /// Digest by which a request that comes again is known, whatever its id.
-fn digest(parts: &Parts, ask: &RequestHead, body: &Bytes) -> Digest {
+fn digest(parts: &Parts, head: &RequestHead, body: &Bytes) -> Digest {
     let path = parts.uri.path_and_query().map_or("", |p| p.as_str());
-    let key: Name = ask.key.clone().unwrap_or_default();
+    let key: Name = head.key.clone().unwrap_or_default();
     Digest::of(&[path.as_bytes(), key.as_bytes(), body])
 }
 
