--- a/fireflydirect/src/call.rs
+++ b/fireflydirect/src/call.rs
@@ -2,7 +2,7 @@
 
 use crate::assignment::AssignmentGuard;
 use crate::crash;
-use crate::exchange::{Extras, ResponseStart, SendError, read_whole, send};
+use crate::exchange::{ResponseStart, SendError, SendOptions, read_whole, send};
 use crate::figure::or_empty;
 use crate::job::Job;
 use crate::{repeats, returns};
@@ -45,9 +45,9 @@
 /// A stream that has begun.
 pub struct StartedStream {
     /// The upstream's head and body.
-    pub opened: ResponseStart,
+    pub response: ResponseStart,
     /// Its place on the upstream.
-    pub placed: AssignmentGuard,
+    pub assignment: AssignmentGuard,
     /// Place of the copy that another upstream keeps.
     pub backup: Option<AssignmentGuard>,
 }
@@ -59,7 +59,7 @@
     /// A stream that has begun.
     Stream(Box<StartedStream>),
     /// No answer of an upstream: a code, and when to come back.
-    Own(Code, Option<Duration>),
+    Error(Code, Option<Duration>),
 }
 
 /// One try at an upstream.
@@ -85,8 +85,8 @@
     let limit = job.node.clock.instant(job.deadline);
     match tokio::time::timeout_at(limit, try_upstreams(job, &attempts)).await {
         Ok(reply) => reply,
-        Err(_) if attempts.borrow().may_have_run() => Reply::Own(Code::DeadlineExceeded, None),
-        Err(_) => Reply::Own(Code::Overloaded, Some(FULL_RETRY_AFTER)),
+        Err(_) if attempts.borrow().may_have_run() => Reply::Error(Code::DeadlineExceeded, None),
+        Err(_) => Reply::Error(Code::Overloaded, Some(FULL_RETRY_AFTER)),
     }
 }
 
@@ -117,10 +117,10 @@
             (NextStep::Retry, reply) => failure = reply.or(failure),
             (NextStep::Relay, Some(reply)) => return reply,
             (NextStep::RefuseNotRun, _) => {
-                return Reply::Own(Code::Overloaded, Some(FULL_RETRY_AFTER));
+                return Reply::Error(Code::Overloaded, Some(FULL_RETRY_AFTER));
             }
             (NextStep::ReportUnknown | NextStep::Relay, _) => {
-                return failure.unwrap_or(Reply::Own(Code::OutcomeUnknown, None));
+                return failure.unwrap_or(Reply::Error(Code::OutcomeUnknown, None));
             }
         }
     }
@@ -189,9 +189,9 @@
         ""
     );
     if attempts.borrow().may_have_run() {
-        Reply::Own(Code::OutcomeUnknown, None)
+        Reply::Error(Code::OutcomeUnknown, None)
     } else {
-        Reply::Own(Code::Overloaded, Some(wait))
+        Reply::Error(Code::Overloaded, Some(wait))
     }
 }
 
@@ -203,11 +203,11 @@
         ""
     );
     if attempts.borrow().may_have_run() {
-        return Reply::Own(Code::OutcomeUnknown, None);
+        return Reply::Error(Code::OutcomeUnknown, None);
     }
     match free_in {
-        Some(wait) => Reply::Own(Code::Overloaded, Some(rate_limited_retry_after(wait))),
-        None => Reply::Own(Code::NoUpstream, Some(NO_UPSTREAM_RETRY_AFTER)),
+        Some(wait) => Reply::Error(Code::Overloaded, Some(rate_limited_retry_after(wait))),
+        None => Reply::Error(Code::NoUpstream, Some(NO_UPSTREAM_RETRY_AFTER)),
     }
 }
 
@@ -218,17 +218,17 @@
     attempts: &RefCell<Attempts>,
 ) -> AttemptResult {
     log_choice(job, ix);
-    let placed = job.node.assign(ix, need);
+    let assignment = job.node.assign(ix, need);
     let backup = assign_backup(job, ix, need);
     let backup_holder = backup
         .as_ref()
         .map(|b| job.node.pool.borrow().record(b.ix).addr);
-    let extras = Extras {
+    let options = SendOptions {
         backup: backup_holder,
         memory: None,
         last_event_id: job.head.last_event_id,
     };
-    let sending = send(job, ix, &extras, || attempts.borrow_mut().record_sent());
+    let sending = send(job, ix, &options, || attempts.borrow_mut().record_sent());
     let sent = match silence_timeout(job) {
         Some(limit) => match tokio::time::timeout(limit, sending).await {
             Ok(sent) => sent,
@@ -237,7 +237,7 @@
         None => sending.await,
     };
     match sent {
-        Ok(opened) => interpret_head(job, ix, opened, placed, backup).await,
+        Ok(response) => interpret_head(job, ix, response, assignment, backup).await,
         Err(SendError::NeverSent(why)) => AttemptResult::failed(AttemptOutcome::NeverSent, why),
         Err(SendError::Withheld(why)) => AttemptResult::failed(AttemptOutcome::Withheld, why),
         Err(SendError::Lost(why)) => AttemptResult::failed(AttemptOutcome::Lost, why),
@@ -289,12 +289,12 @@
 async fn interpret_head(
     job: &Job,
     ix: UpstreamIx,
-    opened: ResponseStart,
-    placed: AssignmentGuard,
+    response: ResponseStart,
+    assignment: AssignmentGuard,
     backup: Option<AssignmentGuard>,
 ) -> AttemptResult {
-    let status = opened.parts.status;
-    let head = opened.head;
+    let status = response.parts.status;
+    let head = response.head;
     match head.claim {
         RunClaim::MayHaveRun => {}
         RunClaim::NotRun => {
@@ -314,18 +314,18 @@
         return AttemptResult::failed(AttemptOutcome::Lost, "an answer without a seal");
     }
     if status.is_success() && job.route.kind.is_stream() {
-        let begun = StartedStream {
-            opened,
-            placed,
+        let stream = StartedStream {
+            response,
+            assignment,
             backup,
         };
         return AttemptResult {
             outcome: AttemptOutcome::Answered,
             why: String::new(),
-            reply: Some(Reply::Stream(Box::new(begun))),
+            reply: Some(Reply::Stream(Box::new(stream))),
         };
     }
-    match read_whole(job, ix, opened).await {
+    match read_whole(job, ix, response).await {
         Ok((parts, bytes)) => AttemptResult {
             outcome: if status.is_server_error() {
                 AttemptOutcome::Failed
--- a/fireflydirect/src/departures.rs
+++ b/fireflydirect/src/departures.rs
@@ -118,8 +118,8 @@
     let req = Request::get(report_path())
         .header(HOST, record.addr.to_string())
         .body(Full::new(Bytes::new()))?;
-    let answered = call(&mut link, req).await?;
-    anyhow::ensure!(answered.status == 200, "status {}", answered.status);
+    let response = call(&mut link, req).await?;
+    anyhow::ensure!(response.status == 200, "status {}", response.status);
     links.put_back(&record.life(), link, None);
-    Ok(read_report(&answered.body)?)
+    Ok(read_report(&response.body)?)
 }
--- a/fireflydirect/src/exchange.rs
+++ b/fireflydirect/src/exchange.rs
@@ -29,7 +29,7 @@
 
 /// What goes along with a request beside what the caller sent.
 #[derive(Clone, Debug, Default)]
-pub struct Extras {
+pub struct SendOptions {
     /// Upstream that is to keep a copy of the run's memory.
     pub backup: Option<SocketAddr>,
     /// Memory to go on from.
@@ -82,7 +82,7 @@
 pub async fn send(
     job: &Job,
     ix: UpstreamIx,
-    extras: &Extras,
+    options: &SendOptions,
     on_sent: impl FnOnce(),
 ) -> Result<ResponseStart, SendError> {
     let record = job.node.pool.borrow().record(ix).clone();
@@ -107,7 +107,7 @@
     }
     count_sending(job, ix)?;
     let sent_at = job.now();
-    let req = request(job, &record.instance, extras);
+    let req = request(job, &record.instance, options);
     on_sent();
     let response = tokio::select! {
         response = link.sender.try_send_request(req) => response.map_err(send_error)?,
@@ -149,14 +149,14 @@
     }
 }
 
-fn request(job: &Job, instance: &str, extras: &Extras) -> Request<Full<Bytes>> {
+fn request(job: &Job, instance: &str, options: &SendOptions) -> Request<Full<Bytes>> {
     let dispatch = Dispatch {
         instance,
         workspace: job.workspace.as_deref(),
         deadline: job.time_left(),
-        backup: extras.backup,
-        memory: extras.memory.as_ref(),
-        last_event_id: extras.last_event_id,
+        backup: options.backup,
+        memory: options.memory.as_ref(),
+        last_event_id: options.last_event_id,
     };
     let mut req = Request::new(Full::new(job.body.clone()));
     *req.method_mut() = job.method.clone();
@@ -173,14 +173,14 @@
 pub async fn read_whole(
     job: &Job,
     ix: UpstreamIx,
-    opened: ResponseStart,
+    response: ResponseStart,
 ) -> Result<(Parts, Bytes), String> {
     let ResponseStart {
         parts,
         head,
         body,
         link,
-    } = opened;
+    } = response;
     let whole = tokio::select! {
         whole = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect() => whole,
         () = job.node.until_ended(ix) => return Err("it started again".to_owned()),
--- a/fireflydirect/src/generation.rs
+++ b/fireflydirect/src/generation.rs
@@ -9,7 +9,7 @@
 use crate::assignment::AssignmentGuard;
 use crate::call::{StartedStream, assign_backup};
 use crate::crash;
-use crate::exchange::{Extras, ResponseStart, release_link, send};
+use crate::exchange::{ResponseStart, SendOptions, release_link, send};
 use crate::figure::or_empty;
 use crate::job::Job;
 use crate::metrics::kind_word;
@@ -52,7 +52,7 @@
 struct Relay {
     job: Rc<Job>,
     run: Rc<Run>,
-    placed: AssignmentGuard,
+    assignment: AssignmentGuard,
     backup: Option<AssignmentGuard>,
     source: Option<Source>,
     events: EventRelay,
@@ -102,23 +102,23 @@
     method: &'static str,
     at: UpstreamIx,
     memory: Option<MemoryCopy>,
-    placed: Option<AssignmentGuard>,
+    assignment: Option<AssignmentGuard>,
 }
 
 /// Answer whose body is relayed from the upstream that has begun it.
 #[must_use]
-pub fn relay(job: Rc<Job>, begun: StartedStream) -> Answer {
+pub fn relay(job: Rc<Job>, stream: StartedStream) -> Answer {
     let StartedStream {
-        opened,
-        placed,
+        response,
+        assignment,
         backup,
-    } = begun;
+    } = stream;
     let ResponseStart {
         parts,
         head,
         body,
         link,
-    } = opened;
+    } = response;
     let mut events = EventRelay::default();
     if let Some(last) = job.head.last_event_id {
         events.resume_after(last);
@@ -126,7 +126,7 @@
     let run = job.node.runs.register(Run {
         request_id: job.request_id.clone(),
         service: job.service.clone(),
-        at: Cell::new(placed.ix),
+        at: Cell::new(assignment.ix),
         backup: Cell::new(backup.as_ref().map(|b| b.ix)),
         migration_copy: RefCell::new(None),
         migrating: Cell::new(false),
@@ -140,11 +140,11 @@
         token_copy_time: job.engine.map_or(Duration::ZERO, |e| e.token_copy_time),
     });
     // Notice may have come between the choice of the upstream and the head of its answer.
-    job.node.save_if_leaving(placed.ix);
+    job.node.save_if_leaving(assignment.ix);
     let relay = Relay {
         job,
         run,
-        placed,
+        assignment,
         backup,
         source: Some(Source { body, link, head }),
         events,
@@ -195,7 +195,7 @@
         let frame = tokio::select! {
             biased;
             frame = source.body.frame() => frame,
-            () = self.job.node.until_ended(self.placed.ix) => {
+            () = self.job.node.until_ended(self.assignment.ix) => {
                 return Read::Broke("its upstream started again".to_owned());
             }
             () = tokio::time::sleep_until(limit) => return Read::TimeUp,
@@ -210,7 +210,7 @@
 
     fn record_progress(&mut self) {
         self.event_times.record(self.job.now());
-        self.placed.record_prompt_read();
+        self.assignment.record_prompt_read();
         let per_event = self.job.engine.map_or(1, |e| e.tokens_per_event);
         let produced = self.events.relayed() * u64::from(per_event);
         self.run.produced.set(produced);
@@ -221,7 +221,7 @@
                 ..self.job.need_beyond(produced)
             };
             self.run.need.set(need);
-            self.placed.grow_to(need.tokens);
+            self.assignment.grow_to(need.tokens);
         }
         self.record_pace(produced);
     }
@@ -236,7 +236,7 @@
         let tokens = produced - since.produced;
         if tokens >= PACE_WINDOW_TOKENS {
             let mut pool = self.job.node.pool.borrow_mut();
-            pool.note_pace(self.placed.ix, tokens, now.since(since.since));
+            pool.note_pace(self.assignment.ix, tokens, now.since(since.since));
             self.pace_window = None;
         }
     }
@@ -244,13 +244,13 @@
     fn finish(&mut self) {
         self.ended = true;
         if let Some(source) = self.source.take() {
-            release_link(&self.job, self.placed.ix, &source.head, source.link);
+            release_link(&self.job, self.assignment.ix, &source.head, source.link);
         }
         self.job
             .node
             .pool
             .borrow_mut()
-            .note_outcome(self.placed.ix, false);
+            .note_outcome(self.assignment.ix, false);
         self.record_length();
         self.record_end("whole");
         self.log_event("stream_ended", "");
@@ -291,7 +291,7 @@
         };
         log::log!(
             level, event = event, req = &*job.request_id, route = &*job.route.name,
-            instance = &*job.node.pool.borrow().record(self.placed.ix).instance,
+            instance = &*job.node.pool.borrow().record(self.assignment.ix).instance,
             events = self.events.relayed(), breaks = self.breaks, why = why,
             first_ms = or_empty(self.event_times.first.map(|t| t.since(job.arrival).as_millis())),
             longest_pause_ms = self.event_times.longest.as_millis(),
@@ -310,12 +310,12 @@
         self.events.discard_partial();
         self.breaks += 1;
         self.log_event("stream_broke", why);
-        crash::check_for_crash(&self.job, self.placed.ix);
+        crash::check_for_crash(&self.job, self.assignment.ix);
         if self.breaks > MAX_RESUMPTIONS || !self.events.can_resume() {
             return false;
         }
         self.wait_for_copy().await;
-        let from = self.placed.ix;
+        let from = self.assignment.ix;
         while let Some(next) = self.next_continuation(from) {
             if !repeats::take(&self.job).await {
                 self.log_event("budget_spent", "");
@@ -340,13 +340,13 @@
     fn next_continuation(&mut self, from: UpstreamIx) -> Option<Continuation> {
         let migration_copy = self.run.migration_copy.borrow_mut().take();
         if let Some(migration_copy) =
-            migration_copy.filter(|r| self.is_copy_usable(r.placed.ix, r.source))
+            migration_copy.filter(|r| self.is_copy_usable(r.assignment.ix, r.source))
         {
             return Some(Continuation {
                 method: "moved",
-                at: migration_copy.placed.ix,
+                at: migration_copy.assignment.ix,
                 memory: Some(migration_copy.memory),
-                placed: Some(migration_copy.placed),
+                assignment: Some(migration_copy.assignment),
             });
         }
         self.run.backup.set(None);
@@ -360,7 +360,7 @@
                     issued_by,
                     handle: self.job.request_id.clone(),
                 }),
-                placed: None,
+                assignment: None,
             });
         }
         if !self.job.route.kind.is_retryable() || self.breaks > self.job.route.max_attempts {
@@ -372,7 +372,7 @@
             method: "anew",
             at,
             memory: None,
-            placed: None,
+            assignment: None,
         })
     }
 
@@ -388,36 +388,36 @@
 
     async fn resume_at(&mut self, next: Continuation) -> bool {
         let need = self.remaining_need(next.memory.is_some());
-        let placed = next
-            .placed
+        let assignment = next
+            .assignment
             .unwrap_or_else(|| self.job.node.assign(next.at, need));
         let backup = assign_backup(&self.job, next.at, need);
         let backup_holder = backup
             .as_ref()
             .map(|b| self.job.node.pool.borrow().record(b.ix).addr);
-        let extras = Extras {
+        let options = SendOptions {
             backup: backup_holder,
             memory: next.memory,
             last_event_id: self.events.last_id(),
         };
-        let sending = send(&self.job, next.at, &extras, || ());
-        let opened = match tokio::time::timeout(RESUME_TIMEOUT, sending).await {
-            Ok(Ok(opened)) if is_stream(&opened) => opened,
-            Ok(Ok(opened)) => {
-                return self.log_resume_refused(next.at, &opened.parts.status.to_string());
+        let sending = send(&self.job, next.at, &options, || ());
+        let response = match tokio::time::timeout(RESUME_TIMEOUT, sending).await {
+            Ok(Ok(response)) if is_stream(&response) => response,
+            Ok(Ok(response)) => {
+                return self.log_resume_refused(next.at, &response.parts.status.to_string());
             }
             Ok(Err(e)) => return self.log_resume_refused(next.at, &e.to_string()),
             Err(_) => return self.log_resume_refused(next.at, "no answer in time"),
         };
-        self.placed = placed;
+        self.assignment = assignment;
         self.run.at.set(next.at);
         self.job.node.save_if_leaving(next.at);
         self.run.backup.set(backup.as_ref().map(|b| b.ix));
         self.backup = backup;
         self.source = Some(Source {
-            body: opened.body,
-            link: opened.link,
-            head: opened.head,
+            body: response.body,
+            link: response.link,
+            head: response.head,
         });
         let resumptions = &self.job.node.metrics.went_on;
         resumptions.with_label_values(&[next.method]).inc();
@@ -444,6 +444,6 @@
     }
 }
 
-fn is_stream(opened: &ResponseStart) -> bool {
-    opened.parts.status.is_success() && opened.head.sealed
+fn is_stream(response: &ResponseStart) -> bool {
+    response.parts.status.is_success() && response.head.sealed
 }
--- a/fireflydirect/src/migration.rs
+++ b/fireflydirect/src/migration.rs
@@ -97,8 +97,8 @@
             return;
         };
         tried.push(to);
-        let placed = node.assign(to, need);
-        if try_target(node, from, placed, run).await == TargetOutcome::Settled {
+        let assignment = node.assign(to, need);
+        if try_target(node, from, assignment, run).await == TargetOutcome::Settled {
             return;
         }
         tokio::time::sleep(NO_CAPACITY_DELAY).await;
@@ -121,10 +121,10 @@
 async fn try_target(
     node: &Rc<Node>,
     from: UpstreamIx,
-    placed: AssignmentGuard,
+    assignment: AssignmentGuard,
     run: &Run,
 ) -> TargetOutcome {
-    let to = placed.ix;
+    let to = assignment.ix;
     let departure = node.departures.get(from);
     let is_past_stop = departure.is_some_and(|d| node.now() >= d.stop_at());
     let stages: &[bool] = if is_past_stop {
@@ -141,7 +141,7 @@
             MoveOutcome::Copied(memory) => {
                 log_outcome(node, run, from, Some(to), "moved");
                 *run.migration_copy.borrow_mut() = Some(MigrationCopy {
-                    placed,
+                    assignment,
                     memory,
                     source: from,
                 });
@@ -149,9 +149,9 @@
             }
             MoveOutcome::NoRoom(Some(memory)) if stop => {
                 log_outcome(node, run, from, Some(to), "stopped, kept at the source");
-                let placed = node.assign(from, run.need.get());
+                let assignment = node.assign(from, run.need.get());
                 *run.migration_copy.borrow_mut() = Some(MigrationCopy {
-                    placed,
+                    assignment,
                     memory,
                     source: from,
                 });
@@ -224,9 +224,9 @@
         .header(HOST, source.addr.to_string())
         .header(CONTENT_TYPE, HeaderValue::from_static("application/json"))
         .body(Full::new(Bytes::from(body)))?;
-    let answered = call(&mut link, req).await?;
+    let response = call(&mut link, req).await?;
     node.links.put_back(&source.life(), link, None);
-    Ok(read_move(source.addr, answered.status, &answered.body))
+    Ok(read_move(source.addr, response.status, &response.body))
 }
 
 fn log_outcome(node: &Node, run: &Run, from: UpstreamIx, to: Option<UpstreamIx>, outcome: &str) {
--- a/fireflydirect/src/runs.rs
+++ b/fireflydirect/src/runs.rs
@@ -10,7 +10,7 @@
 /// A copy of a run's memory on another upstream, ready to go on from.
 pub struct MigrationCopy {
     /// Its place on the upstream where the run goes on.
-    pub placed: AssignmentGuard,
+    pub assignment: AssignmentGuard,
     /// The memory there.
     pub memory: MemoryCopy,
     /// Upstream that made the copy and gave it its handle.
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -76,8 +76,8 @@
     let reply = obtain(&job).await;
     let (code, status) = match &reply {
         Reply::Whole(parts, _) => (Code::Ok, parts.status.as_u16()),
-        Reply::Stream(begun) => (Code::Ok, begun.opened.parts.status.as_u16()),
-        Reply::Own(code, _) => (*code, code.status()),
+        Reply::Stream(stream) => (Code::Ok, stream.response.parts.status.as_u16()),
+        Reply::Error(code, _) => (*code, code.status()),
     };
     let kind = Some(job.route.kind);
     job.node.metrics.note_answer(kind, code, job.age());
@@ -95,8 +95,8 @@
     );
     match reply {
         Reply::Whole(parts, bytes) => relayed_answer(&parts, whole_body(bytes)),
-        Reply::Stream(begun) => relay(job, *begun),
-        Reply::Own(code, retry_after) => error_answer(code, retry_after),
+        Reply::Stream(stream) => relay(job, *stream),
+        Reply::Error(code, retry_after) => error_answer(code, retry_after),
     }
 }
 
