--- a/fireflydirect/src/answer.rs
+++ b/fireflydirect/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: those of upstreams, and the entry's own.
+//! Answers to callers: relayed ones and the entry's own errors.
 
 use bytes::Bytes;
 use fireflycroft::{Class, Code};
@@ -15,13 +15,13 @@
 /// Header that carries the result code of the entry's own answers.
 const CODE: HeaderName = HeaderName::from_static("x-firefly-code");
 
-/// Body of an answer, whole or streamed.
+/// Body of an answer, complete or streamed.
 pub type AnswerBody = Pin<Box<dyn Body<Data = Bytes, Error = BrokenStream>>>;
 
 /// Answer to a caller.
 pub type Answer = Response<AnswerBody>;
 
-/// A stream that ends before its end; the connection closes with it.
+/// Error of a stream that is cut before its end; it closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BrokenStream(pub Code);
 
@@ -33,14 +33,14 @@
 
 impl std::error::Error for BrokenStream {}
 
-/// Body that is there as a whole.
+/// Returns a complete body.
 #[must_use]
 pub fn whole_body(bytes: impl Into<Bytes>) -> AnswerBody {
     use http_body_util::BodyExt;
     Box::pin(Full::new(bytes.into()).map_err(|never| match never {}))
 }
 
-/// Answer of an upstream, unchanged but for the headers of its connection.
+/// Returns an upstream's response, unchanged except for connection-level headers.
 #[must_use]
 pub fn relayed_answer(parts: &Parts, body: AnswerBody) -> Answer {
     let mut answer = Response::new(body);
@@ -49,7 +49,7 @@
     answer
 }
 
-/// The entry's own answer: why the request failed, and when to come back.
+/// Returns the entry's own error answer, with an optional retry delay.
 #[must_use]
 pub fn error_answer(code: Code, retry_after: Option<Duration>) -> Answer {
     let class = match code.class() {
@@ -75,7 +75,7 @@
     answer
 }
 
-/// Tells the caller that the connection closes after this answer.
+/// Announces to the caller that the connection closes after this answer.
 pub fn close_after(answer: &mut Answer) {
     answer
         .headers_mut()
@@ -83,13 +83,13 @@
 }
 
 fn insert_text(headers: &mut HeaderMap, name: HeaderName, text: &str) {
-    // Digits and a point are always a sound value.
+    // Digits and a point are always a valid value.
     if let Ok(value) = HeaderValue::from_str(text) {
         headers.insert(name, value);
     }
 }
 
-/// Body that keeps `guard` until it has been sent or dropped.
+/// Returns a body that holds `guard` until it has been sent or dropped.
 #[must_use]
 pub fn with_guard<G: 'static>(body: AnswerBody, guard: G) -> AnswerBody {
     use http_body_util::BodyExt;
--- a/fireflydirect/src/assignment.rs
+++ b/fireflydirect/src/assignment.rs
@@ -1,11 +1,11 @@
-//! Work that this entry has placed on upstreams.
+//! Work that this entry has assigned to upstreams.
 
 use crate::node::Node;
 use fireflycroft::{Need, UpstreamIx};
 use std::rc::Rc;
 
 impl Node {
-    /// Counts work as placed on an upstream for as long as the guard lives.
+    /// Counts work as assigned to an upstream until the guard is dropped.
     #[must_use]
     pub fn assign(self: &Rc<Self>, ix: UpstreamIx, need: Need) -> AssignmentGuard {
         self.pool.borrow_mut().place(self.now(), ix, &need);
@@ -20,7 +20,7 @@
     }
 }
 
-/// Work placed on an upstream; taken back when dropped.
+/// Work assigned to an upstream; released when dropped.
 pub struct AssignmentGuard {
     node: Rc<Node>,
     /// The upstream.
@@ -29,7 +29,7 @@
 }
 
 impl AssignmentGuard {
-    /// Notes the memory that a run is expected to need by now, if it is more than before.
+    /// Raises the run's memory need to `tokens`, if that is more than before.
     pub fn grow_to(&mut self, tokens: u64) {
         if tokens > self.need.tokens {
             let mut pool = self.node.pool.borrow_mut();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Notes that the upstream has read the prompt.
+    /// Records that the upstream has read the prompt.
     pub fn record_prompt_read(&mut self) {
         if self.need.unread > 0 {
             let mut pool = self.node.pool.borrow_mut();
--- a/fireflydirect/src/call.rs
+++ b/fireflydirect/src/call.rs
@@ -1,4 +1,4 @@
-//! Getting an answer to a request: one upstream after another, as far as allowed.
+//! Obtains a reply to a request, with attempts at one upstream after another as far as allowed.
 
 use crate::assignment::AssignmentGuard;
 use crate::crash;
@@ -17,52 +17,51 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// When to come back after upstreams were too full: about the time in which some of them end a
-/// request or two.
+/// Retry delay given while upstreams are full: about the time in which some of them complete one or
+/// two requests.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// When to come back while no upstream is known: about the time between two looks at the list.
+/// Retry delay given while no upstream is known: about the interval between reads of the list.
 const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_millis(800);
 
-/// Bounds on when to come back while upstreams want nothing more of this entry: they may take
-/// requests of others.
+/// Bounds of the retry delay given while upstreams are rate-limited for this entry; they may accept
+/// requests of other entries.
 const RATE_LIMITED_RETRY_AFTER: RangeInclusive<Duration> =
     Duration::from_millis(200)..=Duration::from_secs(1);
 
-/// Time for which an upstream that couldn't be reached is left out.
+/// Time for which an unreachable upstream is avoided.
 const AVOID_UNREACHABLE: Duration = Duration::from_millis(1_500);
 
-/// Time for which an upstream that turned a request away is left out.
+/// Time for which an upstream that rejected a request is avoided.
 const AVOID_FULL: Duration = Duration::from_millis(250);
 
-/// Time for which an address that belongs to another instance is left out: until the list
-/// tells.
+/// Time for which an address with a wrong instance is avoided, until the list is corrected.
 const AVOID_WRONG_INSTANCE: Duration = Duration::from_secs(5);
 
-/// Objectives after which a plain call that may run again is asked for elsewhere.
+/// Silence timeout of a retryable plain call, as a multiple of its latency objective.
 const SILENCE_TIMEOUT_OBJECTIVES: u32 = 3;
 
-/// A stream that has begun.
+/// A stream whose response head has arrived.
 pub struct StartedStream {
-    /// The upstream's head and body.
+    /// Response head and body of the upstream.
     pub response: ResponseStart,
-    /// Its place on the upstream.
+    /// Assignment to the upstream.
     pub assignment: AssignmentGuard,
-    /// Place of the copy that another upstream keeps.
+    /// Assignment of the memory backup to another upstream.
     pub backup: Option<AssignmentGuard>,
 }
 
-/// What a request came to.
+/// Reply to a request.
 pub enum Reply {
-    /// A whole answer of an upstream.
+    /// A complete response of an upstream.
     Whole(Parts, Bytes),
-    /// A stream that has begun.
+    /// A stream whose response head has arrived.
     Stream(Box<StartedStream>),
-    /// No answer of an upstream: a code, and when to come back.
+    /// The entry's own error code and retry delay.
     Error(Code, Option<Duration>),
 }
 
-/// One try at an upstream.
+/// Result of one attempt at an upstream.
 struct AttemptResult {
     outcome: AttemptOutcome,
     why: String,
@@ -79,7 +78,7 @@
     }
 }
 
-/// Gets an answer before the job's time is up.
+/// Obtains a reply before the job's deadline.
 pub async fn obtain(job: &Job) -> Reply {
     let attempts = RefCell::new(Attempts::new(job.route.kind, job.route.max_attempts));
     let limit = job.node.clock.instant(job.deadline);
@@ -126,8 +125,8 @@
     }
 }
 
-/// When to come back where an upstream takes a request of this entry after `wait`, spread so that
-/// callers who were refused together don't return together.
+/// Returns the retry delay where a rate-limited upstream accepts a request after `wait`, spread at
+/// random so that callers who were refused together don't return together.
 fn rate_limited_retry_after(wait: Duration) -> Duration {
     let latest = wait.clamp(
         *RATE_LIMITED_RETRY_AFTER.start(),
@@ -136,10 +135,10 @@
     latest.mul_f64(rand::rng().random_range(0.5..=1.0))
 }
 
-/// When to come back with a generation for which the best engine has no room.
+/// Returns the retry delay of a generation if the best engine lacks capacity for it.
 ///
-/// A caller who was refused before is let in sooner than one who comes first. That is asked only
-/// when the first one would be refused.
+/// A returning caller is admitted sooner than a new one. Owners are queried about earlier refusals
+/// only if a new caller would be refused.
 async fn check_capacity(job: &Job, ix: UpstreamIx, need: &Need) -> Option<Duration> {
     job.engine?;
     if !job.node.policy.uses(Mechanism::Door) || has_capacity(job, ix, need) {
@@ -244,7 +243,7 @@
     }
 }
 
-/// Says where a request goes, and what the choice saw.
+/// Logs the chosen upstream and the state that the choice was based on.
 fn log_choice(job: &Job, ix: UpstreamIx) {
     let pool = job.node.pool.borrow();
     let view = pool.view(job.now(), ix);
@@ -260,13 +259,13 @@
     );
 }
 
-/// Longest wait for a head when another upstream may be asked instead.
+/// Returns the timeout for a response head if another upstream may be tried instead.
 fn silence_timeout(job: &Job) -> Option<Duration> {
     let plain = job.engine.is_none() && job.route.kind.is_retryable();
     plain.then(|| job.route.objective * SILENCE_TIMEOUT_OBJECTIVES)
 }
 
-/// Place for a copy of a long stream, if memory is plentiful.
+/// Assigns the memory backup of a long stream to an upstream, if memory is plentiful.
 pub fn assign_backup(job: &Job, at: UpstreamIx, need: Need) -> Option<AssignmentGuard> {
     let can_back_up_stream =
         job.engine.is_some_and(|e| e.can_back_up) && job.route.kind.is_stream();
@@ -285,7 +284,7 @@
     Some(job.node.assign(backup_holder, copy))
 }
 
-/// What the head of an answer means for the request.
+/// Derives the attempt's result from the response head, reading the body unless it is a stream.
 async fn interpret_head(
     job: &Job,
     ix: UpstreamIx,
@@ -300,18 +299,18 @@
         RunClaim::NotRun => {
             return AttemptResult::failed(
                 AttemptOutcome::NotRun,
-                format!("turned away with {status}"),
+                format!("rejected with {status}"),
             );
         }
         RunClaim::WrongInstance => {
             return AttemptResult::failed(
                 AttemptOutcome::WrongInstance,
-                "another instance is there",
+                "the address belongs to another instance",
             );
         }
     }
     if status.is_success() && !head.sealed {
-        return AttemptResult::failed(AttemptOutcome::Lost, "an answer without a seal");
+        return AttemptResult::failed(AttemptOutcome::Lost, "response without a seal");
     }
     if status.is_success() && job.route.kind.is_stream() {
         let stream = StartedStream {
@@ -339,7 +338,7 @@
     }
 }
 
-/// Lets the pool learn from a try, and says what came of it.
+/// Records an attempt's outcome in pool and metrics, and logs a failure.
 fn record_attempt(job: &Job, ix: UpstreamIx, result: &AttemptResult) {
     let now = job.now();
     let outcome = format!("{:?}", result.outcome);
--- a/fireflydirect/src/callers.rs
+++ b/fireflydirect/src/callers.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! Accepts and serves callers' connections.
 
 use crate::node::{Node, Stage};
 use crate::serve::serve;
@@ -13,25 +13,25 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Idle time of a connection while no configuration states one.
+/// Idle timeout of a connection while there is no configuration.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Wait after a failed accept: descriptors run out for moments only.
+/// Delay after a failed accept: shortages of descriptors are brief.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Bytes of a head that are read at most, the connection's buffer.
+/// Largest request head in bytes, and the size of the connection's buffer.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// Headers of a head that are read at most.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 128;
 
-/// What a connection is doing.
+/// Calls in progress on a connection, and the time since which it is idle.
 struct Activity {
     calls: Cell<usize>,
     since: Cell<Time>,
 }
 
-/// One call of a connection under way; ends when dropped.
+/// Guard that counts a call in progress until dropped.
 struct ActiveCall {
     node: Rc<Node>,
     activity: Rc<Activity>,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Accepts callers for as long as the process lives.
+/// Accepts connections until the process ends.
 pub async fn accept(node: Rc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -72,7 +72,7 @@
 }
 
 async fn serve_connection(node: Rc<Node>, stream: TcpStream) {
-    // A socket that takes no option is gone already; the first read tells.
+    // A socket that rejects the option is closed already, which the first read reports.
     let _ = stream.set_nodelay(true);
     let activity = Rc::new(Activity {
         calls: Cell::new(0),
@@ -94,7 +94,7 @@
     let mut closing = false;
     loop {
         tokio::select! {
-            // A caller that breaks its own connection is no event worth a line.
+            // A connection broken by its caller isn't logged.
             _ = conn.as_mut() => return,
             () = until_close_due(&node, &activity), if !closing => {
                 closing = true;
@@ -104,11 +104,11 @@
     }
 }
 
-/// Ends when the process closes or the connection has been idle for too long.
+/// Waits until the process is closing or the connection exceeds its idle timeout.
 async fn until_close_due(node: &Node, activity: &Activity) {
     let mut stage = node.follow_stage();
     let closing = async {
-        // The sender lives as long as the node.
+        // Can't fail, since the node owns the sender.
         let _ = stage.wait_for(|s| *s == Stage::Closing).await;
     };
     tokio::select! {
--- a/fireflydirect/src/conditions.rs
+++ b/fireflydirect/src/conditions.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of the requests to come, in the heads of their answers or as other entries tell.
+//! Applies upstreams' pauses, rate limits and leave notices, from response heads or other entries.
 
 use crate::figure::or_empty;
 use crate::job::Job;
@@ -9,7 +9,7 @@
 use hyper::StatusCode;
 use std::time::Duration;
 
-/// Takes what the head of an answer to a request of `sent` says of the upstream.
+/// Applies the conditions in the response head of a request sent at `sent_at`.
 pub fn apply_head(
     job: &Job,
     ix: UpstreamIx,
@@ -30,7 +30,7 @@
         let change = node.pool.borrow_mut().record_leave_notice(node.now(), ix);
         node.take_changes(change, "answer");
     }
-    // A failure may have been answered before the upstream looked at its need.
+    // A failed response may lack the limit, as the upstream may not have determined it yet.
     let states_rate = conditions.rate_limit.is_some() || (status.is_success() && head.sealed);
     if states_rate {
         apply_rate_limit(node, ix, sent_at, conditions.rate_limit);
@@ -47,7 +47,7 @@
     }
 }
 
-/// Takes rates of upstreams that another entry told.
+/// Applies rate limits announced by another entry.
 pub fn apply_announced_rates(node: &Node, rates: &[ToldRate]) {
     for announced in rates {
         let change = node.pool.borrow_mut().apply_rate(node.now(), announced);
@@ -57,10 +57,13 @@
     }
 }
 
-/// Takes upstreams that leave, as another entry has heard from themselves.
-pub fn apply_announced_leaving(node: &Node, lives: &[Life]) {
-    for life in lives {
-        let change = node.pool.borrow_mut().apply_leave_notice(node.now(), life);
+/// Applies leave notices that another entry received from the upstreams themselves.
+pub fn apply_announced_leaving(node: &Node, incarnations: &[Life]) {
+    for incarnation in incarnations {
+        let change = node
+            .pool
+            .borrow_mut()
+            .apply_leave_notice(node.now(), incarnation);
         node.take_changes(change, "peer_answer");
     }
 }
--- a/fireflydirect/src/crash.rs
+++ b/fireflydirect/src/crash.rs
@@ -1,10 +1,10 @@
-//! Telling a crash of an upstream from a lost connection, and remembering whose request it was.
+//! Detects upstream crashes and counts them by request content.
 //!
-//! A request that breaks off may have crashed its upstream, or only lost its
-//! connection. The difference shows when the upstream is connected to again: a
-//! crashed one can't be reached for some seconds. Each such crash counts for
-//! the content that ran there, and all entries are told at once, since the
-//! caller sends the same content again to any of them.
+//! A request that breaks may have crashed its upstream, or only lost its
+//! connection. A new connection shows which: a crashed upstream is unreachable
+//! for some seconds. Each crash is counted for the content that ran there and
+//! announced to all entries at once, since the caller may send the same content
+//! to any of them again.
 
 use crate::job::Job;
 use crate::links::open;
@@ -13,22 +13,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Crashes at which content is refused: enough to tell it from a neighbour of one that crashes
-/// upstreams, and no more than the users allow.
+/// Crashes after which content is refused: enough to tell it from other content on a crashed
+/// upstream, and no more than users allow.
 const CRASH_LIMIT: u8 = 3;
 
-/// Time for which a crashed upstream is left out; it is back after some seconds.
+/// Time for which a crashed upstream is avoided; it restarts within some seconds.
 const AVOID_CRASHED: Duration = Duration::from_secs(3);
 
-/// Whether content is refused for the upstreams that it crashed.
+/// Returns whether content is refused because of crashes.
 #[must_use]
 pub fn is_refused(node: &Node, content: Digest) -> bool {
     node.quarantine.borrow().crashes(content) >= CRASH_LIMIT
 }
 
-/// Finds out whether the upstream on which a request broke off has crashed.
+/// Checks whether the upstream of a broken request has crashed.
 ///
-/// One that had announced its leaving ended as planned.
+/// A departing upstream ended as planned.
 pub fn check_for_crash(job: &Job, ix: UpstreamIx) {
     let node = job.node.clone();
     if node.pool.borrow().left_at(ix).is_some() {
--- a/fireflydirect/src/departures.rs
+++ b/fireflydirect/src/departures.rs
@@ -1,8 +1,8 @@
-//! What upstreams that leave say of their end.
+//! End times of departing upstreams.
 //!
-//! An engine that is taken away knows when, and all runs that it carries, those
-//! of other entries too. Its report says so, half a second late, so it is asked
-//! once, as soon as the report can show the notice.
+//! A departing engine knows its end time and all its runs, those of other
+//! entries too. Its report states them up to half a second late, so the engine
+//! is queried once, as soon as the report can reflect the leave notice.
 
 use crate::figure::or_empty;
 use crate::links::call;
@@ -18,26 +18,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time for a report, of the second or so in which it is of use.
+/// Timeout for a report, which is of use for about a second only.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time after which a departure is forgotten.
+/// Time for which a departure is kept.
 const RETENTION: Duration = Duration::from_secs(30);
 
-/// Departures of upstreams that run something of this entry.
+/// Departures of upstreams with runs of this entry.
 #[derive(Default)]
 pub struct Departures {
     known: RefCell<HashMap<UpstreamIx, Departure>>,
 }
 
 impl Departures {
-    /// What is known of an upstream's departure.
+    /// Returns the known departure of an upstream.
     #[must_use]
     pub fn get(&self, ix: UpstreamIx) -> Option<Departure> {
         self.known.borrow().get(&ix).copied()
     }
 
-    /// Enters a departure; true when it is new.
+    /// Inserts a departure; true if it is new.
     fn insert(&self, now: Time, ix: UpstreamIx, departure: Departure) -> bool {
         let mut known = self.known.borrow_mut();
         known.retain(|_, d| now.since(d.notified_at) < RETENTION);
@@ -54,9 +54,9 @@
     }
 }
 
-/// Asks an upstream that leaves when it is gone, unless that has been asked.
+/// Queries a departing upstream for its end time, unless that was done before.
 ///
-/// `token_copy_time` is the time that the memory of one token takes over its link.
+/// `token_copy_time` is the time to copy the memory of one token over its link.
 pub fn query_departure(node: &Rc<Node>, ix: UpstreamIx, token_copy_time: Duration) {
     let now = node.now();
     let notified_at = node.pool.borrow().left_at(ix).unwrap_or(now);
@@ -83,7 +83,7 @@
     };
     let expected = node.pool.borrow().record(ix).incarnation;
     if expected.is_known() && report.incarnation != expected {
-        return log_unknown(node, ix, "the report is of another life");
+        return log_unknown(node, ix, "the report is of another incarnation");
     }
     let now = node.now();
     let gone_at = report
--- a/fireflydirect/src/exchange.rs
+++ b/fireflydirect/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to one upstream, up to the head of its answer.
+//! Sends one request to one upstream and receives its response.
 
 use crate::conditions;
 use crate::job::Job;
@@ -15,50 +15,50 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest answer of a plain call that is held, in bytes.
+/// Largest buffered response body of a plain call, in bytes.
 const MAX_BUFFERED_BODY_BYTES: usize = 8 << 20;
 
-/// Idle time up to which a connection carries a request that may run only once.
+/// Idle time up to which a connection is reused for a request that may run only once.
 ///
-/// An upstream may close an idle connection at any moment, and a request that crosses the close
-/// is lost; the longer the idle time, the likelier.
+/// An upstream may close an idle connection at any time, and a request sent during the close is
+/// lost; the longer the idle time, the likelier.
 const SINGLE_RUN_MAX_IDLE: Duration = Duration::from_millis(1_200);
 
-/// Idle time up to which a connection carries a request that may run again.
+/// Idle time up to which a connection is reused for a retryable request.
 const RETRYABLE_MAX_IDLE: Duration = Duration::from_secs(10);
 
-/// What goes along with a request beside what the caller sent.
+/// Options added to a caller's request.
 #[derive(Clone, Debug, Default)]
 pub struct SendOptions {
-    /// Upstream that is to keep a copy of the run's memory.
+    /// Upstream that is to hold a backup of the run's memory.
     pub backup: Option<SocketAddr>,
-    /// Memory to go on from.
+    /// Memory copy to resume from.
     pub memory: Option<MemoryCopy>,
-    /// Event after which the stream goes on.
+    /// Event after which the stream resumes.
     pub last_event_id: Option<u64>,
 }
 
-/// Head of an answer, with what is needed to read the rest.
+/// Response head, with what is needed to read the body.
 #[derive(Debug)]
 pub struct ResponseStart {
     /// Status and headers.
     pub parts: Parts,
-    /// What they say of the request.
+    /// Decoded head.
     pub head: ResponseHead,
-    /// The body, still to come.
+    /// Unread body.
     pub body: Incoming,
-    /// The connection; dropping it ends the upstream's work.
+    /// The connection; dropping it cancels the upstream's work.
     pub link: Link,
 }
 
-/// Why no head came.
+/// Reason for a missing response head.
 #[derive(Debug)]
 pub enum SendError {
     /// No byte of the request left this process.
     NeverSent(String),
-    /// The same, since the upstream may get nothing new: the upstream is sound.
+    /// Not sent either, since a healthy upstream may get no new requests.
     Withheld(String),
-    /// The request was sent, wholly or in part.
+    /// The request was sent, fully or in part.
     Lost(String),
 }
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// Sends the job's request to an upstream and waits for the head of its answer.
+/// Sends the job's request to an upstream and waits for the response head.
 ///
 /// `on_sent` is called before the first byte may leave.
 ///
@@ -100,10 +100,12 @@
         .ready()
         .await
         .map_err(|e| SendError::NeverSent(e.to_string()))?;
-    // The id alone doesn't tell two lives apart, so the upstream can't refuse what is meant for the
-    // one before. One that leaves may serve on for long, and refuses nothing either.
+    // Two incarnations share an id, so a later one can't refuse a request meant for an earlier one. A
+    // departing upstream may serve for long and refuses nothing either.
     if !job.node.pool.borrow().may_get_requests(job.now(), ix) {
-        return Err(SendError::NeverSent("it has ended or left".to_owned()));
+        return Err(SendError::NeverSent(
+            "the upstream has ended or left".to_owned(),
+        ));
     }
     count_sending(job, ix)?;
     let sent_at = job.now();
@@ -112,13 +114,13 @@
     let response = tokio::select! {
         response = link.sender.try_send_request(req) => response.map_err(send_error)?,
         () = job.node.until_ended(ix) => {
-            return Err(SendError::Lost("it started again".to_owned()));
+            return Err(SendError::Lost("the upstream restarted".to_owned()));
         }
     };
     let (parts, body) = response.into_parts();
     let head = read_answer_head(parts.status, &parts.headers, &job.request_id);
     if !head.is_own {
-        return Err(SendError::Lost("an answer to another request".to_owned()));
+        return Err(SendError::Lost("response to another request".to_owned()));
     }
     conditions::apply_head(job, ix, sent_at, parts.status, &head);
     Ok(ResponseStart {
@@ -129,7 +131,7 @@
     })
 }
 
-/// Counts a request to an upstream that may get one.
+/// Counts a request to an upstream, unless it may get none now.
 fn count_sending(job: &Job, ix: UpstreamIx) -> Result<(), SendError> {
     let mut pool = job.node.pool.borrow_mut();
     if let Some(why) = pool.withheld(job.now(), ix) {
@@ -165,11 +167,11 @@
     req
 }
 
-/// Reads the rest of an answer; hands the connection back when it may be used again.
+/// Reads the response body and releases the connection.
 ///
 /// # Errors
 ///
-/// Why the body isn't whole.
+/// The reason for an incomplete body.
 pub async fn read_whole(
     job: &Job,
     ix: UpstreamIx,
@@ -183,18 +185,19 @@
     } = response;
     let whole = tokio::select! {
         whole = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect() => whole,
-        () = job.node.until_ended(ix) => return Err("it started again".to_owned()),
+        () = job.node.until_ended(ix) => return Err("the upstream restarted".to_owned()),
     };
     let bytes = whole.map_err(|e| e.to_string())?.to_bytes();
     release_link(job, ix, &head, link);
     Ok((parts, bytes))
 }
 
-/// Hands a connection back after a whole answer, unless the upstream closes it.
+/// Returns a connection for reuse after a complete response, unless the upstream closes it or the
+/// request was rejected.
 pub fn release_link(job: &Job, ix: UpstreamIx, head: &ResponseHead, link: Link) {
     if head.closes || head.claim != RunClaim::MayHaveRun {
         return;
     }
-    let life = job.node.pool.borrow().record(ix).life();
-    job.node.links.put_back(&life, link, head.keep_alive);
+    let incarnation = job.node.pool.borrow().record(ix).life();
+    job.node.links.put_back(&incarnation, link, head.keep_alive);
 }
--- a/fireflydirect/src/generation.rs
+++ b/fireflydirect/src/generation.rs
@@ -1,8 +1,8 @@
-//! Relaying a stream of events, over as many upstreams as it takes.
+//! Relays a stream of events to the caller, with failover between upstreams.
 //!
-//! When an upstream breaks off, its connection is dropped first, so that two
-//! runs of one generation never overlap; then the stream goes on from a copy of
-//! the run's memory, or, where the route allows it, is run anew after the last
+//! When an upstream fails, its connection is dropped first, so that two runs of
+//! one generation never overlap. The stream then resumes from a copy of the
+//! run's memory or, where the route allows it, from a new run after the last
 //! event that the caller has.
 
 use crate::answer::{Answer, AnswerBody, BrokenStream, relayed_answer};
@@ -25,30 +25,30 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Times that one stream goes on elsewhere.
+/// Failovers allowed per stream.
 const MAX_RESUMPTIONS: u32 = 6;
 
-/// Longest wait for a copy that is under way when the stream breaks; a copy of the longest
-/// prompts takes about half a second on an idle link.
+/// Timeout for a copy in progress when the stream breaks; copying the longest prompts takes about
+/// half a second on an idle link.
 const COPY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Tokens after which the length of an answer is expected anew.
+/// Tokens between two estimates of an answer's length.
 const ESTIMATE_INTERVAL_TOKENS: u64 = 64;
 
-/// Tokens over which an upstream's pace is measured: about half a second.
+/// Tokens per measurement of an upstream's pace: about half a second.
 const PACE_WINDOW_TOKENS: u64 = 64;
 
-/// Longest wait for the head of an answer that goes on from memory.
+/// Timeout for the response head of a resumed stream.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// An answer of an upstream that is being read.
+/// Upstream response being read.
 struct Source {
     body: Incoming,
     link: crate::links::Link,
     head: ResponseHead,
 }
 
-/// A stream on its way to the caller.
+/// State of a stream being relayed.
 struct Relay {
     job: Rc<Job>,
     run: Rc<Run>,
@@ -63,14 +63,14 @@
     estimated_at: u64,
 }
 
-/// Start of a stretch of a stream over which its upstream's pace is measured.
+/// Start of a window over which an upstream's pace is measured.
 #[derive(Clone, Copy)]
 struct PaceWindow {
     since: Time,
     produced: u64,
 }
 
-/// When events came, for the log.
+/// Arrival times of events, for log and metrics.
 #[derive(Clone, Copy, Default)]
 struct EventTimes {
     first: Option<Time>,
@@ -89,7 +89,7 @@
     }
 }
 
-/// What was read from an upstream.
+/// Result of a read from an upstream.
 enum Read {
     Data(Bytes),
     End,
@@ -97,7 +97,7 @@
     TimeUp,
 }
 
-/// Another upstream where a stream may go on, and from what.
+/// Upstream on which a stream may resume, and the memory to resume from.
 struct Continuation {
     method: &'static str,
     at: UpstreamIx,
@@ -105,7 +105,7 @@
     assignment: Option<AssignmentGuard>,
 }
 
-/// Answer whose body is relayed from the upstream that has begun it.
+/// Returns an answer whose body is relayed from a started stream.
 #[must_use]
 pub fn relay(job: Rc<Job>, stream: StartedStream) -> Answer {
     let StartedStream {
@@ -139,7 +139,7 @@
         can_migrate: job.engine.is_some_and(|e| e.can_migrate),
         token_copy_time: job.engine.map_or(Duration::ZERO, |e| e.token_copy_time),
     });
-    // Notice may have come between the choice of the upstream and the head of its answer.
+    // A leave notice may have arrived between the choice of the upstream and its response head.
     job.node.save_if_leaving(assignment.ix);
     let relay = Relay {
         job,
@@ -182,7 +182,7 @@
                         return Some(self.cut(&why));
                     }
                 }
-                Read::TimeUp => return Some(self.cut("the time is up")),
+                Read::TimeUp => return Some(self.cut("deadline exceeded")),
             }
         }
     }
@@ -203,7 +203,9 @@
         match frame {
             Some(Ok(frame)) => Read::Data(frame.into_data().unwrap_or_default()),
             Some(Err(e)) => Read::Broke(e.to_string()),
-            None if self.events.is_mid_event() => Read::Broke("ended within an event".to_owned()),
+            None if self.events.is_mid_event() => {
+                Read::Broke("response ended within an event".to_owned())
+            }
             None => Read::End,
         }
     }
@@ -226,7 +228,7 @@
         self.record_pace(produced);
     }
 
-    /// Measures the upstream's pace over stretches of [`PACE_TOKENS`] tokens.
+    /// Measures the upstream's pace over windows of [`PACE_WINDOW_TOKENS`] tokens.
     fn record_pace(&mut self, produced: u64) {
         let now = self.job.now();
         let since = *self.pace_window.get_or_insert(PaceWindow {
@@ -303,7 +305,7 @@
         );
     }
 
-    /// Goes on at another upstream; false when there is no way.
+    /// Resumes the stream on another upstream; false if that is impossible.
     async fn resume_elsewhere(&mut self, why: &str) -> bool {
         self.source = None;
         self.pace_window = None;
@@ -331,12 +333,12 @@
     async fn wait_for_copy(&self) {
         let ended = self.run.migration_ended.notified();
         if self.run.migrating.get() {
-            // A copy that takes longer is of no use: the caller would not bear the pause.
+            // A slower copy is of no use, since the caller doesn't tolerate a longer pause.
             let _ = tokio::time::timeout(COPY_TIMEOUT, ended).await;
         }
     }
 
-    /// The next way to go on; each copy is offered once.
+    /// Returns the next possible continuation; each copy is used once.
     fn next_continuation(&mut self, from: UpstreamIx) -> Option<Continuation> {
         let migration_copy = self.run.migration_copy.borrow_mut().take();
         if let Some(migration_copy) =
@@ -376,9 +378,11 @@
         })
     }
 
-    /// Whether a copy at `keeper` that `source` made may be asked for: both are in the life in which it
-    /// was made, since a handle of another life may name the memory of another request, and the
-    /// keeper hasn't left for too long and isn't evacuated.
+    /// Returns whether a copy at `backup_holder` that `source` made may be used.
+    ///
+    /// Both must still be in the incarnation in which it was made, since a handle of another one may
+    /// name the memory of another request. The holder must still accept requests and not be
+    /// evacuated.
     fn is_copy_usable(&self, backup_holder: UpstreamIx, source: UpstreamIx) -> bool {
         let pool = self.job.node.pool.borrow();
         let may_get = pool.may_get_requests(self.job.now(), backup_holder)
@@ -434,7 +438,7 @@
         false
     }
 
-    /// What the rest of the stream needs; a copy of the memory leaves nothing to read.
+    /// Returns the need of the remaining stream; with a copy of the memory no prompt is unread.
     fn remaining_need(&self, has_memory: bool) -> Need {
         let need = self.job.need_beyond(self.run.produced.get());
         Need {
--- a/fireflydirect/src/job.rs
+++ b/fireflydirect/src/job.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, checked and ready to be sent.
+//! An admitted request, ready to be sent to upstreams.
 
 use crate::loads;
 use crate::node::Node;
@@ -12,27 +12,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request that was let in.
+/// An admitted request.
 pub struct Job {
     /// The process.
     pub node: Rc<Node>,
-    /// Route that selected the request.
+    /// Route that matched the request.
     pub route: Arc<RouteSpec>,
-    /// Version of the configuration that it is handled by.
+    /// Version of the configuration applied to it.
     pub version: u64,
-    /// Service that is to answer.
+    /// Target service.
     pub service: Name,
-    /// Engines of that service, unless it is a plain one.
+    /// Engine specification of that service; none for a plain one.
     pub engine: Option<EngineSpec>,
-    /// Regions in which it may run; none where any will do.
+    /// Regions in which it may run; none for any.
     pub homes: Option<RegionSet>,
     /// Workspace of the caller.
     pub workspace: Option<Name>,
-    /// Urgency that the operator gave workspace or route; 0 goes first.
+    /// Priority rank of workspace or route; 0 is the highest.
     pub rank: u8,
-    /// What the head says.
+    /// Decoded request head.
     pub head: RequestHead,
-    /// Worth for the memory that it holds, as the logarithm against its kind.
+    /// Value per memory held, as a logarithm relative to its kind.
     pub value_density: f64,
     /// The caller's id of this attempt.
     pub request_id: Name,
@@ -42,45 +42,45 @@
     pub uri: Uri,
     /// Headers as the caller sent them.
     pub headers: HeaderMap,
-    /// Body, whole.
+    /// Complete body.
     pub body: Bytes,
     /// Digest of path, caller and body.
     pub content: Digest,
-    /// When the head was read.
+    /// Time at which the head was read.
     pub arrival: Time,
-    /// When the caller has its final answer at the latest.
+    /// Latest time of the final answer.
     pub deadline: Time,
 }
 
-/// Share of the objective for which a request is held back while there is nobody to send it to.
+/// Divisor of the objective that gives how long a request is held while no upstream is available.
 const HOLD_DIVISOR: u32 = 8;
 
 impl Job {
-    /// Time now.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Time {
         self.node.clock.now()
     }
 
-    /// Time until the answer is given up, by the route or by the caller.
+    /// Returns the time left until the deadline of route or caller.
     #[must_use]
     pub fn time_left(&self) -> Duration {
         self.deadline.since(self.now())
     }
 
-    /// Time since the head was read.
+    /// Returns the time since the head was read.
     #[must_use]
     pub fn age(&self) -> Duration {
         self.now().since(self.arrival)
     }
 
-    /// What the request needs of an upstream.
+    /// Returns the request's need on an upstream.
     #[must_use]
     pub fn need(&self) -> Need {
         self.need_beyond(0)
     }
 
-    /// The same once so many tokens of the answer are made.
+    /// Returns the need once `made` tokens of the answer are generated.
     #[must_use]
     pub fn need_beyond(&self, made: u64) -> Need {
         let Some(size) = &self.head.size else {
@@ -101,13 +101,13 @@
         }
     }
 
-    /// Tokens that the answer is expected to have; zero for a plain call.
+    /// Returns the expected length of the answer in tokens; zero for a plain call.
     #[must_use]
     pub fn expected_tokens(&self) -> u64 {
         self.expected_tokens_beyond(0)
     }
 
-    /// The same once so many of them are made.
+    /// Returns the expected length once `made` tokens are generated.
     #[must_use]
     pub fn expected_tokens_beyond(&self, made: u64) -> u64 {
         let Some(size) = &self.head.size else {
@@ -117,7 +117,7 @@
         lengths.expect_beyond(&self.route.name, size.length_hint, size.max_tokens, made)
     }
 
-    /// Takes one repeat from the shared budget.
+    /// Takes one retry from the shared budget.
     #[must_use]
     pub fn take_retry(&self) -> bool {
         let entries = self.node.entries();
@@ -125,8 +125,8 @@
         budget.take(self.now(), &self.service, entries)
     }
 
-    /// An upstream that isn't in `tried`; waits a little while there is none at all, unless it is known
-    /// that there will be none for longer.
+    /// Picks an upstream, preferably one not in `tried`; waits briefly while there is none, unless the
+    /// wait is known to be longer.
     pub async fn pick(&self, need: &Need, tried: &[UpstreamIx]) -> Option<UpstreamIx> {
         let until = self.arrival + self.route.objective / HOLD_DIVISOR;
         loads::ask(&self.node, &self.service, need, tried).await;
@@ -144,13 +144,13 @@
                 return None;
             }
             let wake_at = self.node.clock.instant(wake_at);
-            // Whatever woke it, the next look tells.
+            // Timeout or change: the next pass checks again.
             let _ = tokio::time::timeout_at(wake_at, changed).await;
         }
     }
 
-    /// Time until one of the upstreams that want nothing of this entry for now takes a request again;
-    /// none where there is no such upstream.
+    /// Returns the time until one of the upstreams that accept nothing from this entry for now accepts
+    /// a request again; none if there is no such upstream.
     #[must_use]
     pub fn until_any_is_free(&self, need: &Need) -> Option<Duration> {
         let pool = self.node.pool.borrow();
--- a/fireflydirect/src/links.rs
+++ b/fireflydirect/src/links.rs
@@ -1,8 +1,8 @@
-//! Connections to upstreams: opened, kept for the next request, dropped.
+//! Connections to upstreams, kept alive between requests.
 //!
-//! A [`Link`] that is dropped closes its connection at once, which is how an
-//! upstream learns that nobody waits for the answer any more. Only after a
-//! whole answer is a link handed back for reuse.
+//! Dropping a [`Link`] closes its connection at once, which tells the upstream
+//! that the response is no longer wanted. A link is returned for reuse only
+//! after a complete response.
 
 use crate::clock::Clock;
 use bytes::Bytes;
@@ -20,35 +20,34 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Longest time for a connection to be set up.
+/// Timeout for connection setup.
 ///
-/// Within a region it takes a few milliseconds; a lost first packet is sent again after a second,
-/// which is longer than it takes to ask another upstream.
+/// Setup takes a few milliseconds within a region; a lost first packet is retransmitted after a
+/// second, which is longer than trying another upstream takes.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Silence after which a peer is asked whether it is there, and time between two questions.
+/// Idle time before the first keep-alive probe, and interval between probes.
 ///
-/// The least that the kernel's keep-alive can be set to.
+/// The shortest time that the kernel accepts.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Questions without an answer that end a connection.
+/// Unanswered probes after which a connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// Time for which sent bytes may go without an acknowledgement: the length of a stall that
-/// callers bear without leaving.
+/// Timeout for the acknowledgement of sent bytes: the longest stall that callers tolerate.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Idle time of a connection when the upstream names none.
+/// Idle timeout of a connection if the upstream states none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Taken off the idle time that an upstream names, so that a request doesn't cross its close.
+/// Margin subtracted from an upstream's stated idle timeout, so that no request is sent during its
+/// close.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time for which a connection rests before it is used again, so that bytes that follow an answer
-/// without belonging to it are seen first.
+/// Delay before a connection is reused, so that surplus bytes after a response are noticed first.
 const REUSE_DELAY: Duration = Duration::from_millis(3);
 
-/// Ends a task when dropped.
+/// Aborts a task when dropped.
 #[derive(Debug)]
 struct AbortOnDrop(AbortHandle);
 
@@ -61,9 +60,9 @@
 /// An open connection to one upstream; closed when dropped.
 #[derive(Debug)]
 pub struct Link {
-    /// Sends one request at a time.
+    /// Sender of one request at a time.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Whether it has served a request before.
+    /// Whether the connection has served a request before.
     pub reused: bool,
     _task: AbortOnDrop,
 }
@@ -74,14 +73,14 @@
     until: Time,
 }
 
-/// Connections that wait for their next request, by the life of the upstream that they lead to.
+/// Idle connections by incarnation of the upstream.
 pub struct Links {
     clock: Clock,
     idle: RefCell<HashMap<Life, Vec<Idle>>>,
 }
 
 impl Links {
-    /// No connections yet.
+    /// Creates an empty set of connections.
     #[must_use]
     pub fn new(clock: Clock) -> Self {
         Self {
@@ -90,20 +89,25 @@
         }
     }
 
-    /// An open connection to a life of an upstream, idle for `most_idle` at most or new.
+    /// Returns a connection to an incarnation of an upstream, idle for `max_idle` at most or new.
     ///
     /// # Errors
     ///
-    /// When none could be opened within [`CONNECT_TIMEOUT`].
-    pub async fn get(&self, life: &Life, addr: SocketAddr, max_idle: Duration) -> io::Result<Link> {
-        match self.take_idle(life, max_idle) {
+    /// If none could be opened within [`CONNECT_TIMEOUT`].
+    pub async fn get(
+        &self,
+        incarnation: &Life,
+        addr: SocketAddr,
+        max_idle: Duration,
+    ) -> io::Result<Link> {
+        match self.take_idle(incarnation, max_idle) {
             Some(link) => Ok(link),
             None => open(addr).await,
         }
     }
 
-    /// Keeps a connection for the next request.
-    pub fn put_back(&self, life: &Life, mut link: Link, keep_alive: Option<Duration>) {
+    /// Returns a connection for reuse.
+    pub fn put_back(&self, incarnation: &Life, mut link: Link, keep_alive: Option<Duration>) {
         if link.sender.is_closed() {
             return;
         }
@@ -112,11 +116,11 @@
         let from = self.clock.now() + REUSE_DELAY;
         let until = from + idle_for;
         let mut idle = self.idle.borrow_mut();
-        let of_life = idle.entry(life.clone()).or_default();
-        of_life.push(Idle { link, from, until });
+        let of_incarnation = idle.entry(incarnation.clone()).or_default();
+        of_incarnation.push(Idle { link, from, until });
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections past their idle timeout.
     pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
@@ -126,15 +130,15 @@
         idle.retain(|_, links| !links.is_empty());
     }
 
-    /// Closes the idle connections to a life that has ended.
-    pub fn close_idle(&self, life: &Life) {
-        self.idle.borrow_mut().remove(life);
+    /// Closes the idle connections to an incarnation that has ended.
+    pub fn close_idle(&self, incarnation: &Life) {
+        self.idle.borrow_mut().remove(incarnation);
     }
 
-    fn take_idle(&self, life: &Life, max_idle: Duration) -> Option<Link> {
+    fn take_idle(&self, incarnation: &Life, max_idle: Duration) -> Option<Link> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(life)?;
+        let links = idle.get_mut(incarnation)?;
         links.retain(|i| i.until > now && !i.link.sender.is_closed());
         let usable = |i: &Idle| i.from <= now && now.since(i.from) <= max_idle;
         let at = links.iter().rposition(usable)?;
@@ -142,14 +146,14 @@
     }
 }
 
-/// A whole answer to a short call.
+/// A complete response to a short call.
 #[derive(Debug)]
 pub struct CallResponse {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Its headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete body.
     pub body: Bytes,
 }
 
@@ -157,14 +161,14 @@
 ///
 /// # Errors
 ///
-/// When it isn't set up within [`CONNECT_TIMEOUT`].
+/// If it isn't set up within [`CONNECT_TIMEOUT`].
 pub async fn open(addr: SocketAddr) -> io::Result<Link> {
     let stream = connect(addr).await?;
     let (sender, conn) = handshake(TokioIo::new(stream))
         .await
         .map_err(io::Error::other)?;
     let task = tokio::task::spawn_local(async move {
-        // The request on the connection gets the error as well; an idle one has nobody to tell.
+        // A request on the connection gets the error as well; an idle connection needs no report.
         let _ = conn.await;
     });
     Ok(Link {
@@ -178,16 +182,16 @@
 ///
 /// # Errors
 ///
-/// When the connection breaks before the answer is whole.
+/// If the connection breaks before the response is complete.
 pub async fn call(link: &mut Link, req: Request<Full<Bytes>>) -> anyhow::Result<CallResponse> {
     call_with_progress(link, req, || ()).await
 }
 
-/// The same, with a call of `on_progress` for the head and each part of the body that comes.
+/// Sends a short call, calling `on_progress` for the head and each frame of the body.
 ///
 /// # Errors
 ///
-/// When the connection breaks before the answer is whole.
+/// If the connection breaks before the response is complete.
 pub async fn call_with_progress(
     link: &mut Link,
     req: Request<Full<Bytes>>,
@@ -214,11 +218,11 @@
     Ok(stream)
 }
 
-/// Makes the kernel end a connection whose peer has gone silent.
+/// Makes the kernel close a connection whose peer is silent.
 ///
 /// # Errors
 ///
-/// When the socket refuses an option.
+/// If the socket rejects an option.
 pub fn set_liveness_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/fireflydirect/src/migration.rs
+++ b/fireflydirect/src/migration.rs
@@ -1,4 +1,4 @@
-//! Moving runs off upstreams that have announced their leaving.
+//! Migration of runs off departing upstreams.
 
 use crate::assignment::AssignmentGuard;
 use crate::departures;
@@ -17,22 +17,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time for one copy; after that the upstream is gone anyway.
+/// Timeout for one copy; after it the upstream is gone anyway.
 const COPY_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Upstreams that are asked to take a run before it is left where it is.
+/// Targets tried before a run is left where it is.
 const MAX_TARGETS: usize = 6;
 
-/// Pause after an upstream had no room, in which the entries hear of each other's choices.
+/// Delay after a target without capacity, in which entries receive each other's choices.
 const NO_CAPACITY_DELAY: Duration = Duration::from_millis(60);
 
-/// Time over which the choices of targets are spread when an upstream leaves.
+/// Time over which the choices of targets are spread after a leave notice.
 ///
-/// All entries hear of it within milliseconds; choosing at once, they would not know of each other's
-/// choices and crowd on the same few upstreams.
+/// All entries receive the notice within milliseconds. If they chose at once, they wouldn't know of
+/// each other's choices and would overload the same few upstreams.
 const MAX_START_DELAY: Duration = Duration::from_millis(40);
 
-/// Saves runs for as long as the process lives.
+/// Migrates runs off departing upstreams until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
         node.leaving.notified().await;
@@ -50,14 +50,14 @@
     }
 }
 
-/// Starts to move a run off the upstream that runs it, unless it has a copy or is on its way.
+/// Starts the migration of a run, unless it has a backup or is being migrated.
 fn start_migration(node: &Rc<Node>, run: Rc<Run>) {
     let ix = run.at.get();
-    // A life that has ended runs nothing, and its id and address belong to another one.
+    // An ended incarnation runs nothing, and its id and address belong to another one.
     if node.pool.borrow().is_ended(ix) {
         return;
     }
-    // A keeper may have left before the run began, while its prompt was read.
+    // A backup holder may have left while the prompt was read, before the run began.
     let backup_holder = run.backup.get();
     let has_copy = backup_holder.is_some_and(|k| node.pool.borrow().is_serving(k));
     let needs_migration = departure_action(has_copy) == DepartureAction::Migrate;
@@ -76,7 +76,8 @@
     });
 }
 
-/// Copies a run's memory elsewhere, stops it, and leaves the copy for its relay to go on from.
+/// Copies a run's memory to another upstream, stops the run and stores the copy for its relay to
+/// resume from.
 async fn migrate(node: &Rc<Node>, from: UpstreamIx, run: &Run) {
     let mut tried = vec![from];
     let wait = MAX_START_DELAY.mul_f64(rand::rng().random());
@@ -93,7 +94,7 @@
             pool.choose(node.now(), &run.service, &need, &tried)
         };
         let Some(to) = chosen else {
-            log_outcome(node, run, from, None, "nowhere to go");
+            log_outcome(node, run, from, None, "no target available");
             return;
         };
         tried.push(to);
@@ -105,19 +106,19 @@
     }
 }
 
-/// Whether another target is worth asking.
+/// Outcome of a migration attempt to one target.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum TargetOutcome {
-    /// The run is moved, or can't be.
+    /// The run is migrated, or can't be.
     Settled,
-    /// This one has no room, and the run goes on where it is.
+    /// The target has no capacity, and the run continues where it is.
     NoCapacity,
 }
 
-/// Copies while the run goes on, then stops it and copies what is new.
+/// Copies the memory while the run continues, then stops it and copies the rest.
 ///
-/// Where the time to stop has come, as after a target that had no room for the last part, the run is
-/// stopped at once: a whole copy beside it would not be done before the upstream is gone.
+/// Past the stop time, as after a target without capacity for the last part, the run is stopped at
+/// once: a full copy made beside it wouldn't be complete before the upstream is gone.
 async fn try_target(
     node: &Rc<Node>,
     from: UpstreamIx,
@@ -148,7 +149,13 @@
                 return TargetOutcome::Settled;
             }
             MoveOutcome::NoRoom(Some(memory)) if stop => {
-                log_outcome(node, run, from, Some(to), "stopped, kept at the source");
+                log_outcome(
+                    node,
+                    run,
+                    from,
+                    Some(to),
+                    "stopped, memory kept at the source",
+                );
                 let assignment = node.assign(from, run.need.get());
                 *run.migration_copy.borrow_mut() = Some(MigrationCopy {
                     assignment,
@@ -171,9 +178,9 @@
     TargetOutcome::Settled
 }
 
-/// Waits until the whole copies of other runs are likely to be done.
+/// Waits until the stop time, when the full copies of other runs are likely to be complete.
 async fn wait_until_stop(node: &Node, from: UpstreamIx) {
-    // What the upstream says meanwhile may put the moment off.
+    // A report of the upstream may postpone the stop time meanwhile.
     while let Some(departure) = node.departures.get(from) {
         let stop_at = departure.stop_at();
         if node.now() >= stop_at {
--- a/fireflydirect/src/runs.rs
+++ b/fireflydirect/src/runs.rs
@@ -1,4 +1,4 @@
-//! Streams under way, so that those on an upstream that leaves can be saved.
+//! Streams in progress, for the migration of those on departing upstreams.
 
 use crate::assignment::AssignmentGuard;
 use fireflycroft::{MemoryCopy, Name, Need, UpstreamIx};
@@ -7,50 +7,50 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A copy of a run's memory on another upstream, ready to go on from.
+/// A copy of a run's memory, ready to resume from.
 pub struct MigrationCopy {
-    /// Its place on the upstream where the run goes on.
+    /// Assignment to the upstream where the run resumes.
     pub assignment: AssignmentGuard,
-    /// The memory there.
+    /// Memory copy there.
     pub memory: MemoryCopy,
-    /// Upstream that made the copy and gave it its handle.
+    /// Upstream that made the copy and issued its handle.
     pub source: UpstreamIx,
 }
 
-/// One stream under way.
+/// A stream in progress.
 pub struct Run {
-    /// The caller's id of the attempt, by which upstreams know the run.
+    /// The caller's id of the attempt, which identifies the run at upstreams.
     pub request_id: Name,
-    /// Service that answers.
+    /// Target service.
     pub service: Name,
-    /// Upstream that runs it now.
+    /// Current upstream.
     pub at: Cell<UpstreamIx>,
-    /// Upstream that keeps a copy as the run grows.
+    /// Upstream that holds the continuous memory backup.
     pub backup: Cell<Option<UpstreamIx>>,
-    /// Copy that was made on notice.
+    /// Copy made after a leave notice.
     pub migration_copy: RefCell<Option<MigrationCopy>>,
-    /// Whether a copy is being made on notice.
+    /// Whether a migration is in progress.
     pub migrating: Cell<bool>,
-    /// Rings when the copy is done or has failed.
+    /// Notified when the migration is complete or has failed.
     pub migration_ended: Notify,
     /// Tokens relayed so far.
     pub produced: Cell<u64>,
-    /// What the rest of the run needs of an upstream.
+    /// Need of the remaining run on an upstream.
     pub need: Cell<Need>,
-    /// Whether its engines can copy its memory.
+    /// Whether its engines support migration.
     pub can_migrate: bool,
-    /// Time that the memory of one token takes to another engine.
+    /// Time to copy the memory of one token to another engine.
     pub token_copy_time: Duration,
 }
 
-/// All streams under way.
+/// All streams in progress.
 #[derive(Default)]
 pub struct Runs {
     runs: RefCell<Vec<Weak<Run>>>,
 }
 
 impl Runs {
-    /// Enters a run; it leaves by being dropped.
+    /// Registers a run until it is dropped.
     pub fn register(&self, run: Run) -> Rc<Run> {
         let run = Rc::new(run);
         let mut runs = self.runs.borrow_mut();
@@ -59,7 +59,7 @@
         run
     }
 
-    /// Runs on an upstream.
+    /// Returns the runs on an upstream.
     #[must_use]
     pub fn at(&self, ix: UpstreamIx) -> Vec<Rc<Run>> {
         let runs = self.runs.borrow();
@@ -67,7 +67,7 @@
         alive.filter(|r| r.at.get() == ix).collect()
     }
 
-    /// Forgets copies that an upstream keeps; gives the runs that had them.
+    /// Removes the backups held by an upstream and returns their runs.
     pub fn drop_backups_at(&self, ix: UpstreamIx) -> Vec<Rc<Run>> {
         let runs = self.runs.borrow();
         let alive = runs.iter().filter_map(Weak::upgrade);
@@ -78,7 +78,7 @@
         kept
     }
 
-    /// Runs under way.
+    /// Returns the number of runs in progress.
     #[must_use]
     pub fn count(&self) -> usize {
         let runs = self.runs.borrow();
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -1,4 +1,4 @@
-//! One request of a caller: checked, sent on, answered.
+//! Admits, runs and answers callers' requests.
 
 use crate::answer::{Answer, close_after, error_answer, relayed_answer, whole_body};
 use crate::beginning::until_begun;
@@ -24,10 +24,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When to come back with a request that crashes upstreams: not within any caller's patience.
+/// Retry delay for content that crashes upstreams: longer than any caller's timeout.
 const QUARANTINE_RETRY_AFTER: Duration = Duration::from_hours(1);
 
-/// A refusal before anything was sent.
+/// Refusal of a request before anything was sent.
 struct Refusal {
     code: Code,
     retry_after: Option<Duration>,
@@ -81,7 +81,7 @@
     };
     let kind = Some(job.route.kind);
     job.node.metrics.note_answer(kind, code, job.age());
-    // What failed is kept before what was served when lines have to be dropped.
+    // When log lines have to be dropped, failures are kept in preference to successes.
     let level = if code == Code::Ok && status < 500 {
         log::Level::Info
     } else {
@@ -100,7 +100,7 @@
     }
 }
 
-/// Checks a request by the configuration in force.
+/// Checks a request against the active configuration.
 async fn admit(
     node: &Rc<Node>,
     arrival: Time,
@@ -171,7 +171,7 @@
     Ok(job)
 }
 
-/// What a generation brings for the memory that it holds; nothing is said of a plain call.
+/// Returns the value density of a generation; zero for a plain call.
 fn value_density(job: &Job) -> f64 {
     let Some(size) = &job.head.size else {
         return 0.0;
@@ -212,14 +212,14 @@
     }
 }
 
-/// Digest by which a request that comes again is known, whatever its id.
+/// Returns the digest that identifies a repeated request independently of its id.
 fn digest(parts: &Parts, head: &RequestHead, body: &Bytes) -> Digest {
     let path = parts.uri.path_and_query().map_or("", |p| p.as_str());
     let key: Name = head.key.clone().unwrap_or_default();
     Digest::of(&[path.as_bytes(), key.as_bytes(), body])
 }
 
-/// Path and query alone.
+/// Returns the URI's path and query.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(Uri::default, Uri::from)
