--- a/fireflydirect/tests/processes.rs
+++ b/fireflydirect/tests/processes.rs
@@ -10,10 +10,10 @@
 use support::{KEY, Site, cases, check_runs, free_ports, outcome, until, whole_stream};
 
 /// About the time between two tellings of an entry.
-const TELLING: Duration = Duration::from_millis(300);
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(300);
 
 /// Fault of every upstream of a kind.
-fn spoil(site: &Site, kind: EngineKind, fault: AnswerFault) {
+fn set_fault_of_all(site: &Site, kind: EngineKind, fault: AnswerFault) {
     let upstreams = match kind {
         EngineKind::Model => &site.engines,
         EngineKind::Plain => &site.plains,
@@ -24,7 +24,7 @@
 }
 
 /// Takes an engine away: it announces that it leaves, and ends a second and a half later.
-async fn take_away(site: &Site, engine: usize, announce: bool) {
+async fn remove_engine(site: &Site, engine: usize, announce: bool) {
     let leaving = &site.engines[engine];
     if announce {
         let entry = leaving.entry("models", "draining");
@@ -38,12 +38,12 @@
 
 /// Entries whose ports are drawn: one pair in some 2,000 was the same when each was given back
 /// before the next was drawn.
-const DRAWN: usize = 8_000;
+const DRAWN_ENTRIES: usize = 8_000;
 
 #[test]
 fn ports_of_an_entry_are_never_the_same() {
     let ip = IpAddr::from([127, 99, 1, 1]);
-    for _ in 0..DRAWN {
+    for _ in 0..DRAWN_ENTRIES {
         let [taken] = free_ports(ip, &[]).numbers;
         let mut ports = free_ports::<3>(ip, &[taken]).numbers.to_vec();
         ports.push(taken);
@@ -60,11 +60,11 @@
 /// whoever asks the system for a port may be given one that was let go.
 #[test]
 fn ports_of_an_entry_stay_its_own_while_others_start() {
-    let over = AtomicBool::new(false);
+    let is_done = AtomicBool::new(false);
     std::thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| {
-                while !over.load(Ordering::Relaxed) {
+                while !is_done.load(Ordering::Relaxed) {
                     Command::new("true").status().unwrap();
                 }
             });
@@ -77,7 +77,7 @@
         };
         let failed = (0..STARTS).filter(|_| start().is_err());
         let failed = failed.count();
-        over.store(true, Ordering::Relaxed);
+        is_done.store(true, Ordering::Relaxed);
         assert_eq!(failed, 0, "starts of {STARTS} whose ports were taken");
     });
 }
@@ -99,19 +99,19 @@
 
     operators_see_entries_upstreams_and_peers(site: 2) {
         until("the other entry", || async {
-            site.operate(0, &["entries", "peers"]).await.1.contains("watches")
+            site.run_fireflyctl(0, &["entries", "peers"]).await.1.contains("watches")
         })
         .await;
-        let (exit, status) = site.operate(0, &["entries", "status"]).await;
+        let (exit, status) = site.run_fireflyctl(0, &["entries", "status"]).await;
         assert_eq!(exit, 0, "{status}");
         assert!(status.contains("front-127.") && status.contains("serving"), "{status}");
-        let (_, upstreams) = site.operate(1, &["entries", "upstreams", "--json"]).await;
+        let (_, upstreams) = site.run_fireflyctl(1, &["entries", "upstreams", "--json"]).await;
         let upstreams: serde_json::Value = serde_json::from_str(&upstreams).unwrap();
         let upstreams = upstreams[0]["upstreams"].as_array().unwrap();
         assert_eq!(upstreams.len(), 4, "{upstreams:#?}");
         assert!(upstreams.iter().all(|u| u["serves"] == true), "{upstreams:#?}");
         site.entries[1].kill();
-        let (exit, _) = site.operate(1, &["entries", "status"]).await;
+        let (exit, _) = site.run_fireflyctl(1, &["entries", "status"]).await;
         assert_eq!(exit, 69);
     }
 
@@ -175,7 +175,7 @@
         until("the telling", || async {
             let content = site.id();
             assert_eq!(large(0, content.clone()).send().await.unwrap().status(), 503);
-            tokio::time::sleep(TELLING).await;
+            tokio::time::sleep(ANNOUNCEMENT_DELAY).await;
             // Asked for the first time here: only the other entry has refused it.
             large(1, content).send().await.unwrap().status() == 200
         })
@@ -183,7 +183,7 @@
     }
 
     full_upstreams_are_refused_as_not_run(site: 1) {
-        spoil(&site, EngineKind::Plain, AnswerFault::Full);
+        set_fault_of_all(&site, EngineKind::Plain, AnswerFault::Full);
         let id = site.id();
         let answer = site.call(0, "POST", "/file/a", &id).send().await.unwrap();
         assert!(answer.headers().contains_key("retry-after"));
@@ -192,7 +192,7 @@
     }
 
     lost_call_that_may_run_once_is_unknown(site: 1) {
-        spoil(&site, EngineKind::Plain, AnswerFault::Loses);
+        set_fault_of_all(&site, EngineKind::Plain, AnswerFault::Loses);
         let id = site.id();
         let answer = site.call(0, "POST", "/file/a", &id).send().await.unwrap();
         assert_eq!(outcome(&answer), (502, Some(4001)));
@@ -208,14 +208,14 @@
     }
 
     torn_answer_is_not_delivered(site: 1) {
-        spoil(&site, EngineKind::Plain, AnswerFault::Tears);
+        set_fault_of_all(&site, EngineKind::Plain, AnswerFault::Tears);
         let id = site.id();
         let answer = site.call(0, "POST", "/file/a", &id).send().await.unwrap();
         assert_eq!(outcome(&answer), (502, Some(4001)));
     }
 
     upstreams_failure_is_relayed(site: 1) {
-        spoil(&site, EngineKind::Plain, AnswerFault::Fails);
+        set_fault_of_all(&site, EngineKind::Plain, AnswerFault::Fails);
         let answer = site.call(0, "POST", "/file/a", &site.id()).send().await.unwrap();
         assert_eq!(outcome(&answer), (500, None));
         assert!(answer.headers().contains_key("x-response-seal"));
@@ -223,7 +223,7 @@
     }
 
     extra_answer_reaches_nobody(site: 1) {
-        spoil(&site, EngineKind::Plain, AnswerFault::Doubles);
+        set_fault_of_all(&site, EngineKind::Plain, AnswerFault::Doubles);
         for _ in 0..20 {
             let id = site.id();
             let answer = site.call(0, "GET", "/fetch/a", &id).send().await.unwrap();
@@ -251,7 +251,7 @@
     }
 
     stream_torn_within_an_event_goes_on_whole(site: 1) {
-        spoil(&site, EngineKind::Model, AnswerFault::Tears);
+        set_fault_of_all(&site, EngineKind::Model, AnswerFault::Tears);
         let id = site.id();
         let stream = site.generation(0, "/log/a", 8, &id).send().await.unwrap();
         assert_eq!(stream.text().await.unwrap(), whole_stream(&id, 8));
@@ -293,17 +293,17 @@
         let stream = site.generation(0, "/log/a", 400, &id).send().await.unwrap();
         let engine = site.engine_of(&id).await;
         let others: Vec<usize> = (0..3).filter(|e| *e != engine).collect();
-        for keeper in &others[..1] {
-            take_away(&site, *keeper, true).await;
+        for backup_holder in &others[..1] {
+            remove_engine(&site, *backup_holder, true).await;
         }
-        take_away(&site, engine, false).await;
+        remove_engine(&site, engine, false).await;
         assert_eq!(stream.text().await.unwrap(), whole_stream(&id, 400));
         check_runs(&site, &id);
     }
 
     stream_that_begins_after_notice_is_moved(site: 1) {
         // Only one other engine is there, so that no copy is kept before the move.
-        spoil(&site, EngineKind::Model, AnswerFault::Slow);
+        set_fault_of_all(&site, EngineKind::Model, AnswerFault::Slow);
         site.engines[1].kill();
         site.store.remove("servers", "m-1");
         until("one engine", || async { site.log(0).contains("upstream_leaves") }).await;
@@ -312,7 +312,7 @@
         until("the run", || async { !site.record.runs_of(&id).is_empty() }).await;
         site.add_engine(2).await;
         until("the engine", || async { site.log(0).contains("instance=m-2") }).await;
-        let leaving = take_away(&site, 0, true);
+        let leaving = remove_engine(&site, 0, true);
         let (stream, ()) = tokio::join!(call, leaving);
         let text = stream.unwrap().unwrap().text().await.unwrap();
         assert_eq!(text, whole_stream(&id, 300));
@@ -321,13 +321,13 @@
 
     /// Engine and keeper announce their leaving while the prompt is read, before the run has begun.
     stream_whose_keeper_left_first_is_moved(site: 1) {
-        spoil(&site, EngineKind::Model, AnswerFault::Slow);
+        set_fault_of_all(&site, EngineKind::Model, AnswerFault::Slow);
         let id = site.id();
         let call = tokio::spawn(site.generation(0, "/log/a", 300, &id).send());
         until("the run", || async { !site.record.runs_of(&id).is_empty() }).await;
         site.add_engine(2).await;
         until("the engine", || async { site.log(0).contains("instance=m-2") }).await;
-        let both_leave = async { tokio::join!(take_away(&site, 0, true), take_away(&site, 1, true)) };
+        let both_leave = async { tokio::join!(remove_engine(&site, 0, true), remove_engine(&site, 1, true)) };
         let (stream, _) = tokio::join!(call, both_leave);
         let text = stream.unwrap().unwrap().text().await.unwrap();
         assert_eq!(text, whole_stream(&id, 300));
@@ -344,7 +344,7 @@
         site.add_engine(2).await;
         until("the engine", || async { site.log(0).contains("instance=m-2") }).await;
         site.engines[0].say_leaving(2_000);
-        take_away(&site, 0, true).await;
+        remove_engine(&site, 0, true).await;
         assert_eq!(stream.text().await.unwrap(), whole_stream(&id, 400));
         check_runs(&site, &id);
         until("the report", || async {
@@ -376,7 +376,7 @@
     }
 
     caller_that_leaves_before_an_answer_ends_the_run(site: 1) {
-        spoil(&site, EngineKind::Plain, AnswerFault::Hangs);
+        set_fault_of_all(&site, EngineKind::Plain, AnswerFault::Hangs);
         let id = site.id();
         let call = tokio::spawn(site.call(0, "POST", "/file/a", &id).send());
         until("the run", || async { !site.record.runs_of(&id).is_empty() }).await;
@@ -390,10 +390,10 @@
         site.engine_of(&id).await;
         site.entries[0].signal("TERM");
         until("not ready", || async { !site.is_ready(0).await }).await;
-        let late = site.call(0, "GET", "/fetch/a", &site.id()).send().await.unwrap();
-        assert_eq!(late.headers()["connection"], "close");
+        let answer = site.call(0, "GET", "/fetch/a", &site.id()).send().await.unwrap();
+        assert_eq!(answer.headers()["connection"], "close");
         assert_eq!(stream.text().await.unwrap(), whole_stream(&id, 350));
-        site.entries[0].ended().await;
+        site.entries[0].wait_for_exit().await;
     }
 
     reload_interrupts_nothing_and_refuses_faults(site: 1) {
@@ -401,7 +401,7 @@
         let stream = site.generation(0, "/log/a", 60, &id).send().await.unwrap();
         site.entries[0].signal("HUP");
         until("the reload", || async { site.log(0).contains("event=reloaded") }).await;
-        site.spoil_settings(0);
+        site.corrupt_settings(0);
         site.entries[0].signal("HUP");
         until("the refusal", || async { site.log(0).contains("event=reload_refused") }).await;
         assert_eq!(stream.text().await.unwrap(), whole_stream(&id, 60));
@@ -410,7 +410,7 @@
     }
 
     changed_file_is_read_without_a_signal(site: 1) {
-        site.spoil_settings(0);
+        site.corrupt_settings(0);
         until("the look", || async { site.log(0).contains("signalled=false") }).await;
     }
 
@@ -419,13 +419,13 @@
             site.add_engine(number).await;
         }
         until("the engines", || async { (0..2).all(|e| site.log(e).contains("m-4")) }).await;
-        spoil(&site, EngineKind::Model, AnswerFault::Crashes);
+        set_fault_of_all(&site, EngineKind::Model, AnswerFault::Crashes);
         for crash in 1..=3 {
-            let told = format!("crashes={crash}");
+            let expected = format!("crashes={crash}");
             // The stream has no head, so the call ends with an unknown outcome.
             let answer = site.generation(0, "/log/a", 5, &site.id()).send().await.unwrap();
             assert_eq!(answer.status(), 502);
-            until("the count", || async { (0..2).all(|e| site.log(e).contains(&told)) }).await;
+            until("the count", || async { (0..2).all(|e| site.log(e).contains(&expected)) }).await;
         }
         let id = site.id();
         let answer = site.generation(1, "/log/a", 5, &id).send().await.unwrap();
@@ -444,7 +444,7 @@
     failed_requests_are_explained_from_their_ids(site: 1) {
         let refused = site.id();
         site.call(0, "GET", "/nowhere/a", &refused).send().await.unwrap();
-        spoil(&site, EngineKind::Plain, AnswerFault::Loses);
+        set_fault_of_all(&site, EngineKind::Plain, AnswerFault::Loses);
         let unknown = site.id();
         site.call(0, "POST", "/file/a", &unknown).send().await.unwrap();
         site.store.remove("servers", "m-1");
--- a/fireflydirect/tests/processes_cold.rs
+++ b/fireflydirect/tests/processes_cold.rs
@@ -9,10 +9,10 @@
 use support::{KEY, Site, cases, until};
 
 /// Requests to a cold engine that are allowed in any second: 1.5 times what it bears and 5.
-const ALLOWED: usize = 6;
+const MAX_COLD_REQUESTS: usize = 6;
 
 /// Time in which an entry that has started learns how many there are.
-const ALL_HEARD: Duration = Duration::from_millis(2_300);
+const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(2_300);
 
 fn make_cold(site: &Site, engine: usize, millis: u32) {
     let engine = &site.engines[engine];
@@ -23,7 +23,7 @@
 
 async fn until_cold(site: &Site) {
     until("cold engines", || async {
-        let (_, shown) = site.operate(0, &["entries", "upstreams"]).await;
+        let (_, shown) = site.run_fireflyctl(0, &["entries", "upstreams"]).await;
         shown.matches(" cold ").count() == site.engines.len()
     })
     .await;
@@ -49,12 +49,12 @@
     cold_engines_get_what_they_bear_and_the_rest_is_told_to_come_back(site: 1) {
         site.cold_per_s = 1.0;
         site.publish(&[KEY]);
-        tokio::time::sleep(ALL_HEARD).await;
+        tokio::time::sleep(PEER_DISCOVERY_TIME).await;
         make_cold(&site, 0, 60_000);
         make_cold(&site, 1, 60_000);
         until_cold(&site).await;
         let (ran, refused) = send_at_once(&site, 30).await;
-        assert!((1..=2 * ALLOWED).contains(&ran), "{ran} ran");
+        assert!((1..=2 * MAX_COLD_REQUESTS).contains(&ran), "{ran} ran");
         assert_eq!(ran + refused, 30);
     }
 
@@ -64,13 +64,13 @@
         make_cold(&site, 0, 60_000);
         make_cold(&site, 1, 0);
         until("the cold engine", || async {
-            site.operate(0, &["entries", "upstreams"]).await.1.contains(" cold ")
+            site.run_fireflyctl(0, &["entries", "upstreams"]).await.1.contains(" cold ")
         })
         .await;
         let (ran, refused) = send_at_once(&site, 8).await;
         assert_eq!((ran, refused), (8, 0));
         let runs = site.record.runs();
         let on_cold = runs.iter().filter(|run| run.instance == "m-0").count();
-        assert!(on_cold <= ALLOWED, "{on_cold}");
+        assert!(on_cold <= MAX_COLD_REQUESTS, "{on_cold}");
     }
 }
--- a/fireflydirect/tests/processes_evacuated.rs
+++ b/fireflydirect/tests/processes_evacuated.rs
@@ -15,7 +15,7 @@
 }
 
 /// Waits until an entry knows that these data centres are evacuated.
-async fn until_known(site: &Site, entry: usize, data_centres: Value) {
+async fn until_evacuated(site: &Site, entry: usize, data_centres: Value) {
     until("the evacuation", || async {
         site.status(entry).await["evacuated"] == data_centres
     })
@@ -23,7 +23,7 @@
 }
 
 /// Sends calls and generations, none of which may run on the upstreams in `b`.
-async fn check_nothing_new_in_b(site: &Site, entry: usize) {
+async fn check_no_new_runs_in_b(site: &Site, entry: usize) {
     for n in 0..6 {
         let (call, generation) = (site.id(), site.id());
         let answer = site.call(entry, "GET", &format!("/fetch/{n}"), &call);
@@ -42,27 +42,27 @@
 
 cases! {
     evacuated_data_centre_gets_nothing_new_and_ends_what_runs(site: 2) {
-        site.split().await;
+        site.split_data_centres().await;
         evacuate(&site, "a");
-        until_known(&site, 0, json!(["a"])).await;
+        until_evacuated(&site, 0, json!(["a"])).await;
         let id = site.id();
         let running = site.generation(0, "/log/a", 150, &id).send().await.unwrap();
         assert_eq!(site.engine_of(&id).await, 1);
         site.store.remove("evacuations", "a");
         evacuate(&site, "b");
         for entry in 0..2 {
-            until_known(&site, entry, json!(["b"])).await;
-            check_nothing_new_in_b(&site, entry).await;
+            until_evacuated(&site, entry, json!(["b"])).await;
+            check_no_new_runs_in_b(&site, entry).await;
         }
         assert_eq!(running.text().await.unwrap(), whole_stream(&id, 150));
         assert_eq!(site.record.runs_of(&id).len(), 1, "it was moved");
     }
 
     data_centre_that_is_taken_back_serves_again(site: 1) {
-        site.split().await;
+        site.split_data_centres().await;
         evacuate(&site, "a");
         evacuate(&site, "b");
-        until_known(&site, 0, json!(["a", "b"])).await;
+        until_evacuated(&site, 0, json!(["a", "b"])).await;
         let refused = site.call(0, "GET", "/fetch/a", &site.id()).send().await.unwrap();
         assert_eq!(refused.status(), 503);
         assert!(refused.headers().contains_key("retry-after"));
@@ -75,36 +75,36 @@
     }
 
     entry_cut_off_from_the_store_hears_of_an_evacuation(site: 3) {
-        site.split().await;
+        site.split_data_centres().await;
         let denied = site.entries.iter().take(2).map(|e| IpAddr::V4(e.ip));
         site.store.set_mode(StoreMode::Deny(denied.collect()));
         evacuate(&site, "b");
         for entry in 0..3 {
-            until_known(&site, entry, json!(["b"])).await;
-            check_nothing_new_in_b(&site, entry).await;
+            until_evacuated(&site, entry, json!(["b"])).await;
+            check_no_new_runs_in_b(&site, entry).await;
         }
     }
 
     entry_that_starts_in_an_outage_hears_of_an_evacuation(site: 1) {
-        site.split().await;
+        site.split_data_centres().await;
         evacuate(&site, "b");
-        until_known(&site, 0, json!(["b"])).await;
+        until_evacuated(&site, 0, json!(["b"])).await;
         site.store.set_mode(StoreMode::Reset);
         site.add_entry(2).await;
         site.until_ready(1).await;
-        until_known(&site, 1, json!(["b"])).await;
-        check_nothing_new_in_b(&site, 1).await;
+        until_evacuated(&site, 1, json!(["b"])).await;
+        check_no_new_runs_in_b(&site, 1).await;
     }
 
     evacuation_that_no_watch_saw_is_found(site: 2) {
-        site.split().await;
+        site.split_data_centres().await;
         site.store.set_mode(StoreMode::Stale);
         evacuate(&site, "b");
         // The history of that time is dropped.
         site.store.set_mode(StoreMode::Up);
         for entry in 0..2 {
-            until_known(&site, entry, json!(["b"])).await;
-            check_nothing_new_in_b(&site, entry).await;
+            until_evacuated(&site, entry, json!(["b"])).await;
+            check_no_new_runs_in_b(&site, entry).await;
         }
     }
 }
--- a/fireflydirect/tests/processes_lives.rs
+++ b/fireflydirect/tests/processes_incarnations.rs
@@ -9,7 +9,7 @@
     /// Nothing passes between the entry and the engine, so only the list tells that it started again.
     engine_that_starts_again_in_silence_ends_its_runs(site: 0) {
         let mut site = Site::without_entries().await;
-        site.go_through_proxies().await;
+        site.use_proxies().await;
         site.publish(&[KEY]);
         site.add_entry(1).await;
         site.until_ready(0).await;
@@ -20,7 +20,7 @@
         let instance = site.engines[engine].instance();
         site.proxies[&instance].set(Harm::Silence);
         site.engines[engine].start_again().await.unwrap();
-        site.enter(EngineKind::Model, engine, "ready").await;
+        site.register(EngineKind::Model, engine, "ready").await;
         assert_eq!(reading.await.unwrap().unwrap(), whole_stream(&id, 100));
         check_runs(&site, &id);
         assert!(site.log(0).contains("event=upstream_restarted"));
@@ -50,21 +50,21 @@
         let mut no_start = site.engines[0].entry("models", "ready");
         no_start.as_object_mut().unwrap().remove("born");
         let nothing = serde_json::json!(7);
-        let said = |site: &Site, event: &str| site.log(0).matches(&format!("event={event} instance=m-0")).count();
-        for (round, strange) in [other_service, other_state, other_start, no_start, nothing].iter().enumerate() {
-            site.store.put("servers", "m-0", strange);
-            site.store.put("servers", "stranger", strange);
-            until("the strange record", || async { said(&site, "upstream_set_aside") == round + 1 }).await;
+        let event_count = |site: &Site, event: &str| site.log(0).matches(&format!("event={event} instance=m-0")).count();
+        for (round, foreign) in [other_service, other_state, other_start, no_start, nothing].iter().enumerate() {
+            site.store.put("servers", "m-0", foreign);
+            site.store.put("servers", "stranger", foreign);
+            until("the foreign record", || async { event_count(&site, "upstream_set_aside") == round + 1 }).await;
             for _ in 0..4 {
                 let id = site.id();
                 let stream = site.generation(0, "/log/a", 3, &id).send().await.unwrap();
                 assert_eq!(stream.text().await.unwrap(), whole_stream(&id, 3));
                 let runs = site.record.runs_of(&id);
-                assert_eq!(runs[0].instance, site.engines[1].instance(), "{strange}");
+                assert_eq!(runs[0].instance, site.engines[1].instance(), "{foreign}");
             }
             let own = site.engines[0].entry("models", "ready");
             site.store.put("servers", "m-0", &own);
-            until("its own record", || async { said(&site, "upstream_came") == round + 2 }).await;
+            until("its own record", || async { event_count(&site, "upstream_came") == round + 2 }).await;
         }
         assert!(site.metrics(0).await.contains("firefly_direct_unreadable_total{what=\"upstream\"}"));
     }
--- a/fireflydirect/tests/processes_leaving.rs
+++ b/fireflydirect/tests/processes_leaving.rs
@@ -31,16 +31,16 @@
 /// Runs of an upstream that began after `from`.
 fn runs_after(site: &Site, instance: &str, from: Instant) -> usize {
     let runs = site.record.runs();
-    let late = runs
+    let later_runs = runs
         .iter()
         .filter(|r| r.instance == instance && r.began > from);
-    late.count()
+    later_runs.count()
 }
 
 /// Waits until an entry shows that some upstream leaves.
 async fn until_leaving(site: &Site, entry: usize) {
     until("word of the leaving", || async {
-        let (_, shown) = site.operate(entry, &["entries", "upstreams"]).await;
+        let (_, shown) = site.run_fireflyctl(entry, &["entries", "upstreams"]).await;
         shown.contains(" leaving ")
     })
     .await;
@@ -52,12 +52,12 @@
         site.plains[0].say(LEAVING, Some("1"));
         call_until_run_by(&site, 0, "p-0").await;
         until_leaving(&site, 1).await;
-        let bound = Instant::now();
+        let leaving_known_at = Instant::now();
         for _ in 0..20 {
             let call = site.call(1, "GET", "/fetch/a", &site.id());
             assert_eq!(call.send().await.unwrap().status(), 200);
         }
-        assert_eq!(runs_after(&site, "p-0", bound), 0);
+        assert_eq!(runs_after(&site, "p-0", leaving_known_at), 0);
     }
 
     run_goes_on_elsewhere_when_its_answer_says_that_the_engine_leaves(site: 1) {
@@ -84,11 +84,11 @@
         site.plains[0].say(LEAVING, Some("1"));
         call_until_run_by(&site, 0, "p-0").await;
         tokio::time::sleep(DRAIN_TIMEOUT).await;
-        let bound = Instant::now();
+        let leaving_known_at = Instant::now();
         for _ in 0..60 {
             let call = site.call(0, "GET", "/fetch/a", &site.id());
             assert_eq!(call.send().await.unwrap().status(), 200);
         }
-        assert_eq!(runs_after(&site, "p-0", bound), 0);
+        assert_eq!(runs_after(&site, "p-0", leaving_known_at), 0);
     }
 }
--- a/fireflydirect/tests/processes_owners.rs
+++ b/fireflydirect/tests/processes_owners.rs
@@ -31,7 +31,7 @@
 async fn shown_of(site: &Site, entry: usize, engine: usize) -> Value {
     let instance = site.engines[engine].instance();
     let (_, shown) = site
-        .operate(entry, &["entries", "upstreams", "--json"])
+        .run_fireflyctl(entry, &["entries", "upstreams", "--json"])
         .await;
     let shown: Value = serde_json::from_str(&shown).unwrap();
     let all = shown[0]["upstreams"].as_array().unwrap();
@@ -113,7 +113,7 @@
             })
             .await;
         }
-        let (_, upstreams) = site.operate(living[0], &["entries", "upstreams", "--json"]).await;
+        let (_, upstreams) = site.run_fireflyctl(living[0], &["entries", "upstreams", "--json"]).await;
         // In quotes, since it may begin the address of an upstream.
         let dead = format!("\"{}\"", site.entries[dead].ip);
         assert!(!upstreams.contains(&dead), "{upstreams}");
--- a/fireflydirect/tests/processes_rate_limit.rs
+++ b/fireflydirect/tests/processes_rate_limit.rs
@@ -10,14 +10,14 @@
 const RATE_LIMIT: &str = "Server-Limit";
 
 /// Span in which requests to a limited upstream are counted: the users' bound.
-const SPAN: Duration = Duration::from_secs(4);
+const RATE_WINDOW: Duration = Duration::from_secs(4);
 
 /// Requests in that span that the rule allows an upstream that named 2 a second: half more than
 /// that, and 5.
-const ALLOWED: usize = 17;
+const MAX_LIMITED_REQUESTS: usize = 17;
 
 /// Time in which an entry that has started learns how many there are.
-const ALL_HEARD: Duration = Duration::from_millis(2_300);
+const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(2_300);
 
 /// Calls that each entry is sent for so long, one after the other at even times.
 async fn call_all(site: &Site, per_second: u32, span: Duration) {
@@ -34,14 +34,14 @@
 }
 
 /// Most runs of an upstream within [`SPAN`], of those that began later than `from`.
-fn busiest_span(site: &Site, instance: &str, from: Instant) -> usize {
+fn max_runs_in_window(site: &Site, instance: &str, from: Instant) -> usize {
     let runs = site.record.runs();
     let began = runs.iter().filter(|r| r.instance == instance);
     let mut began: Vec<Instant> = began.map(|r| r.began).filter(|b| *b > from).collect();
     began.sort_unstable();
     let mut most = 0;
     for (i, first) in began.iter().enumerate() {
-        let within = began[i..].iter().take_while(|b| **b < *first + SPAN);
+        let within = began[i..].iter().take_while(|b| **b < *first + RATE_WINDOW);
         most = most.max(within.count());
     }
     most
@@ -50,7 +50,7 @@
 /// Waits until an entry shows that a plain upstream is limited, or no longer.
 async fn until_limited(site: &Site, entry: usize, is_limited: bool) {
     until("word of the limit", || async {
-        let (_, shown) = site.operate(entry, &["entries", "upstreams"]).await;
+        let (_, shown) = site.run_fireflyctl(entry, &["entries", "upstreams"]).await;
         shown.contains(" limited ") == is_limited
     })
     .await;
@@ -65,7 +65,7 @@
         until("an answer that names the limit", || async {
             let id = site.id();
             site.call(0, "GET", "/fetch/a", &id).send().await.unwrap();
-            let (_, shown) = site.operate(0, &["entries", "upstreams"]).await;
+            let (_, shown) = site.run_fireflyctl(0, &["entries", "upstreams"]).await;
             shown.contains(" limited ")
         })
         .await;
@@ -84,7 +84,7 @@
         let upstream = &site.plains[0];
         site.store.put("servers", "p-1", &site.plains[1].entry("records", "draining"));
         upstream.say(RATE_LIMIT, Some("50"));
-        tokio::time::sleep(ALL_HEARD).await;
+        tokio::time::sleep(PEER_DISCOVERY_TIME).await;
         site.call(0, "POST", "/file/a", &site.id()).send().await.unwrap();
         until_limited(&site, 0, true).await;
         upstream.say(RATE_LIMIT, None);
@@ -101,7 +101,7 @@
         site.store.put("servers", "p-1", &site.plains[1].entry("records", "draining"));
         site.plains[0].say(RATE_LIMIT, Some("1"));
         site.plains[0].set_fault(AnswerFault::Fails);
-        tokio::time::sleep(ALL_HEARD).await;
+        tokio::time::sleep(PEER_DISCOVERY_TIME).await;
         // Each call may be tried twice; four requests are allowed once the rate is known.
         for _ in 0..3 {
             let id = site.id();
@@ -114,7 +114,7 @@
 
     callers_are_served_by_the_upstream_that_is_not_limited(site: 2) {
         site.plains[0].say(RATE_LIMIT, Some("1"));
-        tokio::time::sleep(ALL_HEARD).await;
+        tokio::time::sleep(PEER_DISCOVERY_TIME).await;
         for i in 0..40 {
             let call = site.call(i % 2, "POST", "/file/a", &site.id());
             assert_eq!(call.send().await.unwrap().status(), 200);
@@ -128,7 +128,7 @@
     callers_of_limited_upstreams_alone_are_told_at_once_when_to_come_back(site: 1) {
         site.plains[0].say(RATE_LIMIT, Some("1"));
         site.plains[1].say(RATE_LIMIT, Some("1"));
-        tokio::time::sleep(ALL_HEARD).await;
+        tokio::time::sleep(PEER_DISCOVERY_TIME).await;
         let mut served = 0;
         for _ in 0..30 {
             let id = site.id();
@@ -149,9 +149,9 @@
     limited_upstream_gets_no_more_than_it_named_from_all_entries(site: 3) {
         site.plains[0].say(RATE_LIMIT, Some("2"));
         call_all(&site, 20, Duration::from_millis(1_500)).await;
-        let told_at = Instant::now();
+        let limit_known_at = Instant::now();
         call_all(&site, 20, Duration::from_secs(5)).await;
-        let most = busiest_span(&site, "p-0", told_at);
-        assert!(most <= ALLOWED, "{most} within {SPAN:?}");
+        let most = max_runs_in_window(&site, "p-0", limit_known_at);
+        assert!(most <= MAX_LIMITED_REQUESTS, "{most} within {RATE_WINDOW:?}");
     }
 }
--- a/fireflydirect/tests/processes_restored.rs
+++ b/fireflydirect/tests/processes_restored.rs
@@ -22,7 +22,7 @@
 /// Whether an entry takes an upstream to serve.
 async fn serves(site: &Site, entry: usize, instance: &str) -> bool {
     let (_, shown) = site
-        .operate(entry, &["entries", "upstreams", "--json"])
+        .run_fireflyctl(entry, &["entries", "upstreams", "--json"])
         .await;
     let shown: Value = serde_json::from_str(&shown).unwrap();
     let all = shown[0]["upstreams"].as_array().unwrap();
@@ -154,7 +154,7 @@
         site.store.set_mode(StoreMode::Reset);
         site.store.restore(copy);
         site.store.set_mode(StoreMode::Up);
-        site.enter(EngineKind::Model, 0, "draining").await;
+        site.register(EngineKind::Model, 0, "draining").await;
         for entry in 0..2 {
             until_era(&site, entry, 2).await;
             until_leaving(&site, entry, "m-0").await;
--- a/fireflydirect/tests/soak.rs
+++ b/fireflydirect/tests/soak.rs
@@ -7,14 +7,14 @@
 mod soak_parts {
     pub(crate) mod callers;
     mod conditions;
-    pub(crate) mod harmed;
+    pub(crate) mod faults;
     pub(crate) mod plan;
 }
 mod support;
 
 use reqwest::Client;
 use soak_parts::callers::Callers;
-use soak_parts::harmed::Soak;
+use soak_parts::faults::Soak;
 use soak_parts::plan::{Fault, Step, plan, plan_with_conditions, plan_with_drills};
 use standins::site::{Breach, Harm};
 use std::time::Duration;
@@ -25,48 +25,48 @@
 /// - 1, 2, 3: the first ones tried.
 /// - 15725: an entry that had just started took a stranger's record, which named a service that is
 ///   there, for the upstream's own, and sent it calls of that service.
-const SEEDS: &str = "1,2,3,15725";
+const DEFAULT_SEEDS: &str = "1,2,3,15725";
 
 /// The same of soaks with drills of the store.
-const DRILL_SEEDS: &str = "1,2";
+const DEFAULT_DRILL_SEEDS: &str = "1,2";
 
 /// The same of soaks with upstreams that say what they want of requests to come.
-const CONDITION_SEEDS: &str = "1,2,3";
+const DEFAULT_CONDITION_SEEDS: &str = "1,2,3";
 
 /// Length of a soak that names none, in seconds.
-const SECONDS: u64 = 5;
+const DEFAULT_SECONDS: u64 = 5;
 
 /// Entries of a soak that names none.
-const ENTRIES: u8 = 3;
+const DEFAULT_ENTRIES: u8 = 3;
 
 /// Callers at a time.
-const CALLERS: usize = 12;
+const CALLER_COUNT: usize = 12;
 
 /// Model engines at the start: two stay, so fewer would never be taken away.
-const ENGINES: u8 = 4;
+const INITIAL_ENGINES: u8 = 4;
 
-fn setting<T: std::str::FromStr>(name: &str, default: T) -> T {
+fn env_or<T: std::str::FromStr>(name: &str, default: T) -> T {
     let given = std::env::var(name).ok().and_then(|text| text.parse().ok());
     given.unwrap_or(default)
 }
 
 async fn soak(seed: u64) {
-    let seconds = Duration::from_secs(setting("FIREFLY_SOAK_SECONDS", SECONDS));
+    let seconds = Duration::from_secs(env_or("FIREFLY_SOAK_SECONDS", DEFAULT_SECONDS));
     let steps = plan(seed, seconds);
-    play(&format!("seed {seed}"), &steps, seconds).await;
+    run_plan(&format!("seed {seed}"), &steps, seconds).await;
 }
 
 /// Plays faults and checks every promise.
-async fn play(name: &str, steps: &[Step], seconds: Duration) {
-    let entries: u8 = setting("FIREFLY_SOAK_ENTRIES", ENTRIES);
+async fn run_plan(name: &str, steps: &[Step], seconds: Duration) {
+    let entries: u8 = env_or("FIREFLY_SOAK_ENTRIES", DEFAULT_ENTRIES);
     let restarts = steps
         .iter()
         .any(|s| matches!(s.fault, Fault::KillEntry | Fault::StopEntry));
     let mut site = Site::without_entries().await;
-    for number in 2..ENGINES {
+    for number in 2..INITIAL_ENGINES {
         site.start_engine(number).await;
     }
-    site.go_through_proxies().await;
+    site.use_proxies().await;
     site.publish(&[KEY]);
     for i in 0..entries {
         site.add_entry(i + 1).await;
@@ -78,15 +78,15 @@
         .map(|e| site.callers_of(e))
         .collect();
     let callers = Callers::new(addrs);
-    let asking: Vec<_> = (0..CALLERS)
-        .map(|_| tokio::spawn(callers.clone().ask(Client::new())))
+    let caller_tasks: Vec<_> = (0..CALLER_COUNT)
+        .map(|_| tokio::spawn(callers.clone().run(Client::new())))
         .collect();
-    let strange_service = if restarts { "nowhere" } else { "records" };
-    let mut soak = Soak::new(site, strange_service);
+    let foreign_service = if restarts { "nowhere" } else { "records" };
+    let mut soak = Soak::new(site, foreign_service);
     soak.run(steps, seconds).await;
     soak.recover().await;
     callers.end();
-    for caller in asking {
+    for caller in caller_tasks {
         caller.await.unwrap();
     }
     until("the last run's end", || async {
@@ -138,7 +138,7 @@
 /// Each seed keeps all promises; they run one after another.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn seeds_keep_the_promises() {
-    let seeds: String = setting("FIREFLY_SOAK_SEEDS", SEEDS.to_owned());
+    let seeds: String = env_or("FIREFLY_SOAK_SEEDS", DEFAULT_SEEDS.to_owned());
     for seed in seeds.split(',').filter_map(|s| s.trim().parse().ok()) {
         soak(seed).await;
     }
@@ -147,22 +147,25 @@
 /// Drills of the store among all other faults.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn drills_among_faults_keep_the_promises() {
-    let seeds: String = setting("FIREFLY_SOAK_DRILL_SEEDS", DRILL_SEEDS.to_owned());
-    let seconds = Duration::from_secs(setting("FIREFLY_SOAK_SECONDS", SECONDS));
+    let seeds: String = env_or("FIREFLY_SOAK_DRILL_SEEDS", DEFAULT_DRILL_SEEDS.to_owned());
+    let seconds = Duration::from_secs(env_or("FIREFLY_SOAK_SECONDS", DEFAULT_SECONDS));
     for seed in seeds.split(',').filter_map(|s| s.trim().parse().ok()) {
         let steps = plan_with_drills(seed, seconds);
-        play(&format!("drills, seed {seed}"), &steps, seconds).await;
+        run_plan(&format!("drills, seed {seed}"), &steps, seconds).await;
     }
 }
 
 /// Upstreams that name rates, say that they leave or ask for pauses, among all other faults.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn conditions_among_faults_keep_the_promises() {
-    let seeds: String = setting("FIREFLY_SOAK_CONDITION_SEEDS", CONDITION_SEEDS.to_owned());
-    let seconds = Duration::from_secs(setting("FIREFLY_SOAK_SECONDS", SECONDS));
+    let seeds: String = env_or(
+        "FIREFLY_SOAK_CONDITION_SEEDS",
+        DEFAULT_CONDITION_SEEDS.to_owned(),
+    );
+    let seconds = Duration::from_secs(env_or("FIREFLY_SOAK_SECONDS", DEFAULT_SECONDS));
     for seed in seeds.split(',').filter_map(|s| s.trim().parse().ok()) {
         let steps = plan_with_conditions(seed, seconds);
-        play(&format!("conditions, seed {seed}"), &steps, seconds).await;
+        run_plan(&format!("conditions, seed {seed}"), &steps, seconds).await;
     }
 }
 
@@ -177,7 +180,7 @@
         pick,
     };
     let steps = [step(300, 0), step(900, 1), step(1_200, 2), step(1_500, 5)];
-    play("rates", &steps, Duration::from_secs(9)).await;
+    run_plan("rates", &steps, Duration::from_secs(9)).await;
 }
 
 /// Answers of engines say that they leave, and the store hears of it seconds later.
@@ -190,7 +193,7 @@
         pick,
     };
     let steps = [step(300, 0), step(900, 1)];
-    play("leaving by answers", &steps, Duration::from_secs(8)).await;
+    run_plan("leaving by answers", &steps, Duration::from_secs(8)).await;
 }
 
 /// Strangers overwrite one record after the other, and nothing else happens that would excuse work
@@ -204,7 +207,7 @@
         pick,
     };
     let steps = [step(200, 0), step(400, 1), step(600, 2)];
-    play("strangers' records", &steps, Duration::from_secs(6)).await;
+    run_plan("strangers' records", &steps, Duration::from_secs(6)).await;
 }
 
 /// Upstreams leave the list without a word as the doubt after an outage of the store is about to end;
@@ -219,11 +222,11 @@
     };
     let silent = Fault::LeaveEngine { announced: false };
     let steps = [
-        step(500, 0, Fault::StoreHarm(Harm::Reset)),
+        step(500, 0, Fault::StoreConnection(Harm::Reset)),
         step(7_050, 1, silent),
         step(7_500, 3, silent),
     ];
-    play("after an outage", &steps, Duration::from_secs(13)).await;
+    run_plan("after an outage", &steps, Duration::from_secs(13)).await;
 }
 
 /// The same seed gives the same plan.
--- a/fireflydirect/tests/soak_parts/callers.rs
+++ b/fireflydirect/tests/soak_parts/callers.rs
@@ -9,20 +9,20 @@
 use std::time::Duration;
 
 /// Longest time that a caller waits for a whole answer.
-const PATIENCE: Duration = Duration::from_secs(8);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Pause between two requests of one caller.
-const PAUSE: Duration = Duration::from_millis(15);
+const REQUEST_DELAY: Duration = Duration::from_millis(15);
 
 /// Events of a stream that takes long; shorter ones take turns with it.
-const LONG_STREAM: u64 = 120;
+const MAX_EVENTS: u64 = 120;
 
 /// What callers share.
 #[derive(Clone, Debug)]
 pub(crate) struct Callers {
     entries: Arc<Vec<SocketAddr>>,
     attempts: Arc<Mutex<Vec<Attempt>>>,
-    over: Arc<AtomicBool>,
+    ended: Arc<AtomicBool>,
     next: Arc<AtomicU64>,
 }
 
@@ -32,7 +32,7 @@
         Self {
             entries: Arc::new(entries),
             attempts: Arc::default(),
-            over: Arc::default(),
+            ended: Arc::default(),
             next: Arc::default(),
         }
     }
@@ -44,16 +44,16 @@
 
     /// Lets all callers end after the request at hand.
     pub(crate) fn end(&self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.ended.store(true, Ordering::Relaxed);
     }
 
     /// One caller, with connections of its own.
-    pub(crate) async fn ask(self, client: Client) {
-        while !self.over.load(Ordering::Relaxed) {
+    pub(crate) async fn run(self, client: Client) {
+        while !self.ended.load(Ordering::Relaxed) {
             let number = self.next.fetch_add(1, Ordering::Relaxed);
             let attempt = self.attempt(&client, number).await;
             self.attempts.lock().unwrap().push(attempt);
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(REQUEST_DELAY).await;
         }
     }
 
@@ -65,7 +65,7 @@
             2 => Kind::Log,
             _ => Kind::Grade,
         };
-        let events = 2 + number * 7 % LONG_STREAM;
+        let events = 2 + number * 7 % MAX_EVENTS;
         let (method, path, owed) = match kind {
             Kind::Fetch => (
                 "GET",
@@ -97,7 +97,7 @@
             )
             .header("Host", "site.example")
             .header("X-Request-Id", &id)
-            .header("X-Deadline-Ms", PATIENCE.as_millis().to_string())
+            .header("X-Deadline-Ms", ANSWER_TIMEOUT.as_millis().to_string())
             .header("X-Credential", KEY);
         if matches!(kind, Kind::Log | Kind::Grade) {
             req = req
@@ -105,7 +105,7 @@
                 .header("X-Length-Hint", (events * 4).to_string())
                 .body(format!("prompt {number}"));
         }
-        let outcome = match tokio::time::timeout(PATIENCE, read(req)).await {
+        let outcome = match tokio::time::timeout(ANSWER_TIMEOUT, read(req)).await {
             Ok(outcome) => outcome,
             Err(_) => Outcome::NoAnswer,
         };
--- a/fireflydirect/tests/soak_parts/conditions.rs
+++ b/fireflydirect/tests/soak_parts/conditions.rs
@@ -1,6 +1,6 @@
 //! What upstreams of a soak say in their answers of the requests to come.
 
-use crate::soak_parts::harmed::{SERVES_ON, Soak, Undo};
+use crate::soak_parts::faults::{DRAIN_TIMES, Soak, Undo};
 use standins::site::{AnswerFault, EngineKind, NamedRate};
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 
 /// Time for which a rate is named on top of the fault's own: longer than the span in which requests
 /// are counted.
-const RATE_FOR: Duration = Duration::from_secs(5);
+const RATE_EXTENSION: Duration = Duration::from_secs(5);
 
 /// Header in which an upstream says that it leaves.
 const LEAVING: &str = "Server-Leaving";
@@ -21,8 +21,8 @@
 impl Soak {
     /// Lets an upstream name a rate until some time after `end`, unless it names one.
     pub(super) fn name_rate(&mut self, pick: usize, end: Instant) {
-        let end = end + RATE_FOR;
-        let (kind, number) = self.any_upstream(pick);
+        let end = end + RATE_EXTENSION;
+        let (kind, number) = self.pick_upstream(pick);
         let upstream = self.upstream(kind, number);
         let now = Instant::now();
         let instance = upstream.instance();
@@ -37,7 +37,7 @@
             per_second,
             span: (now, end),
         });
-        self.due.push((end, Undo::Rate(kind, number)));
+        self.pending_undos.push((end, Undo::Rate(kind, number)));
     }
 
     pub(super) fn lift_rate(&self, kind: EngineKind, number: usize) {
@@ -46,33 +46,36 @@
 
     /// Lets the answers of an engine say that it leaves; the store hears of it at `listed_at`.
     pub(super) async fn say_leaving(&mut self, pick: usize, listed_at: Instant) {
-        let Some(engine) = self.model(pick) else {
+        let Some(engine) = self.pick_removable_engine(pick) else {
             return;
         };
         self.announced.insert(engine, true);
         self.replace_engine().await;
         let upstream = &self.site.engines[engine];
         upstream.say(LEAVING, Some("1"));
-        let said = (upstream.instance(), Instant::now());
-        self.evidence.said_leaving.extend([said]);
-        self.due.push((listed_at, Undo::Listed(engine)));
+        let announced = (upstream.instance(), Instant::now());
+        self.evidence.said_leaving.extend([announced]);
+        self.pending_undos
+            .push((listed_at, Undo::ListLeaving(engine)));
     }
 
     /// The store hears that an engine leaves, which ends some time later.
     pub(super) async fn list_leaving(&mut self, engine: usize) {
         let instance = self.site.engines[engine].instance();
         self.evidence.notices.insert(instance, Instant::now());
-        self.site.enter(EngineKind::Model, engine, "draining").await;
-        let end = Instant::now() + SERVES_ON[engine % SERVES_ON.len()];
-        self.due.push((end, Undo::EndEngine(engine)));
+        self.site
+            .register(EngineKind::Model, engine, "draining")
+            .await;
+        let end = Instant::now() + DRAIN_TIMES[engine % DRAIN_TIMES.len()];
+        self.pending_undos.push((end, Undo::EndEngine(engine)));
     }
 
     /// Lets a plain upstream turn requests away and ask for pauses until `end`.
-    pub(super) fn ask_pause(&mut self, plain: usize, end: Instant) {
+    pub(super) fn request_pause(&mut self, plain: usize, end: Instant) {
         let upstream = &self.site.plains[plain];
         upstream.say(RETRY_AFTER, Some(PAUSE_SECONDS));
         upstream.set_fault(AnswerFault::Full);
-        self.due.push((end, Undo::Pause(plain)));
+        self.pending_undos.push((end, Undo::Pause(plain)));
     }
 
     pub(super) fn end_pause(&self, plain: usize) {
--- a/fireflydirect/tests/soak_parts/harmed.rs
+++ b/fireflydirect/tests/soak_parts/faults.rs
@@ -9,24 +9,25 @@
 
 /// Time from a notice to the end of an upstream, of one that is soon gone and of one that stays: only
 /// the second shows work that comes too late.
-pub(super) const SERVES_ON: [Duration; 2] = [Duration::from_millis(1_700), Duration::from_secs(6)];
+pub(super) const DRAIN_TIMES: [Duration; 2] =
+    [Duration::from_millis(1_700), Duration::from_secs(6)];
 
 /// Time after a pause or a cut in which an entry may not know or act yet: its own time-outs, and
 /// the users' window in which it doesn't count as in touch.
-const EXCUSED_AFTER: Duration = Duration::from_secs(5);
+const EXCUSE_MARGIN: Duration = Duration::from_secs(5);
 
 /// Calls on which the store hangs at a time.
-const HANGING: u32 = 4;
+const HANGING_CALLS: u32 = 4;
 
 /// Time by which late answers of the store come late: slow, and within the entries' patience.
-const LATE: Duration = Duration::from_millis(250);
+const STORE_DELAY: Duration = Duration::from_millis(250);
 
 /// Time for which a stranger's record stays on top of the fault's own: longer than the oracle allows
 /// new work after it.
-const OVERWRITTEN_FOR: Duration = Duration::from_secs(4);
+const OVERWRITE_EXTENSION: Duration = Duration::from_secs(4);
 
 /// Time after a drill of the store in which upstreams and the operator have written again.
-const WRITTEN_AGAIN_AFTER: Duration = Duration::from_millis(1_500);
+const REWRITE_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Most engines of a soak; addresses end with their numbers.
 const MAX_ENGINES: usize = 40;
@@ -37,14 +38,14 @@
     pub(crate) start: Instant,
     pub(crate) evidence: Evidence,
     /// What has to be undone, and when.
-    pub(super) due: Vec<(Instant, Undo)>,
+    pub(super) pending_undos: Vec<(Instant, Undo)>,
     pub(super) announced: HashMap<usize, bool>,
     /// Copies of the store that it has yet to come back from.
     copies: HashMap<usize, Snapshot>,
     /// Service that strangers name. Entries that knew an upstream see that it can't have changed to
     /// one that is there; those that start anew have nothing to tell that by, and the platform's
     /// strangers name one that isn't there.
-    strange_service: &'static str,
+    foreign_service: &'static str,
 }
 
 /// How a fault ends.
@@ -52,7 +53,7 @@
 pub(super) enum Undo {
     EndEngine(usize),
     Answers(EngineKind, usize),
-    UpstreamHarm(EngineKind, usize),
+    UpstreamConnection(EngineKind, usize),
     Store,
     Resume(usize),
     StartEntry(usize),
@@ -60,56 +61,56 @@
     /// An upstream takes any rate again.
     Rate(EngineKind, usize),
     /// The store hears that a model engine leaves, which ends later.
-    Listed(usize),
+    ListLeaving(usize),
     /// A plain upstream takes requests again.
     Pause(usize),
     /// The store comes back from the copy of that number.
     Drill(usize),
-    WriteAgain,
+    RewriteRecords,
 }
 
 impl Soak {
     /// A site that nothing was done to yet; strangers name `strange_service` in the records that they
     /// overwrite.
-    pub(crate) fn new(site: Site, strange_service: &'static str) -> Self {
+    pub(crate) fn new(site: Site, foreign_service: &'static str) -> Self {
         Self {
             site,
             start: Instant::now(),
             evidence: Evidence::default(),
-            due: Vec::new(),
+            pending_undos: Vec::new(),
             announced: HashMap::new(),
             copies: HashMap::new(),
-            strange_service,
+            foreign_service,
         }
     }
 
     /// Model engines that have not left.
-    fn present(&self) -> Vec<usize> {
+    fn active_engines(&self) -> Vec<usize> {
         (0..self.site.engines.len())
             .filter(|e| !self.announced.contains_key(e))
             .collect()
     }
 
     /// One that may be taken away: two stay, so that there is always somebody to serve.
-    pub(super) fn model(&self, pick: usize) -> Option<usize> {
-        let left = self.present();
-        (left.len() > 2).then(|| left[pick % left.len()])
+    pub(super) fn pick_removable_engine(&self, pick: usize) -> Option<usize> {
+        let candidates = self.active_engines();
+        (candidates.len() > 2).then(|| candidates[pick % candidates.len()])
     }
 
     /// One whose record may be overwritten: one stays that has its own.
-    fn with_own_record(&self, pick: usize) -> Option<usize> {
+    fn pick_engine_with_own_record(&self, pick: usize) -> Option<usize> {
         let now = Instant::now();
         let is_overwritten = |engine: &usize| {
             let instance = self.site.engines[*engine].instance();
             let mut spans = self.evidence.overwritten.iter();
             spans.any(|(of, _, to)| *of == instance && now < *to)
         };
-        let mut left = self.present();
-        left.retain(|e| !is_overwritten(e));
-        (left.len() > 1).then(|| left[pick % left.len()])
+        let mut candidates = self.active_engines();
+        candidates.retain(|e| !is_overwritten(e));
+        (candidates.len() > 1).then(|| candidates[pick % candidates.len()])
     }
 
-    pub(super) fn any_upstream(&self, pick: usize) -> (EngineKind, usize) {
+    pub(super) fn pick_upstream(&self, pick: usize) -> (EngineKind, usize) {
         if pick.is_multiple_of(2) {
             (EngineKind::Plain, pick / 2 % self.site.plains.len())
         } else {
@@ -117,11 +118,11 @@
         }
     }
 
-    fn excuse(&mut self, span: Duration) {
+    fn excuse_failures(&mut self, span: Duration) {
         let now = Instant::now();
         self.evidence
             .excused
-            .push((now, now + span + EXCUSED_AFTER));
+            .push((now, now + span + EXCUSE_MARGIN));
     }
 
     pub(super) async fn replace_engine(&mut self) {
@@ -129,7 +130,7 @@
         if number < MAX_ENGINES {
             let last = u8::try_from(number).unwrap();
             self.site.start_engine(last).await;
-            self.site.enter(EngineKind::Model, number, "ready").await;
+            self.site.register(EngineKind::Model, number, "ready").await;
         }
     }
 
@@ -137,83 +138,84 @@
         let end = Instant::now() + step.span;
         match step.fault {
             Fault::KillEngine => {
-                if let Some(engine) = self.model(step.pick) {
+                if let Some(engine) = self.pick_removable_engine(step.pick) {
                     self.announced.insert(engine, false);
                     self.replace_engine().await;
                     self.end_engine(engine);
                 }
             }
             Fault::LeaveEngine { announced } => {
-                if let Some(engine) = self.model(step.pick) {
-                    let serves_on = SERVES_ON[step.pick % SERVES_ON.len()];
-                    self.leave(engine, announced, serves_on).await;
+                if let Some(engine) = self.pick_removable_engine(step.pick) {
+                    let serves_on = DRAIN_TIMES[step.pick % DRAIN_TIMES.len()];
+                    self.start_leaving(engine, announced, serves_on).await;
                 }
             }
             Fault::RestartEngine { silent } => {
-                let present = self.present();
-                let engine = present[step.pick % present.len()];
+                let active_engines = self.active_engines();
+                let engine = active_engines[step.pick % active_engines.len()];
                 self.restart(engine, silent, end).await;
             }
             Fault::OverwriteRecord => {
-                if let Some(engine) = self.with_own_record(step.pick) {
-                    self.overwrite(engine, step.pick, end + OVERWRITTEN_FOR);
+                if let Some(engine) = self.pick_engine_with_own_record(step.pick) {
+                    self.overwrite_record(engine, step.pick, end + OVERWRITE_EXTENSION);
                 }
             }
             Fault::HangCalls => {
-                self.excuse(step.span);
-                self.site.store.set_mode(StoreMode::HangNext(HANGING));
-                self.due.push((end, Undo::Store));
+                self.excuse_failures(step.span);
+                self.site.store.set_mode(StoreMode::HangNext(HANGING_CALLS));
+                self.pending_undos.push((end, Undo::Store));
             }
             Fault::LateStore => {
-                self.excuse(step.span);
-                self.site.store.set_mode(StoreMode::Late(LATE));
-                self.due.push((end, Undo::Store));
+                self.excuse_failures(step.span);
+                self.site.store.set_mode(StoreMode::Late(STORE_DELAY));
+                self.pending_undos.push((end, Undo::Store));
             }
             Fault::StaleStore => {
-                self.excuse(step.span);
+                self.excuse_failures(step.span);
                 self.site.store.set_mode(StoreMode::Stale);
-                self.due.push((end, Undo::Store));
+                self.pending_undos.push((end, Undo::Store));
             }
             Fault::Answers(fault) => {
-                let (kind, number) = self.any_upstream(step.pick);
+                let (kind, number) = self.pick_upstream(step.pick);
                 self.upstream(kind, number).set_fault(fault);
-                self.due.push((end, Undo::Answers(kind, number)));
+                self.pending_undos.push((end, Undo::Answers(kind, number)));
             }
-            Fault::UpstreamHarm(harm) => {
-                let (kind, number) = self.any_upstream(step.pick);
-                self.harm(kind, number, harm);
+            Fault::UpstreamConnection(harm) => {
+                let (kind, number) = self.pick_upstream(step.pick);
+                self.set_harm(kind, number, harm);
                 // A cut upstream can't hear that its caller has left.
-                self.excuse(step.span);
-                self.due.push((end, Undo::UpstreamHarm(kind, number)));
+                self.excuse_failures(step.span);
+                self.pending_undos
+                    .push((end, Undo::UpstreamConnection(kind, number)));
             }
-            Fault::StoreHarm(harm) => {
-                self.excuse(step.span);
+            Fault::StoreConnection(harm) => {
+                self.excuse_failures(step.span);
                 self.site.store_proxy.as_ref().unwrap().set(harm);
-                self.due.push((end, Undo::Store));
+                self.pending_undos.push((end, Undo::Store));
             }
             Fault::Compact => self.site.store.compact(),
             Fault::Drill => self.begin_drill(step.span),
             Fault::DenyEntry => {
-                self.excuse(step.span);
+                self.excuse_failures(step.span);
                 // Through the proxy all entries look alike, so the store turns all of it away.
                 let proxy = IpAddr::V4(self.site.entries[0].ip);
                 self.site
                     .store
                     .set_mode(StoreMode::Deny(vec![proxy, self.site.store.addr().ip()]));
-                self.due.push((end, Undo::Store));
+                self.pending_undos.push((end, Undo::Store));
             }
             Fault::PauseEntry => self.pause_entry(step),
             Fault::KillEntry => {
                 let entry = step.pick % self.site.entries.len();
-                self.excuse(step.span);
+                self.excuse_failures(step.span);
                 self.site.entries[entry].kill();
-                self.due.push((end, Undo::StartEntry(entry)));
+                self.pending_undos.push((end, Undo::StartEntry(entry)));
             }
             Fault::StopEntry => {
                 let entry = step.pick % self.site.entries.len();
                 if self.site.entries[entry].is_running() {
                     self.site.entries[entry].signal("TERM");
-                    self.due
+                    self.pending_undos
                         .push((end + Duration::from_secs(8), Undo::StartEntry(entry)));
                 }
             }
@@ -226,33 +228,34 @@
             Fault::Publish => self.site.publish(&[KEY]),
             Fault::NameRate => self.name_rate(step.pick, end),
             Fault::SayLeaving => self.say_leaving(step.pick, end).await,
-            Fault::AskPause => self.ask_pause(step.pick % 2, end),
+            Fault::RequestPause => self.request_pause(step.pick % 2, end),
         }
     }
 
     fn pause_entry(&mut self, step: &Step) {
         let entry = step.pick % self.site.entries.len();
         if self.site.entries[entry].is_running() {
-            self.excuse(step.span);
+            self.excuse_failures(step.span);
             self.site.entries[entry].signal("STOP");
             let end = Instant::now() + step.span;
-            self.due.push((end, Undo::Resume(entry)));
+            self.pending_undos.push((end, Undo::Resume(entry)));
         }
     }
 
     fn begin_drill(&mut self, span: Duration) {
-        self.excuse(span + WRITTEN_AGAIN_AFTER);
+        self.excuse_failures(span + REWRITE_DELAY);
         let number = self.copies.len();
         self.copies.insert(number, self.site.store.copy());
-        self.due.push((Instant::now() + span, Undo::Drill(number)));
+        self.pending_undos
+            .push((Instant::now() + span, Undo::Drill(number)));
     }
 
     async fn restart(&mut self, engine: usize, silent: bool, end: Instant) {
         if silent {
-            self.excuse(end - Instant::now());
-            self.harm(EngineKind::Model, engine, Harm::Silence);
-            let undo = Undo::UpstreamHarm(EngineKind::Model, engine);
-            self.due.push((end, undo));
+            self.excuse_failures(end - Instant::now());
+            self.set_harm(EngineKind::Model, engine, Harm::Silence);
+            let undo = Undo::UpstreamConnection(EngineKind::Model, engine);
+            self.pending_undos.push((end, undo));
         }
         self.site.engines[engine].start_again().await.unwrap();
         let instance = self.site.engines[engine].instance();
@@ -274,31 +277,33 @@
                 *to = now.min(*to);
             }
         }
-        self.site.enter(EngineKind::Model, engine, "ready").await;
+        self.site.register(EngineKind::Model, engine, "ready").await;
     }
 
     /// Overwrites the record of an engine, which writes its own again at `end`.
-    fn overwrite(&mut self, engine: usize, pick: usize, end: Instant) {
+    fn overwrite_record(&mut self, engine: usize, pick: usize, end: Instant) {
         let instance = self.site.engines[engine].instance();
-        let mut strange = self.site.engines[engine].entry("models", "ready");
+        let mut foreign = self.site.engines[engine].entry("models", "ready");
         match pick % 4 {
-            0 => strange["state"] = "asleep".into(),
-            1 => strange["service"] = self.strange_service.into(),
-            2 => strange["born"] = "yesterday".into(),
-            _ => strange = "nothing".into(),
+            0 => foreign["state"] = "asleep".into(),
+            1 => foreign["service"] = self.foreign_service.into(),
+            2 => foreign["born"] = "yesterday".into(),
+            _ => foreign = "nothing".into(),
         }
-        self.site.store.put("servers", &instance, &strange);
+        self.site.store.put("servers", &instance, &foreign);
         let span = (instance, Instant::now(), end);
         self.evidence.overwritten.push(span);
-        self.due.push((end, Undo::OwnRecord(engine)));
+        self.pending_undos.push((end, Undo::OwnRecord(engine)));
     }
 
-    async fn leave(&mut self, engine: usize, announced: bool, serves_on: Duration) {
+    async fn start_leaving(&mut self, engine: usize, announced: bool, serves_on: Duration) {
         self.announced.insert(engine, announced);
         if announced {
             let instance = self.site.engines[engine].instance();
             self.evidence.notices.insert(instance, Instant::now());
-            self.site.enter(EngineKind::Model, engine, "draining").await;
+            self.site
+                .register(EngineKind::Model, engine, "draining")
+                .await;
         } else {
             let instance = self.site.engines[engine].instance();
             self.evidence
@@ -307,7 +312,7 @@
             self.site.store.remove("servers", &instance);
         }
         self.replace_engine().await;
-        self.due
+        self.pending_undos
             .push((Instant::now() + serves_on, Undo::EndEngine(engine)));
     }
 
@@ -324,7 +329,7 @@
         }
     }
 
-    fn harm(&self, kind: EngineKind, number: usize, harm: Harm) {
+    fn set_harm(&self, kind: EngineKind, number: usize, harm: Harm) {
         let instance = self.upstream(kind, number).instance();
         self.site.proxies[&instance].set(harm);
     }
@@ -336,16 +341,16 @@
             Undo::OwnRecord(engine) => self.write_own_record(engine).await,
             Undo::Drill(number) => {
                 self.site.store.restore(self.copies[&number].clone());
-                let again = Instant::now() + WRITTEN_AGAIN_AFTER;
-                self.due.push((again, Undo::WriteAgain));
+                let rewrite_at = Instant::now() + REWRITE_DELAY;
+                self.pending_undos.push((rewrite_at, Undo::RewriteRecords));
             }
-            Undo::WriteAgain => self.write_all_again().await,
+            Undo::RewriteRecords => self.rewrite_records().await,
             Undo::EndEngine(engine) => self.end_engine(engine),
             Undo::Rate(kind, number) => self.lift_rate(kind, number),
-            Undo::Listed(engine) => self.list_leaving(engine).await,
+            Undo::ListLeaving(engine) => self.list_leaving(engine).await,
             Undo::Pause(plain) => self.end_pause(plain),
             Undo::Answers(kind, number) => self.upstream(kind, number).set_fault(AnswerFault::None),
-            Undo::UpstreamHarm(kind, number) => self.harm(kind, number, Harm::None),
+            Undo::UpstreamConnection(kind, number) => self.set_harm(kind, number, Harm::None),
             Undo::Store => {
                 self.site.store_proxy.as_ref().unwrap().set(Harm::None);
                 self.site.store.set_mode(StoreMode::Up);
@@ -365,14 +370,16 @@
     }
 
     /// Upstreams and the operator write what the copy may lack; records of those that are gone lapse.
-    async fn write_all_again(&mut self) {
-        for engine in self.present() {
+    async fn rewrite_records(&mut self) {
+        for engine in self.active_engines() {
             self.write_own_record(engine).await;
         }
-        let left: Vec<(usize, bool)> = self.announced.iter().map(|(e, a)| (*e, *a)).collect();
-        for (engine, announced) in left {
+        let departed: Vec<(usize, bool)> = self.announced.iter().map(|(e, a)| (*e, *a)).collect();
+        for (engine, announced) in departed {
             if announced && self.serves_on(engine) {
-                self.site.enter(EngineKind::Model, engine, "draining").await;
+                self.site
+                    .register(EngineKind::Model, engine, "draining")
+                    .await;
             } else {
                 let instance = self.site.engines[engine].instance();
                 self.site.store.remove("servers", &instance);
@@ -383,16 +390,16 @@
 
     /// Whether an engine that has left is yet to end.
     fn serves_on(&self, engine: usize) -> bool {
-        let mut due = self.due.iter();
+        let mut due = self.pending_undos.iter();
         due.any(|(_, undo)| matches!(undo, Undo::EndEngine(e) if *e == engine))
     }
 
     async fn undo_due(&mut self, all: bool) {
         let now = Instant::now();
-        let (due, later) = std::mem::take(&mut self.due)
+        let (due, later) = std::mem::take(&mut self.pending_undos)
             .into_iter()
             .partition(|(at, _)| all || *at <= now);
-        self.due = later;
+        self.pending_undos = later;
         let due: Vec<(Instant, Undo)> = due;
         for (_, undo) in due {
             self.undo(undo).await;
@@ -415,13 +422,13 @@
     /// After all faults have ended, every entry serves under the newest configuration.
     pub(crate) async fn recover(&mut self) {
         for entry in 0..self.site.entries.len() {
-            self.site.entries[entry].revive_if_ended();
+            self.site.entries[entry].restart_if_ended();
         }
         self.site.publish_routes(&[KEY], &[("last", "/last/")]);
         for entry in 0..self.site.entries.len() {
             let start = Instant::now();
-            while !self.serves_last(entry).await {
-                self.site.entries[entry].revive_if_ended();
+            while !self.serves_new_route(entry).await {
+                self.site.entries[entry].restart_if_ended();
                 assert!(
                     start.elapsed() < Duration::from_secs(30),
                     "entry {entry} doesn't serve"
@@ -431,7 +438,7 @@
         }
     }
 
-    async fn serves_last(&self, entry: usize) -> bool {
+    async fn serves_new_route(&self, entry: usize) -> bool {
         let call = self
             .site
             .call(entry, "GET", "/last/a", &format!("last{}", self.site.id()));
--- a/fireflydirect/tests/soak_parts/plan.rs
+++ b/fireflydirect/tests/soak_parts/plan.rs
@@ -31,9 +31,9 @@
     /// Reads of the store lie behind, and then its history is gone.
     StaleStore,
     /// The connections to an upstream are harmed.
-    UpstreamHarm(Harm),
+    UpstreamConnection(Harm),
     /// The connections to the store are harmed.
-    StoreHarm(Harm),
+    StoreConnection(Harm),
     /// The store drops its history.
     Compact,
     /// The store comes back from a copy that was made when this began; upstreams and the operator
@@ -56,7 +56,7 @@
     /// The answers of a model engine say that it leaves; the store hears of it later.
     SayLeaving,
     /// A plain upstream turns requests away and asks for a pause.
-    AskPause,
+    RequestPause,
 }
 
 /// A fault with its moment and length; `pick` chooses whom it meets.
@@ -81,7 +81,7 @@
         steps.push(Step {
             at,
             span: Duration::from_millis(rng.random_range(200..2_500)),
-            fault: draw(&mut rng),
+            fault: draw_fault(&mut rng),
             pick: rng.random_range(0..1_000),
         });
         // Some come together, some one after another.
@@ -120,7 +120,7 @@
             fault: match rng.random_range(0..4) {
                 0 | 1 => Fault::NameRate,
                 2 => Fault::SayLeaving,
-                _ => Fault::AskPause,
+                _ => Fault::RequestPause,
             },
             pick: rng.random_range(0..1_000),
         });
@@ -130,14 +130,14 @@
     steps
 }
 
-fn draw(rng: &mut impl Rng) -> Fault {
+fn draw_fault(rng: &mut impl Rng) -> Fault {
     match rng.random_range(0..22) {
         0 => Fault::KillEngine,
         1 | 2 => Fault::LeaveEngine { announced: true },
         3 => Fault::LeaveEngine { announced: false },
-        4 | 5 => Fault::Answers(draw_answers(rng)),
-        6 | 7 => Fault::UpstreamHarm(draw_harm(rng)),
-        8 => Fault::StoreHarm(draw_harm(rng)),
+        4 | 5 => Fault::Answers(draw_answer_fault(rng)),
+        6 | 7 => Fault::UpstreamConnection(draw_connection_fault(rng)),
+        8 => Fault::StoreConnection(draw_connection_fault(rng)),
         9 => Fault::Compact,
         10 => Fault::DenyEntry,
         11 => Fault::PauseEntry,
@@ -154,7 +154,7 @@
     }
 }
 
-fn draw_answers(rng: &mut impl Rng) -> AnswerFault {
+fn draw_answer_fault(rng: &mut impl Rng) -> AnswerFault {
     match rng.random_range(0..7) {
         0 => AnswerFault::Full,
         1 => AnswerFault::Fails,
@@ -166,7 +166,7 @@
     }
 }
 
-fn draw_harm(rng: &mut impl Rng) -> Harm {
+fn draw_connection_fault(rng: &mut impl Rng) -> Harm {
     match rng.random_range(0..4) {
         0 => Harm::Delay(Duration::from_millis(rng.random_range(5..200))),
         1 => Harm::OneWay,
--- a/fireflydirect/tests/support/entry.rs
+++ b/fireflydirect/tests/support/entry.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-use super::ports::HeldPorts;
+use super::ports::ReservedPorts;
 use tokio::net::TcpSocket;
 
 /// An entry process.
@@ -18,7 +18,7 @@
     pub(super) settings: PathBuf,
     pub(super) log: PathBuf,
     pub(super) child: Option<Child>,
-    pub(super) _ports: HeldPorts<3>,
+    pub(super) _ports: ReservedPorts<3>,
     pub(super) _peer_port: TcpSocket,
 }
 
@@ -69,14 +69,14 @@
     }
 
     /// Starts the process again if it has ended.
-    pub(crate) fn revive_if_ended(&mut self) {
+    pub(crate) fn restart_if_ended(&mut self) {
         if !self.is_running() {
             self.start();
         }
     }
 
     /// Waits for the process to end by itself.
-    pub(crate) async fn ended(&mut self) {
+    pub(crate) async fn wait_for_exit(&mut self) {
         let mut child = self.child.take().unwrap();
         let status = tokio::task::spawn_blocking(move || child.wait()).await;
         assert!(status.unwrap().unwrap().success());
--- a/fireflydirect/tests/support/mod.rs
+++ b/fireflydirect/tests/support/mod.rs
@@ -15,13 +15,13 @@
 use std::time::{Duration, Instant};
 
 use entry::Entry;
-use ports::{HeldPorts, claim_net, hold};
+use ports::{ReservedPorts, claim_net, reserve};
 use reqwest::{Client, RequestBuilder, Response};
 use serde_json::{Value, json};
 use standins::site::{Engine, EngineKind, Proxy, Record, RunEnd, Store};
 
 /// Longest wait for something that is to happen; a busy machine takes its time.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Names each case, which runs on a site of so many entries.
 macro_rules! cases {
@@ -61,7 +61,7 @@
     client: Client,
     net: [u8; 2],
     _claim: TcpListener,
-    peer_port: HeldPorts<1>,
+    peer_port: ReservedPorts<1>,
     version: u64,
     /// Requests a second that a cold engine bears, as the next configuration says; zero for any.
     pub(crate) cold_per_s: f64,
@@ -74,7 +74,7 @@
 }
 
 /// Log lines of a failed start that its message shows.
-const SHOWN_LINES: usize = 30;
+const LOG_TAIL_LINES: usize = 30;
 
 /// Key of the workspace `brand-a`.
 pub(crate) const KEY: &str = "key-a";
@@ -217,7 +217,7 @@
             log: self.folder.join(format!("entry-{last}.log")),
             child: None,
             _ports: ports,
-            _peer_port: hold(ip.into(), peer_port),
+            _peer_port: reserve(ip.into(), peer_port),
         };
         let store = match &self.store_proxy {
             Some(proxy) => proxy.addr(),
@@ -229,19 +229,19 @@
     }
 
     /// Puts proxies before the store and the upstreams that are there.
-    pub(crate) async fn go_through_proxies(&mut self) {
+    pub(crate) async fn use_proxies(&mut self) {
         let proxy = Proxy::start(self.store.addr()).await.unwrap();
         self.store_proxy = Some(proxy);
         for i in 0..self.engines.len() {
-            self.enter(EngineKind::Model, i, "ready").await;
+            self.register(EngineKind::Model, i, "ready").await;
         }
         for i in 0..self.plains.len() {
-            self.enter(EngineKind::Plain, i, "ready").await;
+            self.register(EngineKind::Plain, i, "ready").await;
         }
     }
 
     /// Enters an upstream in the store's list behind a proxy of its own.
-    pub(crate) async fn enter(&mut self, kind: EngineKind, number: usize, state: &str) {
+    pub(crate) async fn register(&mut self, kind: EngineKind, number: usize, state: &str) {
         let (upstream, service) = match kind {
             EngineKind::Model => (&self.engines[number], "models"),
             EngineKind::Plain => (&self.plains[number], "records"),
@@ -286,36 +286,36 @@
     }
 
     /// Writes what is no settings into the file of an entry.
-    pub(crate) fn spoil_settings(&self, entry: usize) {
+    pub(crate) fn corrupt_settings(&self, entry: usize) {
         fs::write(&self.entries[entry].settings, "{").unwrap();
     }
 
     /// Waits until an entry says that it is ready; a failure shows the end of its log.
     pub(crate) async fn until_ready(&self, entry: usize) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while !self.is_ready(entry).await {
             assert!(
                 Instant::now() < end,
                 "entry {entry} isn't ready: {}",
-                self.log_end(entry)
+                self.log_tail(entry)
             );
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
     /// The last lines of an entry's log.
-    fn log_end(&self, entry: usize) -> String {
+    fn log_tail(&self, entry: usize) -> String {
         let log = self.log(entry);
         let lines: Vec<&str> = log.lines().collect();
-        let from = lines.len().saturating_sub(SHOWN_LINES);
+        let from = lines.len().saturating_sub(LOG_TAIL_LINES);
         lines[from..].join("\n")
     }
 
     /// Whether an entry says that it is ready.
     pub(crate) async fn is_ready(&self, entry: usize) -> bool {
         let url = format!("http://{}/v1/readyz", self.entries[entry].readiness);
-        let asked = Client::new().get(url).send().await;
-        asked.is_ok_and(|r| r.status() == 200)
+        let response = Client::new().get(url).send().await;
+        response.is_ok_and(|r| r.status() == 200)
     }
 
     /// A new id of a request.
@@ -396,7 +396,7 @@
     }
 
     /// Runs `fireflyctl` against an entry; gives its exit status and what it printed.
-    pub(crate) async fn operate(&self, entry: usize, args: &[&str]) -> (u8, String) {
+    pub(crate) async fn run_fireflyctl(&self, entry: usize, args: &[&str]) -> (u8, String) {
         let node = self.entries[entry].operators.to_string();
         let first = ["fireflyctl", "--nodes", &node];
         let all = first.iter().chain(args);
@@ -415,14 +415,16 @@
 
     /// What an entry shows operators of itself.
     pub(crate) async fn status(&self, entry: usize) -> Value {
-        let (_, shown) = self.operate(entry, &["entries", "status", "--json"]).await;
+        let (_, shown) = self
+            .run_fireflyctl(entry, &["entries", "status", "--json"])
+            .await;
         let shown: Value = serde_json::from_str(&shown).unwrap();
         shown[0]["entry"].clone()
     }
 
     /// Puts the second engine and the second plain service into the data centre `b`, in the region
     /// `south`.
-    pub(crate) async fn split(&self) {
+    pub(crate) async fn split_data_centres(&self) {
         for (upstream, service) in [(&self.engines[1], "models"), (&self.plains[1], "records")] {
             let mut entry = upstream.entry(service, "ready");
             entry["zone"] = json!("b");
@@ -431,7 +433,7 @@
         for entry in 0..self.entries.len() {
             until("the other data centre", || async {
                 let args = ["entries", "upstreams", "--json"];
-                let (_, shown) = self.operate(entry, &args).await;
+                let (_, shown) = self.run_fireflyctl(entry, &args).await;
                 shown.matches("\"data_centre\":\"b\"").count() == 2
             })
             .await;
@@ -487,7 +489,7 @@
 
 /// Waits until `holds`.
 pub(crate) async fn until<F: Future<Output = bool>>(what: &str, mut holds: impl FnMut() -> F) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
         assert!(Instant::now() < end, "waited too long for {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/fireflydirect/tests/support/ports.rs
+++ b/fireflydirect/tests/support/ports.rs
@@ -28,32 +28,32 @@
 /// Each is bound by a socket that never listens, beside which a process may bind and listen: both
 /// allow the address to be used again. A listener that is let go may live on in another process that
 /// is just being started, and the system may give its port to whoever asks.
-pub(crate) struct HeldPorts<const N: usize> {
+pub(crate) struct ReservedPorts<const N: usize> {
     /// The ports, all different.
     pub(crate) numbers: [u16; N],
     _sockets: Vec<TcpSocket>,
 }
 
 /// Free ports of an address, none of them in `taken`.
-pub(crate) fn free_ports<const N: usize>(ip: IpAddr, taken: &[u16]) -> HeldPorts<N> {
+pub(crate) fn free_ports<const N: usize>(ip: IpAddr, taken: &[u16]) -> ReservedPorts<N> {
     let mut sockets = Vec::new();
     let mut numbers = Vec::new();
     while numbers.len() < N {
-        let socket = hold(ip, 0);
+        let socket = reserve(ip, 0);
         let port = socket.local_addr().unwrap().port();
         sockets.push(socket);
         if !taken.contains(&port) {
             numbers.push(port);
         }
     }
-    HeldPorts {
+    ReservedPorts {
         numbers: numbers.try_into().unwrap(),
         _sockets: sockets,
     }
 }
 
 /// Holds a port of an address for one that will listen there; zero for any that is free.
-pub(super) fn hold(ip: IpAddr, port: u16) -> TcpSocket {
+pub(super) fn reserve(ip: IpAddr, port: u16) -> TcpSocket {
     let socket = match ip {
         IpAddr::V4(_) => TcpSocket::new_v4(),
         IpAddr::V6(_) => TcpSocket::new_v6(),
