--- a/fireflydirect/tests/processes.rs
+++ b/fireflydirect/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Real entries before stand-ins of the platform, under failure.
+//! Entry processes against stand-ins of the platform, with injected faults.
 
 mod support;
 
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use support::{KEY, Site, cases, check_runs, free_ports, outcome, until, whole_stream};
 
-/// About the time between two tellings of an entry.
+/// Approximate time between two announcements of an entry.
 const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(300);
 
-/// Fault of every upstream of a kind.
+/// Sets the answer fault of every upstream of a kind.
 fn set_fault_of_all(site: &Site, kind: EngineKind, fault: AnswerFault) {
     let upstreams = match kind {
         EngineKind::Model => &site.engines,
@@ -23,7 +23,7 @@
     }
 }
 
-/// Takes an engine away: it announces that it leaves, and ends a second and a half later.
+/// Removes an engine, with or without a leave notice, and kills it 1.5 s later.
 async fn remove_engine(site: &Site, engine: usize, announce: bool) {
     let leaving = &site.engines[engine];
     if announce {
@@ -36,7 +36,7 @@
     leaving.kill();
 }
 
-/// Entries whose ports are drawn: one pair in some 2,000 was the same when each was given back
+/// Entries whose ports are drawn: about one pair in 2,000 was equal when each port was released
 /// before the next was drawn.
 const DRAWN_ENTRIES: usize = 8_000;
 
@@ -53,11 +53,11 @@
     }
 }
 
-/// Starts whose ports are bound as a process binds them, while other processes are started beside.
+/// Starts whose ports are bound as a process binds them, while other processes are started.
 const STARTS: usize = 1_500;
 
-/// A process that is being started holds copies of all descriptors until it runs its program, and
-/// whoever asks the system for a port may be given one that was let go.
+/// A forked process holds copies of all descriptors until it executes its program, and the system
+/// may assign a released port to any other socket.
 #[test]
 fn ports_of_an_entry_stay_its_own_while_others_start() {
     let is_done = AtomicBool::new(false);
@@ -78,7 +78,7 @@
         let failed = (0..STARTS).filter(|_| start().is_err());
         let failed = failed.count();
         is_done.store(true, Ordering::Relaxed);
-        assert_eq!(failed, 0, "starts of {STARTS} whose ports were taken");
+        assert_eq!(failed, 0, "failed starts of {STARTS}, ports in use");
     });
 }
 
@@ -144,7 +144,7 @@
         site.until_ready(0).await;
     }
 
-    /// Each attempt has an id of its own; path, key and body are the same.
+    /// Each attempt has its own id; path, key and body are the same.
     refused_caller_is_let_in_at_another_entry(site: 2) {
         let large = |entry: usize, content: String| {
             site.call(entry, "POST", "/log/a?events=3000", &site.id())
@@ -152,8 +152,8 @@
                 .header("X-Length-Hint", "400")
                 .body(content)
         };
-        // One on each engine leaves room for a returning caller only. Near ties between the engines
-        // are drawn, so one refusal alone doesn't mean that both are taken.
+        // One generation on each engine leaves capacity for a returning caller only. Near ties between
+        // engines are drawn, so one refusal doesn't mean that both are occupied.
         let mut held = Vec::new();
         while held.len() < 2 {
             let answer = large(0, site.id()).send().await.unwrap();
@@ -163,7 +163,7 @@
         }
         let refused = large(0, site.id()).send().await.unwrap();
         assert_eq!(outcome(&refused), (503, Some(2011)));
-        until("what is placed", || async {
+        until("the assigned work", || async {
             for _ in 0..8 {
                 if large(1, site.id()).send().await.unwrap().status() != 503 {
                     return false;
@@ -172,11 +172,11 @@
             true
         })
         .await;
-        until("the telling", || async {
+        until("the announcement", || async {
             let content = site.id();
             assert_eq!(large(0, content.clone()).send().await.unwrap().status(), 503);
             tokio::time::sleep(ANNOUNCEMENT_DELAY).await;
-            // Asked for the first time here: only the other entry has refused it.
+            // First request at this entry: only the other one has refused it.
             large(1, content).send().await.unwrap().status() == 200
         })
         .await;
@@ -286,7 +286,7 @@
     }
 
     stream_is_moved_when_its_engine_leaves(site: 1) {
-        // The keeper of its copy leaves first, so that only a move saves the run.
+        // The backup holder leaves first, so that only a migration preserves the run.
         site.add_engine(2).await;
         until("the engine", || async { site.log(0).contains("m-2") }).await;
         let id = site.id();
@@ -302,7 +302,7 @@
     }
 
     stream_that_begins_after_notice_is_moved(site: 1) {
-        // Only one other engine is there, so that no copy is kept before the move.
+        // There is no second engine when the run begins, so there is no backup before the migration.
         set_fault_of_all(&site, EngineKind::Model, AnswerFault::Slow);
         site.engines[1].kill();
         site.store.remove("servers", "m-1");
@@ -319,7 +319,7 @@
         check_runs(&site, &id);
     }
 
-    /// Engine and keeper announce their leaving while the prompt is read, before the run has begun.
+    /// Engine and backup holder send leave notices while the prompt is read, before the run begins.
     stream_whose_keeper_left_first_is_moved(site: 1) {
         set_fault_of_all(&site, EngineKind::Model, AnswerFault::Slow);
         let id = site.id();
@@ -335,7 +335,7 @@
     }
 
     leaving_engine_is_asked_when_it_is_gone(site: 1) {
-        // The only other engine comes after the stream has begun, so that no copy is kept.
+        // The only other engine starts after the stream, so there is no backup.
         site.engines[1].kill();
         site.store.remove("servers", "m-1");
         until("one engine", || async { site.log(0).contains("upstream_leaves") }).await;
@@ -411,7 +411,7 @@
 
     changed_file_is_read_without_a_signal(site: 1) {
         site.corrupt_settings(0);
-        until("the look", || async { site.log(0).contains("signalled=false") }).await;
+        until("the settings check", || async { site.log(0).contains("signalled=false") }).await;
     }
 
     content_that_crashes_engines_is_refused_everywhere(site: 2) {
@@ -422,7 +422,7 @@
         set_fault_of_all(&site, EngineKind::Model, AnswerFault::Crashes);
         for crash in 1..=3 {
             let expected = format!("crashes={crash}");
-            // The stream has no head, so the call ends with an unknown outcome.
+            // There is no response head, so the call ends with an unknown outcome.
             let answer = site.generation(0, "/log/a", 5, &site.id()).send().await.unwrap();
             assert_eq!(answer.status(), 502);
             until("the count", || async { (0..2).all(|e| site.log(e).contains(&expected)) }).await;
--- a/fireflydirect/tests/processes_cold.rs
+++ b/fireflydirect/tests/processes_cold.rs
@@ -1,6 +1,6 @@
-//! A real entry whose engines have become cold.
+//! An entry process with cold engines.
 //!
-//! All that came went to them at once, as much as they had places.
+//! Guards against sending cold engines as many requests at once as they have slots.
 
 mod support;
 
@@ -8,10 +8,10 @@
 use std::time::Duration;
 use support::{KEY, Site, cases, until};
 
-/// Requests to a cold engine that are allowed in any second: 1.5 times what it bears and 5.
+/// Requests allowed to a cold engine in any second: 1.5 times its cold rate of 1, plus 5.
 const MAX_COLD_REQUESTS: usize = 6;
 
-/// Time in which an entry that has started learns how many there are.
+/// Time in which a started entry discovers the number of entries.
 const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(2_300);
 
 fn make_cold(site: &Site, engine: usize, millis: u32) {
@@ -29,7 +29,7 @@
     .await;
 }
 
-/// Sends generations at once; gives how many ran and how many were told to come back.
+/// Sends generations at once; returns how many ran and how many were refused with a retry delay.
 async fn send_at_once(site: &Site, count: usize) -> (usize, usize) {
     let ids: Vec<String> = (0..count).map(|_| site.id()).collect();
     let sent = ids
--- a/fireflydirect/tests/processes_evacuated.rs
+++ b/fireflydirect/tests/processes_evacuated.rs
@@ -1,7 +1,7 @@
-//! Real entries while the operator evacuates a data centre and takes it back.
+//! Entry processes while the operator evacuates a data centre and reinstates it.
 //!
-//! Users saw requests reach engines of an evacuated data centre later than allowed, with the store
-//! well and with it away or changed meanwhile.
+//! Guards against requests that reach engines of an evacuated data centre later than allowed, with
+//! the store healthy, unreachable or changed meanwhile.
 
 mod support;
 
@@ -14,7 +14,7 @@
     site.store.put("evacuations", data_centre, &json!({}));
 }
 
-/// Waits until an entry knows that these data centres are evacuated.
+/// Waits until an entry has applied the evacuation of exactly these data centres.
 async fn until_evacuated(site: &Site, entry: usize, data_centres: Value) {
     until("the evacuation", || async {
         site.status(entry).await["evacuated"] == data_centres
@@ -55,7 +55,7 @@
             check_no_new_runs_in_b(&site, entry).await;
         }
         assert_eq!(running.text().await.unwrap(), whole_stream(&id, 150));
-        assert_eq!(site.record.runs_of(&id).len(), 1, "it was moved");
+        assert_eq!(site.record.runs_of(&id).len(), 1, "the run was migrated");
     }
 
     data_centre_that_is_taken_back_serves_again(site: 1) {
@@ -100,7 +100,7 @@
         site.split_data_centres().await;
         site.store.set_mode(StoreMode::Stale);
         evacuate(&site, "b");
-        // The history of that time is dropped.
+        // The store's history of that time is dropped.
         site.store.set_mode(StoreMode::Up);
         for entry in 0..2 {
             until_evacuated(&site, entry, json!(["b"])).await;
--- a/fireflydirect/tests/processes_home.rs
+++ b/fireflydirect/tests/processes_home.rs
@@ -1,4 +1,4 @@
-//! A real entry whose routes and workspaces have home regions.
+//! An entry process with home regions of routes and workspaces.
 
 mod support;
 
@@ -11,7 +11,7 @@
     .await;
 }
 
-/// Sends calls and generations, all of which have to run on upstreams whose ids end like this.
+/// Sends calls and generations, all of which must run on upstreams whose ids end with `suffix`.
 async fn check_all_run_on(site: &Site, suffix: &str) {
     for n in 0..8 {
         let (call, generation) = (site.id(), site.id());
--- a/fireflydirect/tests/processes_incarnations.rs
+++ b/fireflydirect/tests/processes_incarnations.rs
@@ -1,4 +1,4 @@
-//! Real entries before engines that start again, and records of strangers.
+//! Entry processes with restarting engines and foreign records.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::{KEY, Site, cases, check_runs, until, whole_stream};
 
 cases! {
-    /// Nothing passes between the entry and the engine, so only the list tells that it started again.
+    /// The connection to the engine is silent, so only the list shows the restart.
     engine_that_starts_again_in_silence_ends_its_runs(site: 0) {
         let mut site = Site::without_entries().await;
         site.use_proxies().await;
@@ -41,7 +41,7 @@
         assert_eq!(stream.text().await.unwrap(), whole_stream(&id, 20));
     }
 
-    /// A stranger overwrites the record of one engine after the other; each writes its own again.
+    /// Foreign records of several kinds overwrite an engine's record; the engine rewrites its own.
     records_of_strangers_name_nobody(site: 1) {
         let other_service = site.engines[0].entry("records", "ready");
         let other_state = site.engines[0].entry("models", "asleep");
--- a/fireflydirect/tests/processes_leaving.rs
+++ b/fireflydirect/tests/processes_leaving.rs
@@ -1,4 +1,4 @@
-//! Real entries before upstreams that say in their answers that they leave.
+//! Entry processes with upstreams that send leave notices in their responses.
 
 mod support;
 
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant};
 use support::{Site, cases, check_runs, until, whole_stream};
 
-/// Header in which an upstream says that it leaves.
+/// Header of a leave notice.
 const LEAVING: &str = "Server-Leaving";
 
-/// Time after which an upstream that leaves gets nothing more: the users' bound.
+/// Time after which a departing upstream gets no more requests, as users require.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Calls an entry until an upstream has answered one.
+/// Calls an entry until an upstream has run a call.
 async fn call_until_run_by(site: &Site, entry: usize, instance: &str) {
     until("a run of the upstream", || async {
         let id = site.id();
@@ -28,7 +28,7 @@
     .await;
 }
 
-/// Runs of an upstream that began after `from`.
+/// Counts the runs of an upstream that began after `from`.
 fn runs_after(site: &Site, instance: &str, from: Instant) -> usize {
     let runs = site.record.runs();
     let later_runs = runs
@@ -37,9 +37,9 @@
     later_runs.count()
 }
 
-/// Waits until an entry shows that some upstream leaves.
+/// Waits until an entry shows a departing upstream.
 async fn until_leaving(site: &Site, entry: usize) {
-    until("word of the leaving", || async {
+    until("the leave notice", || async {
         let (_, shown) = site.run_fireflyctl(entry, &["entries", "upstreams"]).await;
         shown.contains(" leaving ")
     })
@@ -70,7 +70,7 @@
         let stream = site.large_prompt(0, "/log/a", 300, &id).send();
         let engine = site.engine_of(&id);
         let (answer, engine) = futures_util::future::join(stream, engine).await;
-        // The other one stays; only this one's answer was heard.
+        // The other engine stays, since only this one's response has arrived.
         until_leaving(&site, 0).await;
         let body = answer.unwrap().text().await.unwrap();
         assert_eq!(body, whole_stream(&id, 300));
--- a/fireflydirect/tests/processes_pause.rs
+++ b/fireflydirect/tests/processes_pause.rs
@@ -1,4 +1,4 @@
-//! Real entries before upstreams that turn requests away and say for how long they want nothing.
+//! Entry processes with upstreams that reject requests and ask for a pause.
 
 mod support;
 
@@ -6,16 +6,17 @@
 use std::time::{Duration, Instant};
 use support::{Site, cases, until};
 
-/// Header in which an upstream that turns a request away says for how long.
+/// Header of the pause requested by an upstream that rejects a request.
 const RETRY_AFTER: &str = "Retry-After";
 
-/// Time after such an answer from which requests count: the users' rule.
+/// Time after such a response from which requests count, as users require.
 const REACTION_TIME: Duration = Duration::from_millis(500);
 
-/// Requests that may reach the upstream between then and the end of the pause: the users' rule.
+/// Requests that may reach the upstream from then until the end of the pause, as users require.
 const MAX_REQUESTS_IN_PAUSE: usize = 2;
 
-/// Lets a plain upstream turn all requests away for a pause, until it has said so to the first entry.
+/// Makes a plain upstream reject all requests with a pause, and waits until it has rejected one of
+/// the first entry.
 async fn start_pause(site: &Site, plain: usize, seconds: &str) -> Instant {
     let upstream = &site.plains[plain];
     upstream.say(RETRY_AFTER, Some(seconds));
@@ -29,8 +30,8 @@
     Instant::now()
 }
 
-/// Requests that reach a plain upstream from half a second after its word to the end of its pause of
-/// three seconds, while callers go on asking; every caller gets `status`.
+/// Counts the requests that reach a plain upstream from half a second after its response to the end
+/// of its pause of three seconds, while callers continue; every caller gets `status`.
 async fn requests_in_pause(site: &Site, plain: usize, status: u16) -> usize {
     let started = start_pause(site, plain, "3").await;
     tokio::time::sleep(REACTION_TIME).await;
@@ -51,7 +52,7 @@
 
     only_upstream_that_asks_for_a_pause_gets_nothing_until_its_end(site: 1) {
         site.store.put("servers", "p-1", &site.plains[1].entry("records", "draining"));
-        until("word of the other one's leaving", || async {
+        until("the other upstream's leave notice", || async {
             site.run_fireflyctl(0, &["entries", "upstreams"]).await.1.contains(" leaving ")
         })
         .await;
--- a/fireflydirect/tests/processes_rate_limit.rs
+++ b/fireflydirect/tests/processes_rate_limit.rs
@@ -1,4 +1,5 @@
-//! Real entries before an upstream in need, which names the rate that it takes from all of them.
+//! Entry processes with a rate-limited upstream, which states the rate that it accepts from all of
+//! them.
 
 mod support;
 
@@ -6,26 +7,25 @@
 use std::time::{Duration, Instant};
 use support::{Site, cases, outcome, until};
 
-/// Header in which an upstream names its rate.
+/// Header of an upstream's rate limit.
 const RATE_LIMIT: &str = "Server-Limit";
 
-/// Span in which requests to a limited upstream are counted: the users' bound.
+/// Window in which requests to a rate-limited upstream are counted, as users require.
 const RATE_WINDOW: Duration = Duration::from_secs(4);
 
-/// Requests in that span that the rule allows an upstream that named 2 a second: half more than
-/// that, and 5.
+/// Requests allowed in that window at a limit of 2 per second: 1.5 times the limit, plus 5.
 const MAX_LIMITED_REQUESTS: usize = 17;
 
-/// Time in which an entry that has started learns how many there are.
+/// Time in which a started entry discovers the number of entries.
 const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(2_300);
 
-/// Calls that each entry is sent for so long, one after the other at even times.
+/// Sends each entry sequential calls at even intervals for `span`.
 async fn call_all(site: &Site, per_second: u32, span: Duration) {
     let end = Instant::now() + span;
     let calls = (0..site.entries.len()).map(|entry| async move {
         while Instant::now() < end {
             let call = site.call(entry, "GET", "/fetch/a", &site.id());
-            // What callers get is checked elsewhere.
+            // Answers are checked elsewhere.
             let _ = call.send().await;
             tokio::time::sleep(Duration::from_secs(1) / per_second).await;
         }
@@ -33,7 +33,8 @@
     futures_util::future::join_all(calls).await;
 }
 
-/// Most runs of an upstream within [`SPAN`], of those that began later than `from`.
+/// Returns the maximum number of an upstream's runs within [`RATE_WINDOW`], among those that began
+/// after `from`.
 fn max_runs_in_window(site: &Site, instance: &str, from: Instant) -> usize {
     let runs = site.record.runs();
     let began = runs.iter().filter(|r| r.instance == instance);
@@ -47,9 +48,9 @@
     most
 }
 
-/// Waits until an entry shows that a plain upstream is limited, or no longer.
+/// Waits until an entry shows a rate-limited upstream, or none any more.
 async fn until_limited(site: &Site, entry: usize, is_limited: bool) {
-    until("word of the limit", || async {
+    until("the limit's state", || async {
         let (_, shown) = site.run_fireflyctl(entry, &["entries", "upstreams"]).await;
         shown.contains(" limited ") == is_limited
     })
@@ -61,7 +62,7 @@
         let only = &site.plains[0];
         site.store.put("servers", "p-1", &site.plains[1].entry("records", "draining"));
         only.say(RATE_LIMIT, Some("50"));
-        // The call may go to the upstream that leaves until that has been heard of.
+        // The call may go to the departing upstream until its leave notice has arrived.
         until("an answer that names the limit", || async {
             let id = site.id();
             site.call(0, "GET", "/fetch/a", &id).send().await.unwrap();
@@ -71,7 +72,7 @@
         .await;
         until_limited(&site, 1, true).await;
         only.say(RATE_LIMIT, None);
-        // An entry that has just started has no share of a rate and refuses.
+        // An entry that has just started has no share of the rate and refuses.
         until("a call that is served", || async {
             let call = site.call(0, "GET", "/fetch/a", &site.id());
             call.send().await.unwrap().status() == 200
@@ -102,7 +103,7 @@
         site.plains[0].say(RATE_LIMIT, Some("1"));
         site.plains[0].set_fault(AnswerFault::Fails);
         tokio::time::sleep(PEER_DISCOVERY_TIME).await;
-        // Each call may be tried twice; four requests are allowed once the rate is known.
+        // Each call may have two attempts; four requests are allowed once the rate is known.
         for _ in 0..3 {
             let id = site.id();
             let answer = site.call(0, "GET", "/fetch/a", &id).send().await.unwrap();
@@ -121,7 +122,7 @@
         }
         let runs = site.record.runs();
         let limited = runs.iter().filter(|run| run.instance == "p-0").count();
-        // Each entry has to hear of it first.
+        // Each entry has to receive the limit first.
         assert!(limited <= 2 + 4, "{limited}");
     }
 
--- a/fireflydirect/tests/soak.rs
+++ b/fireflydirect/tests/soak.rs
@@ -1,8 +1,9 @@
-//! A randomized soak: real entries, harmed from outside, judged by what callers and upstreams see.
+//! Randomized soak of entry processes under injected faults, checked by what callers and upstreams
+//! observe.
 //!
-//! `FIREFLY_SOAK_SEEDS` names the seeds (default: the short run of CI), `FIREFLY_SOAK_SECONDS` the
-//! length of each and `FIREFLY_SOAK_ENTRIES` the number of entries. A seed gives the same plan of
-//! faults each time; a failed one prints it and the lines of the requests concerned.
+//! `FIREFLY_SOAK_SEEDS` names the seeds (default: the short CI run), `FIREFLY_SOAK_SECONDS` the
+//! length of each and `FIREFLY_SOAK_ENTRIES` the number of entries. A seed always gives the
+//! same fault plan; a failed one prints it and the log lines of the requests concerned.
 
 mod soak_parts {
     pub(crate) mod callers;
@@ -20,29 +21,29 @@
 use std::time::Duration;
 use support::{KEY, Site, until};
 
-/// Seeds of the short run; each that ever failed stays here, with its cause.
+/// Seeds of the short run; each that has ever failed is kept, with its cause.
 ///
-/// - 1, 2, 3: the first ones tried.
-/// - 15725: an entry that had just started took a stranger's record, which named a service that is
-///   there, for the upstream's own, and sent it calls of that service.
+/// - 1, 2, 3: general coverage.
+/// - 15725: a newly started entry took a foreign record with an existing service for the upstream's
+///   own, and sent the upstream calls of that service.
 const DEFAULT_SEEDS: &str = "1,2,3,15725";
 
-/// The same of soaks with drills of the store.
+/// Default seeds of soaks with restore drills of the store.
 const DEFAULT_DRILL_SEEDS: &str = "1,2";
 
-/// The same of soaks with upstreams that say what they want of requests to come.
+/// Default seeds of soaks with upstreams that state rate limits, leave notices or pauses.
 const DEFAULT_CONDITION_SEEDS: &str = "1,2,3";
 
-/// Length of a soak that names none, in seconds.
+/// Default length of a soak in seconds.
 const DEFAULT_SECONDS: u64 = 5;
 
-/// Entries of a soak that names none.
+/// Default number of entries.
 const DEFAULT_ENTRIES: u8 = 3;
 
-/// Callers at a time.
+/// Concurrent callers.
 const CALLER_COUNT: usize = 12;
 
-/// Model engines at the start: two stay, so fewer would never be taken away.
+/// Initial model engines: two always stay, so with fewer none would be removed.
 const INITIAL_ENGINES: u8 = 4;
 
 fn env_or<T: std::str::FromStr>(name: &str, default: T) -> T {
@@ -56,7 +57,7 @@
     run_plan(&format!("seed {seed}"), &steps, seconds).await;
 }
 
-/// Plays faults and checks every promise.
+/// Runs a fault plan and checks every guarantee.
 async fn run_plan(name: &str, steps: &[Step], seconds: Duration) {
     let entries: u8 = env_or("FIREFLY_SOAK_ENTRIES", DEFAULT_ENTRIES);
     let restarts = steps
@@ -117,7 +118,7 @@
 
 fn report(name: &str, steps: &[Step], breaches: &[Breach], site: &Site) -> String {
     let mut lines = vec![format!(
-        "{name}: again by scripts/soak, with the number of a seed"
+        "{name}: rerun with scripts/soak and the number of the seed"
     )];
     lines.extend(steps.iter().map(|s| format!("  {s:?}")));
     for breach in breaches {
@@ -135,7 +136,7 @@
     lines.join("\n")
 }
 
-/// Each seed keeps all promises; they run one after another.
+/// Every seed, one after another, keeps all guarantees.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn seeds_keep_the_promises() {
     let seeds: String = env_or("FIREFLY_SOAK_SEEDS", DEFAULT_SEEDS.to_owned());
@@ -144,7 +145,7 @@
     }
 }
 
-/// Drills of the store among all other faults.
+/// Restore drills of the store combined with all other faults.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn drills_among_faults_keep_the_promises() {
     let seeds: String = env_or("FIREFLY_SOAK_DRILL_SEEDS", DEFAULT_DRILL_SEEDS.to_owned());
@@ -155,7 +156,7 @@
     }
 }
 
-/// Upstreams that name rates, say that they leave or ask for pauses, among all other faults.
+/// Rate limits, leave notices and pauses of upstreams combined with all other faults.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn conditions_among_faults_keep_the_promises() {
     let seeds: String = env_or(
@@ -169,8 +170,7 @@
     }
 }
 
-/// An upstream in need names its rate while callers press, and nothing happens that would excuse
-/// more.
+/// Upstreams state rate limits under load, and no fault excuses an excess.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn upstreams_in_need_get_what_they_name() {
     let step = |millis, pick| Step {
@@ -183,7 +183,7 @@
     run_plan("rates", &steps, Duration::from_secs(9)).await;
 }
 
-/// Answers of engines say that they leave, and the store hears of it seconds later.
+/// Responses of engines carry leave notices seconds before the store does.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn engines_whose_answers_say_that_they_leave_get_nothing() {
     let step = |millis, pick| Step {
@@ -196,8 +196,7 @@
     run_plan("leaving by answers", &steps, Duration::from_secs(8)).await;
 }
 
-/// Strangers overwrite one record after the other, and nothing else happens that would excuse work
-/// by them.
+/// Foreign records overwrite engines' records, and no other fault excuses work because of them.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn strangers_records_bring_no_work() {
     let step = |millis, pick| Step {
@@ -210,8 +209,9 @@
     run_plan("strangers' records", &steps, Duration::from_secs(6)).await;
 }
 
-/// Upstreams leave the list without a word as the doubt after an outage of the store is about to end;
-/// work on them is excused for 5 s from its return on, and they leave 2.5 and 3 s after it.
+/// Upstreams leave the list unannounced near the end of the unconfirmed period after a store outage.
+///
+/// Work on them is excused for 5 s after the store's return; they leave 2.5 and 3 s after it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn upstreams_that_leave_after_an_outage_get_nothing() {
     let step = |millis, pick, fault| Step {
--- a/fireflydirect/tests/soak_parts/callers.rs
+++ b/fireflydirect/tests/soak_parts/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a soak: they ask, keep their connections, and note what they got.
+//! Callers of a soak: they send requests over persistent connections and record the outcomes.
 
 use crate::support::{KEY, whole_stream};
 use reqwest::Client;
@@ -8,16 +8,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Longest time that a caller waits for a whole answer.
+/// Timeout of a caller for a complete answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Pause between two requests of one caller.
+/// Delay between two requests of a caller.
 const REQUEST_DELAY: Duration = Duration::from_millis(15);
 
-/// Events of a stream that takes long; shorter ones take turns with it.
-const MAX_EVENTS: u64 = 120;
+/// Number of different stream lengths, which alternate from 2 events upwards.
+const EVENT_COUNT_RANGE: u64 = 120;
 
-/// What callers share.
+/// State shared by all callers.
 #[derive(Clone, Debug)]
 pub(crate) struct Callers {
     entries: Arc<Vec<SocketAddr>>,
@@ -27,7 +27,7 @@
 }
 
 impl Callers {
-    /// Callers of those entries.
+    /// Creates callers of these entries.
     pub(crate) fn new(entries: Vec<SocketAddr>) -> Self {
         Self {
             entries: Arc::new(entries),
@@ -37,17 +37,17 @@
         }
     }
 
-    /// Attempts that have ended.
+    /// Returns the attempts that have ended.
     pub(crate) fn attempts(&self) -> Vec<Attempt> {
         self.attempts.lock().unwrap().clone()
     }
 
-    /// Lets all callers end after the request at hand.
+    /// Makes all callers stop after their current request.
     pub(crate) fn end(&self) {
         self.ended.store(true, Ordering::Relaxed);
     }
 
-    /// One caller, with connections of its own.
+    /// Runs a caller with its own connections.
     pub(crate) async fn run(self, client: Client) {
         while !self.ended.load(Ordering::Relaxed) {
             let number = self.next.fetch_add(1, Ordering::Relaxed);
@@ -65,7 +65,7 @@
             2 => Kind::Log,
             _ => Kind::Grade,
         };
-        let events = 2 + number * 7 % MAX_EVENTS;
+        let events = 2 + number * 7 % EVENT_COUNT_RANGE;
         let (method, path, owed) = match kind {
             Kind::Fetch => (
                 "GET",
@@ -88,7 +88,7 @@
                 whole_stream(&id, events),
             ),
         };
-        // Callers come to entries unevenly, as through a balancer.
+        // The load on entries is uneven, as behind a load balancer.
         let entry = usize::try_from(number * number).unwrap_or(0) % self.entries.len();
         let mut req = client
             .request(
--- a/fireflydirect/tests/soak_parts/conditions.rs
+++ b/fireflydirect/tests/soak_parts/conditions.rs
@@ -1,25 +1,24 @@
-//! What upstreams of a soak say in their answers of the requests to come.
+//! Rate limits, leave notices and pauses in the responses of a soak's upstreams.
 
 use crate::soak_parts::faults::{DRAIN_TIMES, Soak, Undo};
 use standins::site::{AnswerFault, EngineKind, NamedRate};
 use std::time::{Duration, Instant};
 
-/// Header in which an upstream names the requests a second that it takes from all entries.
+/// Header of the requests per second that an upstream accepts from all entries.
 const RATE_LIMIT: &str = "Server-Limit";
 
-/// Time for which a rate is named on top of the fault's own: longer than the span in which requests
-/// are counted.
+/// Time added to a rate fault's duration: longer than the window in which requests are counted.
 const RATE_EXTENSION: Duration = Duration::from_secs(5);
 
-/// Header in which an upstream says that it leaves.
+/// Header of a leave notice.
 const LEAVING: &str = "Server-Leaving";
 
-/// Header in which an upstream that turns a request away asks for a pause, and the pause.
+/// Header of the pause requested by an upstream that rejects a request, and its value.
 const RETRY_AFTER: &str = "Retry-After";
 const PAUSE_SECONDS: &str = "1.5";
 
 impl Soak {
-    /// Lets an upstream name a rate until some time after `end`, unless it names one.
+    /// Makes an upstream state a rate limit until some time after `end`, unless it states one.
     pub(super) fn name_rate(&mut self, pick: usize, end: Instant) {
         let end = end + RATE_EXTENSION;
         let (kind, number) = self.pick_upstream(pick);
@@ -44,7 +43,7 @@
         self.upstream(kind, number).say(RATE_LIMIT, None);
     }
 
-    /// Lets the answers of an engine say that it leaves; the store hears of it at `listed_at`.
+    /// Adds leave notices to the responses of an engine; the store shows them at `listed_at`.
     pub(super) async fn say_leaving(&mut self, pick: usize, listed_at: Instant) {
         let Some(engine) = self.pick_removable_engine(pick) else {
             return;
@@ -59,7 +58,7 @@
             .push((listed_at, Undo::ListLeaving(engine)));
     }
 
-    /// The store hears that an engine leaves, which ends some time later.
+    /// Records an engine's leave notice in the store; the engine ends some time later.
     pub(super) async fn list_leaving(&mut self, engine: usize) {
         let instance = self.site.engines[engine].instance();
         self.evidence.notices.insert(instance, Instant::now());
@@ -70,7 +69,7 @@
         self.pending_undos.push((end, Undo::EndEngine(engine)));
     }
 
-    /// Lets a plain upstream turn requests away and ask for pauses until `end`.
+    /// Makes a plain upstream reject requests and ask for pauses until `end`.
     pub(super) fn request_pause(&mut self, plain: usize, end: Instant) {
         let upstream = &self.site.plains[plain];
         upstream.say(RETRY_AFTER, Some(PAUSE_SECONDS));
--- a/fireflydirect/tests/soak_parts/faults.rs
+++ b/fireflydirect/tests/soak_parts/faults.rs
@@ -1,4 +1,4 @@
-//! What is done to a site in a soak, how it ends, and what the oracle has to know of it.
+//! Injects and undoes a soak's faults, and records the evidence for the checker.
 
 use crate::soak_parts::plan::{Fault, Step};
 use crate::support::{KEY, Site};
@@ -7,48 +7,48 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-/// Time from a notice to the end of an upstream, of one that is soon gone and of one that stays: only
-/// the second shows work that comes too late.
+/// Times from the leave notice to the end of an upstream: a short one, and one long enough to show
+/// work that arrives too late.
 pub(super) const DRAIN_TIMES: [Duration; 2] =
     [Duration::from_millis(1_700), Duration::from_secs(6)];
 
-/// Time after a pause or a cut in which an entry may not know or act yet: its own time-outs, and
-/// the users' window in which it doesn't count as in touch.
+/// Time after a pause or a cut in which an entry may lack knowledge or not act yet: its own timeouts
+/// and the users' window in which it counts as disconnected.
 const EXCUSE_MARGIN: Duration = Duration::from_secs(5);
 
-/// Calls on which the store hangs at a time.
+/// Calls on which the store hangs per fault.
 const HANGING_CALLS: u32 = 4;
 
-/// Time by which late answers of the store come late: slow, and within the entries' patience.
+/// Delay of late store answers: slow, but within the entries' timeouts.
 const STORE_DELAY: Duration = Duration::from_millis(250);
 
-/// Time for which a stranger's record stays on top of the fault's own: longer than the oracle allows
-/// new work after it.
+/// Time added to the duration of a foreign record: longer than the checker allows new work after
+/// it.
 const OVERWRITE_EXTENSION: Duration = Duration::from_secs(4);
 
-/// Time after a drill of the store in which upstreams and the operator have written again.
+/// Time after a restore drill in which upstreams and the operator rewrite their records.
 const REWRITE_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Most engines of a soak; addresses end with their numbers.
+/// Maximum engines of a soak; addresses end with their numbers.
 const MAX_ENGINES: usize = 40;
 
-/// A site with what was done to it.
+/// A site, its pending faults and the evidence collected.
 pub(crate) struct Soak {
     pub(crate) site: Site,
     pub(crate) start: Instant,
     pub(crate) evidence: Evidence,
-    /// What has to be undone, and when.
+    /// Faults to undo, with their times.
     pub(super) pending_undos: Vec<(Instant, Undo)>,
     pub(super) announced: HashMap<usize, bool>,
-    /// Copies of the store that it has yet to come back from.
+    /// Store snapshots still to be restored, by number.
     copies: HashMap<usize, Snapshot>,
-    /// Service that strangers name. Entries that knew an upstream see that it can't have changed to
-    /// one that is there; those that start anew have nothing to tell that by, and the platform's
-    /// strangers name one that isn't there.
+    /// Service named in foreign records. Entries that know an upstream detect a change to another
+    /// existing service; restarted entries can't, and foreign records of the platform name one that
+    /// doesn't exist.
     foreign_service: &'static str,
 }
 
-/// How a fault ends.
+/// Action that ends a fault.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Undo {
     EndEngine(usize),
@@ -58,20 +58,19 @@
     Resume(usize),
     StartEntry(usize),
     OwnRecord(usize),
-    /// An upstream takes any rate again.
+    /// An upstream lifts its rate limit.
     Rate(EngineKind, usize),
-    /// The store hears that a model engine leaves, which ends later.
+    /// The store gets the leave notice of a model engine, which ends later.
     ListLeaving(usize),
-    /// A plain upstream takes requests again.
+    /// A plain upstream accepts requests again.
     Pause(usize),
-    /// The store comes back from the copy of that number.
+    /// The store is restored from the snapshot of that number.
     Drill(usize),
     RewriteRecords,
 }
 
 impl Soak {
-    /// A site that nothing was done to yet; strangers name `strange_service` in the records that they
-    /// overwrite.
+    /// Creates a soak without faults; foreign records name `foreign_service`.
     pub(crate) fn new(site: Site, foreign_service: &'static str) -> Self {
         Self {
             site,
@@ -84,20 +83,20 @@
         }
     }
 
-    /// Model engines that have not left.
+    /// Returns the model engines that have not left.
     fn active_engines(&self) -> Vec<usize> {
         (0..self.site.engines.len())
             .filter(|e| !self.announced.contains_key(e))
             .collect()
     }
 
-    /// One that may be taken away: two stay, so that there is always somebody to serve.
+    /// Picks an engine to remove; two always stay, so that requests can be served.
     pub(super) fn pick_removable_engine(&self, pick: usize) -> Option<usize> {
         let candidates = self.active_engines();
         (candidates.len() > 2).then(|| candidates[pick % candidates.len()])
     }
 
-    /// One whose record may be overwritten: one stays that has its own.
+    /// Picks an engine whose record may be overwritten; one engine always keeps its own record.
     fn pick_engine_with_own_record(&self, pick: usize) -> Option<usize> {
         let now = Instant::now();
         let is_overwritten = |engine: &usize| {
@@ -183,7 +182,7 @@
             Fault::UpstreamConnection(harm) => {
                 let (kind, number) = self.pick_upstream(step.pick);
                 self.set_harm(kind, number, harm);
-                // A cut upstream can't hear that its caller has left.
+                // A cut upstream can't detect that its caller has disconnected.
                 self.excuse_failures(step.span);
                 self.pending_undos
                     .push((end, Undo::UpstreamConnection(kind, number)));
@@ -197,7 +196,7 @@
             Fault::Drill => self.begin_drill(step.span),
             Fault::DenyEntry => {
                 self.excuse_failures(step.span);
-                // Through the proxy all entries look alike, so the store turns all of it away.
+                // Behind the proxy all entries have one address, so the store denies all of them.
                 let proxy = IpAddr::V4(self.site.entries[0].ip);
                 self.site
                     .store
@@ -260,7 +259,7 @@
         self.site.engines[engine].start_again().await.unwrap();
         let instance = self.site.engines[engine].instance();
         let now = Instant::now();
-        // The life that named a rate has ended.
+        // The incarnation that stated the rate limit has ended.
         for rate in &mut self.evidence.rates {
             if rate.instance == instance {
                 rate.span.1 = rate.span.1.min(now);
@@ -280,7 +279,7 @@
         self.site.register(EngineKind::Model, engine, "ready").await;
     }
 
-    /// Overwrites the record of an engine, which writes its own again at `end`.
+    /// Overwrites the record of an engine, which rewrites its own at `end`.
     fn overwrite_record(&mut self, engine: usize, pick: usize, end: Instant) {
         let instance = self.site.engines[engine].instance();
         let mut foreign = self.site.engines[engine].entry("models", "ready");
@@ -336,7 +335,7 @@
 
     async fn undo(&mut self, undo: Undo) {
         match undo {
-            // One that has left meanwhile writes nothing more.
+            // An engine that has left meanwhile writes nothing.
             Undo::OwnRecord(engine) if self.announced.contains_key(&engine) => {}
             Undo::OwnRecord(engine) => self.write_own_record(engine).await,
             Undo::Drill(number) => {
@@ -369,7 +368,7 @@
         }
     }
 
-    /// Upstreams and the operator write what the copy may lack; records of those that are gone lapse.
+    /// Upstreams and the operator rewrite what the snapshot may lack; records of gone ones expire.
     async fn rewrite_records(&mut self) {
         for engine in self.active_engines() {
             self.write_own_record(engine).await;
@@ -388,7 +387,7 @@
         self.site.publish(&[KEY]);
     }
 
-    /// Whether an engine that has left is yet to end.
+    /// Returns whether an engine that has left still serves.
     fn serves_on(&self, engine: usize) -> bool {
         let mut due = self.pending_undos.iter();
         due.any(|(_, undo)| matches!(undo, Undo::EndEngine(e) if *e == engine))
@@ -406,7 +405,7 @@
         }
     }
 
-    /// Applies the steps and undoes each in its time, and all at the end.
+    /// Applies the steps, undoes each at its time, and undoes the rest at the end.
     pub(crate) async fn run(&mut self, steps: &[Step], length: Duration) {
         let mut steps = steps.iter().peekable();
         while self.start.elapsed() < length {
@@ -419,7 +418,7 @@
         self.undo_due(true).await;
     }
 
-    /// After all faults have ended, every entry serves under the newest configuration.
+    /// Checks that after all faults every entry serves with the newest configuration.
     pub(crate) async fn recover(&mut self) {
         for entry in 0..self.site.entries.len() {
             self.site.entries[entry].restart_if_ended();
--- a/fireflydirect/tests/soak_parts/plan.rs
+++ b/fireflydirect/tests/soak_parts/plan.rs
@@ -1,78 +1,78 @@
-//! What goes wrong in a soak, and when: all of it follows from the seed.
+//! Fault plan of a soak, determined by the seed.
 
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use standins::site::{AnswerFault, Harm};
 use std::time::Duration;
 
-/// One thing that goes wrong, or is done to the site.
+/// A fault or an operation on the site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// A model engine dies; another takes its place.
+    /// A model engine is killed and replaced.
     KillEngine,
-    /// A model engine leaves, with or without announcing it; another comes.
+    /// A model engine leaves, with or without a leave notice, and is replaced.
     LeaveEngine {
-        /// Whether it announces it.
+        /// Whether it sends a leave notice.
         announced: bool,
     },
-    /// An upstream spoils its answers.
+    /// An upstream answers with a fault.
     Answers(AnswerFault),
-    /// A model engine starts again under its id, at once or in silence.
+    /// A model engine restarts under its id, at once or silently.
     RestartEngine {
-        /// Whether its connections fall silent before, and stay so for a while.
+        /// Whether its connections are silent before the restart and for a while after it.
         silent: bool,
     },
-    /// A stranger overwrites the record of a model engine.
+    /// A foreign record overwrites that of a model engine.
     OverwriteRecord,
     /// The store hangs on some calls and answers the others.
     HangCalls,
-    /// The answers of the store come late.
+    /// The store answers late.
     LateStore,
-    /// Reads of the store lie behind, and then its history is gone.
+    /// The store serves stale reads, then drops its history.
     StaleStore,
-    /// The connections to an upstream are harmed.
+    /// A fault on the connections to an upstream.
     UpstreamConnection(Harm),
-    /// The connections to the store are harmed.
+    /// A fault on the connections to the store.
     StoreConnection(Harm),
     /// The store drops its history.
     Compact,
-    /// The store comes back from a copy that was made when this began; upstreams and the operator
-    /// write again a moment later.
+    /// The store is restored from a snapshot made at the fault's start; upstreams and the operator
+    /// rewrite their records shortly after.
     Drill,
-    /// The store turns one entry away.
+    /// The store denies calls of entries.
     DenyEntry,
-    /// An entry stands still.
+    /// An entry is suspended.
     PauseEntry,
-    /// An entry is killed and started again.
+    /// An entry is killed and restarted.
     KillEntry,
-    /// An entry is stopped as planned and started again.
+    /// An entry is stopped gracefully and restarted.
     StopEntry,
-    /// An entry reads its settings again.
+    /// An entry reloads its settings.
     Reload,
-    /// The operator publishes the next version.
+    /// The operator publishes the next configuration version.
     Publish,
-    /// An upstream names a rate in its answers.
+    /// An upstream states a rate limit in its responses.
     NameRate,
-    /// The answers of a model engine say that it leaves; the store hears of it later.
+    /// Responses of a model engine carry leave notices; the store shows it later.
     SayLeaving,
-    /// A plain upstream turns requests away and asks for a pause.
+    /// A plain upstream rejects requests and asks for a pause.
     RequestPause,
 }
 
-/// A fault with its moment and length; `pick` chooses whom it meets.
+/// A fault with its time, duration and target.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Step {
     /// Time from the start.
     pub(crate) at: Duration,
-    /// How long it lasts, where it lasts.
+    /// Duration, for faults that last.
     pub(crate) span: Duration,
-    /// What happens.
+    /// The fault.
     pub(crate) fault: Fault,
-    /// Chooses among those whom it may meet.
+    /// Number that selects the target among the candidates.
     pub(crate) pick: usize,
 }
 
-/// The faults of a soak of that length, in order; the same seed gives the same ones.
+/// Returns the faults of a soak of `length`, in order; determined by the seed.
 pub(crate) fn plan(seed: u64, length: Duration) -> Vec<Step> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut steps = Vec::new();
@@ -84,13 +84,13 @@
             fault: draw_fault(&mut rng),
             pick: rng.random_range(0..1_000),
         });
-        // Some come together, some one after another.
+        // Some faults overlap, others follow each other.
         at += Duration::from_millis(rng.random_range(0..900));
     }
     steps
 }
 
-/// The same with drills of the store among the faults, some of them one right after the other.
+/// Adds restore drills of the store to the plan, some of them in quick succession.
 pub(crate) fn plan_with_drills(seed: u64, length: Duration) -> Vec<Step> {
     let mut rng = ChaCha8Rng::seed_from_u64(!seed);
     let mut steps = plan(seed, length);
@@ -108,7 +108,7 @@
     steps
 }
 
-/// The same with upstreams that say in their answers what they want of requests to come.
+/// Adds rate limits, leave notices and pauses of upstreams to the plan.
 pub(crate) fn plan_with_conditions(seed: u64, length: Duration) -> Vec<Step> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed.rotate_left(32));
     let mut steps = plan(seed, length);
--- a/fireflydirect/tests/support/entry.rs
+++ b/fireflydirect/tests/support/entry.rs
@@ -1,4 +1,4 @@
-//! One entry as a process.
+//! An entry process.
 
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -10,7 +10,7 @@
 
 /// An entry process.
 pub(crate) struct Entry {
-    /// Address of the VM.
+    /// Address of its VM.
     pub(crate) ip: Ipv4Addr,
     pub(super) callers: SocketAddr,
     pub(super) readiness: SocketAddr,
@@ -23,7 +23,7 @@
 }
 
 impl Entry {
-    /// Starts the process; its lines are appended to the log.
+    /// Starts the process, appending its output to the log.
     pub(crate) fn start(&mut self) {
         let log = fs::File::options()
             .create(true)
@@ -40,10 +40,10 @@
         self.child = Some(child);
     }
 
-    /// Kills the process without warning.
+    /// Kills the process with SIGKILL.
     pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself.
+            // It may have exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -56,7 +56,7 @@
         assert!(sent.unwrap().success());
     }
 
-    /// Whether the process runs.
+    /// Returns whether the process is running.
     pub(crate) fn is_running(&mut self) -> bool {
         let ended = self
             .child
@@ -68,14 +68,14 @@
         !ended
     }
 
-    /// Starts the process again if it has ended.
+    /// Restarts the process if it has exited.
     pub(crate) fn restart_if_ended(&mut self) {
         if !self.is_running() {
             self.start();
         }
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits for the process to exit successfully.
     pub(crate) async fn wait_for_exit(&mut self) {
         let mut child = self.child.take().unwrap();
         let status = tokio::task::spawn_blocking(move || child.wait()).await;
--- a/fireflydirect/tests/support/mod.rs
+++ b/fireflydirect/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A small site on loopback: the store, upstreams, and entries as real processes.
+//! A small site on loopback: store, upstreams and entry processes.
 
-// Each test file uses another part of it.
+// Each test file uses a different part of it.
 #![allow(dead_code, unused_macros, unused_imports)]
 
 mod entry;
@@ -20,10 +20,10 @@
 use serde_json::{Value, json};
 use standins::site::{Engine, EngineKind, Proxy, Record, RunEnd, Store};
 
-/// Longest wait for something that is to happen; a busy machine takes its time.
+/// Timeout of waits for a condition, generous for a busy machine.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Names each case, which runs on a site of so many entries.
+/// Defines test cases, each run on a site with the given number of entries.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident($site:ident: $entries:literal) $body:block)+) => {
         $(
@@ -52,7 +52,7 @@
     pub(crate) plains: Vec<Engine>,
     /// Entries.
     pub(crate) entries: Vec<Entry>,
-    /// What upstreams ran.
+    /// Runs recorded by upstreams.
     pub(crate) record: Record,
     /// Proxy before the store, if connections go through proxies.
     pub(crate) store_proxy: Option<Proxy>,
@@ -63,7 +63,7 @@
     _claim: TcpListener,
     peer_port: ReservedPorts<1>,
     version: u64,
-    /// Requests a second that a cold engine bears, as the next configuration says; zero for any.
+    /// Rate limit of cold engines per second in the next configuration; zero for none.
     pub(crate) cold_per_s: f64,
     /// Home regions of all routes of the next configuration.
     pub(crate) route_homes: Vec<&'static str>,
@@ -73,14 +73,15 @@
     ids: AtomicU64,
 }
 
-/// Log lines of a failed start that its message shows.
+/// Log lines shown when an entry fails to start.
 const LOG_TAIL_LINES: usize = 30;
 
 /// Key of the workspace `brand-a`.
 pub(crate) const KEY: &str = "key-a";
 
 impl Site {
-    /// Starts store, two engines, two plain services and so many entries, all ready.
+    /// Starts the store, two engines, two plain services and `entries` entries, and waits until the
+    /// entries are ready.
     pub(crate) async fn start(entries: u8) -> Self {
         let mut site = Self::without_entries().await;
         site.publish(&[KEY]);
@@ -144,7 +145,7 @@
             .unwrap()
     }
 
-    /// Starts a model engine that isn't on the store's list.
+    /// Starts a model engine without a record in the store.
     pub(crate) async fn start_engine(&mut self, number: u8) {
         let instance = format!("m-{number}");
         let engine = self
@@ -153,7 +154,7 @@
         self.engines.push(engine);
     }
 
-    /// Starts a model engine and enters it in the store's list.
+    /// Starts a model engine and registers it in the store.
     pub(crate) async fn add_engine(&mut self, number: u8) {
         let instance = format!("m-{number}");
         let engine = self
@@ -164,12 +165,12 @@
         self.engines.push(engine);
     }
 
-    /// Publishes the next version, with these keys for `brand-a`.
+    /// Publishes the next configuration version, with these keys for `brand-a`.
     pub(crate) fn publish(&mut self, keys: &[&str]) {
         self.publish_routes(keys, &[]);
     }
 
-    /// Publishes the next version with more routes, each a name and a prefix.
+    /// Publishes the next configuration version with additional routes, each a name and a prefix.
     pub(crate) fn publish_routes(&mut self, keys: &[&str], more: &[(&str, &str)]) {
         self.version += 1;
         let mut routes = vec![
@@ -201,7 +202,7 @@
         self.store.put("config", "main", &config);
     }
 
-    /// Starts one more entry, at the address that ends with `last`.
+    /// Starts another entry, at the address that ends with `last`.
     pub(crate) async fn add_entry(&mut self, last: u8) {
         let ip = Ipv4Addr::new(127, self.net[0], self.net[1], last);
         let [peer_port] = self.peer_port.numbers;
@@ -228,7 +229,7 @@
         self.entries.push(entry);
     }
 
-    /// Puts proxies before the store and the upstreams that are there.
+    /// Puts proxies in front of the store and the existing upstreams.
     pub(crate) async fn use_proxies(&mut self) {
         let proxy = Proxy::start(self.store.addr()).await.unwrap();
         self.store_proxy = Some(proxy);
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Enters an upstream in the store's list behind a proxy of its own.
+    /// Registers an upstream in the store, behind its own proxy.
     pub(crate) async fn register(&mut self, kind: EngineKind, number: usize, state: &str) {
         let (upstream, service) = match kind {
             EngineKind::Model => (&self.engines[number], "models"),
@@ -258,12 +259,12 @@
         self.store.put("servers", &instance, &entry);
     }
 
-    /// Client that keeps its connections.
+    /// Returns a client with persistent connections.
     pub(crate) fn client(&self) -> Client {
         self.client.clone()
     }
 
-    /// Where callers reach an entry.
+    /// Returns the address for callers of an entry.
     pub(crate) fn callers_of(&self, entry: usize) -> SocketAddr {
         self.entries[entry].callers
     }
@@ -285,12 +286,12 @@
         })
     }
 
-    /// Writes what is no settings into the file of an entry.
+    /// Makes the settings file of an entry invalid.
     pub(crate) fn corrupt_settings(&self, entry: usize) {
         fs::write(&self.entries[entry].settings, "{").unwrap();
     }
 
-    /// Waits until an entry says that it is ready; a failure shows the end of its log.
+    /// Waits until an entry reports readiness; a failure shows the end of its log.
     pub(crate) async fn until_ready(&self, entry: usize) {
         let end = Instant::now() + WAIT_TIMEOUT;
         while !self.is_ready(entry).await {
@@ -303,7 +304,7 @@
         }
     }
 
-    /// The last lines of an entry's log.
+    /// Returns the last lines of an entry's log.
     fn log_tail(&self, entry: usize) -> String {
         let log = self.log(entry);
         let lines: Vec<&str> = log.lines().collect();
@@ -311,19 +312,19 @@
         lines[from..].join("\n")
     }
 
-    /// Whether an entry says that it is ready.
+    /// Returns whether an entry reports readiness.
     pub(crate) async fn is_ready(&self, entry: usize) -> bool {
         let url = format!("http://{}/v1/readyz", self.entries[entry].readiness);
         let response = Client::new().get(url).send().await;
         response.is_ok_and(|r| r.status() == 200)
     }
 
-    /// A new id of a request.
+    /// Returns a new request id.
     pub(crate) fn id(&self) -> String {
         format!("r{}", self.ids.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// A plain call with the key of `brand-a`.
+    /// Builds a plain call with the key of `brand-a`.
     pub(crate) fn call(&self, entry: usize, method: &str, path: &str, id: &str) -> RequestBuilder {
         let method = method.parse().unwrap();
         let url = format!("http://{}{path}", self.entries[entry].callers);
@@ -335,7 +336,7 @@
             .header("X-Credential", KEY)
     }
 
-    /// A generation of so many events.
+    /// Builds a generation of `events` events.
     pub(crate) fn generation(
         &self,
         entry: usize,
@@ -349,8 +350,9 @@
             .header("X-Prompt-Prefix", "a1:80,b2:420")
     }
 
-    /// A generation of so many events that fills two fifths of an engine with its prompt, and whose
-    /// answer is expected to be too short for a copy, which would load the other engine as much.
+    /// Builds a generation whose prompt fills two fifths of an engine.
+    ///
+    /// Its expected answer is too short for a backup, which would load the other engine as much.
     pub(crate) fn large_prompt(
         &self,
         entry: usize,
@@ -369,7 +371,7 @@
             .body("prompt")
     }
 
-    /// The engine that runs a request now.
+    /// Returns the engine of a request's latest run.
     pub(crate) async fn engine_of(&self, id: &str) -> usize {
         until("the run", || async { !self.record.runs_of(id).is_empty() }).await;
         let runs = self.record.runs_of(id);
@@ -380,12 +382,12 @@
             .unwrap()
     }
 
-    /// Log lines of an entry.
+    /// Returns the log of an entry.
     pub(crate) fn log(&self, entry: usize) -> String {
         fs::read_to_string(&self.entries[entry].log).unwrap_or_default()
     }
 
-    /// What `fireflyctl explain` names as the cause of a request's outcome.
+    /// Returns the cause of a request's outcome that `fireflyctl explain` shows.
     pub(crate) fn cause(&self, id: &str) -> String {
         let texts: Vec<String> = (0..self.entries.len()).map(|e| self.log(e)).collect();
         let lines = texts.iter().flat_map(|t| t.lines());
@@ -395,7 +397,7 @@
         fireflyctl::build_timeline(lines, id).map_or_else(String::new, |s| s.cause)
     }
 
-    /// Runs `fireflyctl` against an entry; gives its exit status and what it printed.
+    /// Runs `fireflyctl` against an entry; returns its exit status and standard output.
     pub(crate) async fn run_fireflyctl(&self, entry: usize, args: &[&str]) -> (u8, String) {
         let node = self.entries[entry].operators.to_string();
         let first = ["fireflyctl", "--nodes", &node];
@@ -413,7 +415,7 @@
         tokio::task::spawn_blocking(run).await.unwrap()
     }
 
-    /// What an entry shows operators of itself.
+    /// Returns the status that an entry shows operators.
     pub(crate) async fn status(&self, entry: usize) -> Value {
         let (_, shown) = self
             .run_fireflyctl(entry, &["entries", "status", "--json"])
@@ -422,8 +424,7 @@
         shown[0]["entry"].clone()
     }
 
-    /// Puts the second engine and the second plain service into the data centre `b`, in the region
-    /// `south`.
+    /// Moves the second engine and the second plain service to the data centre `b` in region `south`.
     pub(crate) async fn split_data_centres(&self) {
         for (upstream, service) in [(&self.engines[1], "models"), (&self.plains[1], "records")] {
             let mut entry = upstream.entry(service, "ready");
@@ -440,7 +441,7 @@
         }
     }
 
-    /// Metrics of an entry.
+    /// Returns the metrics of an entry.
     pub(crate) async fn metrics(&self, entry: usize) -> String {
         let url = format!("http://{}/metrics", self.entries[entry].operators);
         Client::new()
@@ -453,7 +454,7 @@
             .unwrap()
     }
 
-    /// Promises that hold in every test, as upstreams saw them.
+    /// Checks guarantees that hold in every test, as seen by upstreams.
     pub(crate) fn check(&self) {
         for run in self.record.runs() {
             assert!(!run.saw_key, "the key reached an upstream: {run:?}");
@@ -468,7 +469,7 @@
             entry.kill();
         }
         if !std::thread::panicking() {
-            // What is left of it does no harm.
+            // A leftover folder does no harm.
             let _ = fs::remove_dir_all(&self.folder);
         }
     }
@@ -487,7 +488,7 @@
         "max_attempts": attempts, "public": false, "resumable": resumable})
 }
 
-/// Waits until `holds`.
+/// Waits until `holds` returns true; `what` names the condition in the failure message.
 pub(crate) async fn until<F: Future<Output = bool>>(what: &str, mut holds: impl FnMut() -> F) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
@@ -496,24 +497,28 @@
     }
 }
 
-/// Status and `X-Firefly-Code` of an answer.
+/// Returns status and `X-Firefly-Code` of an answer.
 pub(crate) fn outcome(answer: &Response) -> (u16, Option<u32>) {
     let code = answer.headers().get("x-firefly-code");
     let code = code.and_then(|c| c.to_str().ok()?.parse().ok());
     (answer.status().as_u16(), code)
 }
 
-/// The whole stream that a generation of so many events gives.
+/// Returns the complete stream of a generation of `events` events.
 pub(crate) fn whole_stream(id: &str, events: u64) -> String {
     let event = |n| format!("id: {n}\ndata: {id} {n}\n\n");
     (1..=events).map(event).collect()
 }
 
-/// Runs of one request never overlap, and each goes on where the one before was left.
+/// Checks that the runs of a request don't overlap and each resumes from the memory of the previous.
 pub(crate) fn check_runs(site: &Site, id: &str) {
     let runs = site.record.runs_of(id);
     for pair in runs.windows(2) {
-        assert!(pair[1].from_memory, "run anew: {runs:#?}");
-        assert_ne!(pair[0].end.0, RunEnd::Running, "two at once: {runs:#?}");
+        assert!(pair[1].from_memory, "rerun without memory: {runs:#?}");
+        assert_ne!(
+            pair[0].end.0,
+            RunEnd::Running,
+            "overlapping runs: {runs:#?}"
+        );
     }
 }
--- a/fireflydirect/tests/support/ports.rs
+++ b/fireflydirect/tests/support/ports.rs
@@ -1,17 +1,19 @@
-//! Networks and ports that no other test uses.
+//! Loopback networks and ports that are unique to a test.
 
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, Ordering};
 use tokio::net::TcpSocket;
 
-/// Networks of tests, so that none meets another's addresses.
+/// Next network number, so that the tests of a process use different addresses.
 static NETS: AtomicU8 = AtomicU8::new(1);
 
-/// Port that a test holds on the last address of its network for as long as it uses the network:
-/// below those that the system gives out, so that it can only be held by another test.
+/// Port that a test holds on the last address of its network while it uses the network.
+///
+/// It is below the system's ephemeral ports, so only another test can hold it.
 const CLAIM_PORT: u16 = 7_199;
 
-/// A network that no other test of this machine uses, and the listener that holds it.
+/// Claims a network that no other test on this machine uses; returns it and the listener that holds
+/// it.
 pub(super) fn claim_net() -> ([u8; 2], TcpListener) {
     let pid = std::process::id().to_le_bytes()[0] % 100;
     loop {
@@ -23,18 +25,18 @@
     }
 }
 
-/// Ports of an address that the system gives to nobody else until this is dropped.
+/// Ports of an address, reserved until dropped.
 ///
-/// Each is bound by a socket that never listens, beside which a process may bind and listen: both
-/// allow the address to be used again. A listener that is let go may live on in another process that
-/// is just being started, and the system may give its port to whoever asks.
+/// Each is bound by a socket that never listens; another process may bind and listen on it, since
+/// both sockets allow address reuse. A closed listener, in contrast, may stay open in a process that
+/// is being started, and the system may assign its port to any other socket.
 pub(crate) struct ReservedPorts<const N: usize> {
     /// The ports, all different.
     pub(crate) numbers: [u16; N],
     _sockets: Vec<TcpSocket>,
 }
 
-/// Free ports of an address, none of them in `taken`.
+/// Reserves free ports of an address, none of them in `taken`.
 pub(crate) fn free_ports<const N: usize>(ip: IpAddr, taken: &[u16]) -> ReservedPorts<N> {
     let mut sockets = Vec::new();
     let mut numbers = Vec::new();
@@ -52,7 +54,7 @@
     }
 }
 
-/// Holds a port of an address for one that will listen there; zero for any that is free.
+/// Reserves a port of an address for a later listener; zero for any free port.
 pub(super) fn reserve(ip: IpAddr, port: u16) -> TcpSocket {
     let socket = match ip {
         IpAddr::V4(_) => TcpSocket::new_v4(),
