--- a/fireflydirect/src/answer.rs
+++ b/fireflydirect/src/answer.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// Header that carries the result code of the entry's own answers.
-const CODE: HeaderName = HeaderName::from_static("x-firefly-code");
+const CODE_HEADER: HeaderName = HeaderName::from_static("x-firefly-code");
 
 /// Body of an answer, complete or streamed.
 pub type AnswerBody = Pin<Box<dyn Body<Data = Bytes, Error = BrokenStream>>>;
@@ -68,7 +68,7 @@
         StatusCode::from_u16(code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = answer.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    headers.insert(CODE, HeaderValue::from(code.number()));
+    headers.insert(CODE_HEADER, HeaderValue::from(code.number()));
     if let Some(wait) = retry_after {
         insert_text(headers, RETRY_AFTER, &format!("{:.3}", wait.as_secs_f64()));
     }
--- a/fireflydirect/src/call.rs
+++ b/fireflydirect/src/call.rs
@@ -2,7 +2,7 @@
 
 use crate::assignment::AssignmentGuard;
 use crate::crash;
-use crate::exchange::{ResponseStart, SendError, SendOptions, read_whole, send};
+use crate::exchange::{ResponseStart, SendError, SendOptions, read_body, send};
 use crate::figure::or_empty;
 use crate::job::Job;
 use crate::{repeats, returns};
@@ -195,7 +195,7 @@
 }
 
 fn reply_without_upstream(job: &Job, need: &Need, attempts: &RefCell<Attempts>) -> Reply {
-    let free_in = job.until_any_is_free(need);
+    let free_in = job.time_until_available(need);
     log::warn!(
         event = "no_upstream", req = &*job.request_id, service = &*job.service,
         free_in_ms = or_empty(free_in.map(|wait| wait.as_millis()));
@@ -324,7 +324,7 @@
             reply: Some(Reply::Stream(Box::new(stream))),
         };
     }
-    match read_whole(job, ix, response).await {
+    match read_body(job, ix, response).await {
         Ok((parts, bytes)) => AttemptResult {
             outcome: if status.is_server_error() {
                 AttemptOutcome::Failed
--- a/fireflydirect/src/exchange.rs
+++ b/fireflydirect/src/exchange.rs
@@ -172,7 +172,7 @@
 /// # Errors
 ///
 /// The reason for an incomplete body.
-pub async fn read_whole(
+pub async fn read_body(
     job: &Job,
     ix: UpstreamIx,
     response: ResponseStart,
--- a/fireflydirect/src/job.rs
+++ b/fireflydirect/src/job.rs
@@ -135,7 +135,7 @@
                 return Some(ix);
             }
             let changed = self.node.changed.notified();
-            let wake_at = match self.until_any_is_free(need) {
+            let wake_at = match self.time_until_available(need) {
                 Some(wait) => self.now() + wait,
                 None if self.now() < until => until,
                 None => return None,
@@ -152,7 +152,7 @@
     /// Returns the time until one of the upstreams that accept nothing from this entry for now accepts
     /// a request again; none if there is no such upstream.
     #[must_use]
-    pub fn until_any_is_free(&self, need: &Need) -> Option<Duration> {
+    pub fn time_until_available(&self, need: &Need) -> Option<Duration> {
         let pool = self.node.pool.borrow();
         pool.until_any_is_free(self.now(), &self.service, need)
     }
--- a/fireflydirect/src/runs.rs
+++ b/fireflydirect/src/runs.rs
@@ -71,11 +71,11 @@
     pub fn drop_backups_at(&self, ix: UpstreamIx) -> Vec<Rc<Run>> {
         let runs = self.runs.borrow();
         let alive = runs.iter().filter_map(Weak::upgrade);
-        let kept: Vec<Rc<Run>> = alive.filter(|r| r.backup.get() == Some(ix)).collect();
-        for run in &kept {
+        let backed_up: Vec<Rc<Run>> = alive.filter(|r| r.backup.get() == Some(ix)).collect();
+        for run in &backed_up {
             run.backup.set(None);
         }
-        kept
+        backed_up
     }
 
     /// Returns the number of runs in progress.
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -129,7 +129,7 @@
     let request_id = head.request_id.clone().ok_or(refusal(Code::BadRequest))?;
     let service = route.target(rand::rng().next_u32()).cloned();
     let service = service.ok_or(refusal_with_retry(Code::NoUpstream, STARTUP_RETRY_AFTER))?;
-    let body = read_body(&catalog, body).await?;
+    let body = read_request_body(&catalog, body).await?;
     let content = digest(&parts, &head, &body);
     if crash::is_refused(node, content) {
         return Err(refusal_with_retry(Code::Overloaded, QUARANTINE_RETRY_AFTER));
@@ -180,8 +180,8 @@
         return 0.0;
     }
     let prompt = u64::from(size.prompt_tokens);
-    let mut yields = job.node.yields.borrow_mut();
-    yields.record(&job.route.name, prompt, job.expected_tokens())
+    let mut densities = job.node.yields.borrow_mut();
+    densities.record(&job.route.name, prompt, job.expected_tokens())
 }
 
 fn find_route(catalog: &Catalog, parts: &Parts) -> Option<Arc<RouteSpec>> {
@@ -203,7 +203,7 @@
     Ok(workspace)
 }
 
-async fn read_body(catalog: &Catalog, body: Incoming) -> Result<Bytes, Refusal> {
+async fn read_request_body(catalog: &Catalog, body: Incoming) -> Result<Bytes, Refusal> {
     let limit = catalog.limits().body_bytes;
     match Limited::new(body, limit).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
--- a/fireflydirect/tests/soak.rs
+++ b/fireflydirect/tests/soak.rs
@@ -103,16 +103,16 @@
         "{}",
         report(name, steps, &breaches, &soak.site)
     );
-    let whole = soak.evidence.attempts.iter();
-    let whole = whole
+    let complete = soak.evidence.attempts.iter();
+    let complete = complete
         .filter(|a| matches!(a.outcome, standins::site::Outcome::Whole(_)))
         .count();
     println!(
-        "{name}: {} attempts, {whole} whole, {} faults",
+        "{name}: {} attempts, {complete} whole, {} faults",
         soak.evidence.attempts.len(),
         steps.len()
     );
-    assert!(whole > 0, "{name}: nothing was served");
+    assert!(complete > 0, "{name}: nothing was served");
     soak.site.check();
 }
 
@@ -176,7 +176,7 @@
     let step = |millis, pick| Step {
         at: Duration::from_millis(millis),
         span: Duration::from_secs(6),
-        fault: Fault::NameRate,
+        fault: Fault::StateRateLimit,
         pick,
     };
     let steps = [step(300, 0), step(900, 1), step(1_200, 2), step(1_500, 5)];
@@ -189,7 +189,7 @@
     let step = |millis, pick| Step {
         at: Duration::from_millis(millis),
         span: Duration::from_secs(7),
-        fault: Fault::SayLeaving,
+        fault: Fault::SendLeaveNotice,
         pick,
     };
     let steps = [step(300, 0), step(900, 1)];
--- a/fireflydirect/tests/soak_parts/conditions.rs
+++ b/fireflydirect/tests/soak_parts/conditions.rs
@@ -19,7 +19,7 @@
 
 impl Soak {
     /// Makes an upstream state a rate limit until some time after `end`, unless it states one.
-    pub(super) fn name_rate(&mut self, pick: usize, end: Instant) {
+    pub(super) fn state_rate_limit(&mut self, pick: usize, end: Instant) {
         let end = end + RATE_EXTENSION;
         let (kind, number) = self.pick_upstream(pick);
         let upstream = self.upstream(kind, number);
@@ -39,12 +39,12 @@
         self.pending_undos.push((end, Undo::Rate(kind, number)));
     }
 
-    pub(super) fn lift_rate(&self, kind: EngineKind, number: usize) {
+    pub(super) fn lift_rate_limit(&self, kind: EngineKind, number: usize) {
         self.upstream(kind, number).say(RATE_LIMIT, None);
     }
 
     /// Adds leave notices to the responses of an engine; the store shows them at `listed_at`.
-    pub(super) async fn say_leaving(&mut self, pick: usize, listed_at: Instant) {
+    pub(super) async fn send_leave_notice(&mut self, pick: usize, listed_at: Instant) {
         let Some(engine) = self.pick_removable_engine(pick) else {
             return;
         };
--- a/fireflydirect/tests/soak_parts/faults.rs
+++ b/fireflydirect/tests/soak_parts/faults.rs
@@ -225,8 +225,8 @@
                 }
             }
             Fault::Publish => self.site.publish(&[KEY]),
-            Fault::NameRate => self.name_rate(step.pick, end),
-            Fault::SayLeaving => self.say_leaving(step.pick, end).await,
+            Fault::StateRateLimit => self.state_rate_limit(step.pick, end),
+            Fault::SendLeaveNotice => self.send_leave_notice(step.pick, end).await,
             Fault::RequestPause => self.request_pause(step.pick % 2, end),
         }
     }
@@ -345,7 +345,7 @@
             }
             Undo::RewriteRecords => self.rewrite_records().await,
             Undo::EndEngine(engine) => self.end_engine(engine),
-            Undo::Rate(kind, number) => self.lift_rate(kind, number),
+            Undo::Rate(kind, number) => self.lift_rate_limit(kind, number),
             Undo::ListLeaving(engine) => self.list_leaving(engine).await,
             Undo::Pause(plain) => self.end_pause(plain),
             Undo::Answers(kind, number) => self.upstream(kind, number).set_fault(AnswerFault::None),
--- a/fireflydirect/tests/soak_parts/plan.rs
+++ b/fireflydirect/tests/soak_parts/plan.rs
@@ -52,9 +52,9 @@
     /// The operator publishes the next configuration version.
     Publish,
     /// An upstream states a rate limit in its responses.
-    NameRate,
+    StateRateLimit,
     /// Responses of a model engine carry leave notices; the store shows it later.
-    SayLeaving,
+    SendLeaveNotice,
     /// A plain upstream rejects requests and asks for a pause.
     RequestPause,
 }
@@ -118,8 +118,8 @@
             at,
             span: Duration::from_millis(rng.random_range(500..2_500)),
             fault: match rng.random_range(0..4) {
-                0 | 1 => Fault::NameRate,
-                2 => Fault::SayLeaving,
+                0 | 1 => Fault::StateRateLimit,
+                2 => Fault::SendLeaveNotice,
                 _ => Fault::RequestPause,
             },
             pick: rng.random_range(0..1_000),
