--- a/fireflydirect/src/conditions.rs
+++ b/fireflydirect/src/conditions.rs
@@ -1,7 +1,7 @@
 //! What upstreams say of the requests to come, in the heads of their answers or as other entries tell.
 
-use crate::figure::or_empty;
 use crate::job::Job;
+use crate::log_value::or_empty;
 use crate::node::Node;
 use fireflycroft::{
     Life, RateChange, RateLimit, ResponseHead, RunClaim, Time, ToldRate, UpstreamIx,
--- a/fireflydirect/src/departures.rs
+++ b/fireflydirect/src/departures.rs
@@ -4,8 +4,8 @@
 //! of other entries too. Its report says so, half a second late, so it is asked
 //! once, as soon as the report can show the notice.
 
-use crate::figure::or_empty;
 use crate::links::call_whole;
+use crate::log_value::or_empty;
 use crate::node::Node;
 use bytes::Bytes;
 use fireflycroft::{Departure, MAX_REPORT_AGE, Time, UpstreamIx};
--- a/fireflydirect/src/feed.rs
+++ b/fireflydirect/src/feed.rs
@@ -9,7 +9,7 @@
 //! the store, and hears from then on of what changes.
 
 use crate::client::Client;
-use crate::intake::Intake;
+use crate::ingest::Ingest;
 use crate::links::Answered;
 use crate::node::Node;
 use crate::store_call::{StoreCall, page_path};
@@ -80,7 +80,7 @@
     kind: Kind,
     pause: Duration,
     contact: Contact,
-    intake: Intake,
+    intake: Ingest,
 }
 
 /// Whether the store answers, as one feed sees it.
@@ -99,7 +99,7 @@
         lost: Cell::new(false),
     };
     let mut feed = Feed {
-        intake: Intake::new(node.clone(), kind),
+        intake: Ingest::new(node.clone(), kind),
         node,
         client,
         kind,
--- a/fireflydirect/src/generation.rs
+++ b/fireflydirect/src/generation.rs
@@ -9,11 +9,11 @@
 use crate::call::{Begun, place_backup};
 use crate::crash;
 use crate::exchange::{Extras, Opened, give_back, send};
-use crate::figure::or_empty;
 use crate::job::Job;
+use crate::log_value::or_empty;
 use crate::metrics::kind_word;
 use crate::placed::PlacedGuard;
-use crate::repeats;
+use crate::retries;
 use crate::runs::Run;
 use bytes::Bytes;
 use fireflycroft::{Code, EventRelay, MemoryCopy, Need, ResponseHead, Time, UpstreamIx};
@@ -317,7 +317,7 @@
         self.wait_for_copy().await;
         let from = self.placed.ix;
         while let Some(next) = self.continuation(from) {
-            if !repeats::take(&self.job).await {
+            if !retries::take(&self.job).await {
                 self.say("budget_spent", "");
                 return false;
             }
--- a/fireflydirect/src/intake.rs
+++ b/fireflydirect/src/ingest.rs
@@ -1,6 +1,6 @@
 //! Taking what the store or another entry says: configuration, upstreams, evacuations.
 
-use crate::figure::or_empty;
+use crate::log_value::or_empty;
 use crate::node::Node;
 use crate::state_page::PeerState;
 use fireflycroft::{Evacuations, ListChange, Name, UpstreamRecord};
@@ -9,14 +9,14 @@
 use std::rc::Rc;
 
 /// Takes objects of one kind that were read from the store.
-pub struct Intake {
+pub struct Ingest {
     node: Rc<Node>,
     kind: Kind,
     /// Records that were last seen unreadable, with their revisions, so that each is said once.
     unreadable: HashMap<Name, u64>,
 }
 
-impl Intake {
+impl Ingest {
     /// Has taken nothing yet.
     #[must_use]
     pub fn new(node: Rc<Node>, kind: Kind) -> Self {
--- a/fireflydirect/src/loads.rs
+++ b/fireflydirect/src/loads.rs
@@ -1,7 +1,7 @@
 //! Asking the owners of upstreams for their load, before a choice among them.
 
 use crate::node::Node;
-use crate::questions;
+use crate::owner_queries;
 use fireflycroft::{Life, Mechanism, Name, Need, OwnedKey, OwnerQueryBody, UpstreamIx};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -16,7 +16,7 @@
     let queries = queries(node, service, need, tried);
     node.breadth.borrow_mut().record_sent(queries.len());
     let asks = queries.into_iter();
-    questions::ask(
+    owner_queries::ask(
         node,
         asks.map(|(owner, lives)| (owner, OwnerQueryBody::Loads(lives))),
     )
--- a/fireflydirect/src/mover.rs
+++ b/fireflydirect/src/mover.rs
@@ -1,9 +1,9 @@
 //! Moving runs off upstreams that have announced their leaving.
 
 use crate::departures;
-use crate::figure::or_empty;
 use crate::links::call_whole;
 use crate::loads;
+use crate::log_value::or_empty;
 use crate::node::Node;
 use crate::placed::PlacedGuard;
 use crate::runs::{Refuge, Run};
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -4,11 +4,11 @@
 use crate::config_history::ConfigHistory;
 use crate::datagrams::Datagrams;
 use crate::departures::Departures;
-use crate::figure::or_empty;
 use crate::links::Links;
+use crate::log_value::or_empty;
 use crate::metrics::Metrics;
+use crate::owner_queries::Questions;
 use crate::peers::Peers;
-use crate::questions::Questions;
 use crate::runs::Runs;
 use fireflycroft::{
     Catalog, Digest, Evacuations, FULL_VIEW_AFTER, FleetView, LengthEstimator, Life, Policy, Pool,
--- a/fireflydirect/src/process.rs
+++ b/fireflydirect/src/process.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{Node, Stage};
 use crate::settings::Settings;
-use crate::{callers, feed, hear, mover, readiness, reports, state_page, tell};
+use crate::{announce, callers, feed, mover, readiness, receive, reports, state_page};
 use anyhow::Context;
 use fireflycroft::Time;
 use fireflycroft_platform::Kind;
@@ -69,8 +69,8 @@
     }
     let peer_socket = Rc::new(peer_socket);
     node.datagrams.set_socket(peer_socket.clone());
-    spawn_local(hear::listen(node.clone(), peer_socket));
-    spawn_local(tell::run(node.clone()));
+    spawn_local(receive::listen(node.clone(), peer_socket));
+    spawn_local(announce::run(node.clone()));
     spawn_local(reports::run(node.clone()));
     spawn_local(state_page::answer(node.clone(), peer_listener));
     spawn_local(readiness::answer(node.clone(), readiness));
--- a/fireflydirect/src/readiness.rs
+++ b/fireflydirect/src/readiness.rs
@@ -1,7 +1,7 @@
 //! The address where the balancer asks whether callers should be sent here.
 
 use crate::node::Node;
-use crate::small_server::{self, Page, empty};
+use crate::page_server::{self, Page, empty};
 use fireflycroft_platform::ready_path;
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
@@ -10,7 +10,7 @@
 
 /// Answers for as long as the process lives.
 pub async fn answer(node: Rc<Node>, listener: TcpListener) {
-    small_server::serve(listener, move |req| page(&node, req)).await;
+    page_server::serve(listener, move |req| page(&node, req)).await;
 }
 
 fn page(node: &Node, req: &Request<Incoming>) -> Page {
--- a/fireflydirect/src/hear.rs
+++ b/fireflydirect/src/receive.rs
@@ -1,14 +1,14 @@
 //! Hearing the other entries, and fetching what this one lacks.
 
+use crate::announce;
 use crate::client::Client;
 use crate::conditions;
 use crate::config_read::read_config;
-use crate::intake::take_told;
+use crate::ingest::take_told;
 use crate::node::Node;
+use crate::owner_queries;
 use crate::peers::{Behind, v4};
-use crate::questions;
 use crate::state_page::{Asked, PeerState, state_path};
-use crate::tell;
 use fireflycroft::{CrashCount, EntryAnnouncement, EntryMessage, HedgedCall, Time, era_of};
 use fireflycroft_wire::decode_datagram;
 use rand::RngExt;
@@ -57,9 +57,9 @@
     node.peers.borrow_mut().note_heard(node.now(), from);
     match message {
         EntryMessage::Announcement(news) => take_news(node, from, *news),
-        EntryMessage::Report(report) => questions::take_report(node, &report),
-        EntryMessage::Query(query) => questions::reply(node, from, query).await,
-        EntryMessage::Reply(reply) => questions::take_reply(node, reply),
+        EntryMessage::Report(report) => owner_queries::take_report(node, &report),
+        EntryMessage::Query(query) => owner_queries::reply(node, from, query).await,
+        EntryMessage::Reply(reply) => owner_queries::take_reply(node, reply),
     }
 }
 
@@ -72,7 +72,7 @@
     node.peers.borrow_mut().learn(now, from, &news);
     if greets {
         let node = node.clone();
-        tokio::task::spawn_local(async move { tell::greet(&node, from).await });
+        tokio::task::spawn_local(async move { announce::greet(&node, from).await });
     }
     let revision = news.upstreams.max(news.evacuations.revision);
     if revision > 0 {
--- a/fireflydirect/src/repeats.rs
+++ b/fireflydirect/src/retries.rs
@@ -1,7 +1,7 @@
 //! Borrowing a repeat from the owners of a service when this entry's part is spent.
 
 use crate::job::Job;
-use crate::questions;
+use crate::owner_queries;
 use fireflycroft::{OwnedKey, OwnerQueryBody};
 
 /// Takes one repeat from the shared budget, borrowing it if need be.
@@ -30,7 +30,7 @@
         }
         let ask = OwnerQueryBody::Retry(job.service.clone());
         // An owner that replied has said all there is to say.
-        if questions::ask(node, [(owner, ask)].into_iter()).await {
+        if owner_queries::ask(node, [(owner, ask)].into_iter()).await {
             return;
         }
     }
--- a/fireflydirect/src/returns.rs
+++ b/fireflydirect/src/returning_callers.rs
@@ -1,7 +1,7 @@
 //! Whether a caller was refused before, by this entry or another one.
 
 use crate::job::Job;
-use crate::questions;
+use crate::owner_queries;
 use fireflycroft::{ArrivalKind, Mechanism, OwnedKey, OwnerQueryBody};
 
 /// Whether the caller comes back, as far as is known here.
@@ -26,7 +26,7 @@
     let asks = owners
         .into_iter()
         .map(|o| (o, OwnerQueryBody::Refused(job.content)));
-    questions::ask(&job.node, asks).await;
+    owner_queries::ask(&job.node, asks).await;
     coming(job) != ArrivalKind::First
 }
 
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -1,12 +1,12 @@
 //! One request of a caller: checked, sent on, answered.
 
 use crate::answer::{Answer, close_after, own, relayed, whole};
-use crate::beginning::until_begun;
 use crate::call::{Reply, obtain};
 use crate::crash;
 use crate::generation::relay;
 use crate::job::Job;
 use crate::node::{Node, Stage};
+use crate::startup_wait::until_begun;
 use bytes::Bytes;
 use fireflycroft::{
     Catalog, Code, Digest, Mechanism, Name, RequestHead, RouteSpec, STARTUP_RETRY_AFTER, Time,
--- a/fireflydirect/src/state_page.rs
+++ b/fireflydirect/src/state_page.rs
@@ -4,7 +4,7 @@
 use crate::metrics::METRICS_PATH;
 use crate::node::Node;
 use crate::overview::{OVERVIEW_PATH, overview};
-use crate::small_server::{self, Page, empty};
+use crate::page_server::{self, Page, empty};
 use fireflycroft::{Name, UpstreamRecord};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -48,7 +48,7 @@
 
 /// Answers for as long as the process lives.
 pub async fn answer(node: Rc<Node>, listener: TcpListener) {
-    small_server::serve(listener, move |req| page(&node, req)).await;
+    page_server::serve(listener, move |req| page(&node, req)).await;
 }
 
 fn page(node: &Node, req: &Request<Incoming>) -> Page {
--- a/fireflydirect/src/contact.rs
+++ b/fireflydirect/src/store_connectivity.rs
@@ -9,9 +9,9 @@
 const FIRST_ANSWER_WITHIN: Duration = Duration::from_millis(500);
 
 /// A copy of the store that is being read.
-pub(crate) struct CopyGuard<'a>(&'a Cell<usize>);
+pub(crate) struct ReplicaReadGuard<'a>(&'a Cell<usize>);
 
-impl Drop for CopyGuard<'_> {
+impl Drop for ReplicaReadGuard<'_> {
     fn drop(&mut self) {
         self.0.update(|n| n - 1);
     }
@@ -38,9 +38,9 @@
     }
 
     /// Notes that a copy of the store is being read, until the guard is dropped.
-    pub(crate) fn begin_copy(&self) -> CopyGuard<'_> {
+    pub(crate) fn begin_copy(&self) -> ReplicaReadGuard<'_> {
         self.copies_read.update(|n| n + 1);
-        CopyGuard(&self.copies_read)
+        ReplicaReadGuard(&self.copies_read)
     }
 
     /// Notes that the store answered this entry.
