--- a/fireflydirect/src/announce.rs
+++ b/fireflydirect/src/announce.rs
@@ -12,17 +12,17 @@
 
 /// Tells the others for as long as the process lives.
 pub async fn run(node: Rc<Node>) {
-    let begins = node.duty.borrow().is_watching();
+    let begins = node.watcher_role.borrow().is_watching();
     log::info!(event = "watch_duty", watching = begins, peers = 0; "");
     let mut tell_at = node.now();
     loop {
         let reason = tokio::select! {
             biased;
-            () = node.urgent.notified() => Reason::Urgent,
+            () = node.announce_now.notified() => Reason::Urgent,
             () = tokio::time::sleep_until(node.clock.instant(tell_at)) => Reason::Due,
         };
         decide_duty(&node);
-        node.review_fleet();
+        node.update_fleet_view();
         let pace = node.peers.borrow().pace(is_relied_on(&node));
         tell_at = node.now() + pace;
         tell(&node, reason).await;
@@ -36,7 +36,7 @@
 fn decide_duty(node: &Node) {
     let now = node.now();
     let views = node.peers.borrow().watch_views(now);
-    let mut duty = node.duty.borrow_mut();
+    let mut duty = node.watcher_role.borrow_mut();
     let was_relied_on = duty.is_primary();
     let changed = duty.decide(now, &views);
     let (watching, relied_on) = (duty.is_watching(), duty.is_primary());
@@ -45,7 +45,7 @@
         log::info!(event = "watch_duty", watching = watching, peers = views.len(); "");
     }
     if changed || relied_on != was_relied_on {
-        node.duty_changed.notify_waiters();
+        node.watcher_role_changed.notify_waiters();
     }
 }
 
@@ -63,11 +63,11 @@
 /// After a start of the whole fleet all watch for a moment; if all of them told all, datagrams
 /// would grow with the square of the fleet.
 fn is_relied_on(node: &Node) -> bool {
-    node.watches_store() && node.duty.borrow().is_primary()
+    node.watches_store() && node.watcher_role.borrow().is_primary()
 }
 
 async fn tell(node: &Node, reason: Reason) {
-    let must_reach_all = reason == Reason::Urgent && node.tell_all.take();
+    let must_reach_all = reason == Reason::Urgent && node.announce_to_all.take();
     let all = must_reach_all || is_relied_on(node);
     let news = news(node);
     let mut targets: BTreeSet<Ipv4Addr> = BTreeSet::new();
@@ -94,14 +94,14 @@
 
 fn news(node: &Node) -> EntryAnnouncement {
     let now = node.now();
-    let retries = node.budget.borrow_mut().report(now);
+    let retries = node.retry_budget.borrow_mut().report(now);
     let rate_limits = node.pool.borrow_mut().rates_to_announce(now);
     let departing = node.pool.borrow_mut().leave_notices_to_announce(now);
     let peers = node.peers.borrow();
     EntryAnnouncement {
         name: node.place.vm.clone(),
         incarnation: peers.incarnation,
-        config: node.version(),
+        config: node.config_version(),
         entries: u32::try_from(node.entries()).unwrap_or(u32::MAX),
         upstreams: node.pool.borrow().revision(),
         upstreams_digest: node.pool.borrow().digest(),
@@ -131,7 +131,7 @@
 
 /// Time since the store answered this entry; none if it doesn't watch.
 fn store_age(node: &Node) -> Option<Duration> {
-    let answered_at = node.store_answered_at.get();
-    let answered_at = answered_at.filter(|_| node.duty.borrow().is_watching());
+    let answered_at = node.last_store_response.get();
+    let answered_at = answered_at.filter(|_| node.watcher_role.borrow().is_watching());
     answered_at.map(|at| node.now().since(at))
 }
--- a/fireflydirect/src/call.rs
+++ b/fireflydirect/src/call.rs
@@ -142,7 +142,7 @@
     if returning_callers::learn(job).await && has_room(job, ix, need) {
         return None;
     }
-    job.node.note_refused(job.content);
+    job.node.record_refusal(job.content);
     let pool = job.node.pool.borrow();
     Some(capacity_expected_after(
         pool.runs_fill_of(job.now(), &job.service),
@@ -320,9 +320,13 @@
     let now = job.now();
     let outcome = format!("{:?}", tried.outcome);
     if tried.outcome == AttemptOutcome::NeverSent {
-        job.node.note_unreachable(ix);
+        job.node.record_unreachable(ix);
     }
-    job.node.metrics.tries.with_label_values(&[&outcome]).inc();
+    job.node
+        .metrics
+        .attempts
+        .with_label_values(&[&outcome])
+        .inc();
     let mut pool = job.node.pool.borrow_mut();
     if tried.outcome != AttemptOutcome::Withheld {
         pool.note_outcome(ix, tried.outcome != AttemptOutcome::Answered);
--- a/fireflydirect/src/callers.rs
+++ b/fireflydirect/src/callers.rs
@@ -39,7 +39,7 @@
 
 impl Calling {
     fn begin(node: &Rc<Node>, activity: &Rc<Activity>) -> Self {
-        node.busy.set(node.busy.get() + 1);
+        node.calls_in_flight.set(node.calls_in_flight.get() + 1);
         activity.calls.set(activity.calls.get() + 1);
         Self {
             node: node.clone(),
@@ -50,7 +50,9 @@
 
 impl Drop for Calling {
     fn drop(&mut self) {
-        self.node.busy.set(self.node.busy.get() - 1);
+        self.node
+            .calls_in_flight
+            .set(self.node.calls_in_flight.get() - 1);
         self.activity.calls.set(self.activity.calls.get() - 1);
         self.activity.since.set(self.node.now());
     }
@@ -106,7 +108,7 @@
 
 /// Ends when the process closes or the connection has been idle for too long.
 async fn until_over(node: &Node, activity: &Activity) {
-    let mut stage = node.follow_stage();
+    let mut stage = node.subscribe_stage();
     let closing = async {
         // The sender lives as long as the node.
         let _ = stage.wait_for(|s| *s == Stage::Closing).await;
--- a/fireflydirect/src/conditions.rs
+++ b/fireflydirect/src/conditions.rs
@@ -22,7 +22,7 @@
     }
     if said.leaving {
         let change = node.pool.borrow_mut().record_leave_notice(node.now(), ix);
-        node.take_changes(change, "answer");
+        node.apply_pool_changes(change, "answer");
     }
     // A failure may have been answered before the upstream looked at its need.
     let tells_rate = said.rate_limit.is_some() || (status.is_success() && head.sealed);
@@ -37,7 +37,7 @@
     drop(pool);
     if let Some(change) = change {
         say_rate_changed(node, ix, change, "answer");
-        node.urgent.notify_one();
+        node.announce_now.notify_one();
     }
 }
 
@@ -55,7 +55,7 @@
 pub fn take_told_leaving(node: &Node, lives: &[Life]) {
     for life in lives {
         let change = node.pool.borrow_mut().apply_leave_notice(node.now(), life);
-        node.take_changes(change, "peer_answer");
+        node.apply_pool_changes(change, "peer_answer");
     }
 }
 
--- a/fireflydirect/src/config_read.rs
+++ b/fireflydirect/src/config_read.rs
@@ -26,16 +26,16 @@
 pub(crate) async fn read_config(node: &Node, version: u64) -> bool {
     let mut answered = read_config_by(node, StoreCall::Copy).await;
     for _ in 0..FIRST_CONFIG_LOOKS {
-        if !answered || node.version() > 0 {
+        if !answered || node.config_version() > 0 {
             break;
         }
         tokio::time::sleep(FIRST_CONFIG_PAUSE).await;
         answered = read_config_by(node, StoreCall::Copy).await;
     }
-    if answered && node.version() < version {
+    if answered && node.config_version() < version {
         read_config_by(node, StoreCall::List).await;
     }
-    node.version() >= version
+    node.config_version() >= version
 }
 
 /// Reads the configuration once; true when the store answered.
@@ -45,12 +45,15 @@
     let overlap = HedgedCall::single(CONFIG_PATIENCE);
     let answer = client.get(&path, overlap, || ()).await;
     let metrics = &node.metrics;
-    metrics.note_store_call(Kind::Config, call, answer.is_ok());
+    metrics.record_store_call(Kind::Config, call, answer.is_ok());
     let page = answer
         .map_err(|e| e.to_string())
         .and_then(|answered| decode_page(&answered));
     match &page {
-        Ok(page) => page.objects.iter().for_each(|o| node.adopt(o, "store")),
+        Ok(page) => page
+            .objects
+            .iter()
+            .for_each(|o| node.adopt_config(o, "store")),
         Err(why) => log::warn!(event = "config_unread", call = call.word(), why = why; ""),
     }
     page.is_ok()
--- a/fireflydirect/src/crash.rs
+++ b/fireflydirect/src/crash.rs
@@ -61,6 +61,6 @@
     let crashes = quarantine.crashes(content).saturating_add(1);
     quarantine.record(now, content, crashes);
     node.peers.borrow_mut().tell_crash(content, crashes);
-    node.tell_all_at_once();
+    node.announce_to_all_now();
     crashes
 }
--- a/fireflydirect/src/datagrams.rs
+++ b/fireflydirect/src/datagrams.rs
@@ -43,7 +43,7 @@
         };
         let bytes = encode_datagram(message);
         for ip in targets {
-            self.metrics.note_datagram(message.kind(), bytes.len());
+            self.metrics.record_datagram(message.kind(), bytes.len());
             // A datagram that can't be sent counts as one that was lost on the way.
             let _ = socket
                 .send_to(&bytes, SocketAddr::from((ip, self.port)))
--- a/fireflydirect/src/feed.rs
+++ b/fireflydirect/src/feed.rs
@@ -223,15 +223,15 @@
 
     fn is_known(&self) -> bool {
         match self.kind {
-            Kind::Config => self.node.version() > 0,
-            Kind::Upstreams => self.node.has_whole_list.get(),
+            Kind::Config => self.node.config_version() > 0,
+            Kind::Upstreams => self.node.has_complete_list.get(),
             Kind::Evacuations | Kind::Entries => true,
         }
     }
 
     async fn read_copy(&mut self) -> Result<(), String> {
         let node = self.node.clone();
-        let _reading = node.begin_copy();
+        let _reading = node.begin_replica_read();
         let mut listing = Listing::default();
         while self.read_page(StoreCall::Copy, &mut listing).await? {}
         self.take_list(&listing);
@@ -248,7 +248,7 @@
         if self.kind == Kind::Evacuations || !self.node.policy.uses(Mechanism::Overlap) {
             return HedgedCall::single(HANG_LIMIT);
         }
-        HedgedCall::new(PATIENCE, self.node.duty.borrow().max_pause())
+        HedgedCall::new(PATIENCE, self.node.watcher_role.borrow().max_pause())
     }
 
     /// Sends a call to the store; an answer that the store gave before it came back from a copy is none.
@@ -260,16 +260,19 @@
     ) -> anyhow::Result<Answered> {
         let contact = &self.contact;
         let on_hang = || {
-            contact.node.metrics.note_store_call(self.kind, call, false);
+            contact
+                .node
+                .metrics
+                .record_store_call(self.kind, call, false);
             contact.note_lost("no progress");
         };
         let answered = self.client.get(path, overlap, on_hang).await;
         let metrics = &self.node.metrics;
-        metrics.note_store_call(self.kind, call, answered.is_ok());
+        metrics.record_store_call(self.kind, call, answered.is_ok());
         let answered = answered?;
         let era = read_era(&answered.headers);
-        self.node.note_era(era, "store");
-        anyhow::ensure!(era == self.node.era(), "an answer of a former era");
+        self.node.record_store_era(era, "store");
+        anyhow::ensure!(era == self.node.store_era(), "an answer of a former era");
         Ok(answered)
     }
 
@@ -281,7 +284,7 @@
         let kind = self.kind;
         let off_duty = async {
             while is_on_duty(&node, kind) {
-                node.duty_changed.notified().await;
+                node.watcher_role_changed.notified().await;
             }
         };
         tokio::select! {
@@ -297,12 +300,12 @@
         if self.kind == Kind::Evacuations {
             return;
         }
-        node.store_answers.set(false);
+        node.store_responding.set(false);
         on_duty(&node, self.kind).await;
     }
 
     async fn watch_from(&mut self, mut revision: u64) {
-        while era_of(revision) == self.node.era() {
+        while era_of(revision) == self.node.store_era() {
             let answer = self.look_or_wait(revision).await;
             let read = match answer {
                 // The store came back from a copy while the watch waited.
@@ -354,7 +357,7 @@
             let path = watch_path(self.kind, revision, LOOK_WAIT);
             return self.get(StoreCall::Watch, &path, self.patient()).await;
         }
-        if self.node.duty.borrow().is_primary() {
+        if self.node.watcher_role.borrow().is_primary() {
             return self.watch(revision, self.longest_wait()).await;
         }
         let node = self.node.clone();
@@ -387,7 +390,7 @@
     async fn rest(&mut self, why: &str) {
         self.contact.note_lost(why);
         tokio::time::sleep(self.pause).await;
-        let longest = self.node.duty.borrow().max_pause();
+        let longest = self.node.watcher_role.borrow().max_pause();
         self.pause = (self.pause * 2).min(longest);
         if self.kind == Kind::Evacuations {
             self.until_answered().await;
@@ -396,7 +399,7 @@
 
     /// Returns once a feed whose calls overlap has found the store again.
     async fn until_answered(&self) {
-        while !self.node.store_answers.get() {
+        while !self.node.store_responding.get() {
             tokio::time::sleep(CONTACT_CHECK).await;
         }
     }
@@ -411,7 +414,7 @@
             relied_on(&self.node).await;
             tokio::time::sleep(RELIED_ON_FOR).await;
             self.until_answered().await;
-            if self.node.duty.borrow().is_primary() {
+            if self.node.watcher_role.borrow().is_primary() {
                 return;
             }
         }
@@ -420,7 +423,7 @@
 
 impl Contact {
     fn note_answer(&self) {
-        self.node.note_store_answer();
+        self.node.record_store_response();
         if self.lost.replace(false) {
             log::info!(event = "store_regained", kind = format!("{:?}", self.kind); "");
         }
@@ -428,7 +431,7 @@
 
     /// Notes that a call failed or hangs.
     fn note_lost(&self, why: &str) {
-        self.node.note_store_failure();
+        self.node.record_store_failure();
         if !self.lost.replace(true) {
             log::warn!(event = "store_lost", kind = format!("{:?}", self.kind), why = why; "");
         }
@@ -438,7 +441,7 @@
 /// Whether an entry is to follow a kind of object: evacuations while others rely on it, everything else
 /// while it watches at all.
 fn is_on_duty(node: &Node, kind: Kind) -> bool {
-    let duty = node.duty.borrow();
+    let duty = node.watcher_role.borrow();
     if kind == Kind::Evacuations {
         duty.is_primary()
     } else {
@@ -449,14 +452,14 @@
 /// Returns once an entry is to follow a kind of object.
 async fn on_duty(node: &Node, kind: Kind) {
     while !is_on_duty(node, kind) {
-        node.duty_changed.notified().await;
+        node.watcher_role_changed.notified().await;
     }
 }
 
 /// Returns once the others rely on this entry for what the store says.
 async fn relied_on(node: &Node) {
-    while !node.duty.borrow().is_primary() {
-        node.duty_changed.notified().await;
+    while !node.watcher_role.borrow().is_primary() {
+        node.watcher_role_changed.notified().await;
     }
 }
 
--- a/fireflydirect/src/generation.rs
+++ b/fireflydirect/src/generation.rs
@@ -11,7 +11,7 @@
 use crate::exchange::{Extras, Opened, give_back, send};
 use crate::job::Job;
 use crate::log_value::or_empty;
-use crate::metrics::kind_word;
+use crate::metrics::kind_label;
 use crate::placed::PlacedGuard;
 use crate::retries;
 use crate::runs::Run;
@@ -140,7 +140,7 @@
         token_copy_time: job.engine.map_or(Duration::ZERO, |e| e.token_copy_time),
     });
     // Notice may have come between the choice of the upstream and the head of its answer.
-    job.node.save_if_leaving(placed.ix);
+    job.node.migrate_if_departing(placed.ix);
     let relay = Relay {
         job,
         run,
@@ -259,7 +259,7 @@
     fn note_end(&self, end: &str) {
         let metrics = &self.job.node.metrics;
         metrics.streams.with_label_values(&[end]).inc();
-        let kind = kind_word(self.job.route.kind);
+        let kind = kind_label(self.job.route.kind);
         let pauses = metrics.pause_seconds.with_label_values(&[kind]);
         pauses.observe(self.pauses.longest.as_secs_f64());
     }
@@ -406,7 +406,7 @@
         };
         self.placed = placed;
         self.run.at.set(next.at);
-        self.job.node.save_if_leaving(next.at);
+        self.job.node.migrate_if_departing(next.at);
         self.run.backup.set(backup.as_ref().map(|b| b.ix));
         self.backup = backup;
         self.source = Some(Source {
@@ -414,7 +414,7 @@
             link: opened.link,
             head: opened.head,
         });
-        let went_on = &self.job.node.metrics.went_on;
+        let went_on = &self.job.node.metrics.resumed;
         went_on.with_label_values(&[next.way]).inc();
         self.say("stream_goes_on", next.way);
         true
--- a/fireflydirect/src/ingest.rs
+++ b/fireflydirect/src/ingest.rs
@@ -31,7 +31,7 @@
     pub fn begin_list(&mut self) {
         self.unreadable.clear();
         if self.kind == Kind::Upstreams {
-            self.node.listed.set(false);
+            self.node.upstreams_listed.set(false);
         }
     }
 
@@ -39,7 +39,7 @@
     pub fn take_objects(&mut self, objects: &[StoreObject]) {
         for object in objects {
             match self.kind {
-                Kind::Config => self.node.adopt(object, "store"),
+                Kind::Config => self.node.adopt_config(object, "store"),
                 Kind::Upstreams => self.take_record(object),
                 // They hold as a whole list.
                 Kind::Evacuations | Kind::Entries => {}
@@ -65,9 +65,9 @@
                 .pool
                 .borrow_mut()
                 .take_list(now, records, revision);
-            self.node.take_changes(changes, "store");
-            self.node.listed.set(true);
-            self.node.has_whole_list.set(true);
+            self.node.apply_pool_changes(changes, "store");
+            self.node.upstreams_listed.set(true);
+            self.node.has_complete_list.set(true);
         }
     }
 
@@ -75,7 +75,7 @@
         let record = self.read_record(object);
         let now = self.node.now();
         let change = record.and_then(|r| self.node.pool.borrow_mut().learn(now, r));
-        self.node.take_changes(change, "store");
+        self.node.apply_pool_changes(change, "store");
     }
 
     /// The record of an upstream; what can't be read says so of one that is known.
@@ -87,7 +87,7 @@
         let (name, revision) = (&object.name, object.revision);
         if self.unreadable.insert(name.clone(), revision) != Some(revision) {
             let why = e.to_string();
-            self.node.metrics.note_unreadable("upstream", 1);
+            self.node.metrics.record_unreadable("upstream", 1);
             log::warn!(
                 event = "upstream_unreadable", instance = &**name, revision = revision, why = why;
                 ""
@@ -99,7 +99,7 @@
     /// Notes objects that were left out, since they have no name.
     pub fn note_nameless(&self, count: usize) {
         if count > 0 {
-            self.node.metrics.note_unreadable("nameless", count);
+            self.node.metrics.record_unreadable("nameless", count);
             let kind = format!("{:?}", self.kind);
             log::warn!(event = "objects_nameless", kind = kind, count = count; "");
         }
@@ -113,7 +113,7 @@
         }
         for event in events {
             match self.kind {
-                Kind::Config if !event.removed => self.node.adopt(&event.object, "store"),
+                Kind::Config if !event.removed => self.node.adopt_config(&event.object, "store"),
                 Kind::Upstreams => self.take_upstream(&event),
                 Kind::Config | Kind::Evacuations | Kind::Entries => {}
             }
@@ -148,7 +148,7 @@
             ""
         );
         let change = node.pool.borrow_mut().remove(now, instance, revision);
-        node.take_changes(change, "store");
+        node.apply_pool_changes(change, "store");
     }
 }
 
@@ -164,13 +164,13 @@
             removed.map(|(instance, revision)| ListChange::Removed { instance, revision });
         for change in records.chain(removed) {
             let taken = node.pool.borrow_mut().take_change(now, change);
-            node.take_changes(taken, "peer");
+            node.apply_pool_changes(taken, "peer");
         }
         for (instance, revision) in state.leaving {
             let mut pool = node.pool.borrow_mut();
             let change = pool.learn_leaving(now, &instance, revision);
             drop(pool);
-            node.take_changes(change, "peer");
+            node.apply_pool_changes(change, "peer");
         }
         return;
     }
@@ -178,13 +178,13 @@
         let mut pool = node.pool.borrow_mut();
         let changes = pool.forget_others(now, &state.upstreams, state.revision);
         drop(pool);
-        node.take_changes(changes, "peer");
+        node.apply_pool_changes(changes, "peer");
     }
     for record in state.upstreams {
         let change = node.pool.borrow_mut().learn(now, record);
-        node.take_changes(change, "peer");
+        node.apply_pool_changes(change, "peer");
     }
-    node.has_whole_list.set(true);
+    node.has_complete_list.set(true);
     // Others may fetch it here from now on.
-    node.urgent.notify_one();
+    node.announce_now.notify_one();
 }
--- a/fireflydirect/src/job.rs
+++ b/fireflydirect/src/job.rs
@@ -121,7 +121,7 @@
     #[must_use]
     pub fn take_repeat(&self) -> bool {
         let entries = self.node.entries();
-        let mut budget = self.node.budget.borrow_mut();
+        let mut budget = self.node.retry_budget.borrow_mut();
         budget.take(self.now(), &self.service, entries)
     }
 
@@ -134,7 +134,7 @@
             if let Some(ix) = self.pick_now(need, tried) {
                 return Some(ix);
             }
-            let changed = self.node.changed.notified();
+            let changed = self.node.routing_changed.notified();
             let wake_at = match self.until_any_is_free(need) {
                 Some(wait) => self.now() + wait,
                 None if self.now() < until => until,
--- a/fireflydirect/src/loads.rs
+++ b/fireflydirect/src/loads.rs
@@ -14,7 +14,7 @@
         return;
     }
     let queries = queries(node, service, need, tried);
-    node.breadth.borrow_mut().record_sent(queries.len());
+    node.candidate_count.borrow_mut().record_sent(queries.len());
     let asks = queries.into_iter();
     owner_queries::ask(
         node,
@@ -31,7 +31,7 @@
     tried: &[UpstreamIx],
 ) -> HashMap<Ipv4Addr, Vec<Life>> {
     let now = node.now();
-    let most = node.breadth.borrow_mut().candidate_count(now);
+    let most = node.candidate_count.borrow_mut().candidate_count(now);
     let pool = node.pool.borrow();
     let peers = node.peers.borrow();
     let mut queries: HashMap<Ipv4Addr, Vec<Life>> = HashMap::new();
--- a/fireflydirect/src/metrics.rs
+++ b/fireflydirect/src/metrics.rs
@@ -28,29 +28,29 @@
     answers: IntCounterVec,
     answer_seconds: HistogramVec,
     /// Tries at upstreams, by `outcome`.
-    pub tries: IntCounterVec,
+    pub attempts: IntCounterVec,
     /// Streams that ended, by `end`: `whole`, `cut`.
     pub streams: IntCounterVec,
     /// Times that a stream went on elsewhere, by `way`: `moved`, `copy`, `anew`.
-    pub went_on: IntCounterVec,
+    pub resumed: IntCounterVec,
     /// Longest pause of each stream in seconds, by `kind`.
     pub pause_seconds: HistogramVec,
     /// Calls of the platform's store, by `result`.
     pub store_calls: IntCounterVec,
     datagrams: IntCounterVec,
     datagram_bytes: IntCounterVec,
-    questions: IntCounterVec,
+    owner_queries: IntCounterVec,
     /// States fetched from other entries, by `what` was lacking: `config`, `list`.
     pub fetches: IntCounterVec,
     unreadable: IntCounterVec,
     restarts: IntCounterVec,
     running: IntGauge,
-    version: IntGauge,
+    config_version: IntGauge,
     peers: IntGauge,
     watching: IntGauge,
     quarantined: IntGauge,
     evacuated: IntGauge,
-    cold: IntGauge,
+    cold_upstreams: IntGauge,
     rate_limited: IntGauge,
     store_era: IntGauge,
     memory: GaugeVec,
@@ -60,7 +60,7 @@
 
 /// Word of a kind of request, in labels.
 #[must_use]
-pub const fn kind_word(repeat: RequestKind) -> &'static str {
+pub const fn kind_label(repeat: RequestKind) -> &'static str {
     match repeat {
         RequestKind::Idempotent => "idempotent",
         RequestKind::Once => "once",
@@ -69,7 +69,7 @@
     }
 }
 
-const fn object_word(kind: Kind) -> &'static str {
+const fn object_label(kind: Kind) -> &'static str {
     match kind {
         Kind::Config => "config",
         Kind::Upstreams => "upstreams",
@@ -89,9 +89,9 @@
         Ok(Self {
             answers: counters(&r, "answers_total", "Answers to callers", &["kind", "code"])?,
             answer_seconds: seconds(&r, "answer_seconds", "Arrival to answer or first event")?,
-            tries: counters(&r, "tries_total", "Tries at upstreams", &["outcome"])?,
+            attempts: counters(&r, "tries_total", "Tries at upstreams", &["outcome"])?,
             streams: counters(&r, "streams_total", "Streams ended", &["end"])?,
-            went_on: counters(&r, "went_on_total", "Streams gone on elsewhere", &["way"])?,
+            resumed: counters(&r, "went_on_total", "Streams gone on elsewhere", &["way"])?,
             pause_seconds: seconds(&r, "pause_seconds", "Longest pause of each stream")?,
             store_calls: counters(
                 &r,
@@ -111,7 +111,7 @@
                 "Bytes of datagrams to other entries",
                 &["kind"],
             )?,
-            questions: counters(
+            owner_queries: counters(
                 &r,
                 "questions_total",
                 "Questions to owners of upstreams",
@@ -131,7 +131,7 @@
                 &["service"],
             )?,
             running: gauge(&r, "streams_running", "Streams under way")?,
-            version: gauge(&r, "config_version", "Configuration in force")?,
+            config_version: gauge(&r, "config_version", "Configuration in force")?,
             peers: gauge(&r, "peers", "Other entries heard of late")?,
             watching: gauge(
                 &r,
@@ -140,7 +140,7 @@
             )?,
             quarantined: gauge(&r, "quarantined", "Contents refused for crashes")?,
             evacuated: gauge(&r, "evacuated", "Data centres evacuated")?,
-            cold: gauge(&r, "cold_upstreams", "Upstreams that are cold")?,
+            cold_upstreams: gauge(&r, "cold_upstreams", "Upstreams that are cold")?,
             rate_limited: gauge(
                 &r,
                 "rate_limited_upstreams",
@@ -160,39 +160,39 @@
 
     /// Notes objects of the store that can't be read: records of `upstream`s, `config`urations, or
     /// what has not even a name, `nameless`.
-    pub fn note_unreadable(&self, what: &str, count: usize) {
+    pub fn record_unreadable(&self, what: &str, count: usize) {
         let unreadable = self.unreadable.with_label_values(&[what]);
         unreadable.inc_by(u64::try_from(count).unwrap_or(u64::MAX));
     }
 
     /// Notes a call of the store for a kind of object, and whether it was answered.
-    pub(crate) fn note_store_call(&self, kind: Kind, call: StoreCall, answered: bool) {
+    pub(crate) fn record_store_call(&self, kind: Kind, call: StoreCall, answered: bool) {
         let result = if answered { "answered" } else { "failed" };
-        let labels = [object_word(kind), call.word(), result];
+        let labels = [object_label(kind), call.word(), result];
         self.store_calls.with_label_values(&labels).inc();
     }
 
     /// Notes a datagram to another entry.
-    pub fn note_datagram(&self, kind: &str, bytes: usize) {
+    pub fn record_datagram(&self, kind: &str, bytes: usize) {
         self.datagrams.with_label_values(&[kind]).inc();
         let sum = self.datagram_bytes.with_label_values(&[kind]);
         sum.inc_by(u64::try_from(bytes).unwrap_or(u64::MAX));
     }
 
     /// Notes a question to owners, and whether all of them replied in time.
-    pub fn note_question(&self, replied: bool) {
+    pub fn record_owner_query(&self, replied: bool) {
         let end = if replied { "replied" } else { "timed_out" };
-        self.questions.with_label_values(&[end]).inc();
+        self.owner_queries.with_label_values(&[end]).inc();
     }
 
     /// Notes that an upstream started again under its id.
-    pub fn note_restart(&self, service: &str) {
+    pub fn record_restart(&self, service: &str) {
         self.restarts.with_label_values(&[service]).inc();
     }
 
     /// Notes an answer to a caller.
-    pub fn note_answer(&self, repeat: Option<RequestKind>, code: Code, age: Duration) {
-        let kind = repeat.map_or("none", kind_word);
+    pub fn record_answer(&self, repeat: Option<RequestKind>, code: Code, age: Duration) {
+        let kind = repeat.map_or("none", kind_label);
         let code = code.number().to_string();
         self.answers.with_label_values(&[kind, &code]).inc();
         let seconds = self.answer_seconds.with_label_values(&[kind]);
@@ -212,14 +212,14 @@
     }
 
     /// Reads which upstreams get less than others, or nothing new.
-    fn read_places(&self, pool: &Pool, now: Time) {
+    fn read_upstream_gauges(&self, pool: &Pool, now: Time) {
         let evacuated = pool.evacuations().data_centres.len();
         self.evacuated.set(to_i64(evacuated));
         let known = pool.known();
         let cold = known
             .iter()
             .filter(|ix| !pool.cold_for(now, **ix).is_zero());
-        self.cold.set(to_i64(cold.count()));
+        self.cold_upstreams.set(to_i64(cold.count()));
         let limited = known.iter().filter(|ix| pool.rate_limit(**ix).is_some());
         self.rate_limited.set(to_i64(limited.count()));
     }
@@ -227,15 +227,15 @@
     fn read_gauges(&self, node: &Node) {
         let now = node.now();
         self.running.set(to_i64(node.runs.count()));
-        self.version
-            .set(i64::try_from(node.version()).unwrap_or(i64::MAX));
+        self.config_version
+            .set(i64::try_from(node.config_version()).unwrap_or(i64::MAX));
         self.peers.set(to_i64(node.entries() - 1));
         self.watching.set(i64::from(node.watches_store()));
         let quarantined = node.quarantine.borrow().refused_count();
         self.quarantined.set(to_i64(quarantined));
-        self.read_places(&node.pool.borrow(), now);
+        self.read_upstream_gauges(&node.pool.borrow(), now);
         self.store_era
-            .set(i64::try_from(node.era()).unwrap_or(i64::MAX));
+            .set(i64::try_from(node.store_era()).unwrap_or(i64::MAX));
         let catalog = node.catalog.borrow();
         for service in catalog.iter().flat_map(|c| c.services()) {
             let name = &service.name;
@@ -246,7 +246,7 @@
             let count = pool.count(name) as f64;
             self.upstreams.with_label_values(&[name]).set(count);
             let left = node
-                .budget
+                .retry_budget
                 .borrow_mut()
                 .remaining(now, name, node.entries());
             self.repeats_left.with_label_values(&[name]).set(left);
--- a/fireflydirect/src/mover.rs
+++ b/fireflydirect/src/mover.rs
@@ -35,8 +35,8 @@
 /// Saves runs for as long as the process lives.
 pub async fn run(node: Rc<Node>) {
     loop {
-        node.leaving.notified().await;
-        let left = std::mem::take(&mut *node.left.borrow_mut());
+        node.departure_found.notified().await;
+        let left = std::mem::take(&mut *node.departing.borrow_mut());
         for ix in left {
             for run in node.runs.drop_backups_at(ix) {
                 if !node.pool.borrow().is_serving(run.at.get()) {
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -34,7 +34,7 @@
 }
 
 /// Whether an entry watches the store from its start on: the seeds do, which all others know.
-fn begins_to_watch(place: &Place) -> bool {
+fn watches_initially(place: &Place) -> bool {
     place.seeds.is_empty() || place.seeds.iter().any(|seed| seed.ip() == place.ip)
 }
 
@@ -49,21 +49,21 @@
     /// Configuration in force.
     pub catalog: RefCell<Option<Rc<Catalog>>>,
     /// When it was taken.
-    pub adopted_at: Cell<Option<Time>>,
+    pub config_adopted_at: Cell<Option<Time>>,
     /// The same as the store holds it, to hand to other entries.
     pub configs: RefCell<ConfigHistory>,
     /// Upstreams.
     pub pool: RefCell<Pool>,
     /// Budget of repeats.
-    pub budget: RefCell<SharedRetryBudget>,
+    pub retry_budget: RefCell<SharedRetryBudget>,
     /// Content that crashes upstreams.
     pub quarantine: RefCell<Quarantine>,
     /// Callers who were refused and come back.
-    pub returns: RefCell<ReturningCallers>,
+    pub returning_callers: RefCell<ReturningCallers>,
     /// Lengths of answers.
     pub lengths: RefCell<LengthEstimator>,
     /// What generations bring for the memory that they hold.
-    pub yields: RefCell<ValueDensities>,
+    pub value_densities: RefCell<ValueDensities>,
     /// Connections to upstreams.
     pub links: Links,
     /// Streams under way.
@@ -73,53 +73,53 @@
     /// The way to them.
     pub datagrams: Datagrams,
     /// Questions to owners of upstreams that wait for replies.
-    pub questions: Questions,
+    pub owner_queries: Questions,
     /// How many upstreams a choice asks about.
-    pub breadth: RefCell<QueryBudget>,
+    pub candidate_count: RefCell<QueryBudget>,
     /// Whether this entry watches the store for the others.
-    pub duty: RefCell<WatcherRole>,
+    pub watcher_role: RefCell<WatcherRole>,
     /// Rings when that has changed.
-    pub duty_changed: Notify,
+    pub watcher_role_changed: Notify,
     /// Kinds of objects that are being read from any copy of the store.
-    pub(crate) copies_read: Cell<usize>,
+    pub(crate) replica_reads: Cell<usize>,
     /// Whether the store answered the last call.
-    pub store_answers: Cell<bool>,
+    pub store_responding: Cell<bool>,
     /// Times that the store has come back from a copy; none until it is known.
-    pub(crate) era: Cell<Option<u64>>,
+    pub(crate) store_era: Cell<Option<u64>>,
     /// Whether any call has failed yet.
-    pub(crate) store_failed: Cell<bool>,
+    pub(crate) any_store_failure: Cell<bool>,
     /// When it last answered one.
-    pub store_answered_at: Cell<Option<Time>>,
+    pub last_store_response: Cell<Option<Time>>,
     /// Whether the list of upstreams has been read whole since this entry watches.
-    pub listed: Cell<bool>,
+    pub upstreams_listed: Cell<bool>,
     /// Whether it was ever read whole, from the store or another entry.
-    pub has_whole_list: Cell<bool>,
+    pub has_complete_list: Cell<bool>,
     /// Rings when an upstream comes or the configuration changes.
-    pub changed: Notify,
+    pub routing_changed: Notify,
     /// Rings when an upstream has started again.
-    life_ended: Notify,
+    incarnation_ended: Notify,
     /// Rings when there is something to tell the other entries at once.
-    pub urgent: Notify,
+    pub announce_now: Notify,
     /// Whether that has to reach all of them, and not some who tell it on.
-    pub tell_all: Cell<bool>,
+    pub announce_to_all: Cell<bool>,
     /// Rings when there is something to report to owners.
-    pub to_report: Notify,
+    pub report_due: Notify,
     /// Upstreams whose load changed since the last report.
     pub loads_changed: RefCell<BTreeSet<UpstreamIx>>,
     /// Callers who were refused since then.
-    pub refused: RefCell<Vec<Refusal>>,
+    pub unreported_refusals: RefCell<Vec<Refusal>>,
     /// Upstreams that couldn't be reached since then.
-    pub unreachable: RefCell<Vec<Life>>,
+    pub unreported_unreachable: RefCell<Vec<Life>>,
     /// Upstreams that were found to leave, for the task that saves their runs.
-    pub left: RefCell<Vec<UpstreamIx>>,
+    pub departing: RefCell<Vec<UpstreamIx>>,
     /// Rings when an upstream was found to leave.
-    pub leaving: Notify,
+    pub departure_found: Notify,
     /// What is known of upstreams that leave while they run something of this entry.
     pub departures: Departures,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Calls under way.
-    pub busy: Cell<usize>,
+    pub calls_in_flight: Cell<usize>,
     stage: watch::Sender<Stage>,
 }
 
@@ -142,48 +142,48 @@
         if let Some(limits) = place.bounds.cold {
             pool.set_cold_limits(&place.vm, limits);
         }
-        let budget = SharedRetryBudget::new(place.bounds.repeats);
+        let retry_budget = SharedRetryBudget::new(place.bounds.repeats);
         let peers = Peers::new(&place);
         let metrics = Metrics::new()?;
         Ok(Self {
             policy,
             clock,
             catalog: RefCell::default(),
-            adopted_at: Cell::new(None),
+            config_adopted_at: Cell::new(None),
             configs: RefCell::default(),
             pool: RefCell::new(pool),
-            budget: RefCell::new(budget),
+            retry_budget: RefCell::new(retry_budget),
             quarantine: RefCell::default(),
-            returns: RefCell::default(),
+            returning_callers: RefCell::default(),
             lengths: RefCell::default(),
-            yields: RefCell::default(),
+            value_densities: RefCell::default(),
             links: Links::new(clock),
             runs: Runs::default(),
             peers: RefCell::new(peers),
             datagrams: Datagrams::new(place.peer_ports.0, metrics.clone()),
-            questions: Questions::default(),
-            breadth: RefCell::default(),
-            duty: RefCell::new(WatcherRole::new(place.ip, begins_to_watch(&place))),
-            duty_changed: Notify::new(),
-            copies_read: Cell::new(0),
-            store_answers: Cell::new(false),
-            era: Cell::new(None),
-            store_failed: Cell::new(false),
-            store_answered_at: Cell::new(None),
-            listed: Cell::new(false),
-            has_whole_list: Cell::new(false),
-            changed: Notify::new(),
-            life_ended: Notify::new(),
-            urgent: Notify::new(),
-            tell_all: Cell::new(false),
-            to_report: Notify::new(),
+            owner_queries: Questions::default(),
+            candidate_count: RefCell::default(),
+            watcher_role: RefCell::new(WatcherRole::new(place.ip, watches_initially(&place))),
+            watcher_role_changed: Notify::new(),
+            replica_reads: Cell::new(0),
+            store_responding: Cell::new(false),
+            store_era: Cell::new(None),
+            any_store_failure: Cell::new(false),
+            last_store_response: Cell::new(None),
+            upstreams_listed: Cell::new(false),
+            has_complete_list: Cell::new(false),
+            routing_changed: Notify::new(),
+            incarnation_ended: Notify::new(),
+            announce_now: Notify::new(),
+            announce_to_all: Cell::new(false),
+            report_due: Notify::new(),
             loads_changed: RefCell::default(),
-            refused: RefCell::default(),
-            unreachable: RefCell::default(),
-            left: RefCell::default(),
-            leaving: Notify::new(),
+            unreported_refusals: RefCell::default(),
+            unreported_unreachable: RefCell::default(),
+            departing: RefCell::default(),
+            departure_found: Notify::new(),
             departures: Departures::default(),
-            busy: Cell::new(0),
+            calls_in_flight: Cell::new(0),
             stage: watch::Sender::new(Stage::Serving),
             metrics,
             place,
@@ -209,7 +209,7 @@
 
     /// Follows the stage.
     #[must_use]
-    pub fn follow_stage(&self) -> watch::Receiver<Stage> {
+    pub fn subscribe_stage(&self) -> watch::Receiver<Stage> {
         self.stage.subscribe()
     }
 
@@ -221,7 +221,7 @@
 
     /// Version of the configuration in force; zero for none.
     #[must_use]
-    pub fn version(&self) -> u64 {
+    pub fn config_version(&self) -> u64 {
         self.catalog.borrow().as_ref().map_or(0, |c| c.version())
     }
 
@@ -232,7 +232,7 @@
     }
 
     /// Tells the pool who the entries are.
-    pub fn review_fleet(&self) {
+    pub fn update_fleet_view(&self) {
         let has_just_started = self.now().since(Time::default()) < FULL_VIEW_AFTER;
         let fleet = if has_just_started {
             FleetView::unknown(self.place.ip)
@@ -243,17 +243,17 @@
     }
 
     /// Takes a published configuration unless it is not newer than the one in force.
-    pub fn adopt(&self, object: &StoreObject, source: &str) {
+    pub fn adopt_config(&self, object: &StoreObject, source: &str) {
         let catalog = match fireflycroft_platform::read_catalog(object.content.get()) {
             Ok(catalog) => catalog,
             Err(e) => {
                 let why = e.to_string();
-                self.metrics.note_unreadable("config", 1);
+                self.metrics.record_unreadable("config", 1);
                 log::error!(event = "config_unreadable", source = source, error = why; "");
                 return;
             }
         };
-        let was = self.version();
+        let was = self.config_version();
         if catalog.version() <= was && was != 0 {
             return;
         }
@@ -271,9 +271,9 @@
         *self.catalog.borrow_mut() = Some(Rc::new(catalog));
         let now = self.now();
         self.configs.borrow_mut().take(now, object.clone());
-        self.adopted_at.set(Some(now));
-        self.changed.notify_waiters();
-        self.urgent.notify_one();
+        self.config_adopted_at.set(Some(now));
+        self.routing_changed.notify_waiters();
+        self.announce_now.notify_one();
     }
 
     /// Takes a list of evacuated data centres unless it is not newer than the one in force.
@@ -293,14 +293,14 @@
             source = source;
             ""
         );
-        self.changed.notify_waiters();
+        self.routing_changed.notify_waiters();
         if self.watches_store() {
-            self.tell_all_at_once();
+            self.announce_to_all_now();
         }
     }
 
     /// Acts on changes of the pool.
-    pub fn take_changes(&self, changes: impl IntoIterator<Item = PoolChange>, source: &str) {
+    pub fn apply_pool_changes(&self, changes: impl IntoIterator<Item = PoolChange>, source: &str) {
         for change in changes {
             let (ix, event) = match change {
                 PoolChange::Came(ix) => (ix, "upstream_came"),
@@ -309,7 +309,7 @@
                 PoolChange::Unreadable(ix) => (ix, "upstream_set_aside"),
                 PoolChange::Missing(ix) => (ix, "upstream_missing"),
                 PoolChange::Back { ix, missing_for } => {
-                    self.log_back(ix, missing_for, source);
+                    self.log_recovered(ix, missing_for, source);
                     continue;
                 }
             };
@@ -322,13 +322,13 @@
             );
             match change {
                 PoolChange::Leaves(ix) => {
-                    self.save_if_leaving(ix);
-                    self.urgent.notify_one();
+                    self.migrate_if_departing(ix);
+                    self.announce_now.notify_one();
                 }
                 PoolChange::Restarted { ended, .. } => {
-                    self.metrics.note_restart(&record.service);
-                    self.end_life(ended);
-                    self.urgent.notify_one();
+                    self.metrics.record_restart(&record.service);
+                    self.end_incarnation(ended);
+                    self.announce_now.notify_one();
                 }
                 PoolChange::Came(_)
                 | PoolChange::Unreadable(_)
@@ -336,10 +336,10 @@
                 | PoolChange::Back { .. } => {}
             }
         }
-        self.changed.notify_waiters();
+        self.routing_changed.notify_waiters();
     }
 
-    fn log_back(&self, ix: UpstreamIx, missing_for: Duration, source: &str) {
+    fn log_recovered(&self, ix: UpstreamIx, missing_for: Duration, source: &str) {
         let pool = self.pool.borrow();
         let record = pool.record(ix);
         log::info!(
@@ -352,17 +352,17 @@
 
     /// Lets go of all that a life of an upstream held: idle connections, copies, and what waits for
     /// an answer of it.
-    fn end_life(&self, ix: UpstreamIx) {
+    fn end_incarnation(&self, ix: UpstreamIx) {
         let life = self.pool.borrow().record(ix).life();
         self.links.drop_idle(&life);
-        self.save_if_leaving(ix);
-        self.life_ended.notify_waiters();
+        self.migrate_if_departing(ix);
+        self.incarnation_ended.notify_waiters();
     }
 
     /// Returns once a later life of an upstream is known, after which nothing comes of this one.
     pub async fn until_ended(&self, ix: UpstreamIx) {
         loop {
-            let ended = self.life_ended.notified();
+            let ended = self.incarnation_ended.notified();
             if self.pool.borrow().is_ended(ix) {
                 return;
             }
@@ -371,40 +371,44 @@
     }
 
     /// Has the runs of an upstream that leaves saved, if it does.
-    pub fn save_if_leaving(&self, ix: UpstreamIx) {
+    pub fn migrate_if_departing(&self, ix: UpstreamIx) {
         if !self.pool.borrow().is_serving(ix) {
-            self.left.borrow_mut().push(ix);
-            self.leaving.notify_one();
+            self.departing.borrow_mut().push(ix);
+            self.departure_found.notify_one();
         }
     }
 
     /// Notes that the owners of an upstream should hear of its load at once.
-    pub(crate) fn note_load(&self, ix: UpstreamIx) {
+    pub(crate) fn record_load_change(&self, ix: UpstreamIx) {
         self.loads_changed.borrow_mut().insert(ix);
-        self.to_report.notify_one();
+        self.report_due.notify_one();
     }
 
     /// Notes that a caller was refused for lack of room and told to come back.
-    pub fn note_refused(&self, content: Digest) {
+    pub fn record_refusal(&self, content: Digest) {
         let now = self.now();
-        self.returns.borrow_mut().record_refusal(now, content);
+        self.returning_callers
+            .borrow_mut()
+            .record_refusal(now, content);
         let age = Duration::ZERO;
-        self.refused.borrow_mut().push(Refusal { content, age });
-        self.to_report.notify_one();
+        self.unreported_refusals
+            .borrow_mut()
+            .push(Refusal { content, age });
+        self.report_due.notify_one();
     }
 
     /// Notes that an upstream couldn't be reached, here and for its owners.
-    pub fn note_unreachable(&self, ix: UpstreamIx) {
+    pub fn record_unreachable(&self, ix: UpstreamIx) {
         let mut pool = self.pool.borrow_mut();
         let life = pool.record(ix).life();
         pool.record_unreachable(self.now(), &self.place.vm, &life);
-        self.unreachable.borrow_mut().push(life);
-        self.to_report.notify_one();
+        self.unreported_unreachable.borrow_mut().push(life);
+        self.report_due.notify_one();
     }
 
     /// Tells all other entries what is new here.
-    pub fn tell_all_at_once(&self) {
-        self.tell_all.set(true);
-        self.urgent.notify_one();
+    pub fn announce_to_all_now(&self) {
+        self.announce_to_all.set(true);
+        self.announce_now.notify_one();
     }
 }
--- a/fireflydirect/src/overview.rs
+++ b/fireflydirect/src/overview.rs
@@ -18,14 +18,17 @@
         name: node.place.vm.clone(),
         data_centre: node.place.data_centre.clone(),
         ready: node.is_ready(),
-        stage: stage_word(node.stage()).to_owned(),
-        config: node.version(),
-        config_age_ms: node.adopted_at.get().map(|at| whole_millis(now.since(at))),
-        watches: node.duty.borrow().is_watching(),
-        store_answers: node.store_answers.get(),
+        stage: stage_label(node.stage()).to_owned(),
+        config: node.config_version(),
+        config_age_ms: node
+            .config_adopted_at
+            .get()
+            .map(|at| whole_millis(now.since(at))),
+        watches: node.watcher_role.borrow().is_watching(),
+        store_answers: node.store_responding.get(),
         evacuated: pool.evacuations().data_centres.iter().cloned().collect(),
-        store_era: node.era(),
-        calls: node.busy.get(),
+        store_era: node.store_era(),
+        calls: node.calls_in_flight.get(),
         streams: node.runs.count(),
         upstreams: known.map(|ix| upstream(node, &pool, now, ix)).collect(),
         peers: node.peers.borrow().overview(now),
@@ -56,7 +59,7 @@
     }
 }
 
-const fn stage_word(stage: Stage) -> &'static str {
+const fn stage_label(stage: Stage) -> &'static str {
     match stage {
         Stage::Serving => "serving",
         Stage::Draining => "draining",
--- a/fireflydirect/src/owner_queries.rs
+++ b/fireflydirect/src/owner_queries.rs
@@ -84,7 +84,7 @@
     if asks.len() == 0 {
         return true;
     }
-    let mut question = node.questions.begin(asks.len());
+    let mut question = node.owner_queries.begin(asks.len());
     for (owner, body) in asks {
         node.peers.borrow_mut().note_asked(node.now(), owner);
         let query = OwnerQuery {
@@ -96,7 +96,7 @@
         node.datagrams.send_all([owner], &message).await;
     }
     let replied = tokio::time::timeout(REPLY_WAIT, &mut question.all_replied).await;
-    node.metrics.note_question(replied.is_ok());
+    node.metrics.record_owner_query(replied.is_ok());
     replied.is_ok()
 }
 
@@ -119,7 +119,7 @@
             OwnerReplyBody::Loads(pool.loads_for(now, &query.entry, &lives))
         }
         OwnerQueryBody::Retry(service) => {
-            let granted = node.budget.borrow_mut().grant(now, &service);
+            let granted = node.retry_budget.borrow_mut().grant(now, &service);
             log::info!(
                 event = "repeat_asked", by = &*query.entry, service = &*service, lent = granted;
                 ""
@@ -128,7 +128,7 @@
         }
         OwnerQueryBody::Refused(content) => OwnerReplyBody::Refused {
             content,
-            age: node.returns.borrow().waited(now, content),
+            age: node.returning_callers.borrow().waited(now, content),
         },
     }
 }
@@ -143,17 +143,17 @@
         }
         OwnerReplyBody::Retry { service, granted } => {
             if granted {
-                node.budget.borrow_mut().record_grant(now, &service);
+                node.retry_budget.borrow_mut().record_grant(now, &service);
             }
         }
         OwnerReplyBody::Refused { content, age } => {
             if let Some(age) = age {
-                let mut returns = node.returns.borrow_mut();
+                let mut returns = node.returning_callers.borrow_mut();
                 returns.apply_refusal(now, &Refusal { content, age });
             }
         }
     }
-    node.questions.note_reply(reply.id);
+    node.owner_queries.note_reply(reply.id);
 }
 
 /// Takes what another entry reports to this one as an owner.
@@ -166,6 +166,8 @@
     }
     drop(pool);
     for refusal in &report.refused {
-        node.returns.borrow_mut().apply_refusal(now, refusal);
+        node.returning_callers
+            .borrow_mut()
+            .apply_refusal(now, refusal);
     }
 }
--- a/fireflydirect/src/placed.rs
+++ b/fireflydirect/src/placed.rs
@@ -10,7 +10,7 @@
     pub fn place(self: &Rc<Self>, ix: UpstreamIx, need: Need) -> PlacedGuard {
         self.pool.borrow_mut().place(self.now(), ix, &need);
         if need.tokens > 0 {
-            self.note_load(ix);
+            self.record_load_change(ix);
         }
         PlacedGuard {
             node: self.clone(),
@@ -42,7 +42,7 @@
         if self.need.unread > 0 {
             let mut pool = self.node.pool.borrow_mut();
             pool.note_read(self.ix, &mut self.need);
-            self.node.note_load(self.ix);
+            self.node.record_load_change(self.ix);
         }
     }
 }
@@ -51,7 +51,7 @@
     fn drop(&mut self) {
         self.node.pool.borrow_mut().release(self.ix, &self.need);
         if self.need.tokens > 0 {
-            self.node.note_load(self.ix);
+            self.node.record_load_change(self.ix);
         }
     }
 }
--- a/fireflydirect/src/process.rs
+++ b/fireflydirect/src/process.rs
@@ -91,7 +91,7 @@
         node.links.tidy();
         let now = node.now();
         let changes = node.pool.borrow_mut().drop_missing(now);
-        node.take_changes(changes, "missing");
+        node.apply_pool_changes(changes, "missing");
         node.quarantine.borrow_mut().expire(now);
         node.configs.borrow_mut().tidy(now);
     }
@@ -110,13 +110,13 @@
 /// Stops without cutting what runs, as far as the grace allows.
 async fn stop(node: &Rc<Node>) {
     let end = node.now() + node.place.bounds.grace.saturating_sub(GRACE_MARGIN);
-    log::info!(event = "stopping", busy = node.busy.get(), streams = node.runs.count(); "");
+    log::info!(event = "stopping", busy = node.calls_in_flight.get(), streams = node.runs.count(); "");
     node.set_stage(Stage::Draining);
-    node.tell_all_at_once();
+    node.announce_to_all_now();
     tokio::time::sleep(DRAIN_FOR).await;
     node.set_stage(Stage::Closing);
-    while node.busy.get() > 0 && node.now() < end {
+    while node.calls_in_flight.get() > 0 && node.now() < end {
         tokio::time::sleep(STOP_CHECK).await;
     }
-    log::info!(event = "stopped", busy = node.busy.get(); "");
+    log::info!(event = "stopped", busy = node.calls_in_flight.get(); "");
 }
--- a/fireflydirect/src/receive.rs
+++ b/fireflydirect/src/receive.rs
@@ -76,14 +76,14 @@
     }
     let revision = news.upstreams.max(news.evacuations.revision);
     if revision > 0 {
-        node.note_era(era_of(revision), "peer");
+        node.record_store_era(era_of(revision), "peer");
     }
     if let Some(age) = news.store_age {
-        node.note_contact(now - age, "peer");
+        node.record_store_contact(now - age, "peer");
     }
     for change in news.list_changes.iter().cloned() {
         let taken = node.pool.borrow_mut().take_change(now, change);
-        node.take_changes(taken, "peer");
+        node.apply_pool_changes(taken, "peer");
     }
     if news.evacuations.revision > 0 {
         node.apply_evacuations(news.evacuations.clone(), "peer");
@@ -100,7 +100,7 @@
     if behind.is_any() {
         fetch(node, from, behind);
     }
-    let mut budget = node.budget.borrow_mut();
+    let mut budget = node.retry_budget.borrow_mut();
     budget.apply_report(now, &news.name, news.retries);
 }
 
@@ -118,10 +118,10 @@
     let is_ahead = news.upstreams_complete > pool.complete_to();
     let is_newer = !is_same && (is_ahead || news.upstreams >= pool.revision());
     let told = Behind {
-        config: (news.config > node.version()).then_some(news.config),
+        config: (news.config > node.config_version()).then_some(news.config),
         list: (news.watches && is_newer).then_some(news.upstreams_complete),
     };
-    peers.note_behind(now, told, node.expects_store())
+    peers.note_behind(now, told, node.awaits_store_data())
 }
 
 fn learn_crash(node: &Node, now: Time, crash: &CrashCount) {
@@ -152,7 +152,7 @@
         let what = behind.list.map_or("config", |_| "list");
         node.metrics.fetches.with_label_values(&[what]).inc();
         let mut fetched = fetch_state(&node, from, &behind, false).await;
-        let lacking = behind.config.filter(|v| *v > node.version());
+        let lacking = behind.config.filter(|v| *v > node.config_version());
         if let (Ok(()), Some(version)) = (&fetched, lacking)
             && !read_config(&node, version).await
         {
@@ -235,18 +235,18 @@
 ) -> anyhow::Result<()> {
     let known = known_revision(node, behind);
     let asked = Asked {
-        config: node.version(),
+        config: node.config_version(),
         config_revision: node.configs.borrow().revision(),
         whole_config,
         upstreams: known,
     };
     let mut state = get_state(node, from, &asked).await?;
-    node.note_era(era_of(state.revision), "peer");
+    node.record_store_era(era_of(state.revision), "peer");
     node.peers.borrow_mut().learn_of(node.now(), &state.entries);
     let handover = state.config.take();
     let config = handover.and_then(|h| node.configs.borrow().receive(h));
     if let Some(config) = config {
-        node.adopt(&config, "peer");
+        node.adopt_config(&config, "peer");
     }
     if known == NOTHING_NEWER {
         return Ok(());
@@ -272,10 +272,10 @@
 
 /// Revision of the list from which on a peer is asked for changes.
 fn known_revision(node: &Node, behind: &Behind) -> u64 {
-    if behind.list.is_none() && node.expects_store() {
+    if behind.list.is_none() && node.awaits_store_data() {
         return NOTHING_NEWER;
     }
-    if node.peers.borrow().wants_all || !node.has_whole_list.get() {
+    if node.peers.borrow().wants_all || !node.has_complete_list.get() {
         return 0;
     }
     node.pool.borrow().complete_to()
--- a/fireflydirect/src/reload.rs
+++ b/fireflydirect/src/reload.rs
@@ -36,7 +36,7 @@
     match settings.read_place() {
         Ok(place) => {
             log::info!(event = "reloaded", signalled = signalled; "");
-            let mut budget = node.budget.borrow_mut();
+            let mut budget = node.retry_budget.borrow_mut();
             budget.set_limits(place.bounds.repeats);
         }
         Err(e) => {
--- a/fireflydirect/src/reports.rs
+++ b/fireflydirect/src/reports.rs
@@ -27,7 +27,7 @@
                 whole_at = node.now() + REPORT_EVERY;
                 report_all(&node).await;
             }
-            () = node.to_report.notified() => {
+            () = node.report_due.notified() => {
                 report_changes(&node).await;
                 tokio::time::sleep(REPORT_SPACING).await;
             }
@@ -37,7 +37,7 @@
 
 async fn report_all(node: &Node) {
     let placed = node.pool.borrow().placed();
-    let refused = node.returns.borrow().own_refusals(node.now());
+    let refused = node.returning_callers.borrow().own_refusals(node.now());
     let news = News {
         placed,
         refused,
@@ -51,8 +51,8 @@
     let placed = node.pool.borrow().placed_at(changed);
     let news = News {
         placed,
-        refused: std::mem::take(&mut *node.refused.borrow_mut()),
-        unreachable: std::mem::take(&mut *node.unreachable.borrow_mut()),
+        refused: std::mem::take(&mut *node.unreported_refusals.borrow_mut()),
+        unreachable: std::mem::take(&mut *node.unreported_unreachable.borrow_mut()),
     };
     report(node, news, false).await;
 }
--- a/fireflydirect/src/retries.rs
+++ b/fireflydirect/src/retries.rs
@@ -21,7 +21,7 @@
     let owners: Vec<_> = node.peers.borrow().owners(node.now(), key).collect();
     for owner in owners {
         if owner == node.place.ip {
-            let mut budget = node.budget.borrow_mut();
+            let mut budget = node.retry_budget.borrow_mut();
             if budget.grant(job.now(), &job.service) {
                 budget.record_grant(job.now(), &job.service);
                 return;
@@ -38,6 +38,6 @@
 
 fn has_one(job: &Job) -> bool {
     let entries = job.node.entries();
-    let mut budget = job.node.budget.borrow_mut();
+    let mut budget = job.node.retry_budget.borrow_mut();
     budget.remaining(job.now(), &job.service, entries) >= 1.0
 }
--- a/fireflydirect/src/returning_callers.rs
+++ b/fireflydirect/src/returning_callers.rs
@@ -7,7 +7,11 @@
 /// Whether the caller comes back, as far as is known here.
 #[must_use]
 pub fn coming(job: &Job) -> ArrivalKind {
-    let waited = job.node.returns.borrow().waited(job.arrival, job.content);
+    let waited = job
+        .node
+        .returning_callers
+        .borrow()
+        .waited(job.arrival, job.content);
     ArrivalKind::after(waited.filter(|_| is_on(job)), job.route.objective)
 }
 
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -58,11 +58,11 @@
         Err(refused) => {
             log::warn!(
                 event = "refused", req = &*request_id, code = refused.code.number(),
-                version = node.version(), stage = format!("{:?}", node.stage());
+                version = node.config_version(), stage = format!("{:?}", node.stage());
                 ""
             );
             let age = node.now().since(arrival);
-            node.metrics.note_answer(None, refused.code, age);
+            node.metrics.record_answer(None, refused.code, age);
             own(refused.code, refused.retry_after)
         }
     };
@@ -80,7 +80,7 @@
         Reply::Own(code, _) => (*code, code.status()),
     };
     let repeat = Some(job.route.kind);
-    job.node.metrics.note_answer(repeat, code, job.age());
+    job.node.metrics.record_answer(repeat, code, job.age());
     // What failed is kept before what was served when lines have to be dropped.
     let level = if code == Code::Ok && status < 500 {
         log::Level::Info
@@ -134,7 +134,7 @@
     if crash::is_refused(node, content) {
         return Err(come_back(Code::Overloaded, QUARANTINE_RETRY));
     }
-    node.budget
+    node.retry_budget
         .borrow_mut()
         .record_request(node.now(), &service);
     let engine = catalog.service(&service).and_then(|s| s.engine);
@@ -178,7 +178,7 @@
         return 0.0;
     }
     let prompt = u64::from(size.prompt_tokens);
-    let mut yields = job.node.yields.borrow_mut();
+    let mut yields = job.node.value_densities.borrow_mut();
     yields.record(&job.route.name, prompt, job.expected_tokens())
 }
 
--- a/fireflydirect/src/startup_wait.rs
+++ b/fireflydirect/src/startup_wait.rs
@@ -27,10 +27,10 @@
     let end = begins_by.min(node.now() + patience);
     while !has_begun(node) && node.now() < end {
         // What rings may still lack the other part.
-        let _ = timeout(LOOK_EVERY, node.changed.notified()).await;
+        let _ = timeout(LOOK_EVERY, node.routing_changed.notified()).await;
     }
 }
 
 fn has_begun(node: &Node) -> bool {
-    node.catalog.borrow().is_some() && node.has_whole_list.get()
+    node.catalog.borrow().is_some() && node.has_complete_list.get()
 }
--- a/fireflydirect/src/state_page.rs
+++ b/fireflydirect/src/state_page.rs
@@ -116,7 +116,7 @@
 fn state(node: &Node, asked: &Asked) -> PeerState {
     let pool = node.pool.borrow();
     let changes = pool.since(asked.upstreams);
-    let newer = node.version() > asked.config;
+    let newer = node.config_version() > asked.config;
     let configs = node.configs.borrow();
     let config = configs.since(asked.config_revision, asked.whole_config);
     PeerState {
@@ -128,7 +128,7 @@
         revision: pool.revision(),
         complete_to: pool.complete_to(),
         digest: pool.digest(),
-        sure: node.follows_store(),
+        sure: node.has_settled_list(),
         entries: node.peers.borrow().living(node.now()),
     }
 }
--- a/fireflydirect/src/store_connectivity.rs
+++ b/fireflydirect/src/store_connectivity.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Time within which a store that is well has answered the first call of a process.
-const FIRST_ANSWER_WITHIN: Duration = Duration::from_millis(500);
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A copy of the store that is being read.
 pub(crate) struct ReplicaReadGuard<'a>(&'a Cell<usize>);
@@ -21,37 +21,37 @@
     /// Whether this entry watches the store and is answered.
     #[must_use]
     pub fn watches_store(&self) -> bool {
-        self.duty.borrow().is_watching() && self.store_answers.get()
+        self.watcher_role.borrow().is_watching() && self.store_responding.get()
     }
 
     /// Whether this entry's own calls of the store are about to bring what is new: it reads a copy, or
     /// watches and is answered or has just begun to ask.
     #[must_use]
-    pub fn expects_store(&self) -> bool {
-        if self.copies_read.get() > 0 {
+    pub fn awaits_store_data(&self) -> bool {
+        if self.replica_reads.get() > 0 {
             return true;
         }
         let now = self.now();
-        let begins = now.since(Time::default()) < FIRST_ANSWER_WITHIN;
-        let has_begun = begins && !self.store_failed.get();
-        self.duty.borrow().is_watching() && (self.store_answers.get() || has_begun)
+        let begins = now.since(Time::default()) < FIRST_RESPONSE_TIMEOUT;
+        let has_begun = begins && !self.any_store_failure.get();
+        self.watcher_role.borrow().is_watching() && (self.store_responding.get() || has_begun)
     }
 
     /// Notes that a copy of the store is being read, until the guard is dropped.
-    pub(crate) fn begin_copy(&self) -> ReplicaReadGuard<'_> {
-        self.copies_read.update(|n| n + 1);
-        ReplicaReadGuard(&self.copies_read)
+    pub(crate) fn begin_replica_read(&self) -> ReplicaReadGuard<'_> {
+        self.replica_reads.update(|n| n + 1);
+        ReplicaReadGuard(&self.replica_reads)
     }
 
     /// Notes that the store answered this entry.
-    pub fn note_store_answer(&self) {
-        self.store_answers.set(true);
-        self.store_answered_at.set(Some(self.now()));
-        self.note_contact(self.now(), "store");
+    pub fn record_store_response(&self) {
+        self.store_responding.set(true);
+        self.last_store_response.set(Some(self.now()));
+        self.record_store_contact(self.now(), "store");
     }
 
     /// Notes that the store answered this or another entry.
-    pub fn note_contact(&self, at: Time, source: &str) {
+    pub fn record_store_contact(&self, at: Time, source: &str) {
         if self.pool.borrow_mut().note_contact(at) {
             let for_ms = SETTLE_TIME.as_millis();
             log::info!(event = "removals_doubted", source = source, for_ms = for_ms; "");
@@ -60,17 +60,17 @@
 
     /// Era of the store, as far as is known.
     #[must_use]
-    pub fn era(&self) -> u64 {
-        self.era.get().unwrap_or_default()
+    pub fn store_era(&self) -> u64 {
+        self.store_era.get().unwrap_or_default()
     }
 
     /// Notes the era of the store that an answer or another entry tells.
-    pub fn note_era(&self, era: u64, source: &str) {
-        let was = self.era.get();
+    pub fn record_store_era(&self, era: u64, source: &str) {
+        let was = self.store_era.get();
         if was.is_some_and(|was| era <= was) {
             return;
         }
-        self.era.set(Some(era));
+        self.store_era.set(Some(era));
         if let Some(was) = was {
             log::warn!(event = "store_restored", era = era, was = was, source = source; "");
             self.pool.borrow_mut().note_restored(self.now());
@@ -78,9 +78,9 @@
     }
 
     /// Notes that a call to the store failed or hangs.
-    pub fn note_store_failure(&self) {
-        self.store_answers.set(false);
-        self.store_failed.set(true);
+    pub fn record_store_failure(&self) {
+        self.store_responding.set(false);
+        self.any_store_failure.set(true);
         self.pool.borrow_mut().note_no_contact();
     }
 
@@ -96,9 +96,9 @@
     /// Whether what the list of upstreams known here lacks is gone, and not only missing or not yet
     /// read.
     #[must_use]
-    pub fn follows_store(&self) -> bool {
+    pub fn has_settled_list(&self) -> bool {
         let pool = self.pool.borrow();
         let settled = pool.is_settled(self.now()) && !pool.any_missing();
-        self.watches_store() && self.listed.get() && settled
+        self.watches_store() && self.upstreams_listed.get() && settled
     }
 }
