--- a/fireflydirect/src/client.rs
+++ b/fireflydirect/src/client.rs
@@ -17,7 +17,7 @@
 use tokio::task::{AbortHandle, JoinSet};
 
 /// What one try came to.
-type TryEnd = (AttemptId, anyhow::Result<(Link, Answered)>);
+type AttemptOutcome = (AttemptId, anyhow::Result<(Link, Answered)>);
 
 /// A client of one address; one call at a time.
 pub struct Client {
@@ -27,9 +27,9 @@
 }
 
 /// The tries of one call that are running.
-struct Running {
-    overlap: Rc<RefCell<HedgedCall>>,
-    tasks: JoinSet<TryEnd>,
+struct RunningAttempts {
+    hedged_call: Rc<RefCell<HedgedCall>>,
+    tasks: JoinSet<AttemptOutcome>,
     handles: HashMap<AttemptId, AbortHandle>,
 }
 
@@ -54,19 +54,19 @@
     pub async fn get(
         &mut self,
         path: &str,
-        overlap: HedgedCall,
+        hedged_call: HedgedCall,
         on_hang: impl Fn(),
     ) -> anyhow::Result<Answered> {
-        let mut running = Running {
-            overlap: Rc::new(RefCell::new(overlap)),
+        let mut running = RunningAttempts {
+            hedged_call: Rc::new(RefCell::new(hedged_call)),
             tasks: JoinSet::new(),
             handles: HashMap::new(),
         };
         loop {
-            let step = running.overlap.borrow_mut().next(self.clock.now());
+            let step = running.hedged_call.borrow_mut().next(self.clock.now());
             match step {
                 HedgeStep::Start(id) => {
-                    if running.overlap.borrow().started() > 1 {
+                    if running.hedged_call.borrow().started() > 1 {
                         on_hang();
                     }
                     self.start(&mut running, id, path)?;
@@ -79,7 +79,7 @@
                         ended = running.tasks.join_next() => ended,
                         () = until => continue,
                     };
-                    if let Some((link, answered)) = running.take(ended)? {
+                    if let Some((link, answered)) = running.handle_ended(ended)? {
                         self.link = Some(link);
                         return Ok(answered);
                     }
@@ -88,14 +88,19 @@
         }
     }
 
-    fn start(&mut self, running: &mut Running, id: AttemptId, path: &str) -> anyhow::Result<()> {
+    fn start(
+        &mut self,
+        running: &mut RunningAttempts,
+        id: AttemptId,
+        path: &str,
+    ) -> anyhow::Result<()> {
         let req = Request::get(path)
             .header(HOST, self.addr.to_string())
             .body(Full::default())?;
         let (addr, clock, link) = (self.addr, self.clock, self.link.take());
-        let overlap = running.overlap.clone();
+        let hedged_call = running.hedged_call.clone();
         let handle = running.tasks.spawn_local(async move {
-            let record_progress = || overlap.borrow_mut().record_progress(clock.now(), id);
+            let record_progress = || hedged_call.borrow_mut().record_progress(clock.now(), id);
             (id, exchange(addr, link, req, record_progress).await)
         });
         running.handles.insert(id, handle);
@@ -103,7 +108,7 @@
     }
 }
 
-impl Running {
+impl RunningAttempts {
     fn abandon(&mut self, id: AttemptId) {
         if let Some(handle) = self.handles.remove(&id) {
             handle.abort();
@@ -111,14 +116,14 @@
     }
 
     /// What a task that ended means: an answer, one try less, or the end of the call.
-    fn take(
+    fn handle_ended(
         &mut self,
-        ended: Option<Result<TryEnd, tokio::task::JoinError>>,
+        ended: Option<Result<AttemptOutcome, tokio::task::JoinError>>,
     ) -> anyhow::Result<Option<(Link, Answered)>> {
         match ended {
             Some(Ok((_, Ok(answer)))) => Ok(Some(answer)),
             Some(Ok((id, Err(e)))) => {
-                let was_last = self.overlap.borrow_mut().record_failure(id);
+                let was_last = self.hedged_call.borrow_mut().record_failure(id);
                 if was_last { Err(e) } else { Ok(None) }
             }
             // A try that was dropped has nothing to say.
--- a/fireflydirect/src/feed.rs
+++ b/fireflydirect/src/feed.rs
@@ -41,50 +41,50 @@
 const WATCH_MARGIN: Duration = Duration::from_millis(600);
 
 /// Wait of a watch that only asks whether the store is back.
-const LOOK_WAIT: Duration = Duration::from_millis(1);
+const PROBE_WAIT: Duration = Duration::from_millis(1);
 
 /// Time without a byte after which a call is tried once more beside the one that hangs: the store
 /// answers in 4 ms, and in some 200 ms when it is slow.
-const PATIENCE: Duration = Duration::from_millis(450);
+const HEDGE_DELAY: Duration = Duration::from_millis(450);
 
 /// Pause after a copy of the store that couldn't be read.
-const COPY_PAUSE: Duration = Duration::from_millis(600);
+const REPLICA_RETRY_PAUSE: Duration = Duration::from_millis(600);
 
 /// First pause after a failed call; doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// Pause after changes of the list of upstreams, so that several come with one call.
 ///
 /// Three entries watch, each with pauses of its own, so that the first of them hears of a change
 /// well before the pause is over; a leaving upstream serves on for a second and a half at least.
-const GATHER: Duration = Duration::from_millis(300);
+const BATCH_DELAY: Duration = Duration::from_millis(300);
 
 /// The same of an entry that stands by: when a fleet starts, its upstreams enter the list one after the
 /// other.
-const STANDBY_GATHER: Duration = Duration::from_secs(2);
+const STANDBY_BATCH_DELAY: Duration = Duration::from_secs(2);
 
 /// Time for which an entry has to be relied on before it reads evacuations: several are when watchers
 /// are lost, until they hear of each other, and each call is paid for.
-const RELIED_ON_FOR: Duration = Duration::from_secs(1);
+const PRIMARY_MIN_TIME: Duration = Duration::from_secs(1);
 
 /// Time between two looks at whether another feed of this entry is answered again.
-const CONTACT_CHECK: Duration = Duration::from_millis(200);
+const CONNECTIVITY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time without a byte after which the only try is given up, where tries don't overlap.
-const HANG_LIMIT: Duration = Duration::from_secs(5);
+const NO_PROGRESS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// One kind of object, read from the store.
 struct Feed {
     node: Rc<Node>,
     client: Client,
     kind: Kind,
-    pause: Duration,
-    contact: Contact,
-    intake: Ingest,
+    retry_pause: Duration,
+    connectivity: Connectivity,
+    ingest: Ingest,
 }
 
 /// Whether the store answers, as one feed sees it.
-struct Contact {
+struct Connectivity {
     node: Rc<Node>,
     kind: Kind,
     lost: Cell<bool>,
@@ -93,28 +93,28 @@
 /// Follows one kind of object for as long as the process lives.
 pub async fn follow(node: Rc<Node>, kind: Kind) {
     let client = Client::new(node.place.store.addr, node.clock);
-    let contact = Contact {
+    let connectivity = Connectivity {
         node: node.clone(),
         kind,
         lost: Cell::new(false),
     };
     let mut feed = Feed {
-        intake: Ingest::new(node.clone(), kind),
+        ingest: Ingest::new(node.clone(), kind),
         node,
         client,
         kind,
-        pause: FIRST_PAUSE,
-        contact,
+        retry_pause: FIRST_RETRY_PAUSE,
+        connectivity,
     };
-    if !is_on_duty(&feed.node, kind) {
-        feed.read_copy_at_start().await;
-        feed.wait_for_duty().await;
+    if !should_follow(&feed.node, kind) {
+        feed.read_replica_at_start().await;
+        feed.wait_until_following().await;
     }
     loop {
-        feed.until_due().await;
+        feed.until_needed().await;
         match feed.list().await {
-            Some(revision) => feed.watch_while_on_duty(revision).await,
-            None => feed.wait_for_duty().await,
+            Some(revision) => feed.watch_while_following(revision).await,
+            None => feed.wait_until_following().await,
         }
     }
 }
@@ -129,12 +129,12 @@
 
 impl Listing {
     /// Name after which the next page begins.
-    fn last(&self) -> Option<Name> {
+    fn last_name(&self) -> Option<Name> {
         self.objects.last().map(|o| o.name.clone())
     }
 
     /// Takes the next page, unless it is of a later era than those before, which are void then.
-    fn take(&mut self, page: StorePage) -> bool {
+    fn append(&mut self, page: StorePage) -> bool {
         let first = *self.revision.get_or_insert(page.revision);
         if era_of(first) != era_of(page.revision) {
             *self = Self::default();
@@ -153,17 +153,17 @@
     /// calls only would never be read to the end.
     async fn list(&mut self) -> Option<u64> {
         let mut listing = Listing::default();
-        self.intake.begin_list();
+        self.ingest.begin_list();
         loop {
             match self.read_page(StoreCall::List, &mut listing).await {
                 Ok(true) => {}
                 Ok(false) => {
-                    self.heard();
-                    return self.take_list(&listing);
+                    self.record_success();
+                    return self.apply_list(&listing);
                 }
-                Err(why) => self.rest(&why).await,
+                Err(why) => self.back_off(&why).await,
             }
-            if !is_on_duty(&self.node, self.kind) {
+            if !should_follow(&self.node, self.kind) {
                 return None;
             }
         }
@@ -171,19 +171,19 @@
 
     /// Reads the next page of a list; true when the list goes on.
     async fn read_page(&mut self, call: StoreCall, listing: &mut Listing) -> Result<bool, String> {
-        let after = listing.last();
+        let after = listing.last_name();
         let path = page_path(call, self.kind, after.as_deref());
         let page = self.get_page(call, &path).await?;
-        self.intake.note_nameless(page.nameless);
+        self.ingest.record_nameless(page.nameless);
         // What is read of a list that can't be read to its end holds all the same.
-        self.intake.take_objects(&page.objects);
+        self.ingest.apply_objects(&page.objects);
         let more = page.more;
-        Ok(!listing.take(page) || more)
+        Ok(!listing.append(page) || more)
     }
 
-    fn take_list(&mut self, listing: &Listing) -> Option<u64> {
+    fn apply_list(&mut self, listing: &Listing) -> Option<u64> {
         let revision = listing.revision?;
-        self.intake.take_list(&listing.objects, revision);
+        self.ingest.apply_list(&listing.objects, revision);
         Some(revision)
     }
 
@@ -191,26 +191,26 @@
     /// what has changed since then it hears of the others.
     ///
     /// When a whole fleet starts, nobody could hand it all to each of them as soon.
-    async fn read_copy_at_start(&mut self) {
+    async fn read_replica_at_start(&mut self) {
         if self.kind == Kind::Evacuations {
             return;
         }
         let node = self.node.clone();
-        let begins_to_watch = on_duty(&node, self.kind);
+        let starts_following = until_should_follow(&node, self.kind);
         tokio::select! {
-            () = self.read_copy_until_known() => {}
-            () = begins_to_watch => {}
+            () = self.read_replica_until_known() => {}
+            () = starts_following => {}
         }
     }
 
     /// Reads a copy of the store until that succeeds or others have handed over what it says; again
     /// only once the store answers somebody.
-    async fn read_copy_until_known(&mut self) {
-        while let Err(why) = self.read_copy().await {
+    async fn read_replica_until_known(&mut self) {
+        while let Err(why) = self.read_replica().await {
             let kind = format!("{:?}", self.kind);
             log::warn!(event = "store_copy_unread", kind = kind, why = why; "");
             loop {
-                tokio::time::sleep(COPY_PAUSE).await;
+                tokio::time::sleep(REPLICA_RETRY_PAUSE).await;
                 if self.is_known() {
                     return;
                 }
@@ -229,26 +229,26 @@
         }
     }
 
-    async fn read_copy(&mut self) -> Result<(), String> {
+    async fn read_replica(&mut self) -> Result<(), String> {
         let node = self.node.clone();
         let _reading = node.begin_replica_read();
         let mut listing = Listing::default();
-        while self.read_page(StoreCall::Copy, &mut listing).await? {}
-        self.take_list(&listing);
+        while self.read_page(StoreCall::Replica, &mut listing).await? {}
+        self.apply_list(&listing);
         Ok(())
     }
 
     async fn get_page(&mut self, call: StoreCall, path: &str) -> Result<StorePage, String> {
-        let answered = self.get(call, path, self.patient()).await;
+        let answered = self.get(call, path, self.hedged_call()).await;
         decode_page(&answered.map_err(|e| e.to_string())?)
     }
 
     /// Tries that overlap, as often as this entry may call a store that is away.
-    fn patient(&self) -> HedgedCall {
+    fn hedged_call(&self) -> HedgedCall {
         if self.kind == Kind::Evacuations || !self.node.policy.uses(Mechanism::Overlap) {
-            return HedgedCall::single(HANG_LIMIT);
+            return HedgedCall::single(NO_PROGRESS_TIMEOUT);
         }
-        HedgedCall::new(PATIENCE, self.node.watcher_role.borrow().max_pause())
+        HedgedCall::new(HEDGE_DELAY, self.node.watcher_role.borrow().max_pause())
     }
 
     /// Sends a call to the store; an answer that the store gave before it came back from a copy is none.
@@ -256,17 +256,17 @@
         &mut self,
         call: StoreCall,
         path: &str,
-        overlap: HedgedCall,
+        hedged_call: HedgedCall,
     ) -> anyhow::Result<Answered> {
-        let contact = &self.contact;
+        let connectivity = &self.connectivity;
         let on_hang = || {
-            contact
+            connectivity
                 .node
                 .metrics
                 .record_store_call(self.kind, call, false);
-            contact.note_lost("no progress");
+            connectivity.record_failure("no progress");
         };
-        let answered = self.client.get(path, overlap, on_hang).await;
+        let answered = self.client.get(path, hedged_call, on_hang).await;
         let metrics = &self.node.metrics;
         metrics.record_store_call(self.kind, call, answered.is_ok());
         let answered = answered?;
@@ -279,83 +279,83 @@
     /// Watches while this entry is to, then waits until it is again.
     ///
     /// A watch that waits at the store is cut short, by closing its connection.
-    async fn watch_while_on_duty(&mut self, revision: u64) {
+    async fn watch_while_following(&mut self, revision: u64) {
         let node = self.node.clone();
         let kind = self.kind;
-        let off_duty = async {
-            while is_on_duty(&node, kind) {
+        let stopped_following = async {
+            while should_follow(&node, kind) {
                 node.watcher_role_changed.notified().await;
             }
         };
         tokio::select! {
             () = self.watch_from(revision) => return,
-            () = off_duty => {}
+            () = stopped_following => {}
         }
-        self.wait_for_duty().await;
+        self.wait_until_following().await;
     }
 
-    async fn wait_for_duty(&mut self) {
+    async fn wait_until_following(&mut self) {
         let node = self.node.clone();
         self.client = Client::new(node.place.store.addr, node.clock);
         if self.kind == Kind::Evacuations {
             return;
         }
         node.store_responding.set(false);
-        on_duty(&node, self.kind).await;
+        until_should_follow(&node, self.kind).await;
     }
 
     async fn watch_from(&mut self, mut revision: u64) {
         while era_of(revision) == self.node.store_era() {
-            let answer = self.look_or_wait(revision).await;
+            let answer = self.probe_or_watch(revision).await;
             let read = match answer {
                 // The store came back from a copy while the watch waited.
                 Ok(answered) if read_era(&answered.headers) != era_of(revision) => return,
                 Ok(answered) => read_events(answered.status, &answered.body).map_err(Some),
                 Err(e) => {
-                    self.rest(&e.to_string()).await;
+                    self.back_off(&e.to_string()).await;
                     continue;
                 }
             };
             match read {
                 Ok(read) => {
                     let read = read.in_era(era_of(revision));
-                    self.heard();
+                    self.record_success();
                     revision = read.revision;
-                    self.intake.note_nameless(read.nameless);
-                    let any = !read.events.is_empty();
-                    self.intake.take_events(read.events, revision);
+                    self.ingest.record_nameless(read.nameless);
+                    let any_events = !read.events.is_empty();
+                    self.ingest.apply_events(read.events, revision);
                     if self.kind == Kind::Upstreams {
                         self.node.pool.borrow_mut().note_complete(revision);
                     }
-                    if any && self.kind == Kind::Upstreams {
-                        self.gather().await;
+                    if any_events && self.kind == Kind::Upstreams {
+                        self.delay_batch().await;
                     }
                 }
                 Err(Some(StoreFault::HistoryGone)) => return,
                 // What changed is in the list as well, one object at a time.
                 Err(Some(StoreFault::Malformed)) => {
-                    self.rest("the changes can't be read").await;
+                    self.back_off("the changes can't be read").await;
                     return;
                 }
-                Err(fault) => self.rest(&format!("{fault:?}")).await,
+                Err(fault) => self.back_off(&format!("{fault:?}")).await,
             }
         }
     }
 
     /// Lets changes gather; for longer while this entry only stands by.
-    async fn gather(&self) {
-        tokio::time::sleep(GATHER).await;
-        let standing_by = STANDBY_GATHER.saturating_sub(GATHER);
+    async fn delay_batch(&self) {
+        tokio::time::sleep(BATCH_DELAY).await;
+        let standby_delay = STANDBY_BATCH_DELAY.saturating_sub(BATCH_DELAY);
         // What is over first ends the pause.
-        let _ = tokio::time::timeout(standing_by, relied_on(&self.node)).await;
+        let _ = tokio::time::timeout(standby_delay, until_primary(&self.node)).await;
     }
 
     /// Waits for changes; while the store is lost, only asks whether it is back, by tries that
     /// overlap.
-    async fn look_or_wait(&mut self, revision: u64) -> anyhow::Result<Answered> {
-        if self.contact.lost.get() {
-            let path = watch_path(self.kind, revision, LOOK_WAIT);
-            return self.get(StoreCall::Watch, &path, self.patient()).await;
+    async fn probe_or_watch(&mut self, revision: u64) -> anyhow::Result<Answered> {
+        if self.connectivity.lost.get() {
+            let path = watch_path(self.kind, revision, PROBE_WAIT);
+            return self.get(StoreCall::Watch, &path, self.hedged_call()).await;
         }
         if self.node.watcher_role.borrow().is_primary() {
             return self.watch(revision, self.longest_wait()).await;
@@ -363,7 +363,7 @@
         let node = self.node.clone();
         tokio::select! {
             answer = self.watch(revision, STANDBY_WAIT) => return answer,
-            () = relied_on(&node) => {}
+            () = until_primary(&node) => {}
         }
         self.client = Client::new(node.place.store.addr, node.clock);
         self.watch(revision, self.longest_wait()).await
@@ -378,42 +378,42 @@
 
     async fn watch(&mut self, revision: u64, wait: Duration) -> anyhow::Result<Answered> {
         let path = watch_path(self.kind, revision, wait);
-        let overlap = HedgedCall::single(wait + WATCH_MARGIN);
-        self.get(StoreCall::Watch, &path, overlap).await
+        let hedged_call = HedgedCall::single(wait + WATCH_MARGIN);
+        self.get(StoreCall::Watch, &path, hedged_call).await
     }
 
-    fn heard(&mut self) {
-        self.pause = FIRST_PAUSE;
-        self.contact.note_answer();
+    fn record_success(&mut self) {
+        self.retry_pause = FIRST_RETRY_PAUSE;
+        self.connectivity.record_response();
     }
 
-    async fn rest(&mut self, why: &str) {
-        self.contact.note_lost(why);
-        tokio::time::sleep(self.pause).await;
+    async fn back_off(&mut self, why: &str) {
+        self.connectivity.record_failure(why);
+        tokio::time::sleep(self.retry_pause).await;
         let longest = self.node.watcher_role.borrow().max_pause();
-        self.pause = (self.pause * 2).min(longest);
+        self.retry_pause = (self.retry_pause * 2).min(longest);
         if self.kind == Kind::Evacuations {
-            self.until_answered().await;
+            self.until_store_responds().await;
         }
     }
 
     /// Returns once a feed whose calls overlap has found the store again.
-    async fn until_answered(&self) {
+    async fn until_store_responds(&self) {
         while !self.node.store_responding.get() {
-            tokio::time::sleep(CONTACT_CHECK).await;
+            tokio::time::sleep(CONNECTIVITY_CHECK_INTERVAL).await;
         }
     }
 
     /// Returns when this entry is to read its kind of object: evacuations once others rely on it for
     /// them, everything else at once.
-    async fn until_due(&self) {
+    async fn until_needed(&self) {
         if self.kind != Kind::Evacuations {
             return;
         }
         loop {
-            relied_on(&self.node).await;
-            tokio::time::sleep(RELIED_ON_FOR).await;
-            self.until_answered().await;
+            until_primary(&self.node).await;
+            tokio::time::sleep(PRIMARY_MIN_TIME).await;
+            self.until_store_responds().await;
             if self.node.watcher_role.borrow().is_primary() {
                 return;
             }
@@ -421,8 +421,8 @@
     }
 }
 
-impl Contact {
-    fn note_answer(&self) {
+impl Connectivity {
+    fn record_response(&self) {
         self.node.record_store_response();
         if self.lost.replace(false) {
             log::info!(event = "store_regained", kind = format!("{:?}", self.kind); "");
@@ -430,7 +430,7 @@
     }
 
     /// Notes that a call failed or hangs.
-    fn note_lost(&self, why: &str) {
+    fn record_failure(&self, why: &str) {
         self.node.record_store_failure();
         if !self.lost.replace(true) {
             log::warn!(event = "store_lost", kind = format!("{:?}", self.kind), why = why; "");
@@ -440,7 +440,7 @@
 
 /// Whether an entry is to follow a kind of object: evacuations while others rely on it, everything else
 /// while it watches at all.
-fn is_on_duty(node: &Node, kind: Kind) -> bool {
+fn should_follow(node: &Node, kind: Kind) -> bool {
     let duty = node.watcher_role.borrow();
     if kind == Kind::Evacuations {
         duty.is_primary()
@@ -450,14 +450,14 @@
 }
 
 /// Returns once an entry is to follow a kind of object.
-async fn on_duty(node: &Node, kind: Kind) {
-    while !is_on_duty(node, kind) {
+async fn until_should_follow(node: &Node, kind: Kind) {
+    while !should_follow(node, kind) {
         node.watcher_role_changed.notified().await;
     }
 }
 
 /// Returns once the others rely on this entry for what the store says.
-async fn relied_on(node: &Node) {
+async fn until_primary(node: &Node) {
     while !node.watcher_role.borrow().is_primary() {
         node.watcher_role_changed.notified().await;
     }
--- a/fireflydirect/src/ingest.rs
+++ b/fireflydirect/src/ingest.rs
@@ -36,11 +36,11 @@
     }
 
     /// Takes objects of a list that may go on.
-    pub fn take_objects(&mut self, objects: &[StoreObject]) {
+    pub fn apply_objects(&mut self, objects: &[StoreObject]) {
         for object in objects {
             match self.kind {
                 Kind::Config => self.node.adopt_config(object, "store"),
-                Kind::Upstreams => self.take_record(object),
+                Kind::Upstreams => self.apply_record(object),
                 // They hold as a whole list.
                 Kind::Evacuations | Kind::Entries => {}
             }
@@ -48,7 +48,7 @@
     }
 
     /// Takes a whole list of evacuations, or what a whole list of upstreams lacks.
-    pub fn take_list(&mut self, objects: &[StoreObject], revision: u64) {
+    pub fn apply_list(&mut self, objects: &[StoreObject], revision: u64) {
         if self.kind == Kind::Evacuations {
             let in_force = objects.iter().filter(|o| !o.deleting);
             let listed = Evacuations {
@@ -71,7 +71,7 @@
         }
     }
 
-    fn take_record(&mut self, object: &StoreObject) {
+    fn apply_record(&mut self, object: &StoreObject) {
         let record = self.read_record(object);
         let now = self.node.now();
         let change = record.and_then(|r| self.node.pool.borrow_mut().learn(now, r));
@@ -97,7 +97,7 @@
     }
 
     /// Notes objects that were left out, since they have no name.
-    pub fn note_nameless(&self, count: usize) {
+    pub fn record_nameless(&self, count: usize) {
         if count > 0 {
             self.node.metrics.record_unreadable("nameless", count);
             let kind = format!("{:?}", self.kind);
@@ -106,7 +106,7 @@
     }
 
     /// Takes changes that lead to the list as of `revision`.
-    pub fn take_events(&mut self, events: Vec<StoreEvent>, revision: u64) {
+    pub fn apply_events(&mut self, events: Vec<StoreEvent>, revision: u64) {
         if self.kind == Kind::Evacuations && !events.is_empty() {
             self.apply_evacuations(&events, revision);
             return;
@@ -114,7 +114,7 @@
         for event in events {
             match self.kind {
                 Kind::Config if !event.removed => self.node.adopt_config(&event.object, "store"),
-                Kind::Upstreams => self.take_upstream(&event),
+                Kind::Upstreams => self.apply_upstream_event(&event),
                 Kind::Config | Kind::Evacuations | Kind::Entries => {}
             }
         }
@@ -134,9 +134,9 @@
         self.node.apply_evacuations(changed, "store");
     }
 
-    fn take_upstream(&mut self, event: &StoreEvent) {
+    fn apply_upstream_event(&mut self, event: &StoreEvent) {
         if !event.removed {
-            self.take_record(&event.object);
+            self.apply_record(&event.object);
             return;
         }
         let (instance, revision) = (&event.object.name, event.object.revision);
@@ -155,7 +155,7 @@
 /// Takes what another entry knows of upstreams; what its whole list lacks is gone if it is sure.
 ///
 /// What it doubts stays here as it is: it tells once it has decided.
-pub fn take_told(node: &Node, state: PeerState) {
+pub fn apply_peer_state(node: &Node, state: PeerState) {
     let now = node.now();
     if !state.is_whole {
         let records = state.upstreams.into_iter().map(ListChange::Listed);
--- a/fireflydirect/src/metrics.rs
+++ b/fireflydirect/src/metrics.rs
@@ -168,7 +168,7 @@
     /// Notes a call of the store for a kind of object, and whether it was answered.
     pub(crate) fn record_store_call(&self, kind: Kind, call: StoreCall, answered: bool) {
         let result = if answered { "answered" } else { "failed" };
-        let labels = [object_label(kind), call.word(), result];
+        let labels = [object_label(kind), call.label(), result];
         self.store_calls.with_label_values(&labels).inc();
     }
 
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -270,7 +270,7 @@
         }
         *self.catalog.borrow_mut() = Some(Rc::new(catalog));
         let now = self.now();
-        self.configs.borrow_mut().take(now, object.clone());
+        self.configs.borrow_mut().activate(now, object.clone());
         self.config_adopted_at.set(Some(now));
         self.routing_changed.notify_waiters();
         self.announce_now.notify_one();
--- a/fireflydirect/src/process.rs
+++ b/fireflydirect/src/process.rs
@@ -93,7 +93,7 @@
         let changes = node.pool.borrow_mut().drop_missing(now);
         node.apply_pool_changes(changes, "missing");
         node.quarantine.borrow_mut().expire(now);
-        node.configs.borrow_mut().tidy(now);
+        node.configs.borrow_mut().remove_expired(now);
     }
 }
 
--- a/fireflydirect/src/receive.rs
+++ b/fireflydirect/src/receive.rs
@@ -4,7 +4,7 @@
 use crate::client::Client;
 use crate::conditions;
 use crate::config_read::read_config;
-use crate::ingest::take_told;
+use crate::ingest::apply_peer_state;
 use crate::node::Node;
 use crate::owner_queries;
 use crate::peers::{Behind, v4};
@@ -243,8 +243,8 @@
     let mut state = get_state(node, from, &asked).await?;
     node.record_store_era(era_of(state.revision), "peer");
     node.peers.borrow_mut().learn_of(node.now(), &state.entries);
-    let handover = state.config.take();
-    let config = handover.and_then(|h| node.configs.borrow().receive(h));
+    let payload = state.config.take();
+    let config = payload.and_then(|h| node.configs.borrow().reconstruct(h));
     if let Some(config) = config {
         node.adopt_config(&config, "peer");
     }
@@ -252,7 +252,7 @@
         return Ok(());
     }
     let (revision, digest, complete_to) = (state.revision, state.digest, state.complete_to);
-    take_told(node, state);
+    apply_peer_state(node, state);
     let mut pool = node.pool.borrow_mut();
     pool.note_complete(complete_to);
     // Changes that don't lead to the same list at a revision up to which all of them are known leave
--- a/fireflydirect/src/state_page.rs
+++ b/fireflydirect/src/state_page.rs
@@ -1,6 +1,6 @@
 //! What an entry shows other entries and operators over HTTP.
 
-use crate::config_history::ConfigHandover;
+use crate::config_history::ConfigPayload;
 use crate::metrics::METRICS_PATH;
 use crate::node::Node;
 use crate::overview::{OVERVIEW_PATH, overview};
@@ -22,7 +22,7 @@
 pub struct PeerState {
     /// Configuration in force, if the asker's is older and it can be handed over.
     #[serde(default)]
-    pub config: Option<ConfigHandover>,
+    pub config: Option<ConfigPayload>,
     /// Upstreams known that are newer than the revision asked from.
     pub upstreams: Vec<UpstreamRecord>,
     /// Upstreams known before that only said since that they leave, with the revision.
@@ -118,7 +118,7 @@
     let changes = pool.since(asked.upstreams);
     let newer = node.config_version() > asked.config;
     let configs = node.configs.borrow();
-    let config = configs.since(asked.config_revision, asked.whole_config);
+    let config = configs.payload_since(asked.config_revision, asked.whole_config);
     PeerState {
         config: config.filter(|_| newer),
         upstreams: changes.listed,
--- a/fireflydirect/src/store_call.rs
+++ b/fireflydirect/src/store_call.rs
@@ -8,7 +8,7 @@
     /// A page of a list as the store holds it now.
     List,
     /// The same as any copy of the store holds it, perhaps of some seconds ago.
-    Copy,
+    Replica,
     /// Changes, for which the call waits.
     Watch,
 }
@@ -16,10 +16,10 @@
 impl StoreCall {
     /// Its word in metrics and logs.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn label(self) -> &'static str {
         match self {
             Self::List => "list",
-            Self::Copy => "copy",
+            Self::Replica => "copy",
             Self::Watch => "watch",
         }
     }
@@ -29,7 +29,7 @@
 #[must_use]
 pub fn page_path(call: StoreCall, kind: Kind, after: Option<&str>) -> String {
     match call {
-        StoreCall::Copy => copy_path(kind, after),
+        StoreCall::Replica => copy_path(kind, after),
         StoreCall::List | StoreCall::Watch => list_path(kind, after),
     }
 }
