--- a/fireflydirect/src/announce.rs
+++ b/fireflydirect/src/announce.rs
@@ -8,43 +8,46 @@
 use std::time::Duration;
 
 /// Least time between two tellings, however urgent.
-const TELL_SPACING: Duration = Duration::from_millis(15);
+const ANNOUNCE_MIN_INTERVAL: Duration = Duration::from_millis(15);
 
 /// Tells the others for as long as the process lives.
 pub async fn run(node: Rc<Node>) {
     let begins = node.watcher_role.borrow().is_watching();
     log::info!(event = "watch_duty", watching = begins, peers = 0; "");
-    let mut tell_at = node.now();
+    let mut announce_at = node.now();
     loop {
         let reason = tokio::select! {
             biased;
             () = node.announce_now.notified() => Reason::Urgent,
-            () = tokio::time::sleep_until(node.clock.instant(tell_at)) => Reason::Due,
+            () = tokio::time::sleep_until(node.clock.instant(announce_at)) => Reason::Due,
         };
-        decide_duty(&node);
+        update_watcher_role(&node);
         node.update_fleet_view();
-        let pace = node.peers.borrow().pace(is_relied_on(&node));
-        tell_at = node.now() + pace;
-        tell(&node, reason).await;
+        let interval = node
+            .peers
+            .borrow()
+            .announce_interval(is_primary_watcher(&node));
+        announce_at = node.now() + interval;
+        announce(&node, reason).await;
         if reason != Reason::Due {
-            tokio::time::sleep(TELL_SPACING).await;
+            tokio::time::sleep(ANNOUNCE_MIN_INTERVAL).await;
         }
     }
 }
 
 /// Decides whether this entry watches the store.
-fn decide_duty(node: &Node) {
+fn update_watcher_role(node: &Node) {
     let now = node.now();
-    let views = node.peers.borrow().watch_views(now);
-    let mut duty = node.watcher_role.borrow_mut();
-    let was_relied_on = duty.is_primary();
-    let changed = duty.decide(now, &views);
-    let (watching, relied_on) = (duty.is_watching(), duty.is_primary());
-    drop(duty);
+    let views = node.peers.borrow().watcher_views(now);
+    let mut role = node.watcher_role.borrow_mut();
+    let was_primary = role.is_primary();
+    let changed = role.decide(now, &views);
+    let (watching, is_primary) = (role.is_watching(), role.is_primary());
+    drop(role);
     if changed {
         log::info!(event = "watch_duty", watching = watching, peers = views.len(); "");
     }
-    if changed || relied_on != was_relied_on {
+    if changed || is_primary != was_primary {
         node.watcher_role_changed.notify_waiters();
     }
 }
@@ -62,37 +65,37 @@
 ///
 /// After a start of the whole fleet all watch for a moment; if all of them told all, datagrams
 /// would grow with the square of the fleet.
-fn is_relied_on(node: &Node) -> bool {
+fn is_primary_watcher(node: &Node) -> bool {
     node.watches_store() && node.watcher_role.borrow().is_primary()
 }
 
-async fn tell(node: &Node, reason: Reason) {
-    let must_reach_all = reason == Reason::Urgent && node.announce_to_all.take();
-    let all = must_reach_all || is_relied_on(node);
-    let news = news(node);
+async fn announce(node: &Node, reason: Reason) {
+    let to_all = reason == Reason::Urgent && node.announce_to_all.take();
+    let all = to_all || is_primary_watcher(node);
+    let announcement = announcement(node);
     let mut targets: BTreeSet<Ipv4Addr> = BTreeSet::new();
     targets.extend(node.peers.borrow_mut().targets(node.now(), all));
-    targets.extend(lenders(node, &news));
-    let message = EntryMessage::Announcement(Box::new(news));
+    targets.extend(retry_owners(node, &announcement));
+    let message = EntryMessage::Announcement(Box::new(announcement));
     node.datagrams.send_all(targets, &message).await;
 }
 
 /// Tells one entry that has just started.
-pub(crate) async fn greet(node: &Node, newcomer: Ipv4Addr) {
-    let message = EntryMessage::Announcement(Box::new(news(node)));
+pub(crate) async fn introduce(node: &Node, newcomer: Ipv4Addr) {
+    let message = EntryMessage::Announcement(Box::new(announcement(node)));
     node.datagrams.send_all([newcomer], &message).await;
 }
 
 /// Owners of the services that this entry repeats requests to: they lend what is left, and have to
 /// know what was spent.
-fn lenders(node: &Node, news: &EntryAnnouncement) -> Vec<Ipv4Addr> {
+fn retry_owners(node: &Node, announcement: &EntryAnnouncement) -> Vec<Ipv4Addr> {
     let peers = node.peers.borrow();
-    let services = news.retries.iter().map(|c| &c.service);
+    let services = announcement.retries.iter().map(|c| &c.service);
     let owners = services.flat_map(|s| peers.other_owners(node.now(), OwnedKey::of_retries(s)));
     owners.collect()
 }
 
-fn news(node: &Node) -> EntryAnnouncement {
+fn announcement(node: &Node) -> EntryAnnouncement {
     let now = node.now();
     let retries = node.retry_budget.borrow_mut().report(now);
     let rate_limits = node.pool.borrow_mut().rates_to_announce(now);
@@ -112,7 +115,7 @@
         list_changes: list_changes(node),
         retries,
         crashes: peers.crashes.iter().copied().collect(),
-        peers: peers.named(now),
+        peers: peers.listed_peers(now),
         evacuations: node.pool.borrow().evacuations().clone(),
         rate_limits,
         departing,
@@ -122,7 +125,7 @@
 
 /// Changes of the list of upstreams, if this entry has them from the store.
 fn list_changes(node: &Node) -> Vec<ListChange> {
-    if is_relied_on(node) {
+    if is_primary_watcher(node) {
         node.pool.borrow().list_changes(node.now())
     } else {
         Vec::new()
--- a/fireflydirect/src/call.rs
+++ b/fireflydirect/src/call.rs
@@ -107,7 +107,7 @@
         }
         asked.push(ix);
         if tries.borrow().may_retry(one.outcome) {
-            retries::prepare(job).await;
+            retries::request_grant(job).await;
         }
         let next = tries
             .borrow_mut()
@@ -139,7 +139,7 @@
     if !job.node.policy.uses(Mechanism::Door) || has_room(job, ix, need) {
         return None;
     }
-    if returning_callers::learn(job).await && has_room(job, ix, need) {
+    if returning_callers::query_owners(job).await && has_room(job, ix, need) {
         return None;
     }
     job.node.record_refusal(job.content);
@@ -159,7 +159,7 @@
     let asking = AdmissionRequest {
         expected_tokens: job.expected_tokens(),
         value_density: job.yields,
-        coming: returning_callers::coming(job),
+        coming: returning_callers::return_state(job),
         rank: job.rank,
     };
     is_admitted(&asking, &fill)
@@ -172,7 +172,7 @@
     log::warn!(
         event = "no_room", req = &*job.request_id, route = &*job.route.name,
         expected = job.expected_tokens(), yields = format!("{:.2}", job.yields),
-        coming = format!("{:?}", returning_callers::coming(job)), memory = format!("{:.2}", view.memory),
+        coming = format!("{:?}", returning_callers::return_state(job)), memory = format!("{:.2}", view.memory),
         service_memory = format!("{of_service:.2}"),
         told_age_ms = view.age.as_millis(), retry_after_ms = wait.as_millis();
         ""
--- a/fireflydirect/src/crash.rs
+++ b/fireflydirect/src/crash.rs
@@ -60,7 +60,7 @@
     let mut quarantine = node.quarantine.borrow_mut();
     let crashes = quarantine.crashes(content).saturating_add(1);
     quarantine.record(now, content, crashes);
-    node.peers.borrow_mut().tell_crash(content, crashes);
+    node.peers.borrow_mut().add_crash(content, crashes);
     node.announce_to_all_now();
     crashes
 }
--- a/fireflydirect/src/ingest.rs
+++ b/fireflydirect/src/ingest.rs
@@ -174,7 +174,7 @@
         }
         return;
     }
-    if state.sure {
+    if state.confirmed {
         let mut pool = node.pool.borrow_mut();
         let changes = pool.forget_others(now, &state.upstreams, state.revision);
         drop(pool);
--- a/fireflydirect/src/job.rs
+++ b/fireflydirect/src/job.rs
@@ -129,7 +129,7 @@
     /// that there will be none for longer.
     pub async fn pick(&self, need: &Need, tried: &[UpstreamIx]) -> Option<UpstreamIx> {
         let until = self.arrival + self.route.objective / HOLD_SHARE;
-        loads::ask(&self.node, &self.service, need, tried).await;
+        loads::query(&self.node, &self.service, need, tried).await;
         loop {
             if let Some(ix) = self.pick_now(need, tried) {
                 return Some(ix);
--- a/fireflydirect/src/loads.rs
+++ b/fireflydirect/src/loads.rs
@@ -9,16 +9,16 @@
 /// Asks for the load of the upstreams that a choice for `need` is to look at.
 ///
 /// Plain calls take no memory and end soon; they go by what this entry sees itself.
-pub async fn ask(node: &Node, service: &Name, need: &Need, tried: &[UpstreamIx]) {
+pub async fn query(node: &Node, service: &Name, need: &Need, tried: &[UpstreamIx]) {
     if need.tokens == 0 || !node.policy.uses(Mechanism::Owners) {
         return;
     }
     let queries = queries(node, service, need, tried);
     node.candidate_count.borrow_mut().record_sent(queries.len());
-    let asks = queries.into_iter();
-    owner_queries::ask(
+    let queries = queries.into_iter();
+    owner_queries::query_owners(
         node,
-        asks.map(|(owner, lives)| (owner, OwnerQueryBody::Loads(lives))),
+        queries.map(|(owner, incarnations)| (owner, OwnerQueryBody::Loads(incarnations))),
     )
     .await;
 }
@@ -31,15 +31,15 @@
     tried: &[UpstreamIx],
 ) -> HashMap<Ipv4Addr, Vec<Life>> {
     let now = node.now();
-    let most = node.candidate_count.borrow_mut().candidate_count(now);
+    let max_count = node.candidate_count.borrow_mut().candidate_count(now);
     let pool = node.pool.borrow();
     let peers = node.peers.borrow();
     let mut queries: HashMap<Ipv4Addr, Vec<Life>> = HashMap::new();
-    for ix in pool.upstreams_to_query(now, service, need, tried, most) {
-        let life = pool.record(ix).life();
-        let key = OwnedKey::of_upstream(&life.instance);
+    for ix in pool.upstreams_to_query(now, service, need, tried, max_count) {
+        let incarnation = pool.record(ix).life();
+        let key = OwnedKey::of_upstream(&incarnation.instance);
         for owner in peers.other_owners(now, key) {
-            queries.entry(owner).or_default().push(life.clone());
+            queries.entry(owner).or_default().push(incarnation.clone());
         }
     }
     queries
--- a/fireflydirect/src/metrics.rs
+++ b/fireflydirect/src/metrics.rs
@@ -60,8 +60,8 @@
 
 /// Word of a kind of request, in labels.
 #[must_use]
-pub const fn kind_label(repeat: RequestKind) -> &'static str {
-    match repeat {
+pub const fn kind_label(request_kind: RequestKind) -> &'static str {
+    match request_kind {
         RequestKind::Idempotent => "idempotent",
         RequestKind::Once => "once",
         RequestKind::Stream => "stream",
@@ -191,8 +191,8 @@
     }
 
     /// Notes an answer to a caller.
-    pub fn record_answer(&self, repeat: Option<RequestKind>, code: Code, age: Duration) {
-        let kind = repeat.map_or("none", kind_label);
+    pub fn record_answer(&self, request_kind: Option<RequestKind>, code: Code, age: Duration) {
+        let kind = request_kind.map_or("none", kind_label);
         let code = code.number().to_string();
         self.answers.with_label_values(&[kind, &code]).inc();
         let seconds = self.answer_seconds.with_label_values(&[kind]);
--- a/fireflydirect/src/mover.rs
+++ b/fireflydirect/src/mover.rs
@@ -87,7 +87,7 @@
             draw: rand::rng().next_u64(),
             ..run.need.get()
         };
-        loads::ask(node, &run.service, &need, &asked).await;
+        loads::query(node, &run.service, &need, &asked).await;
         let chosen = {
             let pool = node.pool.borrow();
             pool.choose(node.now(), &run.service, &need, &asked)
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -7,7 +7,7 @@
 use crate::links::Links;
 use crate::log_value::or_empty;
 use crate::metrics::Metrics;
-use crate::owner_queries::Questions;
+use crate::owner_queries::OwnerQueries;
 use crate::peers::Peers;
 use crate::runs::Runs;
 use fireflycroft::{
@@ -73,7 +73,7 @@
     /// The way to them.
     pub datagrams: Datagrams,
     /// Questions to owners of upstreams that wait for replies.
-    pub owner_queries: Questions,
+    pub owner_queries: OwnerQueries,
     /// How many upstreams a choice asks about.
     pub candidate_count: RefCell<QueryBudget>,
     /// Whether this entry watches the store for the others.
@@ -161,7 +161,7 @@
             runs: Runs::default(),
             peers: RefCell::new(peers),
             datagrams: Datagrams::new(place.peer_ports.0, metrics.clone()),
-            owner_queries: Questions::default(),
+            owner_queries: OwnerQueries::default(),
             candidate_count: RefCell::default(),
             watcher_role: RefCell::new(WatcherRole::new(place.ip, watches_initially(&place))),
             watcher_role_changed: Notify::new(),
@@ -279,13 +279,13 @@
     /// Takes a list of evacuated data centres unless it is not newer than the one in force.
     ///
     /// Whoever has it from the store tells all others at once.
-    pub fn apply_evacuations(&self, told: Evacuations, source: &str) {
-        let revision = told.revision;
-        let data_centres = told.data_centres.iter();
+    pub fn apply_evacuations(&self, evacuations: Evacuations, source: &str) {
+        let revision = evacuations.revision;
+        let data_centres = evacuations.data_centres.iter();
         let data_centres: Vec<&str> = data_centres.map(|name| &**name).collect();
         let data_centres = data_centres.join(",");
         let now = self.now();
-        if !self.pool.borrow_mut().apply_evacuations(now, told) {
+        if !self.pool.borrow_mut().apply_evacuations(now, evacuations) {
             return;
         }
         log::info!(
@@ -353,8 +353,8 @@
     /// Lets go of all that a life of an upstream held: idle connections, copies, and what waits for
     /// an answer of it.
     fn end_incarnation(&self, ix: UpstreamIx) {
-        let life = self.pool.borrow().record(ix).life();
-        self.links.drop_idle(&life);
+        let incarnation = self.pool.borrow().record(ix).life();
+        self.links.drop_idle(&incarnation);
         self.migrate_if_departing(ix);
         self.incarnation_ended.notify_waiters();
     }
@@ -400,9 +400,9 @@
     /// Notes that an upstream couldn't be reached, here and for its owners.
     pub fn record_unreachable(&self, ix: UpstreamIx) {
         let mut pool = self.pool.borrow_mut();
-        let life = pool.record(ix).life();
-        pool.record_unreachable(self.now(), &self.place.vm, &life);
-        self.unreported_unreachable.borrow_mut().push(life);
+        let incarnation = pool.record(ix).life();
+        pool.record_unreachable(self.now(), &self.place.vm, &incarnation);
+        self.unreported_unreachable.borrow_mut().push(incarnation);
         self.report_due.notify_one();
     }
 
--- a/fireflydirect/src/owner_queries.rs
+++ b/fireflydirect/src/owner_queries.rs
@@ -16,47 +16,47 @@
 
 /// Longest wait for replies: several round trips between data centres, and far less than any
 /// objective.
-const REPLY_WAIT: Duration = Duration::from_millis(20);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Questions that wait for replies.
 #[derive(Default)]
-pub struct Questions {
+pub struct OwnerQueries {
     last: Cell<u64>,
-    waiting: RefCell<HashMap<u64, Waiting>>,
+    waiting: RefCell<HashMap<u64, PendingQuery>>,
 }
 
 /// One question, sent to one owner or more.
-struct Waiting {
+struct PendingQuery {
     replies_left: usize,
     all_replied: Option<oneshot::Sender<()>>,
 }
 
 /// A question that waits for replies, until it is dropped.
-struct Question<'a> {
-    questions: &'a Questions,
+struct QueryGuard<'a> {
+    queries: &'a OwnerQueries,
     id: u64,
     all_replied: oneshot::Receiver<()>,
 }
 
-impl Questions {
-    fn begin(&self, owners: usize) -> Question<'_> {
+impl OwnerQueries {
+    fn begin(&self, owners: usize) -> QueryGuard<'_> {
         let id = self.last.get() + 1;
         self.last.set(id);
         let (tx, rx) = oneshot::channel();
-        let waiting = Waiting {
+        let waiting = PendingQuery {
             replies_left: owners,
             all_replied: Some(tx),
         };
         self.waiting.borrow_mut().insert(id, waiting);
-        Question {
-            questions: self,
+        QueryGuard {
+            queries: self,
             id,
             all_replied: rx,
         }
     }
 
     /// Notes a reply; the last one ends the wait.
-    fn note_reply(&self, id: u64) {
+    fn record_reply(&self, id: u64) {
         let mut all = self.waiting.borrow_mut();
         let Some(waiting) = all.get_mut(&id) else {
             return;
@@ -70,32 +70,32 @@
     }
 }
 
-impl Drop for Question<'_> {
+impl Drop for QueryGuard<'_> {
     fn drop(&mut self) {
-        self.questions.waiting.borrow_mut().remove(&self.id);
+        self.queries.waiting.borrow_mut().remove(&self.id);
     }
 }
 
 /// Asks owners; returns once all have replied, with true, or when the wait is over.
-pub async fn ask(
+pub async fn query_owners(
     node: &Node,
-    asks: impl ExactSizeIterator<Item = (Ipv4Addr, OwnerQueryBody)>,
+    queries: impl ExactSizeIterator<Item = (Ipv4Addr, OwnerQueryBody)>,
 ) -> bool {
-    if asks.len() == 0 {
+    if queries.len() == 0 {
         return true;
     }
-    let mut question = node.owner_queries.begin(asks.len());
-    for (owner, body) in asks {
-        node.peers.borrow_mut().note_asked(node.now(), owner);
+    let mut pending = node.owner_queries.begin(queries.len());
+    for (owner, body) in queries {
+        node.peers.borrow_mut().record_query(node.now(), owner);
         let query = OwnerQuery {
             entry: node.place.vm.clone(),
-            id: question.id,
+            id: pending.id,
             body,
         };
         let message = EntryMessage::Query(query);
         node.datagrams.send_all([owner], &message).await;
     }
-    let replied = tokio::time::timeout(REPLY_WAIT, &mut question.all_replied).await;
+    let replied = tokio::time::timeout(REPLY_TIMEOUT, &mut pending.all_replied).await;
     node.metrics.record_owner_query(replied.is_ok());
     replied.is_ok()
 }
@@ -105,18 +105,18 @@
     let reply = OwnerReply {
         entry: node.place.vm.clone(),
         id: query.id,
-        body: answer(node, query),
+        body: reply_body(node, query),
     };
     let message = EntryMessage::Reply(reply);
     node.datagrams.send_all([to], &message).await;
 }
 
-fn answer(node: &Node, query: OwnerQuery) -> OwnerReplyBody {
+fn reply_body(node: &Node, query: OwnerQuery) -> OwnerReplyBody {
     let now = node.now();
     match query.body {
-        OwnerQueryBody::Loads(lives) => {
+        OwnerQueryBody::Loads(incarnations) => {
             let pool = node.pool.borrow();
-            OwnerReplyBody::Loads(pool.loads_for(now, &query.entry, &lives))
+            OwnerReplyBody::Loads(pool.loads_for(now, &query.entry, &incarnations))
         }
         OwnerQueryBody::Retry(service) => {
             let granted = node.retry_budget.borrow_mut().grant(now, &service);
@@ -134,7 +134,7 @@
 }
 
 /// Takes what an owner replied.
-pub fn take_reply(node: &Node, reply: OwnerReply) {
+pub fn apply_reply(node: &Node, reply: OwnerReply) {
     let now = node.now();
     match reply.body {
         OwnerReplyBody::Loads(loads) => {
@@ -153,16 +153,16 @@
             }
         }
     }
-    node.owner_queries.note_reply(reply.id);
+    node.owner_queries.record_reply(reply.id);
 }
 
 /// Takes what another entry reports to this one as an owner.
-pub fn take_report(node: &Node, report: &OwnerReport) {
+pub fn apply_report(node: &Node, report: &OwnerReport) {
     let now = node.now();
     let mut pool = node.pool.borrow_mut();
     pool.apply_placed(now, &report.entry, &report.placed, !report.is_whole);
-    for life in &report.unreachable {
-        pool.record_unreachable(now, &report.entry, life);
+    for incarnation in &report.unreachable {
+        pool.record_unreachable(now, &report.entry, incarnation);
     }
     drop(pool);
     for refusal in &report.refused {
--- a/fireflydirect/src/page_server.rs
+++ b/fireflydirect/src/page_server.rs
@@ -24,7 +24,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(talk(stream, page.clone()));
+                tokio::task::spawn_local(serve_connection(stream, page.clone()));
             }
             Err(e) => {
                 log::warn!(event = "accept_failed", error = e.to_string(); "");
@@ -34,7 +34,7 @@
     }
 }
 
-async fn talk(stream: TcpStream, page: Rc<impl Fn(&Request<Incoming>) -> Page>) {
+async fn serve_connection(stream: TcpStream, page: Rc<impl Fn(&Request<Incoming>) -> Page>) {
     let service = service_fn(|req| {
         let answer = page(&req);
         async move { Ok::<_, Infallible>(answer) }
--- a/fireflydirect/src/process.rs
+++ b/fireflydirect/src/process.rs
@@ -15,7 +15,7 @@
 
 /// Time for which a process that was told to stop still takes new requests: the balancer asks
 /// once a second and sends callers elsewhere after two refusals.
-const DRAIN_FOR: Duration = Duration::from_millis(2_600);
+const DRAIN_PERIOD: Duration = Duration::from_millis(2_600);
 
 /// Left of the grace when what still runs is cut, so that the process ends by itself.
 const GRACE_MARGIN: Duration = Duration::from_millis(150);
@@ -24,7 +24,7 @@
 const STOP_CHECK: Duration = Duration::from_millis(25);
 
 /// Time between two rounds of tidying.
-const TIDY_EVERY: Duration = Duration::from_millis(500);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Serves until the process is told to stop and all has ended.
 ///
@@ -40,7 +40,7 @@
     log::info!(
         event = "started", vm = &*node.place.vm, data_centre = &*node.place.data_centre,
         callers = node.place.callers.to_string(), program_version = version,
-        without = settings.without();
+        without = settings.disabled_words();
         ""
     );
     spawn_local(crate::reload::follow(node.clone(), settings));
@@ -60,7 +60,7 @@
     let callers = bind(place.callers).await?;
     if let Some(operators) = place.operators {
         let listener = bind(operators).await?;
-        spawn_local(state_page::answer(node.clone(), listener));
+        spawn_local(state_page::serve(node.clone(), listener));
     }
     spawn_local(feed::follow(node.clone(), Kind::Config));
     spawn_local(feed::follow(node.clone(), Kind::Upstreams));
@@ -72,11 +72,11 @@
     spawn_local(receive::listen(node.clone(), peer_socket));
     spawn_local(announce::run(node.clone()));
     spawn_local(reports::run(node.clone()));
-    spawn_local(state_page::answer(node.clone(), peer_listener));
-    spawn_local(readiness::answer(node.clone(), readiness));
+    spawn_local(state_page::serve(node.clone(), peer_listener));
+    spawn_local(readiness::serve(node.clone(), readiness));
     spawn_local(callers::accept(node.clone(), callers));
     spawn_local(mover::run(node.clone()));
-    spawn_local(tidy(node.clone()));
+    spawn_local(maintain(node.clone()));
     Ok(())
 }
 
@@ -85,9 +85,9 @@
     listener.with_context(|| format!("binding {addr}"))
 }
 
-async fn tidy(node: Rc<Node>) {
+async fn maintain(node: Rc<Node>) {
     loop {
-        tokio::time::sleep_until(node.clock.instant(next_tidy(&node))).await;
+        tokio::time::sleep_until(node.clock.instant(next_maintenance(&node))).await;
         node.links.tidy();
         let now = node.now();
         let changes = node.pool.borrow_mut().drop_missing(now);
@@ -99,11 +99,11 @@
 
 /// When to tidy next: at once when doubt about removals ends, since an upstream that has left may
 /// get work until then.
-fn next_tidy(node: &Node) -> Time {
+fn next_maintenance(node: &Node) -> Time {
     let now = node.now();
     let settles_at = node.pool.borrow().contact().settles_at();
     let settles_at = settles_at.filter(|at| *at > now);
-    let due = now + TIDY_EVERY;
+    let due = now + MAINTENANCE_INTERVAL;
     settles_at.map_or(due, |at| at.min(due))
 }
 
@@ -113,7 +113,7 @@
     log::info!(event = "stopping", busy = node.calls_in_flight.get(), streams = node.runs.count(); "");
     node.set_stage(Stage::Draining);
     node.announce_to_all_now();
-    tokio::time::sleep(DRAIN_FOR).await;
+    tokio::time::sleep(DRAIN_PERIOD).await;
     node.set_stage(Stage::Closing);
     while node.calls_in_flight.get() > 0 && node.now() < end {
         tokio::time::sleep(STOP_CHECK).await;
--- a/fireflydirect/src/readiness.rs
+++ b/fireflydirect/src/readiness.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpListener;
 
 /// Answers for as long as the process lives.
-pub async fn answer(node: Rc<Node>, listener: TcpListener) {
+pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     page_server::serve(listener, move |req| page(&node, req)).await;
 }
 
--- a/fireflydirect/src/receive.rs
+++ b/fireflydirect/src/receive.rs
@@ -7,8 +7,8 @@
 use crate::ingest::apply_peer_state;
 use crate::node::Node;
 use crate::owner_queries;
-use crate::peers::{Behind, v4};
-use crate::state_page::{Asked, PeerState, state_path};
+use crate::peers::{MissingState, v4};
+use crate::state_page::{PeerState, StateQuery, state_path};
 use fireflycroft::{CrashCount, EntryAnnouncement, EntryMessage, HedgedCall, Time, era_of};
 use fireflycroft_wire::decode_datagram;
 use rand::RngExt;
@@ -21,11 +21,11 @@
 const MAX_DATAGRAM: usize = 64 << 10;
 
 /// Pause after a datagram that couldn't be read: the cause lasts for moments only.
-const FAILED_PAUSE: Duration = Duration::from_millis(15);
+const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(15);
 
 /// Time without a byte after which fetching a peer's state is given up: the next telling starts it
 /// again, perhaps at another peer. A page on its way over a slow link goes on for as long as it takes.
-const FETCH_PATIENCE: Duration = Duration::from_millis(900);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Takes what the others tell, for as long as the process lives.
 pub async fn listen(node: Rc<Node>, socket: Rc<UdpSocket>) {
@@ -35,12 +35,12 @@
             Ok(received) => received,
             Err(e) => {
                 log::warn!(event = "datagram_failed", error = e.to_string(); "");
-                tokio::time::sleep(FAILED_PAUSE).await;
+                tokio::time::sleep(RECEIVE_ERROR_PAUSE).await;
                 continue;
             }
         };
         match (decode_datagram(&buf[..len]), v4(from.ip())) {
-            (Ok(message), Some(ip)) => take(&node, ip, message).await,
+            (Ok(message), Some(ip)) => dispatch(&node, ip, message).await,
             (Err(e), _) => {
                 let from = from.to_string();
                 log::warn!(event = "datagram_unreadable", from = from, error = e.to_string(); "");
@@ -50,81 +50,88 @@
     }
 }
 
-async fn take(node: &Rc<Node>, from: Ipv4Addr, message: EntryMessage) {
+async fn dispatch(node: &Rc<Node>, from: Ipv4Addr, message: EntryMessage) {
     if from == node.place.ip {
         return;
     }
-    node.peers.borrow_mut().note_heard(node.now(), from);
+    node.peers.borrow_mut().record_received(node.now(), from);
     match message {
-        EntryMessage::Announcement(news) => take_news(node, from, *news),
-        EntryMessage::Report(report) => owner_queries::take_report(node, &report),
+        EntryMessage::Announcement(announcement) => apply_announcement(node, from, *announcement),
+        EntryMessage::Report(report) => owner_queries::apply_report(node, &report),
         EntryMessage::Query(query) => owner_queries::reply(node, from, query).await,
-        EntryMessage::Reply(reply) => owner_queries::take_reply(node, reply),
+        EntryMessage::Reply(reply) => owner_queries::apply_reply(node, reply),
     }
 }
 
-fn take_news(node: &Rc<Node>, from: Ipv4Addr, news: EntryAnnouncement) {
-    if news.name == node.place.vm {
+fn apply_announcement(node: &Rc<Node>, from: Ipv4Addr, announcement: EntryAnnouncement) {
+    if announcement.name == node.place.vm {
         return;
     }
     let now = node.now();
-    let greets = node.peers.borrow_mut().may_greet(from, news.incarnation);
-    node.peers.borrow_mut().learn(now, from, &news);
-    if greets {
+    let introduces = node
+        .peers
+        .borrow_mut()
+        .may_introduce(from, announcement.incarnation);
+    node.peers
+        .borrow_mut()
+        .apply_announcement(now, from, &announcement);
+    if introduces {
         let node = node.clone();
-        tokio::task::spawn_local(async move { announce::greet(&node, from).await });
+        tokio::task::spawn_local(async move { announce::introduce(&node, from).await });
     }
-    let revision = news.upstreams.max(news.evacuations.revision);
+    let revision = announcement
+        .upstreams
+        .max(announcement.evacuations.revision);
     if revision > 0 {
         node.record_store_era(era_of(revision), "peer");
     }
-    if let Some(age) = news.store_age {
+    if let Some(age) = announcement.store_age {
         node.record_store_contact(now - age, "peer");
     }
-    for change in news.list_changes.iter().cloned() {
+    for change in announcement.list_changes.iter().cloned() {
         let taken = node.pool.borrow_mut().take_change(now, change);
         node.apply_pool_changes(taken, "peer");
     }
-    if news.evacuations.revision > 0 {
-        node.apply_evacuations(news.evacuations.clone(), "peer");
+    if announcement.evacuations.revision > 0 {
+        node.apply_evacuations(announcement.evacuations.clone(), "peer");
     }
-    conditions::take_told_rates(node, &news.rate_limits);
-    conditions::take_told_leaving(node, &news.departing);
-    for crash in &news.crashes {
-        learn_crash(node, now, crash);
+    conditions::take_told_rates(node, &announcement.rate_limits);
+    conditions::take_told_leaving(node, &announcement.departing);
+    for crash in &announcement.crashes {
+        record_crash(node, now, crash);
     }
-    if node.peers.borrow().lacks_entries(now, &news) {
+    if node.peers.borrow().lacks_entries(now, &announcement) {
         fetch_entries(node, from);
     }
-    let behind = behind(node, now, &news);
-    if behind.is_any() {
-        fetch(node, from, behind);
+    let missing = missing_state(node, now, &announcement);
+    if missing.is_any() {
+        fetch(node, from, missing);
     }
     let mut budget = node.retry_budget.borrow_mut();
-    budget.apply_report(now, &news.name, news.retries);
+    budget.apply_report(now, &announcement.name, announcement.retries);
 }
 
 /// What this entry has to fetch of what another one tells.
-fn behind(node: &Node, now: Time, news: &EntryAnnouncement) -> Behind {
+fn missing_state(node: &Node, now: Time, announcement: &EntryAnnouncement) -> MissingState {
     let mut pool = node.pool.borrow_mut();
     let mut peers = node.peers.borrow_mut();
-    let is_same = pool.digest() == news.upstreams_digest;
+    let is_same = pool.digest() == announcement.upstreams_digest;
     if is_same {
-        pool.note_complete(news.upstreams_complete);
+        pool.note_complete(announcement.upstreams_complete);
     }
-    if news.watches && is_same {
-        peers.note_list_held();
+    if announcement.watches && is_same {
+        peers.record_list_current();
     }
-    let is_ahead = news.upstreams_complete > pool.complete_to();
-    let is_newer = !is_same && (is_ahead || news.upstreams >= pool.revision());
-    let told = Behind {
-        config: (news.config > node.config_version()).then_some(news.config),
-        list: (news.watches && is_newer).then_some(news.upstreams_complete),
+    let is_ahead = announcement.upstreams_complete > pool.complete_to();
+    let is_newer = !is_same && (is_ahead || announcement.upstreams >= pool.revision());
+    let announced = MissingState {
+        config: (announcement.config > node.config_version()).then_some(announcement.config),
+        list: (announcement.watches && is_newer).then_some(announcement.upstreams_complete),
     };
-    peers.note_behind(now, told, node.awaits_store_data())
+    peers.overdue_state(now, announced, node.awaits_store_data())
 }
 
-fn learn_crash(node: &Node, now: Time, crash: &CrashCount) {
+fn record_crash(node: &Node, now: Time, crash: &CrashCount) {
     let mut quarantine = node.quarantine.borrow_mut();
     if quarantine.record(now, crash.content, crash.count) {
         let content = crash.content.to_string();
@@ -136,30 +143,30 @@
 ///
 /// A configuration that peers don't hand over, since it is large and what differs isn't known, is read
 /// from the store, and from a peer only if the store doesn't answer.
-fn fetch(node: &Rc<Node>, teller: Ipv4Addr, behind: Behind) {
+fn fetch(node: &Rc<Node>, announcer: Ipv4Addr, missing: MissingState) {
     let Some(guard) = node.peers.borrow().begin_fetch() else {
         return;
     };
     let node = node.clone();
     tokio::task::spawn_local(async move {
         let _guard = guard;
-        let from = match behind.list {
-            Some(_) if node.peers.borrow().wants_all => None,
-            Some(_) => list_source(&node, &behind).await,
-            None => node.peers.borrow().source(node.now(), &behind),
+        let from = match missing.list {
+            Some(_) if node.peers.borrow().needs_full_list => None,
+            Some(_) => list_source(&node, &missing).await,
+            None => node.peers.borrow().source(node.now(), &missing),
         };
-        let from = from.unwrap_or(teller);
-        let what = behind.list.map_or("config", |_| "list");
+        let from = from.unwrap_or(announcer);
+        let what = missing.list.map_or("config", |_| "list");
         node.metrics.fetches.with_label_values(&[what]).inc();
-        let mut fetched = fetch_state(&node, from, &behind, false).await;
-        let lacking = behind.config.filter(|v| *v > node.config_version());
+        let mut fetched = fetch_state(&node, from, &missing, false).await;
+        let lacking = missing.config.filter(|v| *v > node.config_version());
         if let (Ok(()), Some(version)) = (&fetched, lacking)
             && !read_config(&node, version).await
         {
-            fetched = fetch_state(&node, from, &behind, true).await;
+            fetched = fetch_state(&node, from, &missing, true).await;
         }
         if let Err(e) = fetched {
-            note_failed_fetch(from, &e);
+            log_failed_fetch(from, &e);
         }
     });
 }
@@ -168,26 +175,29 @@
 ///
 /// Links between data centres carry the list once for some entries of each data centre, and not for
 /// all of them.
-async fn list_source(node: &Node, behind: &Behind) -> Option<Ipv4Addr> {
-    for _ in 0..NEAR_TRIES {
+async fn list_source(node: &Node, missing: &MissingState) -> Option<Ipv4Addr> {
+    for _ in 0..NEARBY_ATTEMPTS {
         let (spread, share) = {
             let peers = node.peers.borrow();
-            (peers.spread(), peers.far_share(&node.place.data_centre))
+            (
+                peers.fetch_spread(),
+                peers.remote_share(&node.place.data_centre),
+            )
         };
         let wait = spread.mul_f64(rand::rng().random());
         tokio::time::sleep(wait).await;
-        let near = {
+        let nearby = {
             let peers = node.peers.borrow();
-            peers.near_source(node.now(), behind, &node.place.data_centre)
+            peers.nearby_source(node.now(), missing, &node.place.data_centre)
         };
-        if near.is_some() {
-            return near;
+        if nearby.is_some() {
+            return nearby;
         }
         if rand::rng().random::<f64>() < share {
             break;
         }
     }
-    node.peers.borrow().source(node.now(), behind)
+    node.peers.borrow().source(node.now(), missing)
 }
 
 /// Fetches whom a peer knows.
@@ -199,30 +209,33 @@
     let node = node.clone();
     tokio::task::spawn_local(async move {
         let _guard = guard;
-        let asked = Asked {
+        let query = StateQuery {
             config: u64::MAX,
             config_revision: 0,
             whole_config: false,
-            upstreams: NOTHING_NEWER,
+            upstreams: NO_LIST_CHANGES,
         };
-        match get_state(&node, from, &asked).await {
-            Ok(state) => node.peers.borrow_mut().learn_of(node.now(), &state.entries),
-            Err(e) => note_failed_fetch(from, &e),
+        match get_state(&node, from, &query).await {
+            Ok(state) => node
+                .peers
+                .borrow_mut()
+                .add_second_hand(node.now(), &state.entries),
+            Err(e) => log_failed_fetch(from, &e),
         }
     });
 }
 
-fn note_failed_fetch(from: Ipv4Addr, why: &anyhow::Error) {
+fn log_failed_fetch(from: Ipv4Addr, why: &anyhow::Error) {
     let (from, why) = (from.to_string(), why.to_string());
     log::warn!(event = "peer_fetch_failed", from = from, why = why; "");
 }
 
 /// The state of another entry beyond what this one knows.
-async fn get_state(node: &Node, from: Ipv4Addr, asked: &Asked) -> anyhow::Result<PeerState> {
+async fn get_state(node: &Node, from: Ipv4Addr, query: &StateQuery) -> anyhow::Result<PeerState> {
     let addr = SocketAddr::from((from, node.place.peer_ports.0));
     let mut client = Client::new(addr, node.clock);
-    let overlap = HedgedCall::single(FETCH_PATIENCE);
-    let answered = client.get(&state_path(asked), overlap, || ()).await?;
+    let hedged_call = HedgedCall::single(FETCH_TIMEOUT);
+    let answered = client.get(&state_path(query), hedged_call, || ()).await?;
     anyhow::ensure!(answered.status == 200, "status {}", answered.status);
     Ok(serde_json::from_slice(&answered.body)?)
 }
@@ -230,25 +243,27 @@
 async fn fetch_state(
     node: &Node,
     from: Ipv4Addr,
-    behind: &Behind,
+    missing: &MissingState,
     whole_config: bool,
 ) -> anyhow::Result<()> {
-    let known = known_revision(node, behind);
-    let asked = Asked {
+    let known = list_base_revision(node, missing);
+    let query = StateQuery {
         config: node.config_version(),
         config_revision: node.configs.borrow().revision(),
         whole_config,
         upstreams: known,
     };
-    let mut state = get_state(node, from, &asked).await?;
+    let mut state = get_state(node, from, &query).await?;
     node.record_store_era(era_of(state.revision), "peer");
-    node.peers.borrow_mut().learn_of(node.now(), &state.entries);
+    node.peers
+        .borrow_mut()
+        .add_second_hand(node.now(), &state.entries);
     let payload = state.config.take();
     let config = payload.and_then(|h| node.configs.borrow().reconstruct(h));
     if let Some(config) = config {
         node.adopt_config(&config, "peer");
     }
-    if known == NOTHING_NEWER {
+    if known == NO_LIST_CHANGES {
         return Ok(());
     }
     let (revision, digest, complete_to) = (state.revision, state.digest, state.complete_to);
@@ -259,23 +274,23 @@
     // only the whole of it.
     let differs = pool.revision() == revision && pool.digest() != digest;
     let mut peers = node.peers.borrow_mut();
-    peers.wants_all = differs && complete_to == revision;
-    peers.note_list_fetched();
+    peers.needs_full_list = differs && complete_to == revision;
+    peers.record_list_fetched();
     Ok(())
 }
 
 /// Times that an entry waits for one of its data centre to have the list.
-const NEAR_TRIES: u32 = 3;
+const NEARBY_ATTEMPTS: u32 = 3;
 
 /// Revision after which no change of the list is asked for.
-const NOTHING_NEWER: u64 = u64::MAX;
+const NO_LIST_CHANGES: u64 = u64::MAX;
 
 /// Revision of the list from which on a peer is asked for changes.
-fn known_revision(node: &Node, behind: &Behind) -> u64 {
-    if behind.list.is_none() && node.awaits_store_data() {
-        return NOTHING_NEWER;
+fn list_base_revision(node: &Node, missing: &MissingState) -> u64 {
+    if missing.list.is_none() && node.awaits_store_data() {
+        return NO_LIST_CHANGES;
     }
-    if node.peers.borrow().wants_all || !node.has_complete_list.get() {
+    if node.peers.borrow().needs_full_list || !node.has_complete_list.get() {
         return 0;
     }
     node.pool.borrow().complete_to()
--- a/fireflydirect/src/reload.rs
+++ b/fireflydirect/src/reload.rs
@@ -7,7 +7,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Time between two looks at the file.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Follows the file for as long as the process lives; a faulty file changes nothing.
 pub async fn follow(node: Rc<Node>, settings: Settings) {
@@ -22,7 +22,7 @@
     loop {
         let signalled = tokio::select! {
             _ = hang_up.recv() => true,
-            () = tokio::time::sleep(LOOK_EVERY) => false,
+            () = tokio::time::sleep(CHECK_INTERVAL) => false,
         };
         let now = std::fs::read(&settings.file).unwrap_or_default();
         if signalled || now != text {
--- a/fireflydirect/src/reports.rs
+++ b/fireflydirect/src/reports.rs
@@ -12,24 +12,24 @@
 use std::time::Duration;
 
 /// Time between two whole reports.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Least time between two reports, so that changes of one moment go together.
-const REPORT_SPACING: Duration = Duration::from_millis(15);
+const REPORT_MIN_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Reports for as long as the process lives.
+/// Reports for as long as the process incarnations.
 pub async fn run(node: Rc<Node>) {
     let mut whole_at = node.now();
     loop {
         tokio::select! {
             biased;
             () = tokio::time::sleep_until(node.clock.instant(whole_at)) => {
-                whole_at = node.now() + REPORT_EVERY;
+                whole_at = node.now() + REPORT_INTERVAL;
                 report_all(&node).await;
             }
             () = node.report_due.notified() => {
                 report_changes(&node).await;
-                tokio::time::sleep(REPORT_SPACING).await;
+                tokio::time::sleep(REPORT_MIN_INTERVAL).await;
             }
         }
     }
@@ -38,34 +38,34 @@
 async fn report_all(node: &Node) {
     let placed = node.pool.borrow().placed();
     let refused = node.returning_callers.borrow().own_refusals(node.now());
-    let news = News {
+    let items = ReportItems {
         placed,
         refused,
         unreachable: Vec::new(),
     };
-    report(node, news, true).await;
+    report(node, items, true).await;
 }
 
 async fn report_changes(node: &Node) {
     let changed = std::mem::take(&mut *node.loads_changed.borrow_mut());
     let placed = node.pool.borrow().placed_at(changed);
-    let news = News {
+    let items = ReportItems {
         placed,
         refused: std::mem::take(&mut *node.unreported_refusals.borrow_mut()),
         unreachable: std::mem::take(&mut *node.unreported_unreachable.borrow_mut()),
     };
-    report(node, news, false).await;
+    report(node, items, false).await;
 }
 
 /// What is to be reported, whoever owns it.
-struct News {
+struct ReportItems {
     placed: Vec<PlacedAt>,
     refused: Vec<Refusal>,
     unreachable: Vec<Life>,
 }
 
-async fn report(node: &Node, news: News, is_whole: bool) {
-    for (owner, mut report) in by_owner(node, news) {
+async fn report(node: &Node, items: ReportItems, is_whole: bool) {
+    for (owner, mut report) in by_owner(node, items) {
         report.entry = node.place.vm.clone();
         report.is_whole = is_whole;
         let message = EntryMessage::Report(report);
@@ -74,26 +74,26 @@
 }
 
 /// One report for each owner of what is reported.
-fn by_owner(node: &Node, news: News) -> HashMap<Ipv4Addr, OwnerReport> {
+fn by_owner(node: &Node, items: ReportItems) -> HashMap<Ipv4Addr, OwnerReport> {
     let now = node.now();
     let peers = node.peers.borrow();
     let mut reports: HashMap<Ipv4Addr, OwnerReport> = HashMap::new();
-    for at in news.placed {
+    for at in items.placed {
         for owner in peers.other_owners(now, OwnedKey::of_upstream(&at.instance)) {
             let report = reports.entry(owner).or_default();
             report.placed.push(at.clone());
         }
     }
-    for refusal in news.refused {
+    for refusal in items.refused {
         for owner in peers.other_owners(now, OwnedKey::of_content(refusal.content)) {
             let report = reports.entry(owner).or_default();
             report.refused.push(refusal.clone());
         }
     }
-    for life in news.unreachable {
-        for owner in peers.other_owners(now, OwnedKey::of_upstream(&life.instance)) {
+    for incarnation in items.unreachable {
+        for owner in peers.other_owners(now, OwnedKey::of_upstream(&incarnation.instance)) {
             let report = reports.entry(owner).or_default();
-            report.unreachable.push(life.clone());
+            report.unreachable.push(incarnation.clone());
         }
     }
     reports
--- a/fireflydirect/src/retries.rs
+++ b/fireflydirect/src/retries.rs
@@ -6,14 +6,14 @@
 
 /// Takes one repeat from the shared budget, borrowing it if need be.
 pub async fn take(job: &Job) -> bool {
-    prepare(job).await;
+    request_grant(job).await;
     job.take_repeat()
 }
 
 /// Borrows one repeat if this entry's part is spent; owners are asked one after another, since each
 /// one lends.
-pub async fn prepare(job: &Job) {
-    if has_one(job) {
+pub async fn request_grant(job: &Job) {
+    if has_retry(job) {
         return;
     }
     let node = &job.node;
@@ -28,15 +28,15 @@
             }
             continue;
         }
-        let ask = OwnerQueryBody::Retry(job.service.clone());
+        let body = OwnerQueryBody::Retry(job.service.clone());
         // An owner that replied has said all there is to say.
-        if owner_queries::ask(node, [(owner, ask)].into_iter()).await {
+        if owner_queries::query_owners(node, [(owner, body)].into_iter()).await {
             return;
         }
     }
 }
 
-fn has_one(job: &Job) -> bool {
+fn has_retry(job: &Job) -> bool {
     let entries = job.node.entries();
     let mut budget = job.node.retry_budget.borrow_mut();
     budget.remaining(job.now(), &job.service, entries) >= 1.0
--- a/fireflydirect/src/returning_callers.rs
+++ b/fireflydirect/src/returning_callers.rs
@@ -6,18 +6,18 @@
 
 /// Whether the caller comes back, as far as is known here.
 #[must_use]
-pub fn coming(job: &Job) -> ArrivalKind {
+pub fn return_state(job: &Job) -> ArrivalKind {
     let waited = job
         .node
         .returning_callers
         .borrow()
         .waited(job.arrival, job.content);
-    ArrivalKind::after(waited.filter(|_| is_on(job)), job.route.objective)
+    ArrivalKind::after(waited.filter(|_| is_enabled(job)), job.route.objective)
 }
 
 /// Asks the owners of the request whether its caller was refused; true if it was.
-pub async fn learn(job: &Job) -> bool {
-    if !is_on(job) || coming(job) != ArrivalKind::First {
+pub async fn query_owners(job: &Job) -> bool {
+    if !is_enabled(job) || return_state(job) != ArrivalKind::First {
         return false;
     }
     let key = OwnedKey::of_content(job.content);
@@ -27,13 +27,13 @@
         .borrow()
         .other_owners(job.now(), key)
         .collect();
-    let asks = owners
+    let queries = owners
         .into_iter()
         .map(|o| (o, OwnerQueryBody::Refused(job.content)));
-    owner_queries::ask(&job.node, asks).await;
-    coming(job) != ArrivalKind::First
+    owner_queries::query_owners(&job.node, queries).await;
+    return_state(job) != ArrivalKind::First
 }
 
-fn is_on(job: &Job) -> bool {
+fn is_enabled(job: &Job) -> bool {
     job.node.policy.uses(Mechanism::Returns)
 }
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -6,7 +6,7 @@
 use crate::generation::relay;
 use crate::job::Job;
 use crate::node::{Node, Stage};
-use crate::startup_wait::until_begun;
+use crate::startup_wait::until_loaded;
 use bytes::Bytes;
 use fireflycroft::{
     Catalog, Code, Digest, Mechanism, Name, RequestHead, RouteSpec, STARTUP_RETRY_AFTER, Time,
@@ -111,7 +111,7 @@
     if node.stage() == Stage::Closing {
         return Err(come_back(Code::Leaving, STARTUP_RETRY_AFTER));
     }
-    until_begun(node, ask.deadline).await;
+    until_loaded(node, ask.deadline).await;
     let catalog = node.catalog.borrow().clone();
     let catalog = catalog.ok_or_else(|| {
         let age = if node.policy.uses(Mechanism::Outage) {
--- a/fireflydirect/src/settings.rs
+++ b/fireflydirect/src/settings.rs
@@ -17,7 +17,7 @@
     /// Whether to check the settings and start nothing.
     pub check_only: bool,
     /// Mechanisms that are switched off.
-    pub off: Vec<Mechanism>,
+    pub disabled: Vec<Mechanism>,
 }
 
 impl Settings {
@@ -36,7 +36,7 @@
             file: file.cloned().unwrap_or_default(),
             log_level: level.copied().unwrap_or(log::LevelFilter::Info),
             check_only: matches.get_flag("check-config"),
-            off: matches
+            disabled: matches
                 .get_many("without")
                 .unwrap_or_default()
                 .copied()
@@ -47,13 +47,13 @@
     /// Mechanisms that are on.
     #[must_use]
     pub fn policy(&self) -> Policy {
-        Policy::without(self.off.iter().copied())
+        Policy::without(self.disabled.iter().copied())
     }
 
     /// Words of those that are off, for the log.
     #[must_use]
-    pub fn without(&self) -> String {
-        let words: Vec<&str> = self.off.iter().map(|m| m.name()).collect();
+    pub fn disabled_words(&self) -> String {
+        let words: Vec<&str> = self.disabled.iter().map(|m| m.name()).collect();
         words.join(",")
     }
 
--- a/fireflydirect/src/startup_wait.rs
+++ b/fireflydirect/src/startup_wait.rs
@@ -11,26 +11,26 @@
 use tokio::time::timeout;
 
 /// Age of a process up to which requests wait.
-const BEGINS_WITHIN: Duration = Duration::from_secs(1);
+const STARTUP_PERIOD: Duration = Duration::from_secs(1);
 
 /// Part of a caller's time, as a divisor, for which its request may wait.
-const PATIENCE_PART: u32 = 4;
+const WAIT_DIVISOR: u32 = 4;
 
 /// Longest time between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Waits until a process that has just started knows configuration and upstreams, if that may be soon
 /// enough for a caller with so much time.
-pub(crate) async fn until_begun(node: &Node, caller_time: Option<Duration>) {
-    let patience = caller_time.map_or(BEGINS_WITHIN, |time| time / PATIENCE_PART);
-    let begins_by = Time::default() + BEGINS_WITHIN;
-    let end = begins_by.min(node.now() + patience);
-    while !has_begun(node) && node.now() < end {
+pub(crate) async fn until_loaded(node: &Node, caller_time: Option<Duration>) {
+    let max_wait = caller_time.map_or(STARTUP_PERIOD, |time| time / WAIT_DIVISOR);
+    let startup_ends = Time::default() + STARTUP_PERIOD;
+    let end = startup_ends.min(node.now() + max_wait);
+    while !is_loaded(node) && node.now() < end {
         // What rings may still lack the other part.
-        let _ = timeout(LOOK_EVERY, node.routing_changed.notified()).await;
+        let _ = timeout(CHECK_INTERVAL, node.routing_changed.notified()).await;
     }
 }
 
-fn has_begun(node: &Node) -> bool {
+fn is_loaded(node: &Node) -> bool {
     node.catalog.borrow().is_some() && node.has_complete_list.get()
 }
--- a/fireflydirect/src/state_page.rs
+++ b/fireflydirect/src/state_page.rs
@@ -40,20 +40,21 @@
     /// Digest of that list.
     pub digest: u64,
     /// Whether the store has answered for so long that what the list lacks is gone.
-    pub sure: bool,
+    #[serde(rename = "sure")]
+    pub confirmed: bool,
     /// Entries that live, as far as the sender knows.
     #[serde(default)]
     pub entries: Vec<Ipv4Addr>,
 }
 
 /// Answers for as long as the process lives.
-pub async fn answer(node: Rc<Node>, listener: TcpListener) {
+pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     page_server::serve(listener, move |req| page(&node, req)).await;
 }
 
 fn page(node: &Node, req: &Request<Incoming>) -> Page {
     match req.uri().path() {
-        STATE_PATH => as_json(&state(node, &asked(req))),
+        STATE_PATH => as_json(&peer_state(node, &parse_query(req))),
         OVERVIEW_PATH => as_json(&overview(node)),
         METRICS_PATH => match node.metrics.render(node) {
             Ok(text) => Response::new(Full::from(text)),
@@ -77,7 +78,7 @@
 }
 
 /// What the asker knows already, as the query says.
-pub struct Asked {
+pub struct StateQuery {
     /// Version of the configuration.
     pub config: u64,
     /// Revision at which the store holds that.
@@ -90,22 +91,22 @@
 
 /// Path and query of a state for one who knows so much.
 #[must_use]
-pub fn state_path(asked: &Asked) -> String {
-    let whole = u8::from(asked.whole_config);
+pub fn state_path(query: &StateQuery) -> String {
+    let whole = u8::from(query.whole_config);
     format!(
         "{STATE_PATH}?config={}&config_revision={}&whole_config={whole}&upstreams={}",
-        asked.config, asked.config_revision, asked.upstreams
+        query.config, query.config_revision, query.upstreams
     )
 }
 
-fn asked(req: &Request<Incoming>) -> Asked {
+fn parse_query(req: &Request<Incoming>) -> StateQuery {
     let query = req.uri().query().unwrap_or_default();
     let number = |name: &str| {
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         let value = pairs.find(|(n, _)| *n == name).map(|(_, value)| value);
         value.and_then(|v| v.parse().ok()).unwrap_or(0)
     };
-    Asked {
+    StateQuery {
         config: number("config"),
         config_revision: number("config_revision"),
         whole_config: number("whole_config") > 0,
@@ -113,22 +114,22 @@
     }
 }
 
-fn state(node: &Node, asked: &Asked) -> PeerState {
+fn peer_state(node: &Node, query: &StateQuery) -> PeerState {
     let pool = node.pool.borrow();
-    let changes = pool.since(asked.upstreams);
-    let newer = node.config_version() > asked.config;
+    let changes = pool.since(query.upstreams);
+    let newer = node.config_version() > query.config;
     let configs = node.configs.borrow();
-    let config = configs.payload_since(asked.config_revision, asked.whole_config);
+    let config = configs.payload_since(query.config_revision, query.whole_config);
     PeerState {
         config: config.filter(|_| newer),
         upstreams: changes.listed,
         leaving: changes.leaving,
         removed: changes.removed,
-        is_whole: asked.upstreams == 0,
+        is_whole: query.upstreams == 0,
         revision: pool.revision(),
         complete_to: pool.complete_to(),
         digest: pool.digest(),
-        sure: node.has_settled_list(),
-        entries: node.peers.borrow().living(node.now()),
+        confirmed: node.has_settled_list(),
+        entries: node.peers.borrow().available(node.now()),
     }
 }
--- a/fireflydirect/tests/settings.rs
+++ b/fireflydirect/tests/settings.rs
@@ -15,7 +15,7 @@
 }
 
 cases! {
-    all_mechanisms_are_on => assert_eq!(parse(&[]).unwrap().off, []);
+    all_mechanisms_are_on => assert_eq!(parse(&[]).unwrap().disabled, []);
     mechanisms_are_switched_off_by_word => switches_off();
     unknown_mechanism_is_refused => refuses_unknown();
 }
@@ -27,8 +27,8 @@
 
 fn switches_off() {
     let settings = parse(&["--without", "copies,overlap"]).unwrap();
-    assert_eq!(settings.off, [Mechanism::Copies, Mechanism::Overlap]);
-    assert_eq!(settings.without(), "copies,overlap");
+    assert_eq!(settings.disabled, [Mechanism::Copies, Mechanism::Overlap]);
+    assert_eq!(settings.disabled_words(), "copies,overlap");
     assert!(!settings.policy().uses(Mechanism::Copies));
     assert!(settings.policy().uses(Mechanism::Moves));
 }
