--- a/fireflydirect/src/announce.rs
+++ b/fireflydirect/src/announce.rs
@@ -1,4 +1,4 @@
-//! Telling the other entries, and deciding who watches the store for all.
+//! Announcing this entry's state to the others, and choosing the watchers of the store.
 
 use crate::node::{Node, Stage};
 use fireflycroft::{EntryAnnouncement, EntryMessage, ListChange, OwnedKey};
@@ -7,10 +7,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Least time between two tellings, however urgent.
+/// Minimum interval between two announcements, however urgent.
 const ANNOUNCE_MIN_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Tells the others for as long as the process lives.
+/// Announces for as long as the process lives.
 pub async fn run(node: Rc<Node>) {
     let begins = node.watcher_role.borrow().is_watching();
     log::info!(event = "watch_duty", watching = begins, peers = 0; "");
@@ -52,19 +52,19 @@
     }
 }
 
-/// Why news is sent.
+/// Reason for an announcement.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Reason {
-    /// Something that others must know at once.
+    /// A change that others must know at once.
     Urgent,
-    /// The time has come.
+    /// The regular interval is over.
     Due,
 }
 
-/// Whether the others rely on this entry for what the store says.
+/// Returns whether the others rely on this entry for the store's state.
 ///
-/// After a start of the whole fleet all watch for a moment; if all of them told all, datagrams
-/// would grow with the square of the fleet.
+/// After a start of the whole fleet all entries watch briefly; if each of them announced to all,
+/// the number of datagrams would grow with the square of the fleet.
 fn is_primary_watcher(node: &Node) -> bool {
     node.watches_store() && node.watcher_role.borrow().is_primary()
 }
@@ -80,14 +80,14 @@
     node.datagrams.send_all(targets, &message).await;
 }
 
-/// Tells one entry that has just started.
+/// Announces this entry to one that has just started.
 pub(crate) async fn introduce(node: &Node, newcomer: Ipv4Addr) {
     let message = EntryMessage::Announcement(Box::new(announcement(node)));
     node.datagrams.send_all([newcomer], &message).await;
 }
 
-/// Owners of the services that this entry repeats requests to: they lend what is left, and have to
-/// know what was spent.
+/// Returns the owners of services whose requests this entry retries: they grant the retries that
+/// are left, and need to know the number used.
 fn retry_owners(node: &Node, announcement: &EntryAnnouncement) -> Vec<Ipv4Addr> {
     let peers = node.peers.borrow();
     let services = announcement.retries.iter().map(|c| &c.service);
@@ -123,7 +123,7 @@
     }
 }
 
-/// Changes of the list of upstreams, if this entry has them from the store.
+/// Returns changes of the list of upstreams, if this entry has them from the store.
 fn list_changes(node: &Node) -> Vec<ListChange> {
     if is_primary_watcher(node) {
         node.pool.borrow().list_changes(node.now())
@@ -132,7 +132,7 @@
     }
 }
 
-/// Time since the store answered this entry; none if it doesn't watch.
+/// Returns the time since the last response of the store; `None` if this entry doesn't watch.
 fn store_age(node: &Node) -> Option<Duration> {
     let answered_at = node.last_store_response.get();
     let answered_at = answered_at.filter(|_| node.watcher_role.borrow().is_watching());
--- a/fireflydirect/src/client.rs
+++ b/fireflydirect/src/client.rs
@@ -1,7 +1,8 @@
-//! Short calls of the platform's store and of other entries, over one connection that is kept.
+//! HTTP client for short calls to the platform's store and to other entries, over one kept
+//! connection.
 //!
-//! A call that makes no progress is tried once more on a connection of its own,
-//! beside the one that hangs, as [`fireflycroft::HedgedCall`] decides.
+//! A call that makes no progress is hedged by a second attempt on a connection of its own, as
+//! [`fireflycroft::HedgedCall`] decides.
 
 use crate::clock::Clock;
 use crate::links::{Answered, Link, call_watched, open};
@@ -16,17 +17,17 @@
 use std::rc::Rc;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// What one try came to.
+/// Outcome of one attempt.
 type AttemptOutcome = (AttemptId, anyhow::Result<(Link, Answered)>);
 
-/// A client of one address; one call at a time.
+/// Client for one address; runs one call at a time.
 pub struct Client {
     addr: SocketAddr,
     clock: Clock,
     link: Option<Link>,
 }
 
-/// The tries of one call that are running.
+/// The running attempts of one call.
 struct RunningAttempts {
     hedged_call: Rc<RefCell<HedgedCall>>,
     tasks: JoinSet<AttemptOutcome>,
@@ -34,7 +35,7 @@
 }
 
 impl Client {
-    /// A client that isn't connected yet.
+    /// Creates a client without a connection.
     #[must_use]
     pub const fn new(addr: SocketAddr, clock: Clock) -> Self {
         Self {
@@ -44,13 +45,14 @@
         }
     }
 
-    /// Reads `path` by the tries that `overlap` allows.
+    /// Sends a GET request for `path` in the attempts that `hedged_call` allows.
     ///
-    /// `on_hang` is called when a try hangs and another one begins beside it.
+    /// `on_hang` is called when an attempt hangs and another one begins beside it.
     ///
     /// # Errors
     ///
-    /// When all tries failed, or the only one made no progress; their connections are dropped then.
+    /// Returns an error if all attempts failed, or the only one made no progress; their
+    /// connections are dropped.
     pub async fn get(
         &mut self,
         path: &str,
@@ -115,7 +117,7 @@
         }
     }
 
-    /// What a task that ended means: an answer, one try less, or the end of the call.
+    /// Handles the end of a task: a response, a failed attempt, or the end of the call.
     fn handle_ended(
         &mut self,
         ended: Option<Result<AttemptOutcome, tokio::task::JoinError>>,
@@ -126,10 +128,10 @@
                 let was_last = self.hedged_call.borrow_mut().record_failure(id);
                 if was_last { Err(e) } else { Ok(None) }
             }
-            // A try that was dropped has nothing to say.
+            // An aborted attempt has no result.
             Some(Err(e)) if e.is_cancelled() => Ok(None),
             Some(Err(e)) => Err(e.into()),
-            None => anyhow::bail!("no try is running"),
+            None => anyhow::bail!("no attempt is running"),
         }
     }
 }
--- a/fireflydirect/src/clock.rs
+++ b/fireflydirect/src/clock.rs
@@ -1,4 +1,4 @@
-//! Monotonic time since the start of the process, as the core counts it.
+//! Monotonic time since the start of the process, in the core's units.
 
 use fireflycroft::Time;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 }
 
 impl Clock {
-    /// A clock that begins now.
+    /// Starts a clock at the current instant.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -19,14 +19,14 @@
         }
     }
 
-    /// Time now.
+    /// Returns the time since the start of the process.
     #[must_use]
     pub fn now(&self) -> Time {
         let micros = self.start.elapsed().as_micros();
         Time(u64::try_from(micros).unwrap_or(u64::MAX))
     }
 
-    /// The moment that timers wait for.
+    /// Converts a time to an instant for tokio's timers.
     #[must_use]
     pub fn instant(&self, time: Time) -> Instant {
         self.start + Duration::from_micros(time.0)
--- a/fireflydirect/src/config_history.rs
+++ b/fireflydirect/src/config_history.rs
@@ -1,8 +1,8 @@
-//! The configuration in force as the store holds it, and those that were in force a short while ago.
+//! The active configuration as the store holds it, and those that it replaced recently.
 //!
-//! Entries hand a new version to each other as what differs from the one that the
-//! asker holds. So a version reaches a fleet of hundreds without each of them
-//! reading hundreds of kilobytes, from the store or over one link.
+//! Entries send a new version to each other as its difference from the requester's version. So it
+//! reaches hundreds of entries without each of them reading hundreds of kilobytes from the store
+//! or over one link.
 
 use fireflycroft::{TextChange, Time};
 use fireflycroft_platform::StoreObject;
@@ -12,48 +12,50 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time for which a former configuration is kept for those who hold it still.
+/// Retention of a previous configuration, for entries that still hold it.
 const PREVIOUS_RETENTION: Duration = Duration::from_secs(10);
 
-/// Former configurations that are kept, when versions come in quick succession.
+/// Maximum number of previous configurations, which limits memory when versions follow each other
+/// quickly.
 const MAX_PREVIOUS: usize = 8;
 
-/// Bytes of a configuration from which on it isn't handed on whole.
+/// Size in bytes above which a configuration is sent whole only on explicit request.
 ///
-/// Told of a configuration, twenty entries fetch it from one peer at once. Over the slowest links
-/// of 10 Mbit/s, 400 kB then took over six seconds; the store's link is a hundred times wider.
+/// After an announcement, twenty entries fetch it from one peer at once: 400 kB then took over
+/// six seconds on the slowest links of 10 Mbit/s. The store's link is a hundred times as fast.
 pub(crate) const LARGE_CONFIG_BYTES: usize = 64 << 10;
 
-/// What leads to a configuration from a former one.
+/// Difference between a configuration and a previous one.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ConfigChange {
-    /// Revision of the former one.
+    /// Revision of the previous configuration.
     base: u64,
-    /// The new one, without its content.
+    /// The new configuration, without its content.
     object: StoreObject,
     change: TextChange,
 }
 
-/// A configuration as it is handed to an entry that lacks it.
+/// A configuration in the form sent to an entry that lacks it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum ConfigPayload {
-    /// The whole of it.
+    /// The complete configuration.
     Whole(StoreObject),
-    /// What differs from the one that the asker holds.
+    /// The difference from the requester's configuration.
     Change(ConfigChange),
 }
 
-/// The configuration in force and former ones.
+/// The active and previous configurations.
 #[derive(Default)]
 pub struct ConfigHistory {
     active: Option<StoreObject>,
     previous: VecDeque<(Time, StoreObject)>,
-    /// The change that was asked for last: all that fall behind together ask for the same.
+    /// The change computed last: entries that are out of date at the same time request the same
+    /// one.
     last_change: RefCell<Option<ConfigChange>>,
 }
 
 impl ConfigHistory {
-    /// Takes the next configuration in force.
+    /// Makes a configuration the active one and keeps the one that it replaces.
     pub fn activate(&mut self, now: Time, object: StoreObject) {
         if let Some(previous) = self.active.replace(object) {
             self.previous.push_back((now, previous));
@@ -64,7 +66,7 @@
         self.last_change.take();
     }
 
-    /// Forgets former ones that hardly anybody holds by now.
+    /// Removes previous configurations whose retention is over.
     pub fn remove_expired(&mut self, now: Time) {
         self.previous
             .retain(|(ended, _)| now.since(*ended) < PREVIOUS_RETENTION);
@@ -73,21 +75,21 @@
         }
     }
 
-    /// Length of the configuration in force in bytes; zero for none.
+    /// Returns the size of the active configuration in bytes; zero if there is none.
     #[must_use]
     pub fn bytes(&self) -> usize {
         let active = self.active.as_ref();
         active.map_or(0, |o| o.content.get().len())
     }
 
-    /// Revision of the configuration in force; zero for none.
+    /// Returns the revision of the active configuration; zero if there is none.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.active.as_ref().map_or(0, |o| o.revision)
     }
 
-    /// What to hand to an entry that holds the configuration of a revision, which is zero for none; a
-    /// large one whole only if it is `asked_whole`.
+    /// Returns the payload for an entry whose configuration has the revision `held` (zero for
+    /// none); a large one is sent whole only if `full_requested`.
     #[must_use]
     pub fn payload_since(&self, held: u64, full_requested: bool) -> Option<ConfigPayload> {
         let active = self.active.as_ref()?;
@@ -122,8 +124,8 @@
         Some(change)
     }
 
-    /// The configuration that another entry handed over; none if it can't be made from the one in
-    /// force here.
+    /// Returns the configuration in a received payload; `None` if the change doesn't apply to the
+    /// active one here.
     #[must_use]
     pub fn reconstruct(&self, payload: ConfigPayload) -> Option<StoreObject> {
         let change = match payload {
--- a/fireflydirect/src/config_read.rs
+++ b/fireflydirect/src/config_read.rs
@@ -1,4 +1,4 @@
-//! Reading one configuration from the store, for an entry that nobody could hand it.
+//! Reading of a configuration from the store, for an entry that gets it from no peer.
 
 use crate::client::Client;
 use crate::feed::decode_page;
@@ -8,21 +8,21 @@
 use fireflycroft_platform::Kind;
 use std::time::Duration;
 
-/// Further looks for the first configuration of all in copies of the store.
+/// Retries when no replica of the store has a first configuration yet.
 const FIRST_CONFIG_RETRIES: u32 = 5;
 
-/// Pause before each of them.
+/// Pause before each of these retries.
 const FIRST_CONFIG_PAUSE: Duration = Duration::from_millis(600);
 
-/// The same of a large configuration that all entries read at once: several hundred kilobytes wait
-/// before the first byte on links of 10 Mbit/s. Given up too soon, it is fetched from peers, whose
-/// links are as narrow.
+/// Time without progress after which reading a configuration is given up. When all entries read a
+/// large one at once, its first byte comes after several hundred kilobytes on links of 10 Mbit/s;
+/// with a shorter timeout it would be fetched from peers, whose links are as slow.
 const CONFIG_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads a configuration of this version or a later one from the store; true when it was read.
+/// Reads a configuration of at least this version from the store; returns true if it was found.
 ///
-/// Any copy of the store may have it by now, at a tenth of the price. The first configuration of all
-/// may take some seconds to be there, and nobody waits for it.
+/// A replica of the store is read first, since that costs a tenth. The first configuration may
+/// take seconds to reach it, and the entry can't serve before.
 pub(crate) async fn read_config(node: &Node, version: u64) -> bool {
     let mut responded = read_config_once(node, StoreCall::Replica).await;
     for _ in 0..FIRST_CONFIG_RETRIES {
@@ -38,7 +38,7 @@
     node.config_version() >= version
 }
 
-/// Reads the configuration once; true when the store answered.
+/// Reads the configuration once and adopts it; returns true if the store answered.
 async fn read_config_once(node: &Node, call: StoreCall) -> bool {
     let mut client = Client::new(node.place.store.addr, node.clock);
     let path = page_path(call, Kind::Config, None);
--- a/fireflydirect/src/datagrams.rs
+++ b/fireflydirect/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! Sending datagrams to the other entries, and counting what they take.
+//! Sending and counting of datagrams to the other entries.
 
 use crate::metrics::Metrics;
 use fireflycroft::EntryMessage;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 
-/// The socket by which an entry sends to the others.
+/// Socket for datagrams to the other entries.
 pub struct Datagrams {
     socket: OnceCell<Rc<UdpSocket>>,
     port: u16,
@@ -16,7 +16,7 @@
 }
 
 impl Datagrams {
-    /// Sends nothing until it has a socket.
+    /// Creates a sender without a socket, which sends nothing.
     #[must_use]
     pub const fn new(port: u16, metrics: Metrics) -> Self {
         Self {
@@ -26,13 +26,13 @@
         }
     }
 
-    /// Sends by this socket from now on.
+    /// Sets the socket to send from.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
-        // The first one stays; a process binds but one.
+        // A process binds a single socket, so it is set once only.
         let _ = self.socket.set(socket);
     }
 
-    /// Sends a message to some entries.
+    /// Sends a message to several entries.
     pub async fn send_all(
         &self,
         targets: impl IntoIterator<Item = Ipv4Addr>,
@@ -44,7 +44,7 @@
         let bytes = encode_datagram(message);
         for ip in targets {
             self.metrics.record_datagram(message.kind(), bytes.len());
-            // A datagram that can't be sent counts as one that was lost on the way.
+            // A datagram that can't be sent is treated like one lost on the network.
             let _ = socket
                 .send_to(&bytes, SocketAddr::from((ip, self.port)))
                 .await;
--- a/fireflydirect/src/feed.rs
+++ b/fireflydirect/src/feed.rs
@@ -1,12 +1,12 @@
-//! Following the platform's store: the configuration, the list of upstreams and the data centres that
-//! are evacuated.
+//! Following the platform's store: the configuration, the list of upstreams and the evacuated
+//! data centres.
 //!
-//! Each kind is listed once and then watched from the revision of the list. A
-//! list follows again only when the store has dropped its history, or has come
-//! back from a copy and gives out its revisions anew.
+//! Each kind of object is listed once and then watched from the revision of the list. It is
+//! listed again only when the store has dropped its history, or was restored from a backup and
+//! assigns its revisions anew.
 //!
-//! An entry that doesn't watch reads it all once when it starts, from any copy of
-//! the store, and hears from then on of what changes.
+//! An entry that doesn't watch reads all objects once when it starts, from any replica of the
+//! store, and receives later changes from other entries.
 
 use crate::client::Client;
 use crate::ingest::Ingest;
@@ -21,59 +21,61 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time that a watch waits at the store.
+/// Longest wait of a watch at the store.
 ///
-/// A store that has gone silent towards this entry looks like one without changes until a watch
-/// is overdue. Then another entry has to step in and read what was missed, all within the two
-/// seconds in which a configuration is to be in force.
+/// A store that has become silent to this entry looks like one without changes until a watch is
+/// overdue. Then another entry has to take over and read what was missed, all within the two
+/// seconds in which a configuration has to become active.
 const WATCH_WAIT: Duration = Duration::from_millis(800);
 
-/// The same of a watch of evacuations: of the five seconds after which a data centre gets nothing more,
-/// two more may pass until another entry reads for one that the store doesn't answer.
+/// Longest wait of a watch of evacuations: a data centre has to get nothing more after five
+/// seconds, of which two may pass until another entry reads for one that the store doesn't
+/// answer.
 const EVACUATION_WAIT: Duration = Duration::from_secs(2);
 
-/// The same of an entry that watches beside enough others that rank before it: it stands by.
+/// Longest wait of a standby watcher: one with enough other watchers that rank before it.
 ///
-/// Several step in at a time when watchers are lost, and each call is paid for.
+/// Several entries take over at a time when watchers are lost, and each call has a cost.
 const STANDBY_WAIT: Duration = Duration::from_secs(3);
 
-/// Time after its wait at which a watch is overdue.
+/// Time beyond its wait after which a watch is overdue.
 const WATCH_MARGIN: Duration = Duration::from_millis(600);
 
-/// Wait of a watch that only asks whether the store is back.
+/// Wait of a watch that only probes whether the store is back.
 const PROBE_WAIT: Duration = Duration::from_millis(1);
 
-/// Time without a byte after which a call is tried once more beside the one that hangs: the store
+/// Time without a byte after which a second attempt begins beside one that hangs: the store
 /// answers in 4 ms, and in some 200 ms when it is slow.
 const HEDGE_DELAY: Duration = Duration::from_millis(450);
 
-/// Pause after a copy of the store that couldn't be read.
+/// Pause after a failed read of a replica.
 const REPLICA_RETRY_PAUSE: Duration = Duration::from_millis(600);
 
-/// First pause after a failed call; doubles with each further one.
+/// First pause after a failed call; doubles with each further failure.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Pause after changes of the list of upstreams, so that several come with one call.
+/// Pause after changes of the list of upstreams, so that one call returns several.
 ///
-/// Three entries watch, each with pauses of its own, so that the first of them hears of a change
-/// well before the pause is over; a leaving upstream serves on for a second and a half at least.
+/// Three entries watch with pauses of their own, so the first of them receives a change well
+/// before the pause is over; a departing upstream serves for at least another second and a half.
 const BATCH_DELAY: Duration = Duration::from_millis(300);
 
-/// The same of an entry that stands by: when a fleet starts, its upstreams enter the list one after the
-/// other.
+/// The same pause of a standby watcher: when a fleet starts, its upstreams enter the list one by
+/// one.
 const STANDBY_BATCH_DELAY: Duration = Duration::from_secs(2);
 
-/// Time for which an entry has to be relied on before it reads evacuations: several are when watchers
-/// are lost, until they hear of each other, and each call is paid for.
+/// Time for which an entry has to be a primary watcher before it reads evacuations: when watchers
+/// are lost, several entries are until they receive each other's announcements, and each call has
+/// a cost.
 const PRIMARY_MIN_TIME: Duration = Duration::from_secs(1);
 
-/// Time between two looks at whether another feed of this entry is answered again.
+/// Interval between checks whether another feed of this entry is answered again.
 const CONNECTIVITY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time without a byte after which the only try is given up, where tries don't overlap.
+/// Time without a byte after which the only attempt of an unhedged call is given up.
 const NO_PROGRESS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One kind of object, read from the store.
+/// Reader of one kind of object in the store.
 struct Feed {
     node: Rc<Node>,
     client: Client,
@@ -83,7 +85,7 @@
     ingest: Ingest,
 }
 
-/// Whether the store answers, as one feed sees it.
+/// Connectivity to the store as seen by one feed.
 struct Connectivity {
     node: Rc<Node>,
     kind: Kind,
@@ -119,21 +121,22 @@
     }
 }
 
-/// The pages of one list that have been read.
+/// Pages read so far of one list.
 #[derive(Default)]
 struct Listing {
     objects: Vec<StoreObject>,
-    /// Revision of the first page: changes between two pages come again with a watch from there.
+    /// Revision of the first page: a watch from there repeats changes made between two pages.
     revision: Option<u64>,
 }
 
 impl Listing {
-    /// Name after which the next page begins.
+    /// Returns the name after which the next page begins.
     fn last_name(&self) -> Option<Name> {
         self.objects.last().map(|o| o.name.clone())
     }
 
-    /// Takes the next page, unless it is of a later era than those before, which are void then.
+    /// Appends the next page; if it is of another era than the first, drops all pages and returns
+    /// false.
     fn append(&mut self, page: StorePage) -> bool {
         let first = *self.revision.get_or_insert(page.revision);
         if era_of(first) != era_of(page.revision) {
@@ -146,11 +149,11 @@
 }
 
 impl Feed {
-    /// Lists all objects, page by page, and gives the revision from which a watch goes on; none when
-    /// others have begun to watch for this entry before the end.
+    /// Lists all objects, page by page, and returns the revision to watch from; `None` if this
+    /// entry stops following them before the end.
     ///
-    /// A page that fails is asked for again, and not the pages before it: a store that answers some
-    /// calls only would never be read to the end.
+    /// A failed page is retried without the pages before it: otherwise a list would never be
+    /// complete while the store answers only some calls.
     async fn list(&mut self) -> Option<u64> {
         let mut listing = Listing::default();
         self.ingest.begin_list();
@@ -169,13 +172,13 @@
         }
     }
 
-    /// Reads the next page of a list; true when the list goes on.
+    /// Reads the next page of a list; returns true if more pages follow.
     async fn read_page(&mut self, call: StoreCall, listing: &mut Listing) -> Result<bool, String> {
         let after = listing.last_name();
         let path = page_path(call, self.kind, after.as_deref());
         let page = self.get_page(call, &path).await?;
         self.ingest.record_nameless(page.nameless);
-        // What is read of a list that can't be read to its end holds all the same.
+        // Objects of an incomplete list are valid as well.
         self.ingest.apply_objects(&page.objects);
         let more = page.more;
         Ok(!listing.append(page) || more)
@@ -187,10 +190,10 @@
         Some(revision)
     }
 
-    /// Reads all objects once, from any copy of the store, for an entry that starts beside watchers:
-    /// what has changed since then it hears of the others.
+    /// Reads all objects once, from any replica of the store, for an entry that starts beside
+    /// watchers; it receives later changes from the other entries.
     ///
-    /// When a whole fleet starts, nobody could hand it all to each of them as soon.
+    /// When a whole fleet starts, no entry could send it all to each of them as soon.
     async fn read_replica_at_start(&mut self) {
         if self.kind == Kind::Evacuations {
             return;
@@ -203,8 +206,8 @@
         }
     }
 
-    /// Reads a copy of the store until that succeeds or others have handed over what it says; again
-    /// only once the store answers somebody.
+    /// Reads a replica until that succeeds or other entries have sent what it holds; retries only
+    /// once the store answers some entry.
     async fn read_replica_until_known(&mut self) {
         while let Err(why) = self.read_replica().await {
             let kind = format!("{:?}", self.kind);
@@ -243,7 +246,9 @@
         decode_page(&answered.map_err(|e| e.to_string())?)
     }
 
-    /// Tries that overlap, as often as this entry may call a store that is away.
+    /// Returns a hedged call, whose attempts may be as far apart as this entry's role allows
+    /// calls to a lost store; a call with a single attempt for evacuations or if hedging is
+    /// disabled.
     fn hedged_call(&self) -> HedgedCall {
         if self.kind == Kind::Evacuations || !self.node.policy.uses(Mechanism::Overlap) {
             return HedgedCall::single(NO_PROGRESS_TIMEOUT);
@@ -251,7 +256,7 @@
         HedgedCall::new(HEDGE_DELAY, self.node.watcher_role.borrow().max_pause())
     }
 
-    /// Sends a call to the store; an answer that the store gave before it came back from a copy is none.
+    /// Sends a call to the store; fails on a response of an era before the store's restore.
     async fn get(
         &mut self,
         call: StoreCall,
@@ -272,13 +277,13 @@
         let answered = answered?;
         let era = read_era(&answered.headers);
         self.node.record_store_era(era, "store");
-        anyhow::ensure!(era == self.node.store_era(), "an answer of a former era");
+        anyhow::ensure!(era == self.node.store_era(), "response of a previous era");
         Ok(answered)
     }
 
-    /// Watches while this entry is to, then waits until it is again.
+    /// Watches while this entry is to follow the objects, then waits until it is again.
     ///
-    /// A watch that waits at the store is cut short, by closing its connection.
+    /// A watch that waits at the store is ended by closing its connection.
     async fn watch_while_following(&mut self, revision: u64) {
         let node = self.node.clone();
         let kind = self.kind;
@@ -308,7 +313,7 @@
         while era_of(revision) == self.node.store_era() {
             let answer = self.probe_or_watch(revision).await;
             let read = match answer {
-                // The store came back from a copy while the watch waited.
+                // The store was restored from a backup while the watch waited.
                 Ok(answered) if read_era(&answered.headers) != era_of(revision) => return,
                 Ok(answered) => read_events(answered.status, &answered.body).map_err(Some),
                 Err(e) => {
@@ -332,9 +337,9 @@
                     }
                 }
                 Err(Some(StoreFault::HistoryGone)) => return,
-                // What changed is in the list as well, one object at a time.
+                // A new list holds the same changes, decoded object by object.
                 Err(Some(StoreFault::Malformed)) => {
-                    self.back_off("the changes can't be read").await;
+                    self.back_off("unreadable changes").await;
                     return;
                 }
                 Err(fault) => self.back_off(&format!("{fault:?}")).await,
@@ -342,16 +347,16 @@
         }
     }
 
-    /// Lets changes gather; for longer while this entry only stands by.
+    /// Pauses so that changes accumulate; longer for a standby watcher.
     async fn delay_batch(&self) {
         tokio::time::sleep(BATCH_DELAY).await;
         let standby_delay = STANDBY_BATCH_DELAY.saturating_sub(BATCH_DELAY);
-        // What is over first ends the pause.
+        // Becoming a primary watcher ends the pause early.
         let _ = tokio::time::timeout(standby_delay, until_primary(&self.node)).await;
     }
 
-    /// Waits for changes; while the store is lost, only asks whether it is back, by tries that
-    /// overlap.
+    /// Waits for changes; while the store is lost, only probes whether it is back, with hedged
+    /// calls.
     async fn probe_or_watch(&mut self, revision: u64) -> anyhow::Result<Answered> {
         if self.connectivity.lost.get() {
             let path = watch_path(self.kind, revision, PROBE_WAIT);
@@ -397,15 +402,15 @@
         }
     }
 
-    /// Returns once a feed whose calls overlap has found the store again.
+    /// Waits until the store answers a feed whose calls are hedged.
     async fn until_store_responds(&self) {
         while !self.node.store_responding.get() {
             tokio::time::sleep(CONNECTIVITY_CHECK_INTERVAL).await;
         }
     }
 
-    /// Returns when this entry is to read its kind of object: evacuations once others rely on it for
-    /// them, everything else at once.
+    /// Waits until this entry is to read its kind of object: evacuations once it is a primary
+    /// watcher, other objects at once.
     async fn until_needed(&self) {
         if self.kind != Kind::Evacuations {
             return;
@@ -429,7 +434,7 @@
         }
     }
 
-    /// Notes that a call failed or hangs.
+    /// Records a call that failed or makes no progress.
     fn record_failure(&self, why: &str) {
         self.node.record_store_failure();
         if !self.lost.replace(true) {
@@ -438,8 +443,8 @@
     }
 }
 
-/// Whether an entry is to follow a kind of object: evacuations while others rely on it, everything else
-/// while it watches at all.
+/// Returns whether an entry is to follow a kind of object: evacuations while it is a primary
+/// watcher, other objects while it watches at all.
 fn should_follow(node: &Node, kind: Kind) -> bool {
     let duty = node.watcher_role.borrow();
     if kind == Kind::Evacuations {
@@ -449,21 +454,21 @@
     }
 }
 
-/// Returns once an entry is to follow a kind of object.
+/// Waits until an entry is to follow a kind of object.
 async fn until_should_follow(node: &Node, kind: Kind) {
     while !should_follow(node, kind) {
         node.watcher_role_changed.notified().await;
     }
 }
 
-/// Returns once the others rely on this entry for what the store says.
+/// Waits until this entry is a primary watcher, on which the others rely for the store's state.
 async fn until_primary(node: &Node) {
     while !node.watcher_role.borrow().is_primary() {
         node.watcher_role_changed.notified().await;
     }
 }
 
-/// The page that an answer to a list holds.
+/// Decodes the response to a list request.
 pub(crate) fn decode_page(answered: &Answered) -> Result<StorePage, String> {
     let status = answered.status;
     let page = read_page(status, &answered.body).map_err(|e| format!("{status} {e:?}"))?;
--- a/fireflydirect/src/ingest.rs
+++ b/fireflydirect/src/ingest.rs
@@ -1,4 +1,4 @@
-//! Taking what the store or another entry says: configuration, upstreams, evacuations.
+//! Applying state from the store or another entry: configuration, upstreams, evacuations.
 
 use crate::log_value::or_empty;
 use crate::node::Node;
@@ -8,16 +8,16 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Takes objects of one kind that were read from the store.
+/// Applies objects of one kind that were read from the store.
 pub struct Ingest {
     node: Rc<Node>,
     kind: Kind,
-    /// Records that were last seen unreadable, with their revisions, so that each is said once.
+    /// Unreadable records with their revisions, so that each is logged once.
     unreadable: HashMap<Name, u64>,
 }
 
 impl Ingest {
-    /// Has taken nothing yet.
+    /// Creates an ingest that has applied nothing yet.
     #[must_use]
     pub fn new(node: Rc<Node>, kind: Kind) -> Self {
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Forgets what was said of unreadable records, before a list says it anew.
+    /// Starts a new list; its unreadable records are logged again.
     pub fn begin_list(&mut self) {
         self.unreadable.clear();
         if self.kind == Kind::Upstreams {
@@ -35,19 +35,19 @@
         }
     }
 
-    /// Takes objects of a list that may go on.
+    /// Applies objects of a list that may be incomplete.
     pub fn apply_objects(&mut self, objects: &[StoreObject]) {
         for object in objects {
             match self.kind {
                 Kind::Config => self.node.adopt_config(object, "store"),
                 Kind::Upstreams => self.apply_record(object),
-                // They hold as a whole list.
+                // Evacuations are valid as a complete list only.
                 Kind::Evacuations | Kind::Entries => {}
             }
         }
     }
 
-    /// Takes a whole list of evacuations, or what a whole list of upstreams lacks.
+    /// Applies a complete list of evacuations or upstreams.
     pub fn apply_list(&mut self, objects: &[StoreObject], revision: u64) {
         if self.kind == Kind::Evacuations {
             let in_force = objects.iter().filter(|o| !o.deleting);
@@ -78,7 +78,8 @@
         self.node.apply_pool_changes(change, "store");
     }
 
-    /// The record of an upstream; what can't be read says so of one that is known.
+    /// Decodes the record of an upstream; for an unreadable one, returns what the pool knows
+    /// under that name, marked as unreadable.
     fn read_record(&mut self, object: &StoreObject) -> Option<UpstreamRecord> {
         let e = match read_upstream(object) {
             Ok(record) => return Some(record),
@@ -96,7 +97,7 @@
         self.node.pool.borrow().unreadable(name, revision)
     }
 
-    /// Notes objects that were left out, since they have no name.
+    /// Records objects that were skipped since they have no name.
     pub fn record_nameless(&self, count: usize) {
         if count > 0 {
             self.node.metrics.record_unreadable("nameless", count);
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Takes changes that lead to the list as of `revision`.
+    /// Applies changes that lead to the list as of `revision`.
     pub fn apply_events(&mut self, events: Vec<StoreEvent>, revision: u64) {
         if self.kind == Kind::Evacuations && !events.is_empty() {
             self.apply_evacuations(&events, revision);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Takes changes of the list of evacuations, which holds as of `revision` with them.
+    /// Applies changes to the list of evacuations, whose revision is `revision` with them.
     fn apply_evacuations(&self, events: &[StoreEvent], revision: u64) {
         let held = self.node.pool.borrow().evacuations().clone();
         let changed = events.iter().fold(held, |list, event| {
@@ -152,9 +153,10 @@
     }
 }
 
-/// Takes what another entry knows of upstreams; what its whole list lacks is gone if it is sure.
+/// Applies another entry's state of upstreams; an upstream that its complete list lacks is
+/// removed if the list is confirmed.
 ///
-/// What it doubts stays here as it is: it tells once it has decided.
+/// What is unconfirmed there stays unchanged here: that entry announces it once it is decided.
 pub fn apply_peer_state(node: &Node, state: PeerState) {
     let now = node.now();
     if !state.is_whole {
@@ -185,6 +187,6 @@
         node.apply_pool_changes(change, "peer");
     }
     node.has_complete_list.set(true);
-    // Others may fetch it here from now on.
+    // Other entries may fetch the list here from now on.
     node.announce_now.notify_one();
 }
--- a/fireflydirect/src/lib.rs
+++ b/fireflydirect/src/lib.rs
@@ -1,14 +1,13 @@
 //! The direct entry: takes callers' requests and drives upstreams itself.
 //!
-//! One process on each entry VM, on one thread. The decisions are those of
-//! [`fireflycroft`]; the names and formats of the platform are decoded by
-//! [`fireflycroft_platform`]; here are the sockets and timers round them.
+//! Each entry VM runs one single-threaded process. Decisions are made in [`fireflycroft`], and
+//! the platform's names and formats are decoded by [`fireflycroft_platform`]; this crate adds
+//! sockets and timers.
 //!
-//! A request comes in through [`callers`], is checked in [`serve`], and goes on
-//! as a plain call ([`call`]) or as a stream of events ([`generation`]). Both
-//! send it with [`exchange`] over a connection of [`links`]. What the process
-//! knows of the fleet comes from the platform's store ([`feed`]) and from the
-//! other entries ([`peers`]); it all hangs on one [`node::Node`].
+//! A request arrives in [`callers`], is checked in [`serve`], and continues as a plain call
+//! ([`call`]) or as a stream of events ([`generation`]). Both send it with [`exchange`] over a
+//! connection of [`links`]. The state of the fleet comes from the platform's store ([`feed`]) and
+//! from the other entries ([`peers`]); all tasks share one [`node::Node`].
 
 pub mod announce;
 pub mod answer;
--- a/fireflydirect/src/loads.rs
+++ b/fireflydirect/src/loads.rs
@@ -1,4 +1,4 @@
-//! Asking the owners of upstreams for their load, before a choice among them.
+//! Queries to the owners of upstreams for their load, before a choice among them.
 
 use crate::node::Node;
 use crate::owner_queries;
@@ -6,9 +6,9 @@
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 
-/// Asks for the load of the upstreams that a choice for `need` is to look at.
+/// Queries the load of the upstreams considered in a choice for `need`.
 ///
-/// Plain calls take no memory and end soon; they go by what this entry sees itself.
+/// Plain calls take no memory and end soon; for them this entry's own view is sufficient.
 pub async fn query(node: &Node, service: &Name, need: &Need, tried: &[UpstreamIx]) {
     if need.tokens == 0 || !node.policy.uses(Mechanism::Owners) {
         return;
@@ -23,7 +23,7 @@
     .await;
 }
 
-/// The upstreams to ask about, by owner.
+/// Returns the upstreams to query, by owner.
 fn queries(
     node: &Node,
     service: &Name,
--- a/fireflydirect/src/main.rs
+++ b/fireflydirect/src/main.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use tokio::task::LocalSet;
 
-/// Exit status of a process whose settings are at fault.
+/// Exit status for invalid settings.
 const EXIT_BAD_SETTINGS: u8 = 78;
 
 fn main() -> ExitCode {
--- a/fireflydirect/src/metrics.rs
+++ b/fireflydirect/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters, histograms and gauges of one process.
 //!
-//! Counters and histograms are kept as things happen; gauges are read off the
-//! process when somebody asks.
+//! Counters and histograms are updated by events; gauges are computed on each request of the
+//! page.
 
 use crate::node::Node;
 use crate::store_call::StoreCall;
@@ -13,7 +13,7 @@
 };
 use std::time::Duration;
 
-/// Path under which the metrics are served.
+/// Path of the metrics page.
 pub const METRICS_PATH: &str = "/metrics";
 
 /// Bucket bounds in seconds, from a millisecond to the longest route's timeout.
@@ -27,20 +27,20 @@
     registry: Registry,
     answers: IntCounterVec,
     answer_seconds: HistogramVec,
-    /// Tries at upstreams, by `outcome`.
+    /// Attempts at upstreams, by `outcome`.
     pub attempts: IntCounterVec,
-    /// Streams that ended, by `end`: `whole`, `cut`.
+    /// Streams ended, by `end`: `whole`, `cut`.
     pub streams: IntCounterVec,
-    /// Times that a stream went on elsewhere, by `way`: `moved`, `copy`, `anew`.
+    /// Streams resumed on another upstream, by `way`: `moved`, `copy`, `anew`.
     pub resumed: IntCounterVec,
     /// Longest pause of each stream in seconds, by `kind`.
     pub pause_seconds: HistogramVec,
-    /// Calls of the platform's store, by `result`.
+    /// Calls to the platform's store, by `kind`, `call` and `result`.
     pub store_calls: IntCounterVec,
     datagrams: IntCounterVec,
     datagram_bytes: IntCounterVec,
     owner_queries: IntCounterVec,
-    /// States fetched from other entries, by `what` was lacking: `config`, `list`.
+    /// States fetched from other entries, by `what` was missing: `config`, `list`, `entries`.
     pub fetches: IntCounterVec,
     unreadable: IntCounterVec,
     restarts: IntCounterVec,
@@ -58,7 +58,7 @@
     upstreams: GaugeVec,
 }
 
-/// Word of a kind of request, in labels.
+/// Returns the label of a kind of request.
 #[must_use]
 pub const fn kind_label(request_kind: RequestKind) -> &'static str {
     match request_kind {
@@ -79,24 +79,29 @@
 }
 
 impl Metrics {
-    /// Metrics on a registry of their own, all at zero.
+    /// Creates the metrics on a registry of their own, all at zero.
     ///
     /// # Errors
     ///
-    /// When two names clash.
+    /// Returns an error if two names clash.
     pub fn new() -> prometheus::Result<Self> {
         let r = Registry::new();
         Ok(Self {
             answers: counters(&r, "answers_total", "Answers to callers", &["kind", "code"])?,
             answer_seconds: seconds(&r, "answer_seconds", "Arrival to answer or first event")?,
-            attempts: counters(&r, "tries_total", "Tries at upstreams", &["outcome"])?,
+            attempts: counters(&r, "tries_total", "Attempts at upstreams", &["outcome"])?,
             streams: counters(&r, "streams_total", "Streams ended", &["end"])?,
-            resumed: counters(&r, "went_on_total", "Streams gone on elsewhere", &["way"])?,
+            resumed: counters(
+                &r,
+                "went_on_total",
+                "Streams resumed on another upstream",
+                &["way"],
+            )?,
             pause_seconds: seconds(&r, "pause_seconds", "Longest pause of each stream")?,
             store_calls: counters(
                 &r,
                 "store_calls_total",
-                "Calls of the store",
+                "Calls to the store",
                 &["kind", "call", "result"],
             )?,
             datagrams: counters(
@@ -111,86 +116,78 @@
                 "Bytes of datagrams to other entries",
                 &["kind"],
             )?,
-            owner_queries: counters(
-                &r,
-                "questions_total",
-                "Questions to owners of upstreams",
-                &["end"],
-            )?,
+            owner_queries: counters(&r, "questions_total", "Queries to owners", &["end"])?,
             fetches: counters(
                 &r,
                 "fetches_total",
                 "States fetched from entries",
                 &["what"],
             )?,
-            unreadable: counters(&r, "unreadable_total", "Objects not readable", &["what"])?,
-            restarts: counters(
+            unreadable: counters(
                 &r,
-                "restarts_total",
-                "Upstreams started again",
-                &["service"],
+                "unreadable_total",
+                "Unreadable objects of the store",
+                &["what"],
             )?,
-            running: gauge(&r, "streams_running", "Streams under way")?,
-            config_version: gauge(&r, "config_version", "Configuration in force")?,
-            peers: gauge(&r, "peers", "Other entries heard of late")?,
+            restarts: counters(&r, "restarts_total", "Upstream restarts", &["service"])?,
+            running: gauge(&r, "streams_running", "Streams in progress")?,
+            config_version: gauge(&r, "config_version", "Version of the active configuration")?,
+            peers: gauge(&r, "peers", "Other entries heard from recently")?,
             watching: gauge(
                 &r,
                 "watches_store",
                 "Whether the store answers this watcher",
             )?,
-            quarantined: gauge(&r, "quarantined", "Contents refused for crashes")?,
+            quarantined: gauge(&r, "quarantined", "Contents quarantined for crashes")?,
             evacuated: gauge(&r, "evacuated", "Data centres evacuated")?,
             cold_upstreams: gauge(&r, "cold_upstreams", "Upstreams that are cold")?,
-            rate_limited: gauge(
-                &r,
-                "rate_limited_upstreams",
-                "Upstreams that name a rate limit",
-            )?,
-            store_era: gauge(
+            rate_limited: gauge(&r, "rate_limited_upstreams", "Upstreams with a rate limit")?,
+            store_era: gauge(&r, "store_era", "Restores of the store from a backup")?,
+            memory: gauges(
                 &r,
-                "store_era",
-                "Times that the store came back from a copy",
+                "memory_share",
+                "Share of engine memory reserved",
+                "service",
             )?,
-            memory: gauges(&r, "memory_share", "Engine memory spoken for", "service")?,
-            repeats_left: gauges(&r, "repeats_left", "Repeats left in the window", "service")?,
+            repeats_left: gauges(&r, "repeats_left", "Retries left in the window", "service")?,
             upstreams: gauges(&r, "upstreams", "Upstreams that take new work", "service")?,
             registry: r,
         })
     }
 
-    /// Notes objects of the store that can't be read: records of `upstream`s, `config`urations, or
-    /// what has not even a name, `nameless`.
+    /// Records unreadable objects of the store: records of an `upstream`, a `config`, or
+    /// `nameless` objects.
     pub fn record_unreadable(&self, what: &str, count: usize) {
         let unreadable = self.unreadable.with_label_values(&[what]);
         unreadable.inc_by(u64::try_from(count).unwrap_or(u64::MAX));
     }
 
-    /// Notes a call of the store for a kind of object, and whether it was answered.
+    /// Records a call to the store for a kind of object, and whether it was answered.
     pub(crate) fn record_store_call(&self, kind: Kind, call: StoreCall, answered: bool) {
         let result = if answered { "answered" } else { "failed" };
         let labels = [object_label(kind), call.label(), result];
         self.store_calls.with_label_values(&labels).inc();
     }
 
-    /// Notes a datagram to another entry.
+    /// Records a datagram to another entry.
     pub fn record_datagram(&self, kind: &str, bytes: usize) {
         self.datagrams.with_label_values(&[kind]).inc();
         let sum = self.datagram_bytes.with_label_values(&[kind]);
         sum.inc_by(u64::try_from(bytes).unwrap_or(u64::MAX));
     }
 
-    /// Notes a question to owners, and whether all of them replied in time.
+    /// Records a query to owners, and whether all of them replied in time.
     pub fn record_owner_query(&self, replied: bool) {
         let end = if replied { "replied" } else { "timed_out" };
         self.owner_queries.with_label_values(&[end]).inc();
     }
 
-    /// Notes that an upstream started again under its id.
+    /// Records a restart of an upstream under the same id.
     pub fn record_restart(&self, service: &str) {
         self.restarts.with_label_values(&[service]).inc();
     }
 
-    /// Notes an answer to a caller.
+    /// Records an answer to a caller.
     pub fn record_answer(&self, request_kind: Option<RequestKind>, code: Code, age: Duration) {
         let kind = request_kind.map_or("none", kind_label);
         let code = code.number().to_string();
@@ -199,11 +196,11 @@
         seconds.observe(age.as_secs_f64());
     }
 
-    /// All metrics of a process in the Prometheus text format.
+    /// Renders all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// When the library can't write them.
+    /// Returns an error if the library can't write them.
     pub fn render(&self, node: &Node) -> prometheus::Result<String> {
         self.read_gauges(node);
         let mut text = String::new();
@@ -211,7 +208,7 @@
         Ok(text)
     }
 
-    /// Reads which upstreams get less than others, or nothing new.
+    /// Updates the gauges of evacuated, cold and rate-limited upstreams.
     fn read_upstream_gauges(&self, pool: &Pool, now: Time) {
         let evacuated = pool.evacuations().data_centres.len();
         self.evacuated.set(to_i64(evacuated));
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -1,4 +1,4 @@
-//! What one process knows and shares among its tasks.
+//! State of one process, shared among its tasks.
 
 use crate::clock::Clock;
 use crate::config_history::ConfigHistory;
@@ -22,113 +22,114 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// How far a process has come in stopping.
+/// Stage of a process on its way to a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It serves.
+    /// Serving, and ready for callers.
     Serving,
-    /// It was told to stop: not ready, but still takes what comes.
+    /// Terminating: not ready, but still accepts requests.
     Draining,
-    /// It takes nothing new and closes idle connections.
+    /// Accepts no requests and closes idle connections.
     Closing,
 }
 
-/// Whether an entry watches the store from its start on: the seeds do, which all others know.
+/// Returns whether an entry watches the store from its start on: seeds do, since all entries know
+/// them.
 fn watches_initially(place: &Place) -> bool {
     place.seeds.is_empty() || place.seeds.iter().any(|seed| seed.ip() == place.ip)
 }
 
-/// One process.
+/// Shared state of one process.
 pub struct Node {
-    /// Where it runs.
+    /// The platform's settings: addresses, data centre, bounds.
     pub place: Place,
-    /// Mechanisms that are on.
+    /// Enabled mechanisms.
     pub policy: Policy,
-    /// Its clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Configuration in force.
+    /// Active configuration.
     pub catalog: RefCell<Option<Rc<Catalog>>>,
-    /// When it was taken.
+    /// Time at which it was adopted.
     pub config_adopted_at: Cell<Option<Time>>,
-    /// The same as the store holds it, to hand to other entries.
+    /// Active and previous configurations as the store holds them, for transfer to other entries.
     pub configs: RefCell<ConfigHistory>,
-    /// Upstreams.
+    /// Known upstreams.
     pub pool: RefCell<Pool>,
-    /// Budget of repeats.
+    /// Retry budget, shared with the other entries.
     pub retry_budget: RefCell<SharedRetryBudget>,
-    /// Content that crashes upstreams.
+    /// Content that crashed upstreams.
     pub quarantine: RefCell<Quarantine>,
-    /// Callers who were refused and come back.
+    /// Refused callers, who may return.
     pub returning_callers: RefCell<ReturningCallers>,
-    /// Lengths of answers.
+    /// Estimates of answer lengths.
     pub lengths: RefCell<LengthEstimator>,
-    /// What generations bring for the memory that they hold.
+    /// Value of generations per memory held.
     pub value_densities: RefCell<ValueDensities>,
     /// Connections to upstreams.
     pub links: Links,
-    /// Streams under way.
+    /// Streams in progress.
     pub runs: Runs,
-    /// Other entries.
+    /// The other entries.
     pub peers: RefCell<Peers>,
-    /// The way to them.
+    /// Socket for datagrams to them.
     pub datagrams: Datagrams,
-    /// Questions to owners of upstreams that wait for replies.
+    /// Queries to owners that wait for replies.
     pub owner_queries: OwnerQueries,
-    /// How many upstreams a choice asks about.
+    /// Number of upstreams whose load is queried before a choice.
     pub candidate_count: RefCell<QueryBudget>,
-    /// Whether this entry watches the store for the others.
+    /// Role of this entry among the watchers of the store.
     pub watcher_role: RefCell<WatcherRole>,
-    /// Rings when that has changed.
+    /// Notified when the role changes.
     pub watcher_role_changed: Notify,
-    /// Kinds of objects that are being read from any copy of the store.
+    /// Number of lists being read from a replica of the store.
     pub(crate) replica_reads: Cell<usize>,
-    /// Whether the store answered the last call.
+    /// Whether the last call to the store succeeded.
     pub store_responding: Cell<bool>,
-    /// Times that the store has come back from a copy; none until it is known.
+    /// Number of times that the store was restored from a backup; `None` while unknown.
     pub(crate) store_era: Cell<Option<u64>>,
-    /// Whether any call has failed yet.
+    /// Whether any call to the store has failed.
     pub(crate) any_store_failure: Cell<bool>,
-    /// When it last answered one.
+    /// Time of the last response of the store.
     pub last_store_response: Cell<Option<Time>>,
-    /// Whether the list of upstreams has been read whole since this entry watches.
+    /// Whether the complete list of upstreams has been read since this entry began to watch.
     pub upstreams_listed: Cell<bool>,
-    /// Whether it was ever read whole, from the store or another entry.
+    /// Whether the complete list was ever read, from the store or another entry.
     pub has_complete_list: Cell<bool>,
-    /// Rings when an upstream comes or the configuration changes.
+    /// Notified when an upstream appears or changes, or the configuration changes.
     pub routing_changed: Notify,
-    /// Rings when an upstream has started again.
+    /// Notified when an upstream has restarted.
     incarnation_ended: Notify,
-    /// Rings when there is something to tell the other entries at once.
+    /// Notified when there is something to announce to other entries at once.
     pub announce_now: Notify,
-    /// Whether that has to reach all of them, and not some who tell it on.
+    /// Whether the next urgent announcement goes to all entries, instead of a few that spread it.
     pub announce_to_all: Cell<bool>,
-    /// Rings when there is something to report to owners.
+    /// Notified when there is something to report to owners.
     pub report_due: Notify,
     /// Upstreams whose load changed since the last report.
     pub loads_changed: RefCell<BTreeSet<UpstreamIx>>,
-    /// Callers who were refused since then.
+    /// Refusals of callers since the last report.
     pub unreported_refusals: RefCell<Vec<Refusal>>,
-    /// Upstreams that couldn't be reached since then.
+    /// Upstreams found unreachable since the last report.
     pub unreported_unreachable: RefCell<Vec<Life>>,
-    /// Upstreams that were found to leave, for the task that saves their runs.
+    /// Upstreams found to be departing, for the task that migrates their runs.
     pub departing: RefCell<Vec<UpstreamIx>>,
-    /// Rings when an upstream was found to leave.
+    /// Notified when an upstream is found to be departing.
     pub departure_found: Notify,
-    /// What is known of upstreams that leave while they run something of this entry.
+    /// State of departing upstreams that run work of this entry.
     pub departures: Departures,
-    /// Counters and histograms.
+    /// Counters, histograms and gauges.
     pub metrics: Metrics,
-    /// Calls under way.
+    /// Number of calls in progress.
     pub calls_in_flight: Cell<usize>,
     stage: watch::Sender<Stage>,
 }
 
 impl Node {
-    /// A process that knows nothing yet.
+    /// Creates the state of a process without configuration and upstreams.
     ///
     /// # Errors
     ///
-    /// When two metrics have one name.
+    /// Returns an error if two metrics have the same name.
     pub fn new(place: Place, policy: Policy) -> anyhow::Result<Self> {
         let clock = Clock::start();
         let mut pool = Pool::new(place.data_centre.clone());
@@ -190,48 +191,48 @@
         })
     }
 
-    /// Time now.
+    /// Returns the time since the start of the process.
     #[must_use]
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// How far the process has come in stopping.
+    /// Returns the current stage.
     #[must_use]
     pub fn stage(&self) -> Stage {
         *self.stage.borrow()
     }
 
-    /// Sets the stage and tells all who wait for it.
+    /// Sets the stage and notifies all subscribers.
     pub fn set_stage(&self, stage: Stage) {
         self.stage.send_replace(stage);
     }
 
-    /// Follows the stage.
+    /// Subscribes to changes of the stage.
     #[must_use]
     pub fn subscribe_stage(&self) -> watch::Receiver<Stage> {
         self.stage.subscribe()
     }
 
-    /// Whether callers should be sent here.
+    /// Returns whether the balancer should send callers here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.stage() == Stage::Serving && self.catalog.borrow().is_some()
     }
 
-    /// Version of the configuration in force; zero for none.
+    /// Returns the version of the active configuration; zero if there is none.
     #[must_use]
     pub fn config_version(&self) -> u64 {
         self.catalog.borrow().as_ref().map_or(0, |c| c.version())
     }
 
-    /// Entries that share the budget of repeats, this one included.
+    /// Returns the number of entries that share the retry budget, including this one.
     #[must_use]
     pub fn entries(&self) -> usize {
         1 + self.peers.borrow().count(self.now())
     }
 
-    /// Tells the pool who the entries are.
+    /// Updates the pool's view of the entries in the fleet.
     pub fn update_fleet_view(&self) {
         let has_just_started = self.now().since(Time::default()) < FULL_VIEW_AFTER;
         let fleet = if has_just_started {
@@ -242,7 +243,7 @@
         self.pool.borrow_mut().set_fleet(fleet);
     }
 
-    /// Takes a published configuration unless it is not newer than the one in force.
+    /// Adopts a published configuration if it is newer than the active one.
     pub fn adopt_config(&self, object: &StoreObject, source: &str) {
         let catalog = match fireflycroft_platform::read_catalog(object.content.get()) {
             Ok(catalog) => catalog,
@@ -276,9 +277,9 @@
         self.announce_now.notify_one();
     }
 
-    /// Takes a list of evacuated data centres unless it is not newer than the one in force.
+    /// Applies a list of evacuated data centres if it is newer than the active one.
     ///
-    /// Whoever has it from the store tells all others at once.
+    /// An entry that watches the store announces the change to all others at once.
     pub fn apply_evacuations(&self, evacuations: Evacuations, source: &str) {
         let revision = evacuations.revision;
         let data_centres = evacuations.data_centres.iter();
@@ -299,7 +300,7 @@
         }
     }
 
-    /// Acts on changes of the pool.
+    /// Logs changes of the pool and acts on them.
     pub fn apply_pool_changes(&self, changes: impl IntoIterator<Item = PoolChange>, source: &str) {
         for change in changes {
             let (ix, event) = match change {
@@ -350,8 +351,8 @@
         );
     }
 
-    /// Lets go of all that a life of an upstream held: idle connections, copies, and what waits for
-    /// an answer of it.
+    /// Ends an incarnation of an upstream: closes its idle connections, has its runs migrated if
+    /// it is not serving, and wakes those that wait for its responses.
     fn end_incarnation(&self, ix: UpstreamIx) {
         let incarnation = self.pool.borrow().record(ix).life();
         self.links.drop_idle(&incarnation);
@@ -359,7 +360,8 @@
         self.incarnation_ended.notify_waiters();
     }
 
-    /// Returns once a later life of an upstream is known, after which nothing comes of this one.
+    /// Waits until a later incarnation of an upstream is known, after which this one sends no
+    /// response.
     pub async fn until_ended(&self, ix: UpstreamIx) {
         loop {
             let ended = self.incarnation_ended.notified();
@@ -370,7 +372,7 @@
         }
     }
 
-    /// Has the runs of an upstream that leaves saved, if it does.
+    /// Queues an upstream for the migration of its runs, unless it is serving.
     pub fn migrate_if_departing(&self, ix: UpstreamIx) {
         if !self.pool.borrow().is_serving(ix) {
             self.departing.borrow_mut().push(ix);
@@ -378,13 +380,13 @@
         }
     }
 
-    /// Notes that the owners of an upstream should hear of its load at once.
+    /// Queues a change of load for an immediate report to the upstream's owners.
     pub(crate) fn record_load_change(&self, ix: UpstreamIx) {
         self.loads_changed.borrow_mut().insert(ix);
         self.report_due.notify_one();
     }
 
-    /// Notes that a caller was refused for lack of room and told to come back.
+    /// Records that a caller was refused for lack of capacity and told to return.
     pub fn record_refusal(&self, content: Digest) {
         let now = self.now();
         self.returning_callers
@@ -397,7 +399,7 @@
         self.report_due.notify_one();
     }
 
-    /// Notes that an upstream couldn't be reached, here and for its owners.
+    /// Records that an upstream is unreachable, here and for its owners.
     pub fn record_unreachable(&self, ix: UpstreamIx) {
         let mut pool = self.pool.borrow_mut();
         let incarnation = pool.record(ix).life();
@@ -406,7 +408,7 @@
         self.report_due.notify_one();
     }
 
-    /// Tells all other entries what is new here.
+    /// Announces the current state to all other entries at once.
     pub fn announce_to_all_now(&self) {
         self.announce_to_all.set(true);
         self.announce_now.notify_one();
--- a/fireflydirect/src/overview.rs
+++ b/fireflydirect/src/overview.rs
@@ -1,4 +1,4 @@
-//! The page by which operators see an entry, the upstreams and the other entries.
+//! Overview page for operators: the entry, its upstreams and the other entries.
 
 use crate::node::{Node, Stage};
 use fireflycroft::{
@@ -8,7 +8,7 @@
 /// Path of the page.
 pub const OVERVIEW_PATH: &str = "/fleet/overview";
 
-/// What the entry shows now.
+/// Returns the current overview.
 #[must_use]
 pub fn overview(node: &Node) -> EntryOverview {
     let now = node.now();
--- a/fireflydirect/src/owner_queries.rs
+++ b/fireflydirect/src/owner_queries.rs
@@ -1,8 +1,8 @@
-//! Asking owners, and replying to the entries that ask this one.
+//! Queries to owners, and replies to the queries of other entries.
 //!
-//! See [`fireflycroft::owners_of`] for who owns what. A question ends when all
-//! owners that were asked have replied, or after [`REPLY_WAIT`]; what came until
-//! then is known, and who asked goes by what it believes of the rest.
+//! See [`fireflycroft::owners_of`] for the assignment of owners. A query ends when all queried
+//! owners have replied, or after [`REPLY_TIMEOUT`]; replies until then are applied, and the
+//! requester uses its own state for the rest.
 
 use crate::node::Node;
 use fireflycroft::{
@@ -18,20 +18,20 @@
 /// objective.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Questions that wait for replies.
+/// Queries that wait for replies.
 #[derive(Default)]
 pub struct OwnerQueries {
     last: Cell<u64>,
     waiting: RefCell<HashMap<u64, PendingQuery>>,
 }
 
-/// One question, sent to one owner or more.
+/// One query, sent to one or more owners.
 struct PendingQuery {
     replies_left: usize,
     all_replied: Option<oneshot::Sender<()>>,
 }
 
-/// A question that waits for replies, until it is dropped.
+/// Registration of a query, removed on drop.
 struct QueryGuard<'a> {
     queries: &'a OwnerQueries,
     id: u64,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Notes a reply; the last one ends the wait.
+    /// Records a reply; the last one ends the wait.
     fn record_reply(&self, id: u64) {
         let mut all = self.waiting.borrow_mut();
         let Some(waiting) = all.get_mut(&id) else {
@@ -64,7 +64,7 @@
         waiting.replies_left = waiting.replies_left.saturating_sub(1);
         let all_replied = waiting.all_replied.take_if(|_| waiting.replies_left == 0);
         if let Some(tx) = all_replied {
-            // Who asked may have given up by now.
+            // The requester may have stopped waiting.
             let _ = tx.send(());
         }
     }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Asks owners; returns once all have replied, with true, or when the wait is over.
+/// Queries owners; returns true once all have replied, or false after the timeout.
 pub async fn query_owners(
     node: &Node,
     queries: impl ExactSizeIterator<Item = (Ipv4Addr, OwnerQueryBody)>,
@@ -100,7 +100,7 @@
     replied.is_ok()
 }
 
-/// Replies to another entry that asks.
+/// Replies to a query of another entry.
 pub async fn reply(node: &Node, to: Ipv4Addr, query: OwnerQuery) {
     let reply = OwnerReply {
         entry: node.place.vm.clone(),
@@ -133,7 +133,7 @@
     }
 }
 
-/// Takes what an owner replied.
+/// Applies an owner's reply.
 pub fn apply_reply(node: &Node, reply: OwnerReply) {
     let now = node.now();
     match reply.body {
@@ -156,7 +156,7 @@
     node.owner_queries.record_reply(reply.id);
 }
 
-/// Takes what another entry reports to this one as an owner.
+/// Applies another entry's report to this one as an owner.
 pub fn apply_report(node: &Node, report: &OwnerReport) {
     let now = node.now();
     let mut pool = node.pool.borrow_mut();
--- a/fireflydirect/src/page_server.rs
+++ b/fireflydirect/src/page_server.rs
@@ -1,4 +1,4 @@
-//! Serving short answers to the balancer, other entries and operators.
+//! HTTP server for short responses to the balancer, other entries and operators.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -12,13 +12,13 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Wait after a failed accept: descriptors run out for moments only.
+/// Pause after a failed accept: a shortage of file descriptors is brief.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// A short answer.
+/// A response whose body is held in memory.
 pub type Page = Response<Full<Bytes>>;
 
-/// Answers each request with what `page` gives, for as long as the process lives.
+/// Answers each request with the response of `page`, for as long as the process lives.
 pub async fn serve(listener: TcpListener, page: impl Fn(&Request<Incoming>) -> Page + 'static) {
     let page = Rc::new(page);
     loop {
@@ -39,13 +39,13 @@
         let answer = page(&req);
         async move { Ok::<_, Infallible>(answer) }
     });
-    // Whoever asks asks again if its connection breaks.
+    // Clients repeat the request when their connection breaks.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-/// A page with a status alone.
+/// Returns a response with a status and no body.
 #[must_use]
 pub fn empty(status: StatusCode) -> Page {
     let mut page = Page::default();
--- a/fireflydirect/src/peers.rs
+++ b/fireflydirect/src/peers.rs
@@ -1,13 +1,12 @@
-//! The other entries of the fleet, as far as they are known, and whom to tell.
+//! The known other entries of the fleet, and the choice of those to announce to.
 //!
-//! Each entry sends a datagram to some others several times a second, and at
-//! once when it has something urgent ([`crate::tell`]). A datagram says which
-//! versions the sender knows and whom it knows; whoever is behind fetches the
-//! rest over TCP from the one that told it ([`crate::hear`]). What entries place
-//! on upstreams goes to the owners of those alone ([`crate::loads`]).
-//! The library that the house style names for this, `nng`, keeps some 36 threads
-//! in a process and memory to match; a datagram of a few hundred bytes that may
-//! be lost needs neither.
+//! Each entry sends a datagram to some others several times a second, and at once when a change
+//! is urgent ([`crate::announce`]). A datagram holds the versions and some of the entries that
+//! the sender knows; an entry that is out of date fetches the rest over TCP ([`crate::receive`]).
+//! Work placed on upstreams is reported to the owners of those only ([`crate::loads`]).
+//!
+//! The library that the house style names for this, `nng`, keeps some 36 threads in a process and
+//! memory to match; datagrams of a few hundred bytes that may be lost need neither.
 
 use fireflycroft::{
     CrashCount, Digest, EntryAnnouncement, Incarnation, Name, OwnedKey, PeerOverview, Time,
@@ -23,72 +22,75 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Time between two tellings.
+/// Interval between two announcements.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Other entries told at a time, drawn anew each time.
+/// Number of entries that an announcement is sent to, drawn at random each time.
 ///
-/// What is told this way (versions, repeats, refused callers, who is there) may be a second or two
-/// old. In a fleet of up to so many all tell all; in a larger one each is heard less often, and
-/// what is sent stays the same.
+/// What is spread this way (versions, retries, refused callers, known entries) may be a second or
+/// two old. In a fleet of up to this size each announces to all; in a larger one each receives
+/// from the others less often, and the traffic per entry stays the same.
 const ANNOUNCE_FANOUT: usize = 10;
 
-/// Bounds on the time between two tellings of an entry that watches the store for the others, all of
-/// whom it tells.
+/// Bounds of the announcement interval of a primary watcher, which announces to all entries.
 const WATCHER_ANNOUNCE_INTERVALS: RangeInclusive<Duration> =
     ANNOUNCE_INTERVAL..=Duration::from_millis(500);
 
-/// Time for each other entry between two such tellings: some 130 datagrams a second.
+/// Announcement interval of a primary watcher per known entry: some 130 datagrams a second.
 const WATCHER_TIME_PER_PEER: Duration = Duration::from_micros(7_500);
 
-/// Tellings of a watcher after whose loss it no longer counts, and a little more.
+/// Silence of a watcher, in announcement intervals, after which it no longer counts: three lost
+/// announcements and some margin.
 const WATCHER_SILENT_INTERVALS: f64 = 3.2;
 
-/// Time for which an entry that was sent a question may stay silent before it is passed over.
+/// Time without a datagram after a query, after which an entry counts as silent and is passed
+/// over.
 ///
-/// Replies come within milliseconds; a small VM that runs dry of its processor share waits for up
+/// Replies arrive within milliseconds; a small VM whose processor share is used up waits for up
 /// to a tenth of a second.
 const QUERY_SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Silence after which an entry is told nothing more.
+/// Silence after which an entry is forgotten.
 const PEER_RETENTION: Duration = Duration::from_mins(1);
 
-/// Entries named in a datagram.
+/// Maximum number of entries listed in a datagram.
 const MAX_LISTED_PEERS: usize = 8;
 
-/// Part of the entries known, as a divisor, by which another one has to know of more to be asked.
+/// Fraction of the known entries, as a divisor, by which another entry has to know more before
+/// its list is fetched.
 const MISSING_PEERS_DIVISOR: usize = 10;
 
-/// Crash counts that are told again and again.
+/// Maximum number of crash counts that are announced repeatedly.
 const MAX_CRASH_COUNTS: usize = 16;
 
-/// Time for which a watcher's list may differ: its changes come by several datagrams, and this
-/// entry may have them from the store a moment later.
+/// Time for which a watcher's list may differ: its changes arrive in several datagrams, and may
+/// reach this entry from the store shortly after.
 const LIST_GRACE: Duration = Duration::from_millis(300);
 
-/// Time for which an entry that the store answers waits for its own calls to bring what a peer has.
+/// Time for which an entry that the store answers waits for its own calls to bring a peer's
+/// state.
 ///
-/// When a whole fleet starts, each entry hears of the configuration before its own list is read to
-/// the end. If each fetched all upstreams from the peer that told it, three entries would send the
-/// whole list a hundred times, over links that carry the callers' answers as well.
+/// When a whole fleet starts, each entry receives the configuration's announcement before it has
+/// read its own list. If each fetched all upstreams from the announcing peer, three entries would
+/// send the complete list a hundred times, over links that carry the callers' answers as well.
 const OWN_CALLS_GRACE: Duration = Duration::from_secs(1);
 
-/// Time for each other entry over which fetches of what all lack are spread, so that those that have
-/// fetched first hand it on to the others.
+/// Time per known entry over which fetches of state that all lack are spread, so that the first
+/// to fetch it pass it on to the others.
 const SPREAD_PER_PEER: Duration = Duration::from_millis(3);
 
-/// Entries of a data centre that fetch from another one at a time, in the mean.
+/// Mean number of entries of a data centre that fetch from another data centre at a time.
 const REMOTE_FETCHES: f64 = 3.0;
 
-/// Time for which an entry counts as a source of what it told last.
+/// Time since its last datagram for which an entry counts as a source of the announced state.
 const SOURCE_MAX_AGE: Duration = Duration::from_secs(5);
 
-/// What an entry that is behind lacks.
+/// State that an out-of-date entry lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MissingState {
-    /// A configuration of this version.
+    /// Version of the configuration.
     pub(crate) config: Option<u64>,
-    /// A list of upstreams that is complete up to this revision.
+    /// Revision up to which the list of upstreams has to be complete.
     pub(crate) list: Option<u64>,
 }
 
@@ -98,7 +100,7 @@
     }
 }
 
-/// What is known of another entry.
+/// State of another entry.
 #[derive(Clone, Debug)]
 struct PeerRecord {
     name: Option<Name>,
@@ -107,13 +109,13 @@
     leaving: bool,
     watches: bool,
     data_centre: Name,
-    /// When it was first sent a question since it was heard.
+    /// Time of the first query to it since its last datagram.
     queried_at: Option<Time>,
-    /// Life that was heard last.
+    /// Incarnation in its last announcement.
     incarnation: Option<Incarnation>,
-    /// Configuration that it told last.
+    /// Version of the configuration in its last announcement.
     config: u64,
-    /// Revision up to which its list of upstreams was complete, as it told last.
+    /// Revision up to which its list of upstreams was complete, by its last announcement.
     list_complete_to: u64,
 }
 
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Whether it lives and stays, as far as is known.
+    /// Returns whether it is neither leaving nor silent, as far as is known.
     fn is_available(&self, now: Time) -> bool {
         let silent = self
             .queried_at
@@ -146,7 +148,7 @@
     }
 }
 
-/// Other entries, and what is to be told to them.
+/// The other entries, and what is to be announced to them.
 pub struct Peers {
     me: Ipv4Addr,
     pub(crate) incarnation: Incarnation,
@@ -157,12 +159,12 @@
     list_missing_since: Option<Time>,
     config_missing_since: Option<Time>,
     pub(crate) needs_full_list: bool,
-    /// Entries that have just started and may be told at once, until the next telling.
+    /// Number of new entries that may still be introduced before the next announcement.
     introductions_left: usize,
 }
 
 impl Peers {
-    /// Knows the seeds of the settings only.
+    /// Creates the state of an entry that knows the seeds only.
     #[must_use]
     pub fn new(place: &Place) -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -182,38 +184,38 @@
         }
     }
 
-    /// Other entries that live and stay, as far as is known.
+    /// Returns the number of available other entries that were heard from.
     #[must_use]
     pub fn count(&self, now: Time) -> usize {
         let counts = |k: &&PeerRecord| k.last_received.is_some() && k.is_available(now);
         self.known.values().filter(counts).count()
     }
 
-    /// Addresses of the other entries that are known, by hearsay too.
+    /// Returns the addresses of all other entries, including those known second-hand only.
     pub(crate) fn addrs(&self) -> impl Iterator<Item = Ipv4Addr> {
         self.known.keys().copied()
     }
 
-    /// The entries that hold what is known of `key`, this one perhaps among them.
+    /// Returns the owners of `key`, possibly including this entry.
     pub(crate) fn owners(&self, now: Time, key: OwnedKey) -> impl Iterator<Item = Ipv4Addr> {
         let others = self.known.iter().filter(move |(_, k)| k.is_available(now));
         owners_of(key, others.map(|(ip, _)| *ip).chain([self.me]))
     }
 
-    /// Other entries among the owners of `key`.
+    /// Returns the owners of `key` other than this entry.
     pub(crate) fn other_owners(&self, now: Time, key: OwnedKey) -> impl Iterator<Item = Ipv4Addr> {
         let me = self.me;
         self.owners(now, key).filter(move |ip| *ip != me)
     }
 
-    /// Notes that an entry was sent a question.
+    /// Records a query sent to an entry.
     pub(crate) fn record_query(&mut self, now: Time, ip: Ipv4Addr) {
         if let Some(known) = self.known.get_mut(&ip) {
             known.queried_at.get_or_insert(now);
         }
     }
 
-    /// Notes that an entry was heard.
+    /// Records a datagram received from an entry.
     pub(crate) fn record_received(&mut self, now: Time, ip: Ipv4Addr) {
         let known = self.known.entry(ip);
         let known = known.or_insert_with(|| PeerRecord::second_hand(now));
@@ -221,7 +223,7 @@
         known.queried_at = None;
     }
 
-    /// What the other entries that stay do about the store.
+    /// Returns the available other entries' roles as watchers of the store.
     pub(crate) fn watcher_views(&self, now: Time) -> Vec<WatcherView> {
         let within = self.watcher_interval().mul_f64(WATCHER_SILENT_INTERVALS);
         let others = self.known.iter().filter(|(_, k)| k.is_available(now));
@@ -236,15 +238,16 @@
         others.map(view).collect()
     }
 
-    /// Whether an entry that all others tell knows of far more of them than this one, beyond what a
-    /// datagram or two would name.
+    /// Returns whether a watcher knows of far more entries than this one, beyond what a datagram
+    /// or two would list.
     pub(crate) fn lacks_entries(&self, now: Time, announcement: &EntryAnnouncement) -> bool {
         let announced = usize::try_from(announcement.entries).unwrap_or(usize::MAX);
         let known = 1 + self.known.values().filter(|k| k.is_available(now)).count();
         announcement.watches && announced > known + known / MISSING_PEERS_DIVISOR + MAX_LISTED_PEERS
     }
 
-    /// Leave to tell an entry at once what this one knows: it has just started, and knows of few.
+    /// Returns whether this entry may introduce itself at once to one that has just started and
+    /// knows few others.
     pub(crate) fn may_introduce(&mut self, from: Ipv4Addr, incarnation: Incarnation) -> bool {
         let is_known = |k: &PeerRecord| k.incarnation == Some(incarnation);
         let introduces =
@@ -262,7 +265,7 @@
         )
     }
 
-    /// What operators are shown of the other entries.
+    /// Returns the other entries as shown to operators.
     #[must_use]
     pub fn overview(&self, now: Time) -> Vec<PeerOverview> {
         let show = |(ip, k): (&Ipv4Addr, &PeerRecord)| PeerOverview {
@@ -277,7 +280,7 @@
         all
     }
 
-    /// Keeps a crash count to be told.
+    /// Adds a crash count to be announced.
     pub fn add_crash(&mut self, content: Digest, count: u8) {
         self.crashes.retain(|c| c.content != content);
         self.crashes.push_back(CrashCount { content, count });
@@ -286,7 +289,7 @@
         }
     }
 
-    /// Takes the sender of news and those whom it names.
+    /// Applies an announcement: updates its sender and adds the entries that it lists.
     pub(crate) fn apply_announcement(
         &mut self,
         now: Time,
@@ -309,7 +312,7 @@
         self.add_second_hand(now, &announcement.peers);
     }
 
-    /// Takes entries that another one knows.
+    /// Adds entries known to another one.
     pub(crate) fn add_second_hand(&mut self, now: Time, peers: &[Ipv4Addr]) {
         for ip in peers.iter().filter(|ip| **ip != self.me) {
             let known = self.known.entry(*ip);
@@ -317,10 +320,10 @@
         }
     }
 
-    /// Leave to fetch what is lacking; none while a fetch is under way.
+    /// Begins a fetch of missing state; `None` while one is in progress.
     ///
-    /// With two at a time each entry would take a large configuration twice, over links of 10 Mbit/s
-    /// that carry streams as well.
+    /// With two at a time each entry would fetch a large configuration twice, over links of 10
+    /// Mbit/s that carry streams as well.
     pub(crate) fn begin_fetch(&self) -> Option<FetchGuard> {
         if self.fetching.replace(true) {
             return None;
@@ -330,8 +333,9 @@
         })
     }
 
-    /// What has to be fetched of what an entry told: a configuration at once, a list that differs
-    /// after a moment, both later where the entry's own calls of the store are about to bring them.
+    /// Returns the announced state that has to be fetched: a configuration at once, a list that
+    /// differs after a grace period, and both later if this entry's own calls to the store are
+    /// about to bring them.
     pub(crate) fn overdue_state(
         &mut self,
         now: Time,
@@ -354,28 +358,28 @@
         }
     }
 
-    /// Notes that this entry has the list that the watchers tell.
+    /// Records that the list equals the one that watchers announce.
     pub(crate) const fn record_list_current(&mut self) {
         self.list_missing_since = None;
     }
 
-    /// Notes that the list was fetched: what it lacks from here on is new.
+    /// Records a completed fetch of the list: differences from here on are new.
     pub(crate) const fn record_list_fetched(&mut self) {
         self.list_missing_since = None;
     }
 
-    /// Longest pause before a fetch, of which a random part is taken.
+    /// Returns the longest pause before a fetch, of which a random part is taken.
     pub(crate) fn fetch_spread(&self) -> Duration {
         let entries = u32::try_from(self.known.len()).unwrap_or(u32::MAX);
         SPREAD_PER_PEER.saturating_mul(entries)
     }
 
-    /// An entry that has what is lacking; one drawn of all that have.
+    /// Returns a random entry that has the missing state.
     pub(crate) fn source(&self, now: Time, missing: &MissingState) -> Option<Ipv4Addr> {
         self.source_among(now, missing, |_| true)
     }
 
-    /// The same in a data centre.
+    /// Returns a random entry of a data centre that has the missing state.
     pub(crate) fn nearby_source(
         &self,
         now: Time,
@@ -385,8 +389,8 @@
         self.source_among(now, missing, |k| k.data_centre == *data_centre)
     }
 
-    /// Share of the entries of a data centre that fetch from another one where none there has what is
-    /// lacking.
+    /// Returns the share of a data centre's entries that fetch from another one while none of
+    /// theirs has the missing state.
     #[allow(clippy::cast_precision_loss)]
     pub(crate) fn remote_share(&self, data_centre: &Name) -> f64 {
         let nearby = self
@@ -416,7 +420,7 @@
         sources.choose(&mut rand::rng()).copied()
     }
 
-    /// Time to the next telling.
+    /// Returns the time until the next announcement.
     pub(crate) fn announce_interval(&self, relied_on: bool) -> Duration {
         if relied_on {
             self.watcher_interval()
@@ -425,7 +429,8 @@
         }
     }
 
-    /// Whom to tell now: all, or some.
+    /// Returns the entries to announce to: all, or a random sample; unheard seeds are always
+    /// included.
     pub(crate) fn targets(&mut self, now: Time, all: bool) -> Vec<Ipv4Addr> {
         self.introductions_left = ANNOUNCE_FANOUT;
         self.known
@@ -439,15 +444,15 @@
         targets
     }
 
-    /// Entries that live and stay, as far as is known.
+    /// Returns the available entries that were heard from.
     pub(crate) fn available(&self, now: Time) -> Vec<Ipv4Addr> {
         let available = |k: &PeerRecord| k.last_received.is_some() && k.is_available(now);
         let available = self.known.iter().filter(|(_, k)| available(k));
         available.map(|(ip, _)| *ip).collect()
     }
 
-    /// Some entries to name in a datagram, those first that watch the store: whoever has just started
-    /// is to hear of them.
+    /// Returns the entries to list in a datagram, watchers of the store first: new entries need
+    /// them.
     pub(crate) fn listed_peers(&self, now: Time) -> Vec<Ipv4Addr> {
         let views = self.watcher_views(now).into_iter();
         let watching = views.filter(|v| v.watches).map(|v| v.addr);
@@ -463,7 +468,7 @@
     }
 }
 
-/// What has been lacking for long enough, if anything is lacking.
+/// Returns what has been lacking for at least the grace period.
 fn overdue(
     since: &mut Option<Time>,
     now: Time,
@@ -475,7 +480,7 @@
     (now.since(since) >= grace).then_some(lacking)
 }
 
-/// A fetch that is under way, until it is dropped.
+/// Guard of a fetch in progress.
 pub(crate) struct FetchGuard {
     fetching: Rc<Cell<bool>>,
 }
@@ -486,7 +491,7 @@
     }
 }
 
-/// The address, if it is of the version that the fleet speaks.
+/// Returns the address if it is IPv4, which the fleet uses.
 pub(crate) const fn v4(ip: IpAddr) -> Option<Ipv4Addr> {
     match ip {
         IpAddr::V4(ip) => Some(ip),
--- a/fireflydirect/src/process.rs
+++ b/fireflydirect/src/process.rs
@@ -1,4 +1,4 @@
-//! One process from start to stop.
+//! Start, maintenance and stop of one process.
 
 use crate::node::{Node, Stage};
 use crate::settings::Settings;
@@ -13,24 +13,25 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::spawn_local;
 
-/// Time for which a process that was told to stop still takes new requests: the balancer asks
-/// once a second and sends callers elsewhere after two refusals.
+/// Time for which a terminating process still accepts new requests: the balancer checks readiness
+/// once a second and redirects callers after two refusals.
 const DRAIN_PERIOD: Duration = Duration::from_millis(2_600);
 
-/// Left of the grace when what still runs is cut, so that the process ends by itself.
+/// Part of the grace period kept in reserve: work still running is cut before the period ends, so
+/// that the process exits by itself.
 const GRACE_MARGIN: Duration = Duration::from_millis(150);
 
-/// Time between two looks at whether all has ended.
+/// Interval between checks for work still in flight during a stop.
 const STOP_CHECK: Duration = Duration::from_millis(25);
 
-/// Time between two rounds of tidying.
+/// Interval between two maintenance rounds.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Serves until the process is told to stop and all has ended.
+/// Serves until the process is terminated and its work has ended or the grace period is over.
 ///
 /// # Errors
 ///
-/// When the settings are at fault or an address can't be bound.
+/// Returns an error if the settings are invalid or an address can't be bound.
 pub async fn run(settings: Settings) -> anyhow::Result<()> {
     let place = settings.read_place()?;
     let mut terminate = signal(SignalKind::terminate())?;
@@ -97,8 +98,8 @@
     }
 }
 
-/// When to tidy next: at once when doubt about removals ends, since an upstream that has left may
-/// get work until then.
+/// Returns the time of the next maintenance round: at the latest the end of the grace period in
+/// which removals are unconfirmed, since a departed upstream may get work until then.
 fn next_maintenance(node: &Node) -> Time {
     let now = node.now();
     let settles_at = node.pool.borrow().contact().settles_at();
@@ -107,7 +108,7 @@
     settles_at.map_or(due, |at| at.min(due))
 }
 
-/// Stops without cutting what runs, as far as the grace allows.
+/// Stops the process; work in flight may finish within the grace period.
 async fn stop(node: &Rc<Node>) {
     let end = node.now() + node.place.bounds.grace.saturating_sub(GRACE_MARGIN);
     log::info!(event = "stopping", busy = node.calls_in_flight.get(), streams = node.runs.count(); "");
--- a/fireflydirect/src/readiness.rs
+++ b/fireflydirect/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The address where the balancer asks whether callers should be sent here.
+//! Readiness endpoint for the balancer.
 
 use crate::node::Node;
 use crate::page_server::{self, Page, empty};
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// Answers for as long as the process lives.
+/// Serves the endpoint for as long as the process lives.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     page_server::serve(listener, move |req| page(&node, req)).await;
 }
--- a/fireflydirect/src/receive.rs
+++ b/fireflydirect/src/receive.rs
@@ -1,4 +1,4 @@
-//! Hearing the other entries, and fetching what this one lacks.
+//! Receiving datagrams of the other entries, and fetching state that is missing here.
 
 use crate::announce;
 use crate::client::Client;
@@ -17,17 +17,18 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// Longest datagram read, in bytes.
+/// Size of the longest datagram read, in bytes.
 const MAX_DATAGRAM: usize = 64 << 10;
 
-/// Pause after a datagram that couldn't be read: the cause lasts for moments only.
+/// Pause after a receive error, whose cause is brief.
 const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(15);
 
-/// Time without a byte after which fetching a peer's state is given up: the next telling starts it
-/// again, perhaps at another peer. A page on its way over a slow link goes on for as long as it takes.
+/// Time without a byte after which fetching a peer's state is given up: the next announcement
+/// starts it again, perhaps from another peer. A response in progress over a slow link may take
+/// any time.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Takes what the others tell, for as long as the process lives.
+/// Receives datagrams for as long as the process lives.
 pub async fn listen(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     loop {
@@ -111,7 +112,7 @@
     budget.apply_report(now, &announcement.name, announcement.retries);
 }
 
-/// What this entry has to fetch of what another one tells.
+/// Returns what this entry has to fetch after an announcement.
 fn missing_state(node: &Node, now: Time, announcement: &EntryAnnouncement) -> MissingState {
     let mut pool = node.pool.borrow_mut();
     let mut peers = node.peers.borrow_mut();
@@ -139,10 +140,10 @@
     }
 }
 
-/// Fetches what a peer told of, one at a time.
+/// Fetches announced state that is missing here, one fetch at a time.
 ///
-/// A configuration that peers don't hand over, since it is large and what differs isn't known, is read
-/// from the store, and from a peer only if the store doesn't answer.
+/// A large configuration is not sent by peers if its difference from the one here is unknown. It
+/// is read from the store, and from a peer only if the store doesn't answer.
 fn fetch(node: &Rc<Node>, announcer: Ipv4Addr, missing: MissingState) {
     let Some(guard) = node.peers.borrow().begin_fetch() else {
         return;
@@ -171,9 +172,9 @@
     });
 }
 
-/// An entry to fetch the list from: one of this data centre as soon as any has it.
+/// Returns an entry to fetch the list from, preferably one of this data centre.
 ///
-/// Links between data centres carry the list once for some entries of each data centre, and not for
+/// So links between data centres carry the list for a few entries of each data centre, instead of
 /// all of them.
 async fn list_source(node: &Node, missing: &MissingState) -> Option<Ipv4Addr> {
     for _ in 0..NEARBY_ATTEMPTS {
@@ -200,7 +201,7 @@
     node.peers.borrow().source(node.now(), missing)
 }
 
-/// Fetches whom a peer knows.
+/// Fetches the addresses of the entries that a peer knows.
 fn fetch_entries(node: &Rc<Node>, from: Ipv4Addr) {
     let Some(guard) = node.peers.borrow().begin_fetch() else {
         return;
@@ -230,7 +231,7 @@
     log::warn!(event = "peer_fetch_failed", from = from, why = why; "");
 }
 
-/// The state of another entry beyond what this one knows.
+/// Fetches the state of another entry beyond what this one knows.
 async fn get_state(node: &Node, from: Ipv4Addr, query: &StateQuery) -> anyhow::Result<PeerState> {
     let addr = SocketAddr::from((from, node.place.peer_ports.0));
     let mut client = Client::new(addr, node.clock);
@@ -270,8 +271,8 @@
     apply_peer_state(node, state);
     let mut pool = node.pool.borrow_mut();
     pool.note_complete(complete_to);
-    // Changes that don't lead to the same list at a revision up to which all of them are known leave
-    // only the whole of it.
+    // If the digests differ at a revision up to which all changes are known, only the complete
+    // list helps.
     let differs = pool.revision() == revision && pool.digest() != digest;
     let mut peers = node.peers.borrow_mut();
     peers.needs_full_list = differs && complete_to == revision;
@@ -279,13 +280,13 @@
     Ok(())
 }
 
-/// Times that an entry waits for one of its data centre to have the list.
+/// Number of waits for an entry of this data centre that has the list.
 const NEARBY_ATTEMPTS: u32 = 3;
 
-/// Revision after which no change of the list is asked for.
+/// Revision in a query that requests no changes of the list.
 const NO_LIST_CHANGES: u64 = u64::MAX;
 
-/// Revision of the list from which on a peer is asked for changes.
+/// Returns the revision of the list from which changes are requested.
 fn list_base_revision(node: &Node, missing: &MissingState) -> u64 {
     if missing.list.is_none() && node.awaits_store_data() {
         return NO_LIST_CHANGES;
--- a/fireflydirect/src/reload.rs
+++ b/fireflydirect/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reading the settings file again: on a signal, or when it has changed without one.
+//! Reloading of the settings file, on SIGHUP or when its content has changed.
 
 use crate::node::Node;
 use crate::settings::Settings;
@@ -6,10 +6,10 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Time between two looks at the file.
+/// Interval between two checks of the file's content.
 const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Follows the file for as long as the process lives; a faulty file changes nothing.
+/// Reloads the file for as long as the process lives; an invalid file changes nothing.
 pub async fn follow(node: Rc<Node>, settings: Settings) {
     let mut hang_up = match signal(SignalKind::hangup()) {
         Ok(signal) => signal,
--- a/fireflydirect/src/reports.rs
+++ b/fireflydirect/src/reports.rs
@@ -1,7 +1,6 @@
-//! Telling owners what this entry does and finds: work that it places, callers whom it refuses and
-//! upstreams that it can't reach.
+//! Reports to owners: work placed on upstreams, refused callers and unreachable upstreams.
 //!
-//! Changes are told at once, and all that holds again twice a second, since a
+//! Changes are reported at once. The full state is reported twice a second as well, since a
 //! datagram may be lost and an owner may be new.
 
 use crate::node::Node;
@@ -11,13 +10,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time between two whole reports.
+/// Interval between two full reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Least time between two reports, so that changes of one moment go together.
+/// Minimum interval between two reports, so that changes made together are reported together.
 const REPORT_MIN_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Reports for as long as the process incarnations.
+/// Sends reports for as long as the process lives.
 pub async fn run(node: Rc<Node>) {
     let mut whole_at = node.now();
     loop {
@@ -57,7 +56,7 @@
     report(node, items, false).await;
 }
 
-/// What is to be reported, whoever owns it.
+/// Items to report, not yet divided by owner.
 struct ReportItems {
     placed: Vec<PlacedAt>,
     refused: Vec<Refusal>,
@@ -73,7 +72,7 @@
     }
 }
 
-/// One report for each owner of what is reported.
+/// Builds one report for each owner of the items.
 fn by_owner(node: &Node, items: ReportItems) -> HashMap<Ipv4Addr, OwnerReport> {
     let now = node.now();
     let peers = node.peers.borrow();
--- a/fireflydirect/src/retries.rs
+++ b/fireflydirect/src/retries.rs
@@ -1,17 +1,18 @@
-//! Borrowing a repeat from the owners of a service when this entry's part is spent.
+//! Requesting retries from the owners of a service when this entry's part of the budget is
+//! exhausted.
 
 use crate::job::Job;
 use crate::owner_queries;
 use fireflycroft::{OwnedKey, OwnerQueryBody};
 
-/// Takes one repeat from the shared budget, borrowing it if need be.
+/// Takes one retry from the shared budget, after requesting a grant if needed.
 pub async fn take(job: &Job) -> bool {
     request_grant(job).await;
     job.take_repeat()
 }
 
-/// Borrows one repeat if this entry's part is spent; owners are asked one after another, since each
-/// one lends.
+/// Requests a grant of one retry if this entry's part is exhausted; owners are queried one after
+/// the other, since each of them may grant one.
 pub async fn request_grant(job: &Job) {
     if has_retry(job) {
         return;
@@ -29,7 +30,7 @@
             continue;
         }
         let body = OwnerQueryBody::Retry(job.service.clone());
-        // An owner that replied has said all there is to say.
+        // An owner's reply is final, also if it refuses.
         if owner_queries::query_owners(node, [(owner, body)].into_iter()).await {
             return;
         }
--- a/fireflydirect/src/returning_callers.rs
+++ b/fireflydirect/src/returning_callers.rs
@@ -1,10 +1,10 @@
-//! Whether a caller was refused before, by this entry or another one.
+//! Detection of callers who were refused before, by this entry or another one.
 
 use crate::job::Job;
 use crate::owner_queries;
 use fireflycroft::{ArrivalKind, Mechanism, OwnedKey, OwnerQueryBody};
 
-/// Whether the caller comes back, as far as is known here.
+/// Returns whether the caller is a returning one, as far as is known here.
 #[must_use]
 pub fn return_state(job: &Job) -> ArrivalKind {
     let waited = job
@@ -15,7 +15,8 @@
     ArrivalKind::after(waited.filter(|_| is_enabled(job)), job.route.objective)
 }
 
-/// Asks the owners of the request whether its caller was refused; true if it was.
+/// Queries the owners of the request for an earlier refusal of its caller; returns true if there
+/// was one.
 pub async fn query_owners(job: &Job) -> bool {
     if !is_enabled(job) || return_state(job) != ArrivalKind::First {
         return false;
--- a/fireflydirect/src/settings.rs
+++ b/fireflydirect/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the process: flags, environment, and the file that the platform lays.
+//! Settings of the process: flags, environment variables and the platform's settings file.
 
 use anyhow::Context;
 use clap::{Arg, ArgAction, Command};
@@ -7,25 +7,25 @@
 use std::ffi::OsString;
 use std::path::PathBuf;
 
-/// Settings from flags and environment.
+/// Settings from flags and environment variables.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// File that the platform lays and may change.
+    /// Settings file, written and possibly changed by the platform.
     pub file: PathBuf,
-    /// Least level of the log lines written.
+    /// Lowest level of log lines to write.
     pub log_level: log::LevelFilter,
-    /// Whether to check the settings and start nothing.
+    /// Whether to check the settings and exit.
     pub check_only: bool,
-    /// Mechanisms that are switched off.
+    /// Disabled mechanisms.
     pub disabled: Vec<Mechanism>,
 }
 
 impl Settings {
-    /// Reads flags and environment.
+    /// Parses flags and environment variables.
     ///
     /// # Errors
     ///
-    /// The library's report, which also covers help and version.
+    /// Returns clap's error, which is also used for help and version output.
     pub fn parse(
         args: impl IntoIterator<Item = impl Into<OsString> + Clone>,
     ) -> Result<Self, clap::Error> {
@@ -44,24 +44,24 @@
         })
     }
 
-    /// Mechanisms that are on.
+    /// Returns the policy with the disabled mechanisms switched off.
     #[must_use]
     pub fn policy(&self) -> Policy {
         Policy::without(self.disabled.iter().copied())
     }
 
-    /// Words of those that are off, for the log.
+    /// Returns the names of the disabled mechanisms, separated by commas, for the log.
     #[must_use]
     pub fn disabled_words(&self) -> String {
         let words: Vec<&str> = self.disabled.iter().map(|m| m.name()).collect();
         words.join(",")
     }
 
-    /// Reads the platform's file.
+    /// Reads the platform's settings file.
     ///
     /// # Errors
     ///
-    /// When it can't be read, or a field is missing or of another type.
+    /// Returns an error if the file can't be read, or a field is missing or has the wrong type.
     pub fn read_place(&self) -> anyhow::Result<Place> {
         let file = self.file.display();
         let text = std::fs::read(&self.file).with_context(|| format!("reading {file}"))?;
@@ -79,7 +79,7 @@
                 .env(SETTINGS_ENV)
                 .required(true)
                 .value_parser(clap::value_parser!(PathBuf))
-                .help("File that the platform lays: addresses, data centre, bounds"),
+                .help("Settings file of the platform: addresses, data centre, bounds"),
         )
         .arg(
             Arg::new("log-level")
@@ -87,7 +87,7 @@
                 .env("FIREFLYDIRECT_LOG_LEVEL")
                 .default_value("info")
                 .value_parser(clap::value_parser!(log::LevelFilter))
-                .help("Least level of the log lines: off, error, warn, info, debug, trace"),
+                .help("Lowest level of log lines to write: off, error, warn, info, debug, trace"),
         )
         .arg(
             Arg::new("without")
@@ -95,7 +95,7 @@
                 .env("FIREFLYDIRECT_WITHOUT")
                 .value_delimiter(',')
                 .value_parser(str::parse::<Mechanism>)
-                .help("Mechanisms to switch off, by their words: copies, moves, door and others"),
+                .help("Mechanisms to disable, by name: copies, moves, door and others"),
         )
         .arg(
             Arg::new("check-config")
--- a/fireflydirect/src/startup_wait.rs
+++ b/fireflydirect/src/startup_wait.rs
@@ -1,8 +1,7 @@
-//! Requests that come while an entry that has just started reads what it needs to serve them.
+//! Requests that arrive while a new process reads the configuration and the list of upstreams.
 //!
-//! Configuration and list of upstreams are on their way then, from the store or
-//! from other entries. A caller who is refused meanwhile has one try less and
-//! comes back later than the entry is there; one that waits for a moment is
+//! Both are on their way then, from the store or from other entries. A caller refused meanwhile
+//! has used up one attempt and returns later than the entry is ready; one that waits briefly is
 //! served.
 
 use crate::node::Node;
@@ -13,20 +12,20 @@
 /// Age of a process up to which requests wait.
 const STARTUP_PERIOD: Duration = Duration::from_secs(1);
 
-/// Part of a caller's time, as a divisor, for which its request may wait.
+/// Fraction of a caller's time, as a divisor, for which its request may wait.
 const WAIT_DIVISOR: u32 = 4;
 
-/// Longest time between two looks.
+/// Longest interval between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Waits until a process that has just started knows configuration and upstreams, if that may be soon
-/// enough for a caller with so much time.
+/// Waits until a new process knows the configuration and the upstreams, within the start-up
+/// period and a fraction of the caller's time.
 pub(crate) async fn until_loaded(node: &Node, caller_time: Option<Duration>) {
     let max_wait = caller_time.map_or(STARTUP_PERIOD, |time| time / WAIT_DIVISOR);
     let startup_ends = Time::default() + STARTUP_PERIOD;
     let end = startup_ends.min(node.now() + max_wait);
     while !is_loaded(node) && node.now() < end {
-        // What rings may still lack the other part.
+        // The notification may be about one of the two only.
         let _ = timeout(CHECK_INTERVAL, node.routing_changed.notified()).await;
     }
 }
--- a/fireflydirect/src/state_page.rs
+++ b/fireflydirect/src/state_page.rs
@@ -1,4 +1,4 @@
-//! What an entry shows other entries and operators over HTTP.
+//! HTTP endpoints for other entries and operators.
 
 use crate::config_history::ConfigPayload;
 use crate::metrics::METRICS_PATH;
@@ -17,37 +17,39 @@
 /// Path of the state that other entries fetch.
 pub const STATE_PATH: &str = "/fleet/state";
 
-/// Configuration and upstreams as the platform's store held them.
+/// Configuration and upstreams as held by the platform's store.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct PeerState {
-    /// Configuration in force, if the asker's is older and it can be handed over.
+    /// Active configuration, if the requester's is older and it can be sent.
     #[serde(default)]
     pub config: Option<ConfigPayload>,
-    /// Upstreams known that are newer than the revision asked from.
+    /// Upstreams newer than the requested revision.
     pub upstreams: Vec<UpstreamRecord>,
-    /// Upstreams known before that only said since that they leave, with the revision.
+    /// Upstreams known at that revision that have since only announced their departure, with the
+    /// revision of that.
     #[serde(default)]
     pub leaving: Vec<(Name, u64)>,
-    /// Upstreams that were removed since that revision, with the revision of their removal.
+    /// Upstreams removed since that revision, with the revisions of their removal.
     pub removed: Vec<(Name, u64)>,
-    /// Whether all upstreams are in it.
+    /// Whether all upstreams are included.
     pub is_whole: bool,
     /// Revision of the list of upstreams.
     pub revision: u64,
-    /// Revision up to which every change of it is known.
+    /// Revision up to which every change of the list is known.
     #[serde(default)]
     pub complete_to: u64,
-    /// Digest of that list.
+    /// Digest of the list.
     pub digest: u64,
-    /// Whether the store has answered for so long that what the list lacks is gone.
+    /// Whether the store has been connected for long enough that an upstream absent from the list
+    /// has left.
     #[serde(rename = "sure")]
     pub confirmed: bool,
-    /// Entries that live, as far as the sender knows.
+    /// Available entries, as far as the sender knows.
     #[serde(default)]
     pub entries: Vec<Ipv4Addr>,
 }
 
-/// Answers for as long as the process lives.
+/// Serves the endpoints for as long as the process lives.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     page_server::serve(listener, move |req| page(&node, req)).await;
 }
@@ -77,19 +79,19 @@
     }
 }
 
-/// What the asker knows already, as the query says.
+/// State that the requester knows already.
 pub struct StateQuery {
-    /// Version of the configuration.
+    /// Version of its configuration.
     pub config: u64,
-    /// Revision at which the store holds that.
+    /// Revision of that configuration in the store.
     pub config_revision: u64,
-    /// Whether the configuration is wanted whole, however large it is.
+    /// Whether the complete configuration is requested, however large it is.
     pub whole_config: bool,
     /// Revision up to which every change of the list of upstreams is known.
     pub upstreams: u64,
 }
 
-/// Path and query of a state for one who knows so much.
+/// Returns the path and query string for a state query.
 #[must_use]
 pub fn state_path(query: &StateQuery) -> String {
     let whole = u8::from(query.whole_config);
--- a/fireflydirect/src/store_call.rs
+++ b/fireflydirect/src/store_call.rs
@@ -1,20 +1,20 @@
-//! Calls of the platform's store, by what they cost.
+//! Calls to the platform's store, by cost.
 
 use fireflycroft_platform::{Kind, copy_path, list_path};
 
-/// What a call of the store asks.
+/// Kind of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// A page of a list as the store holds it now.
+    /// A page of the current list.
     List,
-    /// The same as any copy of the store holds it, perhaps of some seconds ago.
+    /// A page of the list from any replica of the store, possibly some seconds old.
     Replica,
-    /// Changes, for which the call waits.
+    /// A long poll for changes.
     Watch,
 }
 
 impl StoreCall {
-    /// Its word in metrics and logs.
+    /// Returns the label for metrics and logs.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Path of the page of a list that begins after a name.
+/// Returns the path of the list page that follows the name `after`.
 #[must_use]
 pub fn page_path(call: StoreCall, kind: Kind, after: Option<&str>) -> String {
     match call {
--- a/fireflydirect/src/store_connectivity.rs
+++ b/fireflydirect/src/store_connectivity.rs
@@ -1,14 +1,14 @@
-//! What this entry knows of the platform's store: whether it answers, and in which era.
+//! Connectivity to the platform's store, and the store's era.
 
 use crate::node::Node;
 use fireflycroft::{SETTLE_TIME, Time};
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Time within which a store that is well has answered the first call of a process.
+/// Time within which a healthy store answers the first call of a process.
 const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A copy of the store that is being read.
+/// Guard of one replica read in progress.
 pub(crate) struct ReplicaReadGuard<'a>(&'a Cell<usize>);
 
 impl Drop for ReplicaReadGuard<'_> {
@@ -18,14 +18,14 @@
 }
 
 impl Node {
-    /// Whether this entry watches the store and is answered.
+    /// Returns whether this entry watches the store and its last call succeeded.
     #[must_use]
     pub fn watches_store(&self) -> bool {
         self.watcher_role.borrow().is_watching() && self.store_responding.get()
     }
 
-    /// Whether this entry's own calls of the store are about to bring what is new: it reads a copy, or
-    /// watches and is answered or has just begun to ask.
+    /// Returns whether this entry's own calls to the store are about to bring new data: it reads
+    /// a replica, or watches the store and is answered or has just started.
     #[must_use]
     pub fn awaits_store_data(&self) -> bool {
         if self.replica_reads.get() > 0 {
@@ -37,20 +37,20 @@
         self.watcher_role.borrow().is_watching() && (self.store_responding.get() || has_begun)
     }
 
-    /// Notes that a copy of the store is being read, until the guard is dropped.
+    /// Counts a replica read in progress until the guard is dropped.
     pub(crate) fn begin_replica_read(&self) -> ReplicaReadGuard<'_> {
         self.replica_reads.update(|n| n + 1);
         ReplicaReadGuard(&self.replica_reads)
     }
 
-    /// Notes that the store answered this entry.
+    /// Records a response of the store to this entry.
     pub fn record_store_response(&self) {
         self.store_responding.set(true);
         self.last_store_response.set(Some(self.now()));
         self.record_store_contact(self.now(), "store");
     }
 
-    /// Notes that the store answered this or another entry.
+    /// Records that the store answered this or another entry at a given time.
     pub fn record_store_contact(&self, at: Time, source: &str) {
         if self.pool.borrow_mut().note_contact(at) {
             let for_ms = SETTLE_TIME.as_millis();
@@ -58,13 +58,14 @@
         }
     }
 
-    /// Era of the store, as far as is known.
+    /// Returns the era of the store; zero while unknown.
     #[must_use]
     pub fn store_era(&self) -> u64 {
         self.store_era.get().unwrap_or_default()
     }
 
-    /// Notes the era of the store that an answer or another entry tells.
+    /// Records the store's era as received from the store or another entry, unless it isn't
+    /// newer.
     pub fn record_store_era(&self, era: u64, source: &str) {
         let was = self.store_era.get();
         if was.is_some_and(|was| era <= was) {
@@ -77,15 +78,15 @@
         }
     }
 
-    /// Notes that a call to the store failed or hangs.
+    /// Records a call to the store that failed or makes no progress.
     pub fn record_store_failure(&self) {
         self.store_responding.set(false);
         self.any_store_failure.set(true);
         self.pool.borrow_mut().note_no_contact();
     }
 
-    /// Milliseconds since the first answer of the store after the last silence in which records may
-    /// have lapsed; none in one.
+    /// Returns the milliseconds of unbroken connectivity since the first response after the last
+    /// outage in which records may have expired; `None` during an outage.
     #[must_use]
     pub fn contact_ms(&self) -> Option<u128> {
         let pool = self.pool.borrow();
@@ -93,8 +94,8 @@
         unbroken.map(|span| span.as_millis())
     }
 
-    /// Whether what the list of upstreams known here lacks is gone, and not only missing or not yet
-    /// read.
+    /// Returns whether an upstream absent from the known list has left for certain, rather than
+    /// being missing or not yet read.
     #[must_use]
     pub fn has_settled_list(&self) -> bool {
         let pool = self.pool.borrow();
--- a/fireflydirect/tests/processes_owners.rs
+++ b/fireflydirect/tests/processes_owners.rs
@@ -1,11 +1,11 @@
-//! Real entries that ask the owners of upstreams, services and requests.
+//! Entry processes that query the owners of upstreams, services and requests.
 
 mod support;
 
 use serde_json::Value;
 use support::{KEY, Site, cases, until};
 
-/// Sum of the samples of a counter whose line contains `part`.
+/// Returns the sum of a counter's samples whose line contains `part`.
 async fn counted(site: &Site, entry: usize, part: &str) -> usize {
     let text = site.metrics(entry).await;
     let samples = text
@@ -16,7 +16,7 @@
         .sum()
 }
 
-/// Every entry knows the others and hears them.
+/// Waits until every entry has heard from all others.
 async fn until_all_are_heard(site: &Site) {
     let others = site.entries.len() - 1;
     for entry in 0..site.entries.len() {
@@ -27,7 +27,7 @@
     }
 }
 
-/// What an entry shows operators of an engine.
+/// Returns an engine as an entry shows it to operators.
 async fn shown_of(site: &Site, entry: usize, engine: usize) -> Value {
     let instance = site.engines[engine].instance();
     let (_, shown) = site
@@ -39,14 +39,14 @@
     of_engine.unwrap().clone()
 }
 
-/// Whether an entry is among the owners that an engine is shown with.
+/// Returns whether an entry is among the owners shown for an engine.
 fn is_owner(site: &Site, entry: usize, of_engine: &Value) -> bool {
     let owners = of_engine["owners"].as_array().unwrap();
     let ip = site.entries[entry].ip.to_string();
     owners.iter().any(|owner| owner == &ip)
 }
 
-/// Whether all owners of an engine know of work there.
+/// Returns whether all owners of an engine know of work there.
 async fn owners_know(site: &Site, engine: usize) -> bool {
     for entry in 0..site.entries.len() {
         let of_engine = shown_of(site, entry, engine).await;
@@ -57,8 +57,8 @@
     true
 }
 
-/// The engine of a generation whose choice had the replies of all owners; on a busy machine a reply
-/// may come too late for one.
+/// Returns the engine of a generation for whose choice all owners replied in time; on a busy
+/// machine a reply may be too late for some.
 async fn choose_by_replies(site: &Site, entry: usize) -> usize {
     loop {
         let late = counted(site, entry, "questions_total{end=\"timed_out\"}").await;
@@ -106,7 +106,7 @@
             assert_eq!(answer.status(), 200);
             answer.text().await.unwrap();
         }
-        // Once it is known to be silent it owns nothing, and is asked nothing.
+        // An owner that is known to be silent owns nothing and is not queried.
         for entry in &living {
             until("its end to be known", || async {
                 counted(&site, *entry, "firefly_direct_peers ").await < 3
@@ -114,13 +114,14 @@
             .await;
         }
         let (_, upstreams) = site.operate(living[0], &["entries", "upstreams", "--json"]).await;
-        // In quotes, since it may begin the address of an upstream.
+        // Quoted, since the address may be a prefix of an upstream's.
         let dead = format!("\"{}\"", site.entries[dead].ip);
         assert!(!upstreams.contains(&dead), "{upstreams}");
     }
 
     entry_that_starts_waits_for_its_own_calls(site: 0) {
-        // Three entries of a fleet of 300 sent the whole list of 3,000 upstreams to all that started.
+        // Without the wait, three entries of a fleet of 300 sent the complete list of 3,000
+        // upstreams to every starting entry.
         let mut site = Site::without_entries().await;
         site.publish(&[KEY]);
         for last in 1..=6 {
--- a/fireflydirect/tests/processes_restored.rs
+++ b/fireflydirect/tests/processes_restored.rs
@@ -1,8 +1,9 @@
-//! Real entries before a store that comes back from a copy some moments old.
+//! Entry processes with a store that is restored from a backup taken shortly before, as in the
+//! drills that users announced.
 //!
-//! Users announced such drills. Without the store's era an entry compares revisions that were given
-//! out twice: an engine that says again that it leaves, at a revision below the one it was known by,
-//! goes on getting requests, and one that started after the copy was made is taken for gone.
+//! Without the store's era an entry compares revisions that were assigned twice: an engine that
+//! announces its departure again, at a revision below its known one, keeps getting requests, and
+//! one that started after the backup is taken for removed.
 
 mod support;
 
@@ -11,7 +12,7 @@
 use std::net::IpAddr;
 use support::{KEY, Site, cases, until, whole_stream};
 
-/// Waits until an entry knows this era.
+/// Waits until an entry knows this era of the store.
 async fn until_era(site: &Site, entry: usize, era: u64) {
     until("the era", || async {
         site.status(entry).await["store_era"] == era
@@ -19,7 +20,7 @@
     .await;
 }
 
-/// Whether an entry takes an upstream to serve.
+/// Returns whether an entry considers an upstream as serving.
 async fn serves(site: &Site, entry: usize, instance: &str) -> bool {
     let (_, shown) = site
         .operate(entry, &["entries", "upstreams", "--json"])
@@ -36,7 +37,8 @@
     site.store.put("servers", &engine.instance(), &entry);
 }
 
-/// Writes so much that revisions of after the copy stay below those of before for the whole test.
+/// Writes enough objects that revisions after the restore stay below those before it for the
+/// whole test.
 fn write_much(site: &Site) {
     for n in 0..60 {
         site.store.put("others", &format!("o-{n}"), &json!({}));
--- a/fireflydirect/tests/processes_store.rs
+++ b/fireflydirect/tests/processes_store.rs
@@ -1,4 +1,4 @@
-//! Real entries before a store that is away, hangs, drops its history or turns some of them away.
+//! Entry processes with a store that is down, hangs, drops its history or rejects some of them.
 
 mod support;
 
@@ -18,7 +18,7 @@
             site.call(0, "GET", "/fetch/a", &site.id()).send().await.unwrap().status() == 200
         })
         .await;
-        // On a busy machine a third try of one may begin before the second is answered.
+        // On a busy machine a third attempt of one list may begin before the second is answered.
         assert!(site.store.overlapped() >= 2, "a try beside each list that hangs");
     }
 
@@ -29,7 +29,7 @@
         site.add_entry(1).await;
         until("the start", || async { site.log(0).contains("event=started") }).await;
         let answer = site.call(0, "GET", "/fetch/a", &site.id()).send().await.unwrap();
-        // The lists come within half a second, by a second try beside the first.
+        // The second attempts return the lists within half a second.
         assert_eq!(answer.status(), 200, "{}", site.log(0));
     }
 
@@ -134,7 +134,7 @@
     entry_that_lapsed_in_an_outage_serves_on_for_a_while(site: 1) {
         site.store.set_mode(StoreMode::Reset);
         until("the loss", || async { site.log(0).contains("store_lost") }).await;
-        // No record lapses in an outage that is much shorter.
+        // Records don't expire in a much shorter outage.
         tokio::time::sleep(Duration::from_secs(3)).await;
         for plain in ["p-0", "p-1"] {
             site.store.lapse("servers", plain);
@@ -170,7 +170,7 @@
         site.store.set_mode(StoreMode::SilentTo(watchers));
         site.publish_routes(&[KEY], &[("new", "/new/")]);
         let all = until("the version", || async { (0..6).all(|e| site.log(e).contains("routes=5")) });
-        // A watch that waits for long hides the silence for all that time.
+        // A watch with a long wait hides the silence for all of that time.
         let in_force = tokio::time::timeout(Duration::from_secs(8), all).await;
         assert!(in_force.is_ok(), "the fleet didn't hear of the version");
     }
--- a/fireflydirect/tests/removals.rs
+++ b/fireflydirect/tests/removals.rs
@@ -1,20 +1,19 @@
-//! An upstream that has left the list gets nothing more, whatever the store went through before.
+//! An upstream that has left the list gets no more requests, whatever outages the store had
+//! before.
 //!
-//! Users saw requests reach an upstream 2.0 to 2.8 s after its record had been removed; two seconds
+//! Users saw requests reach an upstream 2.0 to 2.8 s after the removal of its record; two seconds
 //! are allowed.
 //!
-//! 1. The store was away for four seconds. When it was back, every upstream wrote its record again.
-//! 2. Three seconds later an upstream that announced nothing had its record removed.
-//! 3. All entries read the removal within 25 ms, and doubted it: contact was younger than 3 s, and
-//!    a record that lapsed in an outage may be that of an upstream that lives.
-//! 4. From there they waited another 2.5 s for it to come back, and sent to it meanwhile.
+//! The store had been down for four seconds. Three seconds after its return, with all upstreams
+//! listed again, the record of an upstream without a leave notice was removed. All entries read
+//! the removal within 25 ms but left it unconfirmed: they had been connected for less than 3 s
+//! (1,753 to 2,879 ms), and a record that expired in an outage may belong to a living upstream.
+//! From there they waited another 2.5 s for it to return (2,541 to 2,664 ms), and sent requests
+//! to it meanwhile.
 //!
-//! Cause: two waits in a row. The second began when the removal was read, and not when the store was
-//! back, which is what living upstreams come back after.
-//!
-//! Evidence: `upstream_removed sure=false` with contact of 1,753 to 2,879 ms, `upstream_leaves
-//! source=missing` 2,541 to 2,664 ms later; of 315 upstreams that were missing and came back, the
-//! last did so 1,648 ms after contact was.
+//! The cause was the sum of two waits: the second began with the removal, instead of the store's
+//! return, after which living upstreams are listed again. Of 315 missing upstreams that returned,
+//! the last did so 1,648 ms after connectivity.
 
 mod support;
 
@@ -23,17 +22,17 @@
 use std::time::Duration;
 use support::{Site, cases, until};
 
-/// Time after contact is back by which every living upstream is on the list again: the platform
-/// says about two seconds.
+/// Time after the store's return by which every living upstream is listed again: about two
+/// seconds, according to the platform.
 const ALL_BACK: Duration = Duration::from_millis(2_600);
 
-/// Time for which an upstream that leaves may get work, as the settings have it.
+/// Time for which a departing upstream may get work, as in the settings.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Calls of one look at who is chosen; each upstream of two gets some.
+/// Calls per sample of the chosen upstreams; each of two upstreams gets some.
 const CALLS: usize = 20;
 
-/// Who runs calls of the plain service that are made now through an entry.
+/// Returns the upstreams that run new calls of the plain service through an entry.
 async fn chosen(site: &Site, entry: usize) -> BTreeSet<String> {
     let mut chosen = BTreeSet::new();
     for _ in 0..CALLS {
@@ -49,7 +48,7 @@
     chosen
 }
 
-/// Whether an entry has written a line of that event about an upstream.
+/// Returns whether an entry has logged an event about an upstream.
 fn has_line(site: &Site, entry: usize, event: &str, instance: &str) -> bool {
     let (event, instance) = (format!("event={event} "), format!("instance={instance} "));
     let log = site.log(entry);
@@ -57,7 +56,8 @@
         .any(|l| l.contains(&event) && l.contains(&instance))
 }
 
-/// Whether the first entry has written a line of that event about configuration and list each.
+/// Returns whether the first entry has logged an event once each for the configuration and the
+/// list.
 fn is_said_of_both(site: &Site, event: &str) -> bool {
     let log = site.log(0);
     ["Config", "Upstreams"].iter().all(|kind| {
@@ -86,8 +86,8 @@
         until("the list", || async { noticed("upstream_missing") || noticed("upstream_leaves") }).await;
         assert!(!chosen(&site, 0).await.contains("p-0"), "sent to one that has left");
     }
-    /// All that watch are lost in the moment in which an upstream leaves. The one that steps in has
-    /// not called the store for long, and took that for an outage.
+    /// All watchers are lost at the same time as an upstream leaves. The entry that takes over
+    /// has not called the store for long, which must not count as an outage.
     entry_that_steps_in_believes_its_first_list(site: 4) {
         let is_off_duty = |site: &Site, e: usize| site.log(e).contains("watching=false");
         until("one off duty", || async { (0..4).any(|e| is_off_duty(&site, e)) }).await;
@@ -101,8 +101,8 @@
         until("the list", || async { noticed("upstream_missing") || noticed("upstream_leaves") }).await;
         assert!(!chosen(&site, steps_in).await.contains("p-0"), "sent to one that has left");
     }
-    /// The keeper of a stream's copy has left and serves on; long after, the stream's own upstream
-    /// dies. Going on from the copy would be work for one that has left.
+    /// The backup holder of a stream is departing and still serves; long after, the stream's own
+    /// upstream dies. Resuming from the backup would be work for a departed upstream.
     copy_at_one_that_left_long_ago_is_not_used(site: 1) {
         let id = site.id();
         let stream = site.generation(0, "/log/a", 400, &id).send().await.unwrap();
--- a/fireflydirect/tests/settings.rs
+++ b/fireflydirect/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings from flags.
+//! Parsing of the settings from flags.
 
 use fireflycroft::Mechanism;
 use fireflydirect::settings::Settings;
