--- a/fireflydirect/tests/processes_owners.rs
+++ b/fireflydirect/tests/processes_owners.rs
@@ -6,7 +6,7 @@
 use support::{KEY, Site, cases, until};
 
 /// Returns the sum of a counter's samples whose line contains `part`.
-async fn counted(site: &Site, entry: usize, part: &str) -> usize {
+async fn counter_sum(site: &Site, entry: usize, part: &str) -> usize {
     let text = site.metrics(entry).await;
     let samples = text
         .lines()
@@ -17,31 +17,31 @@
 }
 
 /// Waits until every entry has heard from all others.
-async fn until_all_are_heard(site: &Site) {
+async fn until_all_are_known(site: &Site) {
     let others = site.entries.len() - 1;
     for entry in 0..site.entries.len() {
         until("the other entries", || async {
-            counted(site, entry, "firefly_direct_peers ").await >= others
+            counter_sum(site, entry, "firefly_direct_peers ").await >= others
         })
         .await;
     }
 }
 
 /// Returns an engine as an entry shows it to operators.
-async fn shown_of(site: &Site, entry: usize, engine: usize) -> Value {
+async fn shown_engine(site: &Site, entry: usize, engine: usize) -> Value {
     let instance = site.engines[engine].instance();
     let (_, shown) = site
         .operate(entry, &["entries", "upstreams", "--json"])
         .await;
     let shown: Value = serde_json::from_str(&shown).unwrap();
     let all = shown[0]["upstreams"].as_array().unwrap();
-    let of_engine = all.iter().find(|u| u["instance"] == instance.as_str());
-    of_engine.unwrap().clone()
+    let found = all.iter().find(|u| u["instance"] == instance.as_str());
+    found.unwrap().clone()
 }
 
 /// Returns whether an entry is among the owners shown for an engine.
-fn is_owner(site: &Site, entry: usize, of_engine: &Value) -> bool {
-    let owners = of_engine["owners"].as_array().unwrap();
+fn is_owner(site: &Site, entry: usize, shown: &Value) -> bool {
+    let owners = shown["owners"].as_array().unwrap();
     let ip = site.entries[entry].ip.to_string();
     owners.iter().any(|owner| owner == &ip)
 }
@@ -49,8 +49,8 @@
 /// Returns whether all owners of an engine know of work there.
 async fn owners_know(site: &Site, engine: usize) -> bool {
     for entry in 0..site.entries.len() {
-        let of_engine = shown_of(site, entry, engine).await;
-        if is_owner(site, entry, &of_engine) && of_engine["running"] == 0 {
+        let shown = shown_engine(site, entry, engine).await;
+        if is_owner(site, entry, &shown) && shown["running"] == 0 {
             return false;
         }
     }
@@ -59,9 +59,9 @@
 
 /// Returns the engine of a generation for whose choice all owners replied in time; on a busy
 /// machine a reply may be too late for some.
-async fn choose_by_replies(site: &Site, entry: usize) -> usize {
+async fn choose_with_replies(site: &Site, entry: usize) -> usize {
     loop {
-        let late = counted(site, entry, "questions_total{end=\"timed_out\"}").await;
+        let timed_out = counter_sum(site, entry, "questions_total{end=\"timed_out\"}").await;
         let id = site.id();
         let answer = site
             .generation(entry, "/log/b", 5, &id)
@@ -70,9 +70,9 @@
             .unwrap();
         let engine = site.engine_of(&id).await;
         answer.text().await.unwrap();
-        let replied = counted(site, entry, "questions_total{end=\"replied\"}").await;
-        if counted(site, entry, "questions_total{end=\"timed_out\"}").await == late {
-            assert!(replied >= 1, "nobody was asked");
+        let replied = counter_sum(site, entry, "questions_total{end=\"replied\"}").await;
+        if counter_sum(site, entry, "questions_total{end=\"timed_out\"}").await == timed_out {
+            assert!(replied >= 1, "no owner was queried");
             return engine;
         }
     }
@@ -80,24 +80,24 @@
 
 cases! {
     what_one_entry_placed_is_known_to_the_choice_of_another(site: 5) {
-        until_all_are_heard(&site).await;
+        until_all_are_known(&site).await;
         for pair in 0..4 {
-            let (one, other) = (pair, pair + 1);
-            let first = site.id();
-            let running = site.large_prompt(one, "/log/a", 400, &first).send().await.unwrap();
-            let taken = site.engine_of(&first).await;
-            until("its owners to know", || owners_know(&site, taken)).await;
-            let beside = choose_by_replies(&site, other).await;
-            assert_ne!(beside, taken, "both on one engine");
+            let (first_entry, second_entry) = (pair, pair + 1);
+            let request = site.id();
+            let running = site.large_prompt(first_entry, "/log/a", 400, &request).send().await.unwrap();
+            let busy_engine = site.engine_of(&request).await;
+            until("the owners to know of the work", || owners_know(&site, busy_engine)).await;
+            let other_engine = choose_with_replies(&site, second_entry).await;
+            assert_ne!(other_engine, busy_engine, "both generations on one engine");
             drop(running);
             until("the end", || async { site.record.running() == 0 }).await;
         }
     }
 
     dead_owner_holds_no_choice_up(site: 4) {
-        until_all_are_heard(&site).await;
-        let of_engine = shown_of(&site, 0, 0).await;
-        let dead = (0..4).find(|entry| is_owner(&site, *entry, &of_engine)).unwrap();
+        until_all_are_known(&site).await;
+        let shown = shown_engine(&site, 0, 0).await;
+        let dead = (0..4).find(|entry| is_owner(&site, *entry, &shown)).unwrap();
         let living: Vec<usize> = (0..4).filter(|entry| *entry != dead).collect();
         site.entries[dead].kill();
         for entry in living.iter().chain(&living) {
@@ -108,8 +108,8 @@
         }
         // An owner that is known to be silent owns nothing and is not queried.
         for entry in &living {
-            until("its end to be known", || async {
-                counted(&site, *entry, "firefly_direct_peers ").await < 3
+            until("the silence of the dead entry", || async {
+                counter_sum(&site, *entry, "firefly_direct_peers ").await < 3
             })
             .await;
         }
@@ -130,9 +130,9 @@
         for entry in 0..6 {
             site.until_ready(entry).await;
         }
-        until_all_are_heard(&site).await;
+        until_all_are_known(&site).await;
         for entry in 0..6 {
-            assert!(counted(&site, entry, "fetches_total").await < 1, "{}", site.log(entry));
+            assert!(counter_sum(&site, entry, "fetches_total").await < 1, "{}", site.log(entry));
         }
     }
 }
--- a/fireflydirect/tests/processes_restored.rs
+++ b/fireflydirect/tests/processes_restored.rs
@@ -31,7 +31,7 @@
     known.is_some_and(|u| u["serves"] == true)
 }
 
-fn say_state(site: &Site, engine: usize, state: &str) {
+fn announce_state(site: &Site, engine: usize, state: &str) {
     let engine = &site.engines[engine];
     let entry = engine.entry("models", state);
     site.store.put("servers", &engine.instance(), &entry);
@@ -39,14 +39,14 @@
 
 /// Writes enough objects that revisions after the restore stay below those before it for the
 /// whole test.
-fn write_much(site: &Site) {
+fn write_many_objects(site: &Site) {
     for n in 0..60 {
         site.store.put("others", &format!("o-{n}"), &json!({}));
     }
 }
 
 async fn until_leaving(site: &Site, entry: usize, instance: &str) {
-    until("its leaving", || async {
+    until("the departure", || async {
         !serves(site, entry, instance).await
     })
     .await;
@@ -55,13 +55,13 @@
 cases! {
     leaving_said_again_at_a_lower_revision_holds(site: 2) {
         let copy = site.store.copy();
-        write_much(&site);
-        say_state(&site, 1, "ready");
+        write_many_objects(&site);
+        announce_state(&site, 1, "ready");
         for entry in 0..2 {
             until("the record", || serves(&site, entry, "m-1")).await;
         }
         site.store.restore(copy);
-        say_state(&site, 1, "draining");
+        announce_state(&site, 1, "draining");
         for entry in 0..2 {
             until_leaving(&site, entry, "m-1").await;
         }
@@ -75,7 +75,7 @@
 
     upstream_that_left_is_not_believed_to_serve(site: 2) {
         let copy = site.store.copy();
-        say_state(&site, 1, "draining");
+        announce_state(&site, 1, "draining");
         for entry in 0..2 {
             until_leaving(&site, entry, "m-1").await;
         }
@@ -92,8 +92,8 @@
         for entry in 0..2 {
             until("the new engine", || serves(&site, entry, "m-2")).await;
         }
-        say_state(&site, 0, "draining");
-        say_state(&site, 1, "draining");
+        announce_state(&site, 0, "draining");
+        announce_state(&site, 1, "draining");
         for entry in 0..2 {
             until_leaving(&site, entry, "m-0").await;
             until_leaving(&site, entry, "m-1").await;
@@ -109,7 +109,7 @@
         let engine = &site.engines[2];
         site.store.put("servers", "m-2", &engine.entry("models", "ready"));
         assert_eq!(running.text().await.unwrap(), whole_stream(&id, 200));
-        assert_eq!(site.record.runs_of(&id).len(), 1, "it was moved");
+        assert_eq!(site.record.runs_of(&id).len(), 1, "the run was migrated");
     }
 
     configuration_does_not_go_back(site: 2) {
@@ -138,21 +138,21 @@
 
     entry_cut_off_hears_of_the_era_from_another(site: 3) {
         let copy = site.store.copy();
-        write_much(&site);
-        say_state(&site, 1, "ready");
+        write_many_objects(&site);
+        announce_state(&site, 1, "ready");
         let denied = IpAddr::V4(site.entries[1].ip);
         site.store.set_mode(StoreMode::Deny(vec![denied]));
         site.store.restore(copy);
-        say_state(&site, 1, "draining");
+        announce_state(&site, 1, "draining");
         until_era(&site, 1, 1).await;
         until_leaving(&site, 1, "m-1").await;
     }
 
     two_drills_and_an_outage(site: 2) {
         let copy = site.store.copy();
-        write_much(&site);
+        write_many_objects(&site);
         site.store.restore(copy.clone());
-        write_much(&site);
+        write_many_objects(&site);
         site.store.set_mode(StoreMode::Reset);
         site.store.restore(copy);
         site.store.set_mode(StoreMode::Up);
--- a/fireflydirect/tests/processes_store.rs
+++ b/fireflydirect/tests/processes_store.rs
@@ -19,7 +19,7 @@
         })
         .await;
         // On a busy machine a third attempt of one list may begin before the second is answered.
-        assert!(site.store.overlapped() >= 2, "a try beside each list that hangs");
+        assert!(site.store.overlapped() >= 2, "no second attempt for each hung list");
     }
 
     caller_of_an_entry_that_has_just_started_is_served(site: 0) {
@@ -27,7 +27,7 @@
         site.publish(&[KEY]);
         site.store.set_mode(StoreMode::HangNext(2));
         site.add_entry(1).await;
-        until("the start", || async { site.log(0).contains("event=started") }).await;
+        until("the start event", || async { site.log(0).contains("event=started") }).await;
         let answer = site.call(0, "GET", "/fetch/a", &site.id()).send().await.unwrap();
         // The second attempts return the lists within half a second.
         assert_eq!(answer.status(), 200, "{}", site.log(0));
@@ -35,11 +35,11 @@
 
     store_that_hangs_is_lost_and_found(site: 1) {
         site.store.set_mode(StoreMode::Silent);
-        until("the loss", || async { site.log(0).contains("event=store_lost") }).await;
+        until("loss of the store", || async { site.log(0).contains("event=store_lost") }).await;
         site.store.set_mode(StoreMode::Up);
-        until("the return", || async { site.log(0).contains("event=store_regained") }).await;
+        until("return of the store", || async { site.log(0).contains("event=store_regained") }).await;
         site.publish(&["another"]);
-        until("the key's end", || async {
+        until("rejection of the old key", || async {
             let answer = site.call(0, "GET", "/fetch/a", &site.id()).send().await.unwrap();
             outcome(&answer) == (401, Some(2004))
         })
@@ -103,7 +103,7 @@
         site.store.put("config", "main", &serde_json::json!({"version": 1, "routes": [],
             "services": [], "limits": {"max_header_bytes": 1, "max_body_bytes": 1,
             "header_timeout_ms": 1, "idle_timeout_ms": 1}}));
-        until("the look", || async { site.store.calls() > calls }).await;
+        until("a call of the store", || async { site.store.calls() > calls }).await;
         site.store.compact();
         for _ in 0..10 {
             let answer = site.call(0, "GET", "/new/a", &site.id()).send().await.unwrap();
@@ -113,14 +113,14 @@
 
     unreadable_configuration_changes_nothing(site: 1) {
         site.store.put("config", "main", &serde_json::json!({"version": 9}));
-        until("the line", || async { site.log(0).contains("config_unreadable") }).await;
+        until("the log line", || async { site.log(0).contains("config_unreadable") }).await;
         let answer = site.call(0, "GET", "/fetch/a", &site.id()).send().await.unwrap();
         assert_eq!(answer.status(), 200);
     }
 
     lost_history_is_listed_again(site: 1) {
         site.store.set_mode(StoreMode::Reset);
-        until("the loss", || async { site.log(0).contains("store_lost") }).await;
+        until("loss of the store", || async { site.log(0).contains("store_lost") }).await;
         site.publish_routes(&[KEY], &[("new", "/new/")]);
         site.store.compact();
         site.store.set_mode(StoreMode::Up);
@@ -133,7 +133,7 @@
 
     entry_that_lapsed_in_an_outage_serves_on_for_a_while(site: 1) {
         site.store.set_mode(StoreMode::Reset);
-        until("the loss", || async { site.log(0).contains("store_lost") }).await;
+        until("loss of the store", || async { site.log(0).contains("store_lost") }).await;
         // Records don't expire in a much shorter outage.
         tokio::time::sleep(Duration::from_secs(3)).await;
         for plain in ["p-0", "p-1"] {
@@ -141,17 +141,17 @@
         }
         site.store.compact();
         site.store.set_mode(StoreMode::Up);
-        until("the return", || async { site.log(0).contains("store_regained") }).await;
+        until("return of the store", || async { site.log(0).contains("store_regained") }).await;
         let answer = site.call(0, "GET", "/fetch/a", &site.id()).send().await.unwrap();
         assert_eq!(answer.status(), 200);
-        until("the end of patience", || async { site.log(0).contains("source=missing") }).await;
+        until("removal of the missing upstreams", || async { site.log(0).contains("source=missing") }).await;
         let answer = site.call(0, "GET", "/fetch/a", &site.id()).send().await.unwrap();
         assert_eq!(outcome(&answer), (503, Some(2012)));
     }
 
     few_entries_watch_the_store(site: 6) {
-        let off_duty = |site: &Site| (0..6).filter(|e| site.log(*e).contains("watching=false")).count();
-        until("three off duty", || async { off_duty(&site) == 3 }).await;
+        let not_watching = |site: &Site| (0..6).filter(|e| site.log(*e).contains("watching=false")).count();
+        until("three entries not watching", || async { not_watching(&site) == 3 }).await;
         site.publish_routes(&[KEY], &[("new", "/new/")]);
         for entry in 0..6 {
             until("the new route", || async {
@@ -163,21 +163,21 @@
     }
 
     watchers_that_the_store_is_silent_to_are_replaced(site: 6) {
-        let off_duty = |site: &Site, e: usize| site.log(e).contains("watching=false");
-        until("three off duty", || async { (0..6).filter(|e| off_duty(&site, *e)).count() == 3 }).await;
-        let watchers = (0..6).filter(|e| !off_duty(&site, *e));
+        let not_watching = |site: &Site, e: usize| site.log(e).contains("watching=false");
+        until("three entries not watching", || async { (0..6).filter(|e| not_watching(&site, *e)).count() == 3 }).await;
+        let watchers = (0..6).filter(|e| !not_watching(&site, *e));
         let watchers = watchers.map(|e| IpAddr::V4(site.entries[e].ip)).collect();
         site.store.set_mode(StoreMode::SilentTo(watchers));
         site.publish_routes(&[KEY], &[("new", "/new/")]);
         let all = until("the version", || async { (0..6).all(|e| site.log(e).contains("routes=5")) });
         // A watch with a long wait hides the silence for all of that time.
-        let in_force = tokio::time::timeout(Duration::from_secs(8), all).await;
-        assert!(in_force.is_ok(), "the fleet didn't hear of the version");
+        let all_adopted = tokio::time::timeout(Duration::from_secs(8), all).await;
+        assert!(all_adopted.is_ok(), "the fleet did not receive the version");
     }
 
     large_configuration_is_read_from_the_store_by_all(site: 6) {
-        let off_duty = |site: &Site| (0..6).filter(|e| site.log(*e).contains("watching=false")).count();
-        until("three off duty", || async { off_duty(&site) == 3 }).await;
+        let not_watching = |site: &Site| (0..6).filter(|e| site.log(*e).contains("watching=false")).count();
+        until("three entries not watching", || async { not_watching(&site) == 3 }).await;
         let names: Vec<(String, String)> = (0..600).map(|i| (format!("n{i}"), format!("/n{i}/"))).collect();
         let routes: Vec<(&str, &str)> = names.iter().map(|(n, p)| (n.as_str(), p.as_str())).collect();
         site.publish_routes(&[KEY], &routes);
@@ -187,7 +187,7 @@
             line.map(|l| l.contains("source=store"))
         };
         until("the version", || async { (0..6).all(|e| adopted(&site, e).is_some()) }).await;
-        assert!((0..6).all(|e| adopted(&site, e) == Some(true)), "one link had to carry it for all");
+        assert!((0..6).all(|e| adopted(&site, e) == Some(true)), "an entry fetched it from a peer");
     }
 
     change_of_a_large_configuration_is_handed_on(site: 6) {
@@ -205,7 +205,7 @@
         until("the next version", || async { known(&site, "routes=605") }).await;
         let watching = (0..6).filter(|e| site.log(*e).contains("watching=true")).count();
         let from_store = (0..6).filter(|e| source(&site, *e, "routes=605") == Some(true)).count();
-        assert!(from_store <= watching, "{from_store} read all of it, {watching} watch");
+        assert!(from_store <= watching, "{from_store} read it from the store, {watching} watch");
         assert!(watching < 6, "{watching} watch");
     }
 }
--- a/fireflydirect/tests/removals.rs
+++ b/fireflydirect/tests/removals.rs
@@ -24,7 +24,7 @@
 
 /// Time after the store's return by which every living upstream is listed again: about two
 /// seconds, according to the platform.
-const ALL_BACK: Duration = Duration::from_millis(2_600);
+const RELIST_TIME: Duration = Duration::from_millis(2_600);
 
 /// Time for which a departing upstream may get work, as in the settings.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
@@ -58,7 +58,7 @@
 
 /// Returns whether the first entry has logged an event once each for the configuration and the
 /// list.
-fn is_said_of_both(site: &Site, event: &str) -> bool {
+fn is_logged_for_both(site: &Site, event: &str) -> bool {
     let log = site.log(0);
     ["Config", "Upstreams"].iter().all(|kind| {
         let line = format!("event={event} kind={kind}");
@@ -69,37 +69,37 @@
 cases! {
     removal_is_believed_once_living_ones_are_back(site: 1) {
         site.store.set_mode(StoreMode::Reset);
-        until("the loss", || async { is_said_of_both(&site, "store_lost") }).await;
+        until("loss of the store", || async { is_logged_for_both(&site, "store_lost") }).await;
         site.store.set_mode(StoreMode::Up);
-        until("the return", || async { is_said_of_both(&site, "store_regained") }).await;
-        tokio::time::sleep(ALL_BACK).await;
+        until("return of the store", || async { is_logged_for_both(&site, "store_regained") }).await;
+        tokio::time::sleep(RELIST_TIME).await;
         site.store.remove("servers", "p-0");
         until("the removal", || async { has_line(&site, 0, "upstream_removed", "p-0") }).await;
-        assert!(!chosen(&site, 0).await.contains("p-0"), "sent to one that has left");
+        assert!(!chosen(&site, 0).await.contains("p-0"), "a call went to a departed upstream");
     }
 
     upstream_that_a_new_list_lacks_gets_nothing(site: 1) {
-        tokio::time::sleep(ALL_BACK).await;
+        tokio::time::sleep(RELIST_TIME).await;
         site.store.lapse("servers", "p-0");
         site.store.compact();
-        let noticed = |event| has_line(&site, 0, event, "p-0");
-        until("the list", || async { noticed("upstream_missing") || noticed("upstream_leaves") }).await;
-        assert!(!chosen(&site, 0).await.contains("p-0"), "sent to one that has left");
+        let has_event = |event| has_line(&site, 0, event, "p-0");
+        until("the list", || async { has_event("upstream_missing") || has_event("upstream_leaves") }).await;
+        assert!(!chosen(&site, 0).await.contains("p-0"), "a call went to a departed upstream");
     }
     /// All watchers are lost at the same time as an upstream leaves. The entry that takes over
     /// has not called the store for long, which must not count as an outage.
     entry_that_steps_in_believes_its_first_list(site: 4) {
-        let is_off_duty = |site: &Site, e: usize| site.log(e).contains("watching=false");
-        until("one off duty", || async { (0..4).any(|e| is_off_duty(&site, e)) }).await;
-        let steps_in = (0..4).find(|e| is_off_duty(&site, *e)).unwrap();
-        tokio::time::sleep(ALL_BACK).await;
+        let is_not_watching = |site: &Site, e: usize| site.log(e).contains("watching=false");
+        until("one entry not watching", || async { (0..4).any(|e| is_not_watching(&site, e)) }).await;
+        let successor = (0..4).find(|e| is_not_watching(&site, *e)).unwrap();
+        tokio::time::sleep(RELIST_TIME).await;
         site.store.lapse("servers", "p-0");
-        for entry in (0..4).filter(|e| *e != steps_in) {
+        for entry in (0..4).filter(|e| *e != successor) {
             site.entries[entry].kill();
         }
-        let noticed = |event| has_line(&site, steps_in, event, "p-0");
-        until("the list", || async { noticed("upstream_missing") || noticed("upstream_leaves") }).await;
-        assert!(!chosen(&site, steps_in).await.contains("p-0"), "sent to one that has left");
+        let has_event = |event| has_line(&site, successor, event, "p-0");
+        until("the list", || async { has_event("upstream_missing") || has_event("upstream_leaves") }).await;
+        assert!(!chosen(&site, successor).await.contains("p-0"), "a call went to a departed upstream");
     }
     /// The backup holder of a stream is departing and still serves; long after, the stream's own
     /// upstream dies. Resuming from the backup would be work for a departed upstream.
@@ -107,12 +107,12 @@
         let id = site.id();
         let stream = site.generation(0, "/log/a", 400, &id).send().await.unwrap();
         let engine = site.engine_of(&id).await;
-        let keeper = &site.engines[1 - engine];
-        site.store.put("servers", &keeper.instance(), &keeper.entry("models", "draining"));
-        until("the notice", || async { has_line(&site, 0, "upstream_leaves", &keeper.instance()) }).await;
+        let backup_holder = &site.engines[1 - engine];
+        site.store.put("servers", &backup_holder.instance(), &backup_holder.entry("models", "draining"));
+        until("the leave notice", || async { has_line(&site, 0, "upstream_leaves", &backup_holder.instance()) }).await;
         tokio::time::sleep(DRAIN_TIMEOUT).await;
         site.engines[engine].kill();
-        assert!(stream.text().await.is_err(), "nothing is left that may be asked");
+        assert!(stream.text().await.is_err(), "no upstream is left to resume on");
         assert_eq!(site.record.runs_of(&id).len(), 1, "{:#?}", site.record.runs_of(&id));
     }
 }
