--- a/fireflydirect/src/feed.rs
+++ b/fireflydirect/src/feed.rs
@@ -446,11 +446,11 @@
 /// Returns whether an entry is to follow a kind of object: evacuations while it is a primary
 /// watcher, other objects while it watches at all.
 fn should_follow(node: &Node, kind: Kind) -> bool {
-    let duty = node.watcher_role.borrow();
+    let role = node.watcher_role.borrow();
     if kind == Kind::Evacuations {
-        duty.is_primary()
+        role.is_primary()
     } else {
-        duty.is_watching()
+        role.is_watching()
     }
 }
 
--- a/fireflydirect/src/ingest.rs
+++ b/fireflydirect/src/ingest.rs
@@ -165,8 +165,8 @@
         let removed =
             removed.map(|(instance, revision)| ListChange::Removed { instance, revision });
         for change in records.chain(removed) {
-            let taken = node.pool.borrow_mut().take_change(now, change);
-            node.apply_pool_changes(taken, "peer");
+            let pool_changes = node.pool.borrow_mut().take_change(now, change);
+            node.apply_pool_changes(pool_changes, "peer");
         }
         for (instance, revision) in state.leaving {
             let mut pool = node.pool.borrow_mut();
--- a/fireflydirect/src/receive.rs
+++ b/fireflydirect/src/receive.rs
@@ -90,8 +90,8 @@
         node.record_store_contact(now - age, "peer");
     }
     for change in announcement.list_changes.iter().cloned() {
-        let taken = node.pool.borrow_mut().take_change(now, change);
-        node.apply_pool_changes(taken, "peer");
+        let pool_changes = node.pool.borrow_mut().take_change(now, change);
+        node.apply_pool_changes(pool_changes, "peer");
     }
     if announcement.evacuations.revision > 0 {
         node.apply_evacuations(announcement.evacuations.clone(), "peer");
