--- a/fireflydirect/src/call.rs
+++ b/fireflydirect/src/call.rs
@@ -159,7 +159,7 @@
     let asking = AdmissionRequest {
         expected_tokens: job.expected_tokens(),
         value_density: job.yields,
-        coming: returning_callers::return_state(job),
+        coming: returning_callers::arrival_kind(job),
         rank: job.rank,
     };
     is_admitted(&asking, &fill)
@@ -172,7 +172,7 @@
     log::warn!(
         event = "no_room", req = &*job.request_id, route = &*job.route.name,
         expected = job.expected_tokens(), yields = format!("{:.2}", job.yields),
-        coming = format!("{:?}", returning_callers::return_state(job)), memory = format!("{:.2}", view.memory),
+        coming = format!("{:?}", returning_callers::arrival_kind(job)), memory = format!("{:.2}", view.memory),
         service_memory = format!("{of_service:.2}"),
         told_age_ms = view.age.as_millis(), retry_after_ms = wait.as_millis();
         ""
--- a/fireflydirect/src/loads.rs
+++ b/fireflydirect/src/loads.rs
@@ -14,7 +14,7 @@
         return;
     }
     let queries = queries(node, service, need, tried);
-    node.candidate_count.borrow_mut().record_sent(queries.len());
+    node.query_budget.borrow_mut().record_sent(queries.len());
     let queries = queries.into_iter();
     owner_queries::query_owners(
         node,
@@ -31,7 +31,7 @@
     tried: &[UpstreamIx],
 ) -> HashMap<Ipv4Addr, Vec<Life>> {
     let now = node.now();
-    let max_count = node.candidate_count.borrow_mut().candidate_count(now);
+    let max_count = node.query_budget.borrow_mut().candidate_count(now);
     let pool = node.pool.borrow();
     let peers = node.peers.borrow();
     let mut queries: HashMap<Ipv4Addr, Vec<Life>> = HashMap::new();
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -75,8 +75,8 @@
     pub datagrams: Datagrams,
     /// Queries to owners that wait for replies.
     pub owner_queries: OwnerQueries,
-    /// Number of upstreams whose load is queried before a choice.
-    pub candidate_count: RefCell<QueryBudget>,
+    /// Budget of queries, which limits the upstreams whose load is queried before a choice.
+    pub query_budget: RefCell<QueryBudget>,
     /// Role of this entry among the watchers of the store.
     pub watcher_role: RefCell<WatcherRole>,
     /// Notified when the role changes.
@@ -163,7 +163,7 @@
             peers: RefCell::new(peers),
             datagrams: Datagrams::new(place.peer_ports.0, metrics.clone()),
             owner_queries: OwnerQueries::default(),
-            candidate_count: RefCell::default(),
+            query_budget: RefCell::default(),
             watcher_role: RefCell::new(WatcherRole::new(place.ip, watches_initially(&place))),
             watcher_role_changed: Notify::new(),
             replica_reads: Cell::new(0),
--- a/fireflydirect/src/returning_callers.rs
+++ b/fireflydirect/src/returning_callers.rs
@@ -4,9 +4,9 @@
 use crate::owner_queries;
 use fireflycroft::{ArrivalKind, Mechanism, OwnedKey, OwnerQueryBody};
 
-/// Returns whether the caller is a returning one, as far as is known here.
+/// Returns whether the caller is a new or returning one, as far as is known here.
 #[must_use]
-pub fn return_state(job: &Job) -> ArrivalKind {
+pub fn arrival_kind(job: &Job) -> ArrivalKind {
     let waited = job
         .node
         .returning_callers
@@ -18,7 +18,7 @@
 /// Queries the owners of the request for an earlier refusal of its caller; returns true if there
 /// was one.
 pub async fn query_owners(job: &Job) -> bool {
-    if !is_enabled(job) || return_state(job) != ArrivalKind::First {
+    if !is_enabled(job) || arrival_kind(job) != ArrivalKind::First {
         return false;
     }
     let key = OwnedKey::of_content(job.content);
@@ -32,7 +32,7 @@
         .into_iter()
         .map(|o| (o, OwnerQueryBody::Refused(job.content)));
     owner_queries::query_owners(&job.node, queries).await;
-    return_state(job) != ArrivalKind::First
+    arrival_kind(job) != ArrivalKind::First
 }
 
 fn is_enabled(job: &Job) -> bool {
