--- a/fireflydirect/src/process.rs
+++ b/fireflydirect/src/process.rs
@@ -41,7 +41,7 @@
     log::info!(
         event = "started", vm = &*node.place.vm, data_centre = &*node.place.data_centre,
         callers = node.place.callers.to_string(), program_version = version,
-        without = settings.disabled_words();
+        without = settings.disabled_names();
         ""
     );
     spawn_local(crate::reload::follow(node.clone(), settings));
--- a/fireflydirect/src/reports.rs
+++ b/fireflydirect/src/reports.rs
@@ -18,13 +18,13 @@
 
 /// Sends reports for as long as the process lives.
 pub async fn run(node: Rc<Node>) {
-    let mut whole_at = node.now();
+    let mut full_report_at = node.now();
     loop {
         tokio::select! {
             biased;
-            () = tokio::time::sleep_until(node.clock.instant(whole_at)) => {
-                whole_at = node.now() + REPORT_INTERVAL;
-                report_all(&node).await;
+            () = tokio::time::sleep_until(node.clock.instant(full_report_at)) => {
+                full_report_at = node.now() + REPORT_INTERVAL;
+                report_full(&node).await;
             }
             () = node.report_due.notified() => {
                 report_changes(&node).await;
@@ -34,7 +34,7 @@
     }
 }
 
-async fn report_all(node: &Node) {
+async fn report_full(node: &Node) {
     let placed = node.pool.borrow().placed();
     let refused = node.returning_callers.borrow().own_refusals(node.now());
     let items = ReportItems {
--- a/fireflydirect/src/settings.rs
+++ b/fireflydirect/src/settings.rs
@@ -52,9 +52,9 @@
 
     /// Returns the names of the disabled mechanisms, separated by commas, for the log.
     #[must_use]
-    pub fn disabled_words(&self) -> String {
-        let words: Vec<&str> = self.disabled.iter().map(|m| m.name()).collect();
-        words.join(",")
+    pub fn disabled_names(&self) -> String {
+        let names: Vec<&str> = self.disabled.iter().map(|m| m.name()).collect();
+        names.join(",")
     }
 
     /// Reads the platform's settings file.
--- a/fireflydirect/tests/settings.rs
+++ b/fireflydirect/tests/settings.rs
@@ -28,7 +28,7 @@
 fn switches_off() {
     let settings = parse(&["--without", "copies,overlap"]).unwrap();
     assert_eq!(settings.disabled, [Mechanism::Copies, Mechanism::Overlap]);
-    assert_eq!(settings.disabled_words(), "copies,overlap");
+    assert_eq!(settings.disabled_names(), "copies,overlap");
     assert!(!settings.policy().uses(Mechanism::Copies));
     assert!(settings.policy().uses(Mechanism::Moves));
 }
