--- a/fireflydirect/src/call.rs
+++ b/fireflydirect/src/call.rs
@@ -3,9 +3,9 @@
 use crate::assignment::AssignmentGuard;
 use crate::crash;
 use crate::exchange::{ResponseStart, SendError, SendOptions, read_body, send};
-use crate::figure::or_empty;
 use crate::job::Job;
-use crate::{repeats, returns};
+use crate::log_value::or_empty;
+use crate::{retries, returning_callers};
 use bytes::Bytes;
 use fireflycroft::{
     AdmissionRequest, AttemptOutcome, Attempts, Code, MIN_BACKUP_TOKENS, Mechanism, MemoryUsage,
@@ -107,7 +107,7 @@
         }
         tried.push(ix);
         if attempts.borrow().may_retry(result.outcome) {
-            repeats::prepare(job).await;
+            retries::request_grant(job).await;
         }
         let next = attempts
             .borrow_mut()
@@ -144,10 +144,10 @@
     if !job.node.policy.uses(Mechanism::Door) || has_capacity(job, ix, need) {
         return None;
     }
-    if returns::learn(job).await && has_capacity(job, ix, need) {
+    if returning_callers::query_owners(job).await && has_capacity(job, ix, need) {
         return None;
     }
-    job.node.note_refused(job.content);
+    job.node.record_refusal(job.content);
     let pool = job.node.pool.borrow();
     Some(capacity_expected_after(
         pool.runs_fill_of(job.now(), &job.service),
@@ -164,7 +164,7 @@
     let asking = AdmissionRequest {
         expected_tokens: job.expected_tokens(),
         value_density: job.value_density,
-        coming: returns::coming(job),
+        coming: returning_callers::arrival_kind(job),
         rank: job.rank,
     };
     is_admitted(&asking, &fill)
@@ -182,7 +182,7 @@
     log::warn!(
         event = "no_room", req = &*job.request_id, route = &*job.route.name,
         expected = job.expected_tokens(), yields = format!("{:.2}", job.value_density),
-        coming = format!("{:?}", returns::coming(job)), memory = format!("{:.2}", view.memory),
+        coming = format!("{:?}", returning_callers::arrival_kind(job)), memory = format!("{:.2}", view.memory),
         service_memory = format!("{of_service:.2}"),
         told_age_ms = view.age.as_millis(), retry_after_ms = wait.as_millis();
         ""
@@ -343,9 +343,13 @@
     let now = job.now();
     let outcome = format!("{:?}", result.outcome);
     if result.outcome == AttemptOutcome::NeverSent {
-        job.node.note_unreachable(ix);
+        job.node.record_unreachable(ix);
     }
-    job.node.metrics.tries.with_label_values(&[&outcome]).inc();
+    job.node
+        .metrics
+        .attempts
+        .with_label_values(&[&outcome])
+        .inc();
     let mut pool = job.node.pool.borrow_mut();
     if result.outcome != AttemptOutcome::Withheld {
         pool.note_outcome(ix, result.outcome != AttemptOutcome::Answered);
--- a/fireflydirect/src/client.rs
+++ b/fireflydirect/src/client.rs
@@ -1,7 +1,8 @@
-//! Short calls of the platform's store and of other entries, over one connection that is kept.
+//! HTTP client for short calls to the platform's store and to other entries, over one kept
+//! connection.
 //!
-//! A call that makes no progress is tried once more on a connection of its own,
-//! beside the one that hangs, as [`fireflycroft::HedgedCall`] decides.
+//! A call that makes no progress is hedged by a second attempt on a connection of its own, as
+//! [`fireflycroft::HedgedCall`] decides.
 
 use crate::clock::Clock;
 use crate::links::{CallResponse, Link, call_with_progress, open};
@@ -16,25 +17,25 @@
 use std::rc::Rc;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// What one try came to.
-type TryEnd = (AttemptId, anyhow::Result<(Link, CallResponse)>);
+/// Outcome of one attempt.
+type AttemptOutcome = (AttemptId, anyhow::Result<(Link, CallResponse)>);
 
-/// A client of one address; one call at a time.
+/// Client for one address; runs one call at a time.
 pub struct Client {
     addr: SocketAddr,
     clock: Clock,
     link: Option<Link>,
 }
 
-/// The tries of one call that are running.
-struct Running {
-    overlap: Rc<RefCell<HedgedCall>>,
-    tasks: JoinSet<TryEnd>,
+/// The running attempts of one call.
+struct RunningAttempts {
+    hedged_call: Rc<RefCell<HedgedCall>>,
+    tasks: JoinSet<AttemptOutcome>,
     handles: HashMap<AttemptId, AbortHandle>,
 }
 
 impl Client {
-    /// A client that isn't connected yet.
+    /// Creates a client without a connection.
     #[must_use]
     pub const fn new(addr: SocketAddr, clock: Clock) -> Self {
         Self {
@@ -44,29 +45,30 @@
         }
     }
 
-    /// Reads `path` by the tries that `overlap` allows.
+    /// Sends a GET request for `path` in the attempts that `hedged_call` allows.
     ///
-    /// `on_hang` is called when a try hangs and another one begins beside it.
+    /// `on_hang` is called when an attempt hangs and another one begins beside it.
     ///
     /// # Errors
     ///
-    /// When all tries failed, or the only one made no progress; their connections are dropped then.
+    /// Returns an error if all attempts failed, or the only one made no progress; their
+    /// connections are dropped.
     pub async fn get(
         &mut self,
         path: &str,
-        overlap: HedgedCall,
+        hedged_call: HedgedCall,
         on_hang: impl Fn(),
     ) -> anyhow::Result<CallResponse> {
-        let mut running = Running {
-            overlap: Rc::new(RefCell::new(overlap)),
+        let mut running = RunningAttempts {
+            hedged_call: Rc::new(RefCell::new(hedged_call)),
             tasks: JoinSet::new(),
             handles: HashMap::new(),
         };
         loop {
-            let step = running.overlap.borrow_mut().next(self.clock.now());
+            let step = running.hedged_call.borrow_mut().next(self.clock.now());
             match step {
                 HedgeStep::Start(id) => {
-                    if running.overlap.borrow().started() > 1 {
+                    if running.hedged_call.borrow().started() > 1 {
                         on_hang();
                     }
                     self.start(&mut running, id, path)?;
@@ -79,7 +81,7 @@
                         ended = running.tasks.join_next() => ended,
                         () = until => continue,
                     };
-                    if let Some((link, answered)) = running.take(ended)? {
+                    if let Some((link, answered)) = running.handle_ended(ended)? {
                         self.link = Some(link);
                         return Ok(answered);
                     }
@@ -88,14 +90,19 @@
         }
     }
 
-    fn start(&mut self, running: &mut Running, id: AttemptId, path: &str) -> anyhow::Result<()> {
+    fn start(
+        &mut self,
+        running: &mut RunningAttempts,
+        id: AttemptId,
+        path: &str,
+    ) -> anyhow::Result<()> {
         let req = Request::get(path)
             .header(HOST, self.addr.to_string())
             .body(Full::default())?;
         let (addr, clock, link) = (self.addr, self.clock, self.link.take());
-        let overlap = running.overlap.clone();
+        let hedged_call = running.hedged_call.clone();
         let handle = running.tasks.spawn_local(async move {
-            let record_progress = || overlap.borrow_mut().record_progress(clock.now(), id);
+            let record_progress = || hedged_call.borrow_mut().record_progress(clock.now(), id);
             (id, exchange(addr, link, req, record_progress).await)
         });
         running.handles.insert(id, handle);
@@ -103,28 +110,28 @@
     }
 }
 
-impl Running {
+impl RunningAttempts {
     fn abandon(&mut self, id: AttemptId) {
         if let Some(handle) = self.handles.remove(&id) {
             handle.abort();
         }
     }
 
-    /// What a task that ended means: an answer, one try less, or the end of the call.
-    fn take(
+    /// Handles the end of a task: a response, a failed attempt, or the end of the call.
+    fn handle_ended(
         &mut self,
-        ended: Option<Result<TryEnd, tokio::task::JoinError>>,
+        ended: Option<Result<AttemptOutcome, tokio::task::JoinError>>,
     ) -> anyhow::Result<Option<(Link, CallResponse)>> {
         match ended {
             Some(Ok((_, Ok(answer)))) => Ok(Some(answer)),
             Some(Ok((id, Err(e)))) => {
-                let was_last = self.overlap.borrow_mut().record_failure(id);
+                let was_last = self.hedged_call.borrow_mut().record_failure(id);
                 if was_last { Err(e) } else { Ok(None) }
             }
-            // A try that was dropped has nothing to say.
+            // An aborted attempt has no result.
             Some(Err(e)) if e.is_cancelled() => Ok(None),
             Some(Err(e)) => Err(e.into()),
-            None => anyhow::bail!("no try is running"),
+            None => anyhow::bail!("no attempt is running"),
         }
     }
 }
--- a/fireflydirect/src/conditions.rs
+++ b/fireflydirect/src/conditions.rs
@@ -1,7 +1,7 @@
 //! Applies upstreams' pauses, rate limits and leave notices, from response heads or other entries.
 
-use crate::figure::or_empty;
 use crate::job::Job;
+use crate::log_value::or_empty;
 use crate::node::Node;
 use fireflycroft::{
     Life, RateChange, RateLimit, ResponseHead, RunClaim, Time, ToldRate, UpstreamIx,
@@ -28,7 +28,7 @@
     }
     if conditions.leaving {
         let change = node.pool.borrow_mut().record_leave_notice(node.now(), ix);
-        node.take_changes(change, "answer");
+        node.apply_pool_changes(change, "answer");
     }
     // A failed response may lack the limit, as the upstream may not have determined it yet.
     let states_rate = conditions.rate_limit.is_some() || (status.is_success() && head.sealed);
@@ -43,7 +43,7 @@
     drop(pool);
     if let Some(change) = change {
         log_rate_change(node, ix, change, "answer");
-        node.urgent.notify_one();
+        node.announce_now.notify_one();
     }
 }
 
@@ -64,7 +64,7 @@
             .pool
             .borrow_mut()
             .apply_leave_notice(node.now(), incarnation);
-        node.take_changes(change, "peer_answer");
+        node.apply_pool_changes(change, "peer_answer");
     }
 }
 
--- a/fireflydirect/src/departures.rs
+++ b/fireflydirect/src/departures.rs
@@ -4,8 +4,8 @@
 //! entries too. Its report states them up to half a second late, so the engine
 //! is queried once, as soon as the report can reflect the leave notice.
 
-use crate::figure::or_empty;
 use crate::links::call;
+use crate::log_value::or_empty;
 use crate::node::Node;
 use bytes::Bytes;
 use fireflycroft::{Departure, MAX_REPORT_AGE, Time, UpstreamIx};
--- a/fireflydirect/src/generation.rs
+++ b/fireflydirect/src/generation.rs
@@ -10,10 +10,10 @@
 use crate::call::{StartedStream, assign_backup};
 use crate::crash;
 use crate::exchange::{ResponseStart, SendOptions, release_link, send};
-use crate::figure::or_empty;
 use crate::job::Job;
-use crate::metrics::kind_word;
-use crate::repeats;
+use crate::log_value::or_empty;
+use crate::metrics::kind_label;
+use crate::retries;
 use crate::runs::Run;
 use bytes::Bytes;
 use fireflycroft::{Code, EventRelay, MemoryCopy, Need, ResponseHead, Time, UpstreamIx};
@@ -140,7 +140,7 @@
         token_copy_time: job.engine.map_or(Duration::ZERO, |e| e.token_copy_time),
     });
     // A leave notice may have arrived between the choice of the upstream and its response head.
-    job.node.save_if_leaving(assignment.ix);
+    job.node.migrate_if_departing(assignment.ix);
     let relay = Relay {
         job,
         run,
@@ -261,7 +261,7 @@
     fn record_end(&self, end: &str) {
         let metrics = &self.job.node.metrics;
         metrics.streams.with_label_values(&[end]).inc();
-        let kind = kind_word(self.job.route.kind);
+        let kind = kind_label(self.job.route.kind);
         let pauses = metrics.pause_seconds.with_label_values(&[kind]);
         pauses.observe(self.event_times.longest.as_secs_f64());
     }
@@ -319,7 +319,7 @@
         self.wait_for_copy().await;
         let from = self.assignment.ix;
         while let Some(next) = self.next_continuation(from) {
-            if !repeats::take(&self.job).await {
+            if !retries::take(&self.job).await {
                 self.log_event("budget_spent", "");
                 return false;
             }
@@ -415,7 +415,7 @@
         };
         self.assignment = assignment;
         self.run.at.set(next.at);
-        self.job.node.save_if_leaving(next.at);
+        self.job.node.migrate_if_departing(next.at);
         self.run.backup.set(backup.as_ref().map(|b| b.ix));
         self.backup = backup;
         self.source = Some(Source {
@@ -423,7 +423,7 @@
             link: response.link,
             head: response.head,
         });
-        let resumptions = &self.job.node.metrics.went_on;
+        let resumptions = &self.job.node.metrics.resumed;
         resumptions.with_label_values(&[next.method]).inc();
         self.log_event("stream_goes_on", next.method);
         true
--- a/fireflydirect/src/intake.rs
+++ b/fireflydirect/src/ingest.rs
@@ -1,6 +1,6 @@
-//! Taking what the store or another entry says: configuration, upstreams, evacuations.
+//! Applying state from the store or another entry: configuration, upstreams, evacuations.
 
-use crate::figure::or_empty;
+use crate::log_value::or_empty;
 use crate::node::Node;
 use crate::state_page::PeerState;
 use fireflycroft::{Evacuations, ListChange, Name, UpstreamRecord};
@@ -8,16 +8,16 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Takes objects of one kind that were read from the store.
-pub struct Intake {
+/// Applies objects of one kind that were read from the store.
+pub struct Ingest {
     node: Rc<Node>,
     kind: Kind,
-    /// Records that were last seen unreadable, with their revisions, so that each is said once.
+    /// Unreadable records with their revisions, so that each is logged once.
     unreadable: HashMap<Name, u64>,
 }
 
-impl Intake {
-    /// Has taken nothing yet.
+impl Ingest {
+    /// Creates an ingest that has applied nothing yet.
     #[must_use]
     pub fn new(node: Rc<Node>, kind: Kind) -> Self {
         Self {
@@ -27,28 +27,28 @@
         }
     }
 
-    /// Forgets what was said of unreadable records, before a list says it anew.
+    /// Starts a new list; its unreadable records are logged again.
     pub fn begin_list(&mut self) {
         self.unreadable.clear();
         if self.kind == Kind::Upstreams {
-            self.node.listed.set(false);
+            self.node.upstreams_listed.set(false);
         }
     }
 
-    /// Takes objects of a list that may go on.
-    pub fn take_objects(&mut self, objects: &[StoreObject]) {
+    /// Applies objects of a list that may be incomplete.
+    pub fn apply_objects(&mut self, objects: &[StoreObject]) {
         for object in objects {
             match self.kind {
-                Kind::Config => self.node.adopt(object, "store"),
-                Kind::Upstreams => self.take_record(object),
-                // They hold as a whole list.
+                Kind::Config => self.node.adopt_config(object, "store"),
+                Kind::Upstreams => self.apply_record(object),
+                // Evacuations are valid as a complete list only.
                 Kind::Evacuations | Kind::Entries => {}
             }
         }
     }
 
-    /// Takes a whole list of evacuations, or what a whole list of upstreams lacks.
-    pub fn take_list(&mut self, objects: &[StoreObject], revision: u64) {
+    /// Applies a complete list of evacuations or upstreams.
+    pub fn apply_list(&mut self, objects: &[StoreObject], revision: u64) {
         if self.kind == Kind::Evacuations {
             let in_force = objects.iter().filter(|o| !o.deleting);
             let listed = Evacuations {
@@ -65,20 +65,21 @@
                 .pool
                 .borrow_mut()
                 .take_list(now, records, revision);
-            self.node.take_changes(changes, "store");
-            self.node.listed.set(true);
-            self.node.has_whole_list.set(true);
+            self.node.apply_pool_changes(changes, "store");
+            self.node.upstreams_listed.set(true);
+            self.node.has_complete_list.set(true);
         }
     }
 
-    fn take_record(&mut self, object: &StoreObject) {
+    fn apply_record(&mut self, object: &StoreObject) {
         let record = self.read_record(object);
         let now = self.node.now();
         let change = record.and_then(|r| self.node.pool.borrow_mut().learn(now, r));
-        self.node.take_changes(change, "store");
+        self.node.apply_pool_changes(change, "store");
     }
 
-    /// The record of an upstream; what can't be read says so of one that is known.
+    /// Decodes the record of an upstream; for an unreadable one, returns what the pool knows
+    /// under that name, marked as unreadable.
     fn read_record(&mut self, object: &StoreObject) -> Option<UpstreamRecord> {
         let e = match read_upstream(object) {
             Ok(record) => return Some(record),
@@ -87,7 +88,7 @@
         let (name, revision) = (&object.name, object.revision);
         if self.unreadable.insert(name.clone(), revision) != Some(revision) {
             let why = e.to_string();
-            self.node.metrics.note_unreadable("upstream", 1);
+            self.node.metrics.record_unreadable("upstream", 1);
             log::warn!(
                 event = "upstream_unreadable", instance = &**name, revision = revision, why = why;
                 ""
@@ -96,31 +97,31 @@
         self.node.pool.borrow().unreadable(name, revision)
     }
 
-    /// Notes objects that were left out, since they have no name.
-    pub fn note_nameless(&self, count: usize) {
+    /// Records objects that were skipped since they have no name.
+    pub fn record_nameless(&self, count: usize) {
         if count > 0 {
-            self.node.metrics.note_unreadable("nameless", count);
+            self.node.metrics.record_unreadable("nameless", count);
             let kind = format!("{:?}", self.kind);
             log::warn!(event = "objects_nameless", kind = kind, count = count; "");
         }
     }
 
-    /// Takes changes that lead to the list as of `revision`.
-    pub fn take_events(&mut self, events: Vec<StoreEvent>, revision: u64) {
+    /// Applies changes that lead to the list as of `revision`.
+    pub fn apply_events(&mut self, events: Vec<StoreEvent>, revision: u64) {
         if self.kind == Kind::Evacuations && !events.is_empty() {
             self.apply_evacuations(&events, revision);
             return;
         }
         for event in events {
             match self.kind {
-                Kind::Config if !event.removed => self.node.adopt(&event.object, "store"),
-                Kind::Upstreams => self.take_upstream(&event),
+                Kind::Config if !event.removed => self.node.adopt_config(&event.object, "store"),
+                Kind::Upstreams => self.apply_upstream_event(&event),
                 Kind::Config | Kind::Evacuations | Kind::Entries => {}
             }
         }
     }
 
-    /// Takes changes of the list of evacuations, which holds as of `revision` with them.
+    /// Applies changes to the list of evacuations, whose revision is `revision` with them.
     fn apply_evacuations(&self, events: &[StoreEvent], revision: u64) {
         let held = self.node.pool.borrow().evacuations().clone();
         let changed = events.iter().fold(held, |list, event| {
@@ -134,9 +135,9 @@
         self.node.apply_evacuations(changed, "store");
     }
 
-    fn take_upstream(&mut self, event: &StoreEvent) {
+    fn apply_upstream_event(&mut self, event: &StoreEvent) {
         if !event.removed {
-            self.take_record(&event.object);
+            self.apply_record(&event.object);
             return;
         }
         let (instance, revision) = (&event.object.name, event.object.revision);
@@ -148,14 +149,15 @@
             ""
         );
         let change = node.pool.borrow_mut().remove(now, instance, revision);
-        node.take_changes(change, "store");
+        node.apply_pool_changes(change, "store");
     }
 }
 
-/// Takes what another entry knows of upstreams; what its whole list lacks is gone if it is sure.
+/// Applies another entry's state of upstreams; an upstream that its complete list lacks is
+/// removed if the list is confirmed.
 ///
-/// What it doubts stays here as it is: it tells once it has decided.
-pub fn take_told(node: &Node, state: PeerState) {
+/// What is unconfirmed there stays unchanged here: that entry announces it once it is decided.
+pub fn apply_peer_state(node: &Node, state: PeerState) {
     let now = node.now();
     if !state.is_whole {
         let records = state.upstreams.into_iter().map(ListChange::Listed);
@@ -163,28 +165,28 @@
         let removed =
             removed.map(|(instance, revision)| ListChange::Removed { instance, revision });
         for change in records.chain(removed) {
-            let taken = node.pool.borrow_mut().take_change(now, change);
-            node.take_changes(taken, "peer");
+            let pool_changes = node.pool.borrow_mut().take_change(now, change);
+            node.apply_pool_changes(pool_changes, "peer");
         }
         for (instance, revision) in state.leaving {
             let mut pool = node.pool.borrow_mut();
             let change = pool.learn_leaving(now, &instance, revision);
             drop(pool);
-            node.take_changes(change, "peer");
+            node.apply_pool_changes(change, "peer");
         }
         return;
     }
-    if state.sure {
+    if state.confirmed {
         let mut pool = node.pool.borrow_mut();
         let changes = pool.forget_others(now, &state.upstreams, state.revision);
         drop(pool);
-        node.take_changes(changes, "peer");
+        node.apply_pool_changes(changes, "peer");
     }
     for record in state.upstreams {
         let change = node.pool.borrow_mut().learn(now, record);
-        node.take_changes(change, "peer");
+        node.apply_pool_changes(change, "peer");
     }
-    node.has_whole_list.set(true);
-    // Others may fetch it here from now on.
-    node.urgent.notify_one();
+    node.has_complete_list.set(true);
+    // Other entries may fetch the list here from now on.
+    node.announce_now.notify_one();
 }
--- a/fireflydirect/src/job.rs
+++ b/fireflydirect/src/job.rs
@@ -121,7 +121,7 @@
     #[must_use]
     pub fn take_retry(&self) -> bool {
         let entries = self.node.entries();
-        let mut budget = self.node.budget.borrow_mut();
+        let mut budget = self.node.retry_budget.borrow_mut();
         budget.take(self.now(), &self.service, entries)
     }
 
@@ -129,12 +129,12 @@
     /// wait is known to be longer.
     pub async fn pick(&self, need: &Need, tried: &[UpstreamIx]) -> Option<UpstreamIx> {
         let until = self.arrival + self.route.objective / HOLD_DIVISOR;
-        loads::ask(&self.node, &self.service, need, tried).await;
+        loads::query(&self.node, &self.service, need, tried).await;
         loop {
             if let Some(ix) = self.pick_now(need, tried) {
                 return Some(ix);
             }
-            let changed = self.node.changed.notified();
+            let changed = self.node.routing_changed.notified();
             let wake_at = match self.time_until_available(need) {
                 Some(wait) => self.now() + wait,
                 None if self.now() < until => until,
--- a/fireflydirect/src/migration.rs
+++ b/fireflydirect/src/migration.rs
@@ -2,9 +2,9 @@
 
 use crate::assignment::AssignmentGuard;
 use crate::departures;
-use crate::figure::or_empty;
 use crate::links::call;
 use crate::loads;
+use crate::log_value::or_empty;
 use crate::node::Node;
 use crate::runs::{MigrationCopy, Run};
 use bytes::Bytes;
@@ -35,8 +35,8 @@
 /// Migrates runs off departing upstreams until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
-        node.leaving.notified().await;
-        let left = std::mem::take(&mut *node.left.borrow_mut());
+        node.departure_found.notified().await;
+        let left = std::mem::take(&mut *node.departing.borrow_mut());
         for ix in left {
             for run in node.runs.drop_backups_at(ix) {
                 if !node.pool.borrow().is_serving(run.at.get()) {
@@ -88,7 +88,7 @@
             draw: rand::rng().next_u64(),
             ..run.need.get()
         };
-        loads::ask(node, &run.service, &need, &tried).await;
+        loads::query(node, &run.service, &need, &tried).await;
         let chosen = {
             let pool = node.pool.borrow();
             pool.choose(node.now(), &run.service, &need, &tried)
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -1,14 +1,14 @@
-//! What one process knows and shares among its tasks.
+//! State of one process, shared among its tasks.
 
 use crate::clock::Clock;
 use crate::config_history::ConfigHistory;
 use crate::datagrams::Datagrams;
 use crate::departures::Departures;
-use crate::figure::or_empty;
 use crate::links::Links;
+use crate::log_value::or_empty;
 use crate::metrics::Metrics;
+use crate::owner_queries::OwnerQueries;
 use crate::peers::Peers;
-use crate::questions::Questions;
 use crate::runs::Runs;
 use fireflycroft::{
     Catalog, Digest, Evacuations, FULL_VIEW_AFTER, FleetView, LengthEstimator, Life, Policy, Pool,
@@ -22,113 +22,114 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// How far a process has come in stopping.
+/// Stage of a process on its way to a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It serves.
+    /// Serving, and ready for callers.
     Serving,
-    /// It was told to stop: not ready, but still takes what comes.
+    /// Terminating: not ready, but still accepts requests.
     Draining,
-    /// It takes nothing new and closes idle connections.
+    /// Accepts no requests and closes idle connections.
     Closing,
 }
 
-/// Whether an entry watches the store from its start on: the seeds do, which all others know.
-fn begins_to_watch(place: &Place) -> bool {
+/// Returns whether an entry watches the store from its start on: seeds do, since all entries know
+/// them.
+fn watches_initially(place: &Place) -> bool {
     place.seeds.is_empty() || place.seeds.iter().any(|seed| seed.ip() == place.ip)
 }
 
-/// One process.
+/// Shared state of one process.
 pub struct Node {
-    /// Where it runs.
+    /// The platform's settings: addresses, data centre, bounds.
     pub place: Place,
-    /// Mechanisms that are on.
+    /// Enabled mechanisms.
     pub policy: Policy,
-    /// Its clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Configuration in force.
+    /// Active configuration.
     pub catalog: RefCell<Option<Rc<Catalog>>>,
-    /// When it was taken.
-    pub adopted_at: Cell<Option<Time>>,
-    /// The same as the store holds it, to hand to other entries.
+    /// Time at which it was adopted.
+    pub config_adopted_at: Cell<Option<Time>>,
+    /// Active and previous configurations as the store holds them, for transfer to other entries.
     pub configs: RefCell<ConfigHistory>,
-    /// Upstreams.
+    /// Known upstreams.
     pub pool: RefCell<Pool>,
-    /// Budget of repeats.
-    pub budget: RefCell<SharedRetryBudget>,
-    /// Content that crashes upstreams.
+    /// Retry budget, shared with the other entries.
+    pub retry_budget: RefCell<SharedRetryBudget>,
+    /// Content that crashed upstreams.
     pub quarantine: RefCell<Quarantine>,
-    /// Callers who were refused and come back.
-    pub returns: RefCell<ReturningCallers>,
-    /// Lengths of answers.
+    /// Refused callers, who may return.
+    pub returning_callers: RefCell<ReturningCallers>,
+    /// Estimates of answer lengths.
     pub lengths: RefCell<LengthEstimator>,
-    /// What generations bring for the memory that they hold.
-    pub yields: RefCell<ValueDensities>,
+    /// Value of generations per memory held.
+    pub value_densities: RefCell<ValueDensities>,
     /// Connections to upstreams.
     pub links: Links,
-    /// Streams under way.
+    /// Streams in progress.
     pub runs: Runs,
-    /// Other entries.
+    /// The other entries.
     pub peers: RefCell<Peers>,
-    /// The way to them.
+    /// Socket for datagrams to them.
     pub datagrams: Datagrams,
-    /// Questions to owners of upstreams that wait for replies.
-    pub questions: Questions,
-    /// How many upstreams a choice asks about.
-    pub breadth: RefCell<QueryBudget>,
-    /// Whether this entry watches the store for the others.
-    pub duty: RefCell<WatcherRole>,
-    /// Rings when that has changed.
-    pub duty_changed: Notify,
-    /// Kinds of objects that are being read from any copy of the store.
-    pub(crate) copies_read: Cell<usize>,
-    /// Whether the store answered the last call.
-    pub store_answers: Cell<bool>,
-    /// Times that the store has come back from a copy; none until it is known.
-    pub(crate) era: Cell<Option<u64>>,
-    /// Whether any call has failed yet.
-    pub(crate) store_failed: Cell<bool>,
-    /// When it last answered one.
-    pub store_answered_at: Cell<Option<Time>>,
-    /// Whether the list of upstreams has been read whole since this entry watches.
-    pub listed: Cell<bool>,
-    /// Whether it was ever read whole, from the store or another entry.
-    pub has_whole_list: Cell<bool>,
-    /// Rings when an upstream comes or the configuration changes.
-    pub changed: Notify,
-    /// Rings when an upstream has started again.
-    life_ended: Notify,
-    /// Rings when there is something to tell the other entries at once.
-    pub urgent: Notify,
-    /// Whether that has to reach all of them, and not some who tell it on.
-    pub tell_all: Cell<bool>,
-    /// Rings when there is something to report to owners.
-    pub to_report: Notify,
+    /// Queries to owners that wait for replies.
+    pub owner_queries: OwnerQueries,
+    /// Budget of queries, which limits the upstreams whose load is queried before a choice.
+    pub query_budget: RefCell<QueryBudget>,
+    /// Role of this entry among the watchers of the store.
+    pub watcher_role: RefCell<WatcherRole>,
+    /// Notified when the role changes.
+    pub watcher_role_changed: Notify,
+    /// Number of lists being read from a replica of the store.
+    pub(crate) replica_reads: Cell<usize>,
+    /// Whether the last call to the store succeeded.
+    pub store_responding: Cell<bool>,
+    /// Number of times that the store was restored from a backup; `None` while unknown.
+    pub(crate) store_era: Cell<Option<u64>>,
+    /// Whether any call to the store has failed.
+    pub(crate) any_store_failure: Cell<bool>,
+    /// Time of the last response of the store.
+    pub last_store_response: Cell<Option<Time>>,
+    /// Whether the complete list of upstreams has been read since this entry began to watch.
+    pub upstreams_listed: Cell<bool>,
+    /// Whether the complete list was ever read, from the store or another entry.
+    pub has_complete_list: Cell<bool>,
+    /// Notified when an upstream appears or changes, or the configuration changes.
+    pub routing_changed: Notify,
+    /// Notified when an upstream has restarted.
+    incarnation_ended: Notify,
+    /// Notified when there is something to announce to other entries at once.
+    pub announce_now: Notify,
+    /// Whether the next urgent announcement goes to all entries, instead of a few that spread it.
+    pub announce_to_all: Cell<bool>,
+    /// Notified when there is something to report to owners.
+    pub report_due: Notify,
     /// Upstreams whose load changed since the last report.
     pub loads_changed: RefCell<BTreeSet<UpstreamIx>>,
-    /// Callers who were refused since then.
-    pub refused: RefCell<Vec<Refusal>>,
-    /// Upstreams that couldn't be reached since then.
-    pub unreachable: RefCell<Vec<Life>>,
-    /// Upstreams that were found to leave, for the task that saves their runs.
-    pub left: RefCell<Vec<UpstreamIx>>,
-    /// Rings when an upstream was found to leave.
-    pub leaving: Notify,
-    /// What is known of upstreams that leave while they run something of this entry.
+    /// Refusals of callers since the last report.
+    pub unreported_refusals: RefCell<Vec<Refusal>>,
+    /// Upstreams found unreachable since the last report.
+    pub unreported_unreachable: RefCell<Vec<Life>>,
+    /// Upstreams found to be departing, for the task that migrates their runs.
+    pub departing: RefCell<Vec<UpstreamIx>>,
+    /// Notified when an upstream is found to be departing.
+    pub departure_found: Notify,
+    /// State of departing upstreams that run work of this entry.
     pub departures: Departures,
-    /// Counters and histograms.
+    /// Counters, histograms and gauges.
     pub metrics: Metrics,
-    /// Calls under way.
-    pub busy: Cell<usize>,
+    /// Number of calls in progress.
+    pub calls_in_flight: Cell<usize>,
     stage: watch::Sender<Stage>,
 }
 
 impl Node {
-    /// A process that knows nothing yet.
+    /// Creates the state of a process without configuration and upstreams.
     ///
     /// # Errors
     ///
-    /// When two metrics have one name.
+    /// Returns an error if two metrics have the same name.
     pub fn new(place: Place, policy: Policy) -> anyhow::Result<Self> {
         let clock = Clock::start();
         let mut pool = Pool::new(place.data_centre.clone());
@@ -142,97 +143,97 @@
         if let Some(limits) = place.bounds.cold {
             pool.set_cold_limits(&place.vm, limits);
         }
-        let budget = SharedRetryBudget::new(place.bounds.repeats);
+        let retry_budget = SharedRetryBudget::new(place.bounds.repeats);
         let peers = Peers::new(&place);
         let metrics = Metrics::new()?;
         Ok(Self {
             policy,
             clock,
             catalog: RefCell::default(),
-            adopted_at: Cell::new(None),
+            config_adopted_at: Cell::new(None),
             configs: RefCell::default(),
             pool: RefCell::new(pool),
-            budget: RefCell::new(budget),
+            retry_budget: RefCell::new(retry_budget),
             quarantine: RefCell::default(),
-            returns: RefCell::default(),
+            returning_callers: RefCell::default(),
             lengths: RefCell::default(),
-            yields: RefCell::default(),
+            value_densities: RefCell::default(),
             links: Links::new(clock),
             runs: Runs::default(),
             peers: RefCell::new(peers),
             datagrams: Datagrams::new(place.peer_ports.0, metrics.clone()),
-            questions: Questions::default(),
-            breadth: RefCell::default(),
-            duty: RefCell::new(WatcherRole::new(place.ip, begins_to_watch(&place))),
-            duty_changed: Notify::new(),
-            copies_read: Cell::new(0),
-            store_answers: Cell::new(false),
-            era: Cell::new(None),
-            store_failed: Cell::new(false),
-            store_answered_at: Cell::new(None),
-            listed: Cell::new(false),
-            has_whole_list: Cell::new(false),
-            changed: Notify::new(),
-            life_ended: Notify::new(),
-            urgent: Notify::new(),
-            tell_all: Cell::new(false),
-            to_report: Notify::new(),
+            owner_queries: OwnerQueries::default(),
+            query_budget: RefCell::default(),
+            watcher_role: RefCell::new(WatcherRole::new(place.ip, watches_initially(&place))),
+            watcher_role_changed: Notify::new(),
+            replica_reads: Cell::new(0),
+            store_responding: Cell::new(false),
+            store_era: Cell::new(None),
+            any_store_failure: Cell::new(false),
+            last_store_response: Cell::new(None),
+            upstreams_listed: Cell::new(false),
+            has_complete_list: Cell::new(false),
+            routing_changed: Notify::new(),
+            incarnation_ended: Notify::new(),
+            announce_now: Notify::new(),
+            announce_to_all: Cell::new(false),
+            report_due: Notify::new(),
             loads_changed: RefCell::default(),
-            refused: RefCell::default(),
-            unreachable: RefCell::default(),
-            left: RefCell::default(),
-            leaving: Notify::new(),
+            unreported_refusals: RefCell::default(),
+            unreported_unreachable: RefCell::default(),
+            departing: RefCell::default(),
+            departure_found: Notify::new(),
             departures: Departures::default(),
-            busy: Cell::new(0),
+            calls_in_flight: Cell::new(0),
             stage: watch::Sender::new(Stage::Serving),
             metrics,
             place,
         })
     }
 
-    /// Time now.
+    /// Returns the time since the start of the process.
     #[must_use]
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// How far the process has come in stopping.
+    /// Returns the current stage.
     #[must_use]
     pub fn stage(&self) -> Stage {
         *self.stage.borrow()
     }
 
-    /// Sets the stage and tells all who wait for it.
+    /// Sets the stage and notifies all subscribers.
     pub fn set_stage(&self, stage: Stage) {
         self.stage.send_replace(stage);
     }
 
-    /// Follows the stage.
+    /// Subscribes to changes of the stage.
     #[must_use]
-    pub fn follow_stage(&self) -> watch::Receiver<Stage> {
+    pub fn subscribe_stage(&self) -> watch::Receiver<Stage> {
         self.stage.subscribe()
     }
 
-    /// Whether callers should be sent here.
+    /// Returns whether the balancer should send callers here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.stage() == Stage::Serving && self.catalog.borrow().is_some()
     }
 
-    /// Version of the configuration in force; zero for none.
+    /// Returns the version of the active configuration; zero if there is none.
     #[must_use]
-    pub fn version(&self) -> u64 {
+    pub fn config_version(&self) -> u64 {
         self.catalog.borrow().as_ref().map_or(0, |c| c.version())
     }
 
-    /// Entries that share the budget of repeats, this one included.
+    /// Returns the number of entries that share the retry budget, including this one.
     #[must_use]
     pub fn entries(&self) -> usize {
         1 + self.peers.borrow().count(self.now())
     }
 
-    /// Tells the pool who the entries are.
-    pub fn review_fleet(&self) {
+    /// Updates the pool's view of the entries in the fleet.
+    pub fn update_fleet_view(&self) {
         let has_just_started = self.now().since(Time::default()) < FULL_VIEW_AFTER;
         let fleet = if has_just_started {
             FleetView::unknown(self.place.ip)
@@ -242,18 +243,18 @@
         self.pool.borrow_mut().set_fleet(fleet);
     }
 
-    /// Takes a published configuration unless it is not newer than the one in force.
-    pub fn adopt(&self, object: &StoreObject, source: &str) {
+    /// Adopts a published configuration if it is newer than the active one.
+    pub fn adopt_config(&self, object: &StoreObject, source: &str) {
         let catalog = match fireflycroft_platform::read_catalog(object.content.get()) {
             Ok(catalog) => catalog,
             Err(e) => {
                 let why = e.to_string();
-                self.metrics.note_unreadable("config", 1);
+                self.metrics.record_unreadable("config", 1);
                 log::error!(event = "config_unreadable", source = source, error = why; "");
                 return;
             }
         };
-        let was = self.version();
+        let was = self.config_version();
         if catalog.version() <= was && was != 0 {
             return;
         }
@@ -270,22 +271,22 @@
         }
         *self.catalog.borrow_mut() = Some(Rc::new(catalog));
         let now = self.now();
-        self.configs.borrow_mut().take(now, object.clone());
-        self.adopted_at.set(Some(now));
-        self.changed.notify_waiters();
-        self.urgent.notify_one();
+        self.configs.borrow_mut().activate(now, object.clone());
+        self.config_adopted_at.set(Some(now));
+        self.routing_changed.notify_waiters();
+        self.announce_now.notify_one();
     }
 
-    /// Takes a list of evacuated data centres unless it is not newer than the one in force.
+    /// Applies a list of evacuated data centres if it is newer than the active one.
     ///
-    /// Whoever has it from the store tells all others at once.
-    pub fn apply_evacuations(&self, told: Evacuations, source: &str) {
-        let revision = told.revision;
-        let data_centres = told.data_centres.iter();
+    /// An entry that watches the store announces the change to all others at once.
+    pub fn apply_evacuations(&self, evacuations: Evacuations, source: &str) {
+        let revision = evacuations.revision;
+        let data_centres = evacuations.data_centres.iter();
         let data_centres: Vec<&str> = data_centres.map(|name| &**name).collect();
         let data_centres = data_centres.join(",");
         let now = self.now();
-        if !self.pool.borrow_mut().apply_evacuations(now, told) {
+        if !self.pool.borrow_mut().apply_evacuations(now, evacuations) {
             return;
         }
         log::info!(
@@ -293,14 +294,14 @@
             source = source;
             ""
         );
-        self.changed.notify_waiters();
+        self.routing_changed.notify_waiters();
         if self.watches_store() {
-            self.tell_all_at_once();
+            self.announce_to_all_now();
         }
     }
 
-    /// Acts on changes of the pool.
-    pub fn take_changes(&self, changes: impl IntoIterator<Item = PoolChange>, source: &str) {
+    /// Logs changes of the pool and acts on them.
+    pub fn apply_pool_changes(&self, changes: impl IntoIterator<Item = PoolChange>, source: &str) {
         for change in changes {
             let (ix, event) = match change {
                 PoolChange::Came(ix) => (ix, "upstream_came"),
@@ -309,7 +310,7 @@
                 PoolChange::Unreadable(ix) => (ix, "upstream_set_aside"),
                 PoolChange::Missing(ix) => (ix, "upstream_missing"),
                 PoolChange::Back { ix, missing_for } => {
-                    self.log_back(ix, missing_for, source);
+                    self.log_recovered(ix, missing_for, source);
                     continue;
                 }
             };
@@ -322,13 +323,13 @@
             );
             match change {
                 PoolChange::Leaves(ix) => {
-                    self.save_if_leaving(ix);
-                    self.urgent.notify_one();
+                    self.migrate_if_departing(ix);
+                    self.announce_now.notify_one();
                 }
                 PoolChange::Restarted { ended, .. } => {
-                    self.metrics.note_restart(&record.service);
-                    self.end_life(ended);
-                    self.urgent.notify_one();
+                    self.metrics.record_restart(&record.service);
+                    self.end_incarnation(ended);
+                    self.announce_now.notify_one();
                 }
                 PoolChange::Came(_)
                 | PoolChange::Unreadable(_)
@@ -336,10 +337,10 @@
                 | PoolChange::Back { .. } => {}
             }
         }
-        self.changed.notify_waiters();
+        self.routing_changed.notify_waiters();
     }
 
-    fn log_back(&self, ix: UpstreamIx, missing_for: Duration, source: &str) {
+    fn log_recovered(&self, ix: UpstreamIx, missing_for: Duration, source: &str) {
         let pool = self.pool.borrow();
         let record = pool.record(ix);
         log::info!(
@@ -350,19 +351,20 @@
         );
     }
 
-    /// Lets go of all that a life of an upstream held: idle connections, copies, and what waits for
-    /// an answer of it.
-    fn end_life(&self, ix: UpstreamIx) {
-        let life = self.pool.borrow().record(ix).life();
-        self.links.close_idle(&life);
-        self.save_if_leaving(ix);
-        self.life_ended.notify_waiters();
+    /// Ends an incarnation of an upstream: closes its idle connections, has its runs migrated if
+    /// it is not serving, and wakes those that wait for its responses.
+    fn end_incarnation(&self, ix: UpstreamIx) {
+        let incarnation = self.pool.borrow().record(ix).life();
+        self.links.close_idle(&incarnation);
+        self.migrate_if_departing(ix);
+        self.incarnation_ended.notify_waiters();
     }
 
-    /// Returns once a later life of an upstream is known, after which nothing comes of this one.
+    /// Waits until a later incarnation of an upstream is known, after which this one sends no
+    /// response.
     pub async fn until_ended(&self, ix: UpstreamIx) {
         loop {
-            let ended = self.life_ended.notified();
+            let ended = self.incarnation_ended.notified();
             if self.pool.borrow().is_ended(ix) {
                 return;
             }
@@ -370,41 +372,45 @@
         }
     }
 
-    /// Has the runs of an upstream that leaves saved, if it does.
-    pub fn save_if_leaving(&self, ix: UpstreamIx) {
+    /// Queues an upstream for the migration of its runs, unless it is serving.
+    pub fn migrate_if_departing(&self, ix: UpstreamIx) {
         if !self.pool.borrow().is_serving(ix) {
-            self.left.borrow_mut().push(ix);
-            self.leaving.notify_one();
+            self.departing.borrow_mut().push(ix);
+            self.departure_found.notify_one();
         }
     }
 
-    /// Notes that the owners of an upstream should hear of its load at once.
-    pub(crate) fn note_load(&self, ix: UpstreamIx) {
+    /// Queues a change of load for an immediate report to the upstream's owners.
+    pub(crate) fn record_load_change(&self, ix: UpstreamIx) {
         self.loads_changed.borrow_mut().insert(ix);
-        self.to_report.notify_one();
+        self.report_due.notify_one();
     }
 
-    /// Notes that a caller was refused for lack of room and told to come back.
-    pub fn note_refused(&self, content: Digest) {
+    /// Records that a caller was refused for lack of capacity and told to return.
+    pub fn record_refusal(&self, content: Digest) {
         let now = self.now();
-        self.returns.borrow_mut().record_refusal(now, content);
+        self.returning_callers
+            .borrow_mut()
+            .record_refusal(now, content);
         let age = Duration::ZERO;
-        self.refused.borrow_mut().push(Refusal { content, age });
-        self.to_report.notify_one();
+        self.unreported_refusals
+            .borrow_mut()
+            .push(Refusal { content, age });
+        self.report_due.notify_one();
     }
 
-    /// Notes that an upstream couldn't be reached, here and for its owners.
-    pub fn note_unreachable(&self, ix: UpstreamIx) {
+    /// Records that an upstream is unreachable, here and for its owners.
+    pub fn record_unreachable(&self, ix: UpstreamIx) {
         let mut pool = self.pool.borrow_mut();
-        let life = pool.record(ix).life();
-        pool.record_unreachable(self.now(), &self.place.vm, &life);
-        self.unreachable.borrow_mut().push(life);
-        self.to_report.notify_one();
+        let incarnation = pool.record(ix).life();
+        pool.record_unreachable(self.now(), &self.place.vm, &incarnation);
+        self.unreported_unreachable.borrow_mut().push(incarnation);
+        self.report_due.notify_one();
     }
 
-    /// Tells all other entries what is new here.
-    pub fn tell_all_at_once(&self) {
-        self.tell_all.set(true);
-        self.urgent.notify_one();
+    /// Announces the current state to all other entries at once.
+    pub fn announce_to_all_now(&self) {
+        self.announce_to_all.set(true);
+        self.announce_now.notify_one();
     }
 }
--- a/fireflydirect/src/process.rs
+++ b/fireflydirect/src/process.rs
@@ -1,8 +1,8 @@
-//! One process from start to stop.
+//! Start, maintenance and stop of one process.
 
 use crate::node::{Node, Stage};
 use crate::settings::Settings;
-use crate::{callers, feed, hear, migration, readiness, reports, state_page, tell};
+use crate::{announce, callers, feed, migration, readiness, receive, reports, state_page};
 use anyhow::Context;
 use fireflycroft::Time;
 use fireflycroft_platform::Kind;
@@ -13,24 +13,25 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::spawn_local;
 
-/// Time for which a process that was told to stop still takes new requests: the balancer asks
-/// once a second and sends callers elsewhere after two refusals.
-const DRAIN_FOR: Duration = Duration::from_millis(2_600);
+/// Time for which a terminating process still accepts new requests: the balancer checks readiness
+/// once a second and redirects callers after two refusals.
+const DRAIN_PERIOD: Duration = Duration::from_millis(2_600);
 
-/// Left of the grace when what still runs is cut, so that the process ends by itself.
+/// Part of the grace period kept in reserve: work still running is cut before the period ends, so
+/// that the process exits by itself.
 const GRACE_MARGIN: Duration = Duration::from_millis(150);
 
-/// Time between two looks at whether all has ended.
+/// Interval between checks for work still in flight during a stop.
 const STOP_CHECK: Duration = Duration::from_millis(25);
 
-/// Time between two rounds of tidying.
-const TIDY_EVERY: Duration = Duration::from_millis(500);
+/// Interval between two maintenance rounds.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Serves until the process is told to stop and all has ended.
+/// Serves until the process is terminated and its work has ended or the grace period is over.
 ///
 /// # Errors
 ///
-/// When the settings are at fault or an address can't be bound.
+/// Returns an error if the settings are invalid or an address can't be bound.
 pub async fn run(settings: Settings) -> anyhow::Result<()> {
     let place = settings.read_place()?;
     let mut terminate = signal(SignalKind::terminate())?;
@@ -40,7 +41,7 @@
     log::info!(
         event = "started", vm = &*node.place.vm, data_centre = &*node.place.data_centre,
         callers = node.place.callers.to_string(), program_version = version,
-        without = settings.without();
+        without = settings.disabled_names();
         ""
     );
     spawn_local(crate::reload::follow(node.clone(), settings));
@@ -60,7 +61,7 @@
     let callers = bind(place.callers).await?;
     if let Some(operators) = place.operators {
         let listener = bind(operators).await?;
-        spawn_local(state_page::answer(node.clone(), listener));
+        spawn_local(state_page::serve(node.clone(), listener));
     }
     spawn_local(feed::follow(node.clone(), Kind::Config));
     spawn_local(feed::follow(node.clone(), Kind::Upstreams));
@@ -69,14 +70,14 @@
     }
     let peer_socket = Rc::new(peer_socket);
     node.datagrams.set_socket(peer_socket.clone());
-    spawn_local(hear::listen(node.clone(), peer_socket));
-    spawn_local(tell::run(node.clone()));
+    spawn_local(receive::listen(node.clone(), peer_socket));
+    spawn_local(announce::run(node.clone()));
     spawn_local(reports::run(node.clone()));
-    spawn_local(state_page::answer(node.clone(), peer_listener));
-    spawn_local(readiness::answer(node.clone(), readiness));
+    spawn_local(state_page::serve(node.clone(), peer_listener));
+    spawn_local(readiness::serve(node.clone(), readiness));
     spawn_local(callers::accept(node.clone(), callers));
     spawn_local(migration::run(node.clone()));
-    spawn_local(tidy(node.clone()));
+    spawn_local(maintain(node.clone()));
     Ok(())
 }
 
@@ -85,38 +86,38 @@
     listener.with_context(|| format!("binding {addr}"))
 }
 
-async fn tidy(node: Rc<Node>) {
+async fn maintain(node: Rc<Node>) {
     loop {
-        tokio::time::sleep_until(node.clock.instant(next_tidy(&node))).await;
+        tokio::time::sleep_until(node.clock.instant(next_maintenance(&node))).await;
         node.links.close_expired();
         let now = node.now();
         let changes = node.pool.borrow_mut().drop_missing(now);
-        node.take_changes(changes, "missing");
+        node.apply_pool_changes(changes, "missing");
         node.quarantine.borrow_mut().expire(now);
-        node.configs.borrow_mut().tidy(now);
+        node.configs.borrow_mut().remove_expired(now);
     }
 }
 
-/// When to tidy next: at once when doubt about removals ends, since an upstream that has left may
-/// get work until then.
-fn next_tidy(node: &Node) -> Time {
+/// Returns the time of the next maintenance round: at the latest the end of the grace period in
+/// which removals are unconfirmed, since a departed upstream may get work until then.
+fn next_maintenance(node: &Node) -> Time {
     let now = node.now();
     let settles_at = node.pool.borrow().contact().settles_at();
     let settles_at = settles_at.filter(|at| *at > now);
-    let due = now + TIDY_EVERY;
+    let due = now + MAINTENANCE_INTERVAL;
     settles_at.map_or(due, |at| at.min(due))
 }
 
-/// Stops without cutting what runs, as far as the grace allows.
+/// Stops the process; work in flight may finish within the grace period.
 async fn stop(node: &Rc<Node>) {
     let end = node.now() + node.place.bounds.grace.saturating_sub(GRACE_MARGIN);
-    log::info!(event = "stopping", busy = node.busy.get(), streams = node.runs.count(); "");
+    log::info!(event = "stopping", busy = node.calls_in_flight.get(), streams = node.runs.count(); "");
     node.set_stage(Stage::Draining);
-    node.tell_all_at_once();
-    tokio::time::sleep(DRAIN_FOR).await;
+    node.announce_to_all_now();
+    tokio::time::sleep(DRAIN_PERIOD).await;
     node.set_stage(Stage::Closing);
-    while node.busy.get() > 0 && node.now() < end {
+    while node.calls_in_flight.get() > 0 && node.now() < end {
         tokio::time::sleep(STOP_CHECK).await;
     }
-    log::info!(event = "stopped", busy = node.busy.get(); "");
+    log::info!(event = "stopped", busy = node.calls_in_flight.get(); "");
 }
--- a/fireflydirect/src/readiness.rs
+++ b/fireflydirect/src/readiness.rs
@@ -1,16 +1,16 @@
-//! The address where the balancer asks whether callers should be sent here.
+//! Readiness endpoint for the balancer.
 
 use crate::node::Node;
-use crate::small_server::{self, Page, empty};
+use crate::page_server::{self, Page, empty};
 use fireflycroft_platform::ready_path;
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// Answers for as long as the process lives.
-pub async fn answer(node: Rc<Node>, listener: TcpListener) {
-    small_server::serve(listener, move |req| page(&node, req)).await;
+/// Serves the endpoint for as long as the process lives.
+pub async fn serve(node: Rc<Node>, listener: TcpListener) {
+    page_server::serve(listener, move |req| page(&node, req)).await;
 }
 
 fn page(node: &Node, req: &Request<Incoming>) -> Page {
--- a/fireflydirect/src/reload.rs
+++ b/fireflydirect/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reading the settings file again: on a signal, or when it has changed without one.
+//! Reloading of the settings file, on SIGHUP or when its content has changed.
 
 use crate::node::Node;
 use crate::settings::Settings;
@@ -6,10 +6,10 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Time between two looks at the file.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+/// Interval between two checks of the file's content.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Follows the file for as long as the process lives; a faulty file changes nothing.
+/// Reloads the file for as long as the process lives; an invalid file changes nothing.
 pub async fn follow(node: Rc<Node>, settings: Settings) {
     let mut hang_up = match signal(SignalKind::hangup()) {
         Ok(signal) => signal,
@@ -22,7 +22,7 @@
     loop {
         let signalled = tokio::select! {
             _ = hang_up.recv() => true,
-            () = tokio::time::sleep(LOOK_EVERY) => false,
+            () = tokio::time::sleep(CHECK_INTERVAL) => false,
         };
         let now = std::fs::read(&settings.file).unwrap_or_default();
         if signalled || now != text {
@@ -36,7 +36,7 @@
     match settings.read_place() {
         Ok(place) => {
             log::info!(event = "reloaded", signalled = signalled; "");
-            let mut budget = node.budget.borrow_mut();
+            let mut budget = node.retry_budget.borrow_mut();
             budget.set_limits(place.bounds.repeats);
         }
         Err(e) => {
--- /dev/null
+++ b/fireflydirect/src/returning_callers.rs
@@ -0,0 +1,40 @@
+//! Detection of callers who were refused before, by this entry or another one.
+
+use crate::job::Job;
+use crate::owner_queries;
+use fireflycroft::{ArrivalKind, Mechanism, OwnedKey, OwnerQueryBody};
+
+/// Returns whether the caller is a new or returning one, as far as is known here.
+#[must_use]
+pub fn arrival_kind(job: &Job) -> ArrivalKind {
+    let waited = job
+        .node
+        .returning_callers
+        .borrow()
+        .waited(job.arrival, job.content);
+    ArrivalKind::after(waited.filter(|_| is_enabled(job)), job.route.objective)
+}
+
+/// Queries the owners of the request for an earlier refusal of its caller; returns true if there
+/// was one.
+pub async fn query_owners(job: &Job) -> bool {
+    if !is_enabled(job) || arrival_kind(job) != ArrivalKind::First {
+        return false;
+    }
+    let key = OwnedKey::of_content(job.content);
+    let owners: Vec<_> = job
+        .node
+        .peers
+        .borrow()
+        .other_owners(job.now(), key)
+        .collect();
+    let queries = owners
+        .into_iter()
+        .map(|o| (o, OwnerQueryBody::Refused(job.content)));
+    owner_queries::query_owners(&job.node, queries).await;
+    arrival_kind(job) != ArrivalKind::First
+}
+
+fn is_enabled(job: &Job) -> bool {
+    job.node.policy.uses(Mechanism::Returns)
+}
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -1,12 +1,12 @@
 //! Admits, runs and answers callers' requests.
 
 use crate::answer::{Answer, close_after, error_answer, relayed_answer, whole_body};
-use crate::beginning::until_begun;
 use crate::call::{Reply, obtain};
 use crate::crash;
 use crate::generation::relay;
 use crate::job::Job;
 use crate::node::{Node, Stage};
+use crate::startup_wait::until_loaded;
 use bytes::Bytes;
 use fireflycroft::{
     Catalog, Code, Digest, Mechanism, Name, RequestHead, RouteSpec, STARTUP_RETRY_AFTER, Time,
@@ -58,11 +58,11 @@
         Err(refused) => {
             log::warn!(
                 event = "refused", req = &*request_id, code = refused.code.number(),
-                version = node.version(), stage = format!("{:?}", node.stage());
+                version = node.config_version(), stage = format!("{:?}", node.stage());
                 ""
             );
             let age = node.now().since(arrival);
-            node.metrics.note_answer(None, refused.code, age);
+            node.metrics.record_answer(None, refused.code, age);
             error_answer(refused.code, refused.retry_after)
         }
     };
@@ -80,7 +80,7 @@
         Reply::Error(code, _) => (*code, code.status()),
     };
     let kind = Some(job.route.kind);
-    job.node.metrics.note_answer(kind, code, job.age());
+    job.node.metrics.record_answer(kind, code, job.age());
     // When log lines have to be dropped, failures are kept in preference to successes.
     let level = if code == Code::Ok && status < 500 {
         log::Level::Info
@@ -111,7 +111,7 @@
     if node.stage() == Stage::Closing {
         return Err(refusal_with_retry(Code::Leaving, STARTUP_RETRY_AFTER));
     }
-    until_begun(node, head.deadline).await;
+    until_loaded(node, head.deadline).await;
     let catalog = node.catalog.borrow().clone();
     let catalog = catalog.ok_or_else(|| {
         let age = if node.policy.uses(Mechanism::Outage) {
@@ -134,7 +134,7 @@
     if crash::is_refused(node, content) {
         return Err(refusal_with_retry(Code::Overloaded, QUARANTINE_RETRY_AFTER));
     }
-    node.budget
+    node.retry_budget
         .borrow_mut()
         .record_request(node.now(), &service);
     let engine = catalog.service(&service).and_then(|s| s.engine);
@@ -180,7 +180,7 @@
         return 0.0;
     }
     let prompt = u64::from(size.prompt_tokens);
-    let mut densities = job.node.yields.borrow_mut();
+    let mut densities = job.node.value_densities.borrow_mut();
     densities.record(&job.route.name, prompt, job.expected_tokens())
 }
 
--- a/fireflydirect/src/state_page.rs
+++ b/fireflydirect/src/state_page.rs
@@ -1,10 +1,10 @@
-//! What an entry shows other entries and operators over HTTP.
+//! HTTP endpoints for other entries and operators.
 
-use crate::config_history::ConfigHandover;
+use crate::config_history::ConfigPayload;
 use crate::metrics::METRICS_PATH;
 use crate::node::Node;
 use crate::overview::{OVERVIEW_PATH, overview};
-use crate::small_server::{self, Page, empty};
+use crate::page_server::{self, Page, empty};
 use fireflycroft::{Name, UpstreamRecord};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -17,43 +17,46 @@
 /// Path of the state that other entries fetch.
 pub const STATE_PATH: &str = "/fleet/state";
 
-/// Configuration and upstreams as the platform's store held them.
+/// Configuration and upstreams as held by the platform's store.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct PeerState {
-    /// Configuration in force, if the asker's is older and it can be handed over.
+    /// Active configuration, if the requester's is older and it can be sent.
     #[serde(default)]
-    pub config: Option<ConfigHandover>,
-    /// Upstreams known that are newer than the revision asked from.
+    pub config: Option<ConfigPayload>,
+    /// Upstreams newer than the requested revision.
     pub upstreams: Vec<UpstreamRecord>,
-    /// Upstreams known before that only said since that they leave, with the revision.
+    /// Upstreams known at that revision that have since only announced their departure, with the
+    /// revision of that.
     #[serde(default)]
     pub leaving: Vec<(Name, u64)>,
-    /// Upstreams that were removed since that revision, with the revision of their removal.
+    /// Upstreams removed since that revision, with the revisions of their removal.
     pub removed: Vec<(Name, u64)>,
-    /// Whether all upstreams are in it.
+    /// Whether all upstreams are included.
     pub is_whole: bool,
     /// Revision of the list of upstreams.
     pub revision: u64,
-    /// Revision up to which every change of it is known.
+    /// Revision up to which every change of the list is known.
     #[serde(default)]
     pub complete_to: u64,
-    /// Digest of that list.
+    /// Digest of the list.
     pub digest: u64,
-    /// Whether the store has answered for so long that what the list lacks is gone.
-    pub sure: bool,
-    /// Entries that live, as far as the sender knows.
+    /// Whether the store has been connected for long enough that an upstream absent from the list
+    /// has left.
+    #[serde(rename = "sure")]
+    pub confirmed: bool,
+    /// Available entries, as far as the sender knows.
     #[serde(default)]
     pub entries: Vec<Ipv4Addr>,
 }
 
-/// Answers for as long as the process lives.
-pub async fn answer(node: Rc<Node>, listener: TcpListener) {
-    small_server::serve(listener, move |req| page(&node, req)).await;
+/// Serves the endpoints for as long as the process lives.
+pub async fn serve(node: Rc<Node>, listener: TcpListener) {
+    page_server::serve(listener, move |req| page(&node, req)).await;
 }
 
 fn page(node: &Node, req: &Request<Incoming>) -> Page {
     match req.uri().path() {
-        STATE_PATH => as_json(&state(node, &asked(req))),
+        STATE_PATH => as_json(&peer_state(node, &parse_query(req))),
         OVERVIEW_PATH => as_json(&overview(node)),
         METRICS_PATH => match node.metrics.render(node) {
             Ok(text) => Response::new(Full::from(text)),
@@ -76,36 +79,36 @@
     }
 }
 
-/// What the asker knows already, as the query says.
-pub struct Asked {
-    /// Version of the configuration.
+/// State that the requester knows already.
+pub struct StateQuery {
+    /// Version of its configuration.
     pub config: u64,
-    /// Revision at which the store holds that.
+    /// Revision of that configuration in the store.
     pub config_revision: u64,
-    /// Whether the configuration is wanted whole, however large it is.
+    /// Whether the complete configuration is requested, however large it is.
     pub whole_config: bool,
     /// Revision up to which every change of the list of upstreams is known.
     pub upstreams: u64,
 }
 
-/// Path and query of a state for one who knows so much.
+/// Returns the path and query string for a state query.
 #[must_use]
-pub fn state_path(asked: &Asked) -> String {
-    let whole = u8::from(asked.whole_config);
+pub fn state_path(query: &StateQuery) -> String {
+    let whole = u8::from(query.whole_config);
     format!(
         "{STATE_PATH}?config={}&config_revision={}&whole_config={whole}&upstreams={}",
-        asked.config, asked.config_revision, asked.upstreams
+        query.config, query.config_revision, query.upstreams
     )
 }
 
-fn asked(req: &Request<Incoming>) -> Asked {
+fn parse_query(req: &Request<Incoming>) -> StateQuery {
     let query = req.uri().query().unwrap_or_default();
     let number = |name: &str| {
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         let value = pairs.find(|(n, _)| *n == name).map(|(_, value)| value);
         value.and_then(|v| v.parse().ok()).unwrap_or(0)
     };
-    Asked {
+    StateQuery {
         config: number("config"),
         config_revision: number("config_revision"),
         whole_config: number("whole_config") > 0,
@@ -113,22 +116,22 @@
     }
 }
 
-fn state(node: &Node, asked: &Asked) -> PeerState {
+fn peer_state(node: &Node, query: &StateQuery) -> PeerState {
     let pool = node.pool.borrow();
-    let changes = pool.since(asked.upstreams);
-    let newer = node.version() > asked.config;
+    let changes = pool.since(query.upstreams);
+    let newer = node.config_version() > query.config;
     let configs = node.configs.borrow();
-    let config = configs.since(asked.config_revision, asked.whole_config);
+    let config = configs.payload_since(query.config_revision, query.whole_config);
     PeerState {
         config: config.filter(|_| newer),
         upstreams: changes.listed,
         leaving: changes.leaving,
         removed: changes.removed,
-        is_whole: asked.upstreams == 0,
+        is_whole: query.upstreams == 0,
         revision: pool.revision(),
         complete_to: pool.complete_to(),
         digest: pool.digest(),
-        sure: node.follows_store(),
-        entries: node.peers.borrow().living(node.now()),
+        confirmed: node.has_settled_list(),
+        entries: node.peers.borrow().available(node.now()),
     }
 }
