--- a/fireflydirect/src/answer.rs
+++ b/fireflydirect/src/answer.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use fireflycroft::{Class, Code};
-use fireflycroft_platform::answer_headers;
+use fireflycroft_platform::response_headers;
 use http_body_util::Full;
 use hyper::body::Body;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderName, HeaderValue, RETRY_AFTER};
@@ -45,7 +45,7 @@
 pub fn relayed(parts: &Parts, body: AnswerBody) -> Answer {
     let mut answer = Response::new(body);
     *answer.status_mut() = parts.status;
-    *answer.headers_mut() = answer_headers(&parts.headers);
+    *answer.headers_mut() = response_headers(&parts.headers);
     answer
 }
 
--- a/fireflydirect/src/exchange.rs
+++ b/fireflydirect/src/exchange.rs
@@ -5,7 +5,7 @@
 use crate::links::Link;
 use bytes::Bytes;
 use fireflycroft::{Dispatch, MemoryCopy, ResponseHead, RunClaim, UpstreamIx};
-use fireflycroft_platform::{read_answer_head, upstream_headers};
+use fireflycroft_platform::{read_response_head, upstream_headers};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::Request;
 use hyper::body::Incoming;
@@ -116,7 +116,7 @@
         }
     };
     let (parts, body) = response.into_parts();
-    let head = read_answer_head(parts.status, &parts.headers, &job.request_id);
+    let head = read_response_head(parts.status, &parts.headers, &job.request_id);
     if !head.is_own {
         return Err(Unanswered::Lost("an answer to another request".to_owned()));
     }
--- a/fireflydirect/src/feed.rs
+++ b/fireflydirect/src/feed.rs
@@ -15,7 +15,7 @@
 use crate::store_call::{StoreCall, page_path};
 use fireflycroft::{HedgedCall, Mechanism, Name, era_of};
 use fireflycroft_platform::{
-    Kind, StoreFault, StoreObject, StorePage, read_era, read_events, read_page, watch_path,
+    Kind, StoreError, StoreObject, StorePage, read_era, read_events, read_page, watch_path,
 };
 use std::cell::Cell;
 use std::rc::Rc;
@@ -174,7 +174,7 @@
         let after = listing.last();
         let path = page_path(call, self.kind, after.as_deref());
         let page = self.get_page(call, &path).await?;
-        self.intake.note_nameless(page.nameless);
+        self.intake.note_nameless(page.unnamed);
         // What is read of a list that can't be read to its end holds all the same.
         self.intake.take_objects(&page.objects);
         let more = page.more;
@@ -318,7 +318,7 @@
                     let read = read.in_era(era_of(revision));
                     self.heard();
                     revision = read.revision;
-                    self.intake.note_nameless(read.nameless);
+                    self.intake.note_nameless(read.unnamed);
                     let any = !read.events.is_empty();
                     self.intake.take_events(read.events, revision);
                     if self.kind == Kind::Upstreams {
@@ -328,9 +328,9 @@
                         self.gather().await;
                     }
                 }
-                Err(Some(StoreFault::HistoryGone)) => return,
+                Err(Some(StoreError::HistoryGone)) => return,
                 // What changed is in the list as well, one object at a time.
-                Err(Some(StoreFault::Malformed)) => {
+                Err(Some(StoreError::Malformed)) => {
                     self.rest("the changes can't be read").await;
                     return;
                 }
--- a/fireflydirect/src/mover.rs
+++ b/fireflydirect/src/mover.rs
@@ -9,7 +9,7 @@
 use crate::runs::{Refuge, Run};
 use bytes::Bytes;
 use fireflycroft::{DepartureAction, Mechanism, Need, UpstreamIx, departure_action};
-use fireflycroft_platform::{MoveOutcome, move_call, read_move};
+use fireflycroft_platform::{MigrationOutcome, migration_call, read_migration};
 use http_body_util::Full;
 use hyper::Request;
 use hyper::header::{CONTENT_TYPE, HOST, HeaderValue};
@@ -128,8 +128,8 @@
             wait_for_calm(node, from).await;
         }
         match copy(node, from, to, run, stop).await {
-            MoveOutcome::Copied(_) if !stop => {}
-            MoveOutcome::Copied(memory) => {
+            MigrationOutcome::Copied(_) if !stop => {}
+            MigrationOutcome::Copied(memory) => {
                 say(node, run, from, Some(to), "moved");
                 *run.refuge.borrow_mut() = Some(Refuge {
                     placed,
@@ -138,7 +138,7 @@
                 });
                 return Target::Settled;
             }
-            MoveOutcome::NoRoom(Some(memory)) if stop => {
+            MigrationOutcome::NoCapacity(Some(memory)) if stop => {
                 say(node, run, from, Some(to), "stopped, kept at the source");
                 let placed = node.place(from, run.need.get());
                 *run.refuge.borrow_mut() = Some(Refuge {
@@ -148,7 +148,7 @@
                 });
                 return Target::Settled;
             }
-            MoveOutcome::NoRoom(_) => {
+            MigrationOutcome::NoCapacity(_) => {
                 say(node, run, from, Some(to), "no room");
                 return Target::HasNoRoom;
             }
@@ -180,7 +180,7 @@
     to: UpstreamIx,
     run: &Run,
     stop: bool,
-) -> MoveOutcome {
+) -> MigrationOutcome {
     let calling = call(node, from, to, run, stop);
     let answer = tokio::time::timeout(COPY_TIMEOUT, calling).await;
     match answer {
@@ -188,9 +188,9 @@
         Ok(Err(e)) => {
             let why = e.to_string();
             log::warn!(event = "move_failed", req = &*run.request_id, why = why; "");
-            MoveOutcome::Malformed
+            MigrationOutcome::Malformed
         }
-        Err(_) => MoveOutcome::Malformed,
+        Err(_) => MigrationOutcome::Malformed,
     }
 }
 
@@ -200,13 +200,13 @@
     to: UpstreamIx,
     run: &Run,
     stop: bool,
-) -> anyhow::Result<MoveOutcome> {
+) -> anyhow::Result<MigrationOutcome> {
     let (source, target) = {
         let pool = node.pool.borrow();
         (pool.record(from).clone(), pool.record(to).addr)
     };
     node.pool.borrow_mut().record_sending(node.now(), from);
-    let (path, body) = move_call(&run.request_id, target, stop);
+    let (path, body) = migration_call(&run.request_id, target, stop);
     let mut link = node
         .links
         .get(&source.life(), source.addr, COPY_TIMEOUT)
@@ -217,7 +217,7 @@
         .body(Full::new(Bytes::from(body)))?;
     let answered = call_whole(&mut link, req).await?;
     node.links.put_back(&source.life(), link, None);
-    Ok(read_move(source.addr, answered.status, &answered.body))
+    Ok(read_migration(source.addr, answered.status, &answered.body))
 }
 
 fn say(node: &Node, run: &Run, from: UpstreamIx, to: Option<UpstreamIx>, outcome: &str) {
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -15,7 +15,7 @@
     PoolChange, Quarantine, QueryBudget, Refusal, Regions, ReturningCallers, SharedRetryBudget,
     Time, UpstreamIx, ValueDensities, WatcherRole,
 };
-use fireflycroft_platform::{Place, StoreObject};
+use fireflycroft_platform::{PlatformSettings, StoreObject};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -34,14 +34,14 @@
 }
 
 /// Whether an entry watches the store from its start on: the seeds do, which all others know.
-fn begins_to_watch(place: &Place) -> bool {
+fn begins_to_watch(place: &PlatformSettings) -> bool {
     place.seeds.is_empty() || place.seeds.iter().any(|seed| seed.ip() == place.ip)
 }
 
 /// One process.
 pub struct Node {
     /// Where it runs.
-    pub place: Place,
+    pub place: PlatformSettings,
     /// Mechanisms that are on.
     pub policy: Policy,
     /// Its clock.
@@ -129,7 +129,7 @@
     /// # Errors
     ///
     /// When two metrics have one name.
-    pub fn new(place: Place, policy: Policy) -> anyhow::Result<Self> {
+    pub fn new(place: PlatformSettings, policy: Policy) -> anyhow::Result<Self> {
         let clock = Clock::start();
         let mut pool = Pool::new(place.data_centre.clone());
         pool.set_policy(policy);
@@ -139,10 +139,10 @@
             pool.set_heartbeat(heartbeat);
         }
         pool.set_fleet(FleetView::unknown(place.ip));
-        if let Some(limits) = place.bounds.cold {
+        if let Some(limits) = place.bounds.cold_limits {
             pool.set_cold_limits(&place.vm, limits);
         }
-        let budget = SharedRetryBudget::new(place.bounds.repeats);
+        let budget = SharedRetryBudget::new(place.bounds.retry_limits);
         let peers = Peers::new(&place);
         let metrics = Metrics::new()?;
         Ok(Self {
--- a/fireflydirect/src/peers.rs
+++ b/fireflydirect/src/peers.rs
@@ -13,7 +13,7 @@
     CrashCount, Digest, EntryAnnouncement, Incarnation, Name, OwnedKey, PeerOverview, Time,
     WATCHERS, WatcherView, owners_of, whole_millis,
 };
-use fireflycroft_platform::Place;
+use fireflycroft_platform::PlatformSettings;
 use rand::Rng;
 use rand::seq::IndexedRandom;
 use std::cell::Cell;
@@ -161,7 +161,7 @@
 impl Peers {
     /// Knows the seeds of the settings only.
     #[must_use]
-    pub fn new(place: &Place) -> Self {
+    pub fn new(place: &PlatformSettings) -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         let millis = unix.map_or(0, whole_millis);
         let seeds = place.seeds.iter().filter_map(|s| v4(s.ip()));
--- a/fireflydirect/src/process.rs
+++ b/fireflydirect/src/process.rs
@@ -39,7 +39,7 @@
     let version = env!("CARGO_PKG_VERSION");
     log::info!(
         event = "started", vm = &*node.place.vm, data_centre = &*node.place.data_centre,
-        callers = node.place.callers.to_string(), program_version = version,
+        callers = node.place.caller_addr.to_string(), program_version = version,
         without = settings.without();
         ""
     );
@@ -56,15 +56,15 @@
         .await
         .with_context(|| format!("binding {peer_addr}"))?;
     let peer_listener = bind(peer_addr).await?;
-    let readiness = bind(place.readiness).await?;
-    let callers = bind(place.callers).await?;
-    if let Some(operators) = place.operators {
+    let readiness = bind(place.readiness_addr).await?;
+    let callers = bind(place.caller_addr).await?;
+    if let Some(operators) = place.operator_addr {
         let listener = bind(operators).await?;
         spawn_local(state_page::answer(node.clone(), listener));
     }
     spawn_local(feed::follow(node.clone(), Kind::Config));
     spawn_local(feed::follow(node.clone(), Kind::Upstreams));
-    if node.place.bounds.evacuate.is_some() {
+    if node.place.bounds.evacuation_timeout.is_some() {
         spawn_local(feed::follow(node.clone(), Kind::Evacuations));
     }
     let peer_socket = Rc::new(peer_socket);
--- a/fireflydirect/src/reload.rs
+++ b/fireflydirect/src/reload.rs
@@ -37,7 +37,7 @@
         Ok(place) => {
             log::info!(event = "reloaded", signalled = signalled; "");
             let mut budget = node.budget.borrow_mut();
-            budget.set_limits(place.bounds.repeats);
+            budget.set_limits(place.bounds.retry_limits);
         }
         Err(e) => {
             let why = format!("{e:#}");
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -12,7 +12,7 @@
     Catalog, Code, Digest, Mechanism, Name, RequestHead, RouteSpec, STARTUP_RETRY_AFTER, Time,
     WorkspaceSpec, unconfigured_retry_after,
 };
-use fireflycroft_platform::read_ask;
+use fireflycroft_platform::read_request_head;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::header::HOST;
@@ -51,7 +51,7 @@
 pub async fn serve(node: Rc<Node>, req: Request<Incoming>) -> Answer {
     let arrival = node.now();
     let (parts, body) = req.into_parts();
-    let ask = read_ask(&parts.headers);
+    let ask = read_request_head(&parts.headers);
     let request_id = ask.request_id.clone().unwrap_or_default();
     let mut answer = match admit(&node, arrival, parts, ask, body).await {
         Ok(job) => run(Rc::new(job)).await,
--- a/fireflydirect/src/settings.rs
+++ b/fireflydirect/src/settings.rs
@@ -3,7 +3,7 @@
 use anyhow::Context;
 use clap::{Arg, ArgAction, Command};
 use fireflycroft::{Mechanism, Policy};
-use fireflycroft_platform::{Place, SETTINGS_ENV, read_settings};
+use fireflycroft_platform::{PlatformSettings, SETTINGS_ENV, read_settings};
 use std::ffi::OsString;
 use std::path::PathBuf;
 
@@ -62,7 +62,7 @@
     /// # Errors
     ///
     /// When it can't be read, or a field is missing or of another type.
-    pub fn read_place(&self) -> anyhow::Result<Place> {
+    pub fn read_place(&self) -> anyhow::Result<PlatformSettings> {
         let file = self.file.display();
         let text = std::fs::read(&self.file).with_context(|| format!("reading {file}"))?;
         read_settings(&text).with_context(|| format!("settings in {file}"))
--- a/fireflydirect/src/store_call.rs
+++ b/fireflydirect/src/store_call.rs
@@ -1,6 +1,6 @@
 //! Calls of the platform's store, by what they cost.
 
-use fireflycroft_platform::{Kind, copy_path, list_path};
+use fireflycroft_platform::{Kind, list_path, replica_path};
 
 /// What a call of the store asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 #[must_use]
 pub fn page_path(call: StoreCall, kind: Kind, after: Option<&str>) -> String {
     match call {
-        StoreCall::Copy => copy_path(kind, after),
+        StoreCall::Copy => replica_path(kind, after),
         StoreCall::List | StoreCall::Watch => list_path(kind, after),
     }
 }
