--- a/fireflycroft-wire/src/decode.rs
+++ b/fireflycroft-wire/src/decode.rs
@@ -326,7 +326,7 @@
     };
     let ends = chunk.offset.checked_add(chunk.count()).is_some();
     if !ends || !chunk.is_consistent() {
-        return Err(WireError::UnsoundChunk);
+        return Err(WireError::InconsistentChunk);
     }
     Ok(chunk)
 }
--- a/fireflycroft-wire/src/encode.rs
+++ b/fireflycroft-wire/src/encode.rs
@@ -95,14 +95,14 @@
 }
 
 fn body(message: &Message) -> pb::Body {
-    let kind = reserving(message)
-        .or_else(|| reading(message))
-        .or_else(|| fleet(message));
+    let kind = reservation_message(message)
+        .or_else(|| generation_message(message))
+        .or_else(|| fleet_message(message));
     pb::Body { kind }
 }
 
 /// Messages up to the start.
-fn reserving(message: &Message) -> Option<Kind> {
+fn reservation_message(message: &Message) -> Option<Kind> {
     Some(match message {
         Message::Offer {
             request,
@@ -164,7 +164,7 @@
 }
 
 /// Messages about a generation that runs.
-fn reading(message: &Message) -> Option<Kind> {
+fn generation_message(message: &Message) -> Option<Kind> {
     Some(match message {
         Message::Attach {
             reader,
@@ -220,7 +220,7 @@
 }
 
 /// Messages about the fleet itself.
-fn fleet(message: &Message) -> Option<Kind> {
+fn fleet_message(message: &Message) -> Option<Kind> {
     Some(match message {
         Message::Crashes { content, count } => Kind::Crashes(pb::Crashes {
             content: id_bytes(content.0),
--- /dev/null
+++ b/fireflycroft-wire/src/entry_announcement.rs
@@ -0,0 +1,184 @@
+//! News of direct entries, to messages and back.
+
+use crate::error::WireError;
+use crate::field::{addr_bytes, id_bytes, read_addr, read_all, read_digest, read_name};
+use crate::generated as pb;
+use crate::owner_messages::{life, read_life};
+use fireflycroft::{
+    CrashCount, EntryAnnouncement, Evacuations, Incarnation, ListChange, RateLimit, RetryCount,
+    ToldRate, UpstreamRecord, UpstreamState,
+};
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+pub(crate) fn announcement(announcement: &EntryAnnouncement) -> pb::EntryNews {
+    pb::EntryNews {
+        name: announcement.name.to_string(),
+        incarnation: announcement.incarnation.0,
+        config: announcement.config,
+        entries: announcement.entries,
+        upstreams: announcement.upstreams,
+        watches: announcement.watches,
+        store_age_ms: announcement.store_age.map(millis),
+        upstreams_digest: announcement.upstreams_digest,
+        upstreams_complete: announcement.upstreams_complete,
+        data_centre: announcement.data_centre.to_string(),
+        list_changes: announcement.list_changes.iter().map(list_change).collect(),
+        repeats: announcement.retries.iter().map(retry_count).collect(),
+        crashes: announcement.crashes.iter().map(crash_count).collect(),
+        peers: announcement.peers.iter().map(|ip| ip.to_bits()).collect(),
+        leaving: announcement.leaving,
+        evacuations: Some(evacuations(&announcement.evacuations)),
+        rate_limits: announcement.rate_limits.iter().map(rate_limit).collect(),
+        said_leaving: announcement.departing.iter().map(life).collect(),
+    }
+}
+
+pub(crate) fn read_announcement(
+    announcement: &pb::EntryNews,
+) -> Result<EntryAnnouncement, WireError> {
+    let peers = announcement.peers.iter().copied();
+    Ok(EntryAnnouncement {
+        name: read_name(&announcement.name, "news.name")?,
+        incarnation: Incarnation(announcement.incarnation),
+        config: announcement.config,
+        entries: announcement.entries,
+        upstreams: announcement.upstreams,
+        watches: announcement.watches,
+        store_age: announcement
+            .store_age_ms
+            .map(|ms| Duration::from_millis(ms.into())),
+        upstreams_digest: announcement.upstreams_digest,
+        upstreams_complete: announcement.upstreams_complete,
+        data_centre: read_name(&announcement.data_centre, "news.data_centre")?,
+        list_changes: read_all(&announcement.list_changes, read_list_change)?,
+        retries: read_all(&announcement.repeats, read_retry_count)?,
+        crashes: read_all(&announcement.crashes, read_crash_count)?,
+        peers: peers.map(Ipv4Addr::from_bits).collect(),
+        leaving: announcement.leaving,
+        evacuations: announcement
+            .evacuations
+            .as_ref()
+            .map(read_evacuations)
+            .transpose()?
+            .unwrap_or_default(),
+        rate_limits: read_all(&announcement.rate_limits, read_rate_limit)?,
+        departing: read_all(&announcement.said_leaving, read_life)?,
+    })
+}
+
+fn rate_limit(rate_limit: &ToldRate) -> pb::ToldRate {
+    pb::ToldRate {
+        life: Some(life(&rate_limit.life)),
+        thousandths: rate_limit.limit.map(RateLimit::thousandths),
+        age_ms: millis(rate_limit.age),
+    }
+}
+
+fn read_rate_limit(rate_limit: &pb::ToldRate) -> Result<ToldRate, WireError> {
+    let life = rate_limit.life.as_ref();
+    Ok(ToldRate {
+        life: read_life(life.ok_or(WireError::Missing("rate_limits.life"))?)?,
+        limit: rate_limit.thousandths.map(RateLimit::from_thousandths),
+        age: Duration::from_millis(rate_limit.age_ms.into()),
+    })
+}
+
+fn evacuations(evacuations: &Evacuations) -> pb::Evacuations {
+    let data_centres = evacuations.data_centres.iter();
+    pb::Evacuations {
+        revision: evacuations.revision,
+        data_centres: data_centres.map(ToString::to_string).collect(),
+    }
+}
+
+fn read_evacuations(evacuations: &pb::Evacuations) -> Result<Evacuations, WireError> {
+    let read = |name: &String| read_name(name, "evacuations.data_centres");
+    let data_centres = read_all(&evacuations.data_centres, read)?;
+    Ok(Evacuations {
+        revision: evacuations.revision,
+        data_centres: data_centres.into_iter().collect(),
+    })
+}
+
+/// Whole milliseconds of `span`, at most what the field holds.
+pub(crate) fn millis(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
+}
+
+fn list_change(change: &ListChange) -> pb::ListChange {
+    match change {
+        ListChange::Listed(record) => pb::ListChange {
+            instance: record.instance.to_string(),
+            revision: record.revision,
+            removed: false,
+            service: record.service.to_string(),
+            addr: addr_bytes(record.addr),
+            data_centre: record.data_centre.to_string(),
+            slots: record.slots,
+            leaving: record.state == UpstreamState::Leaving,
+            unreadable: record.state == UpstreamState::Unreadable,
+            incarnation: record.incarnation.0,
+            cold_ms: millis(record.cold_for),
+        },
+        ListChange::Removed { instance, revision } => pb::ListChange {
+            instance: instance.to_string(),
+            revision: *revision,
+            removed: true,
+            ..pb::ListChange::default()
+        },
+    }
+}
+
+fn read_list_change(change: &pb::ListChange) -> Result<ListChange, WireError> {
+    let instance = read_name(&change.instance, "list_change.instance")?;
+    let revision = change.revision;
+    if change.removed {
+        return Ok(ListChange::Removed { instance, revision });
+    }
+    Ok(ListChange::Listed(UpstreamRecord {
+        instance,
+        incarnation: Incarnation(change.incarnation),
+        service: read_name(&change.service, "list_change.service")?,
+        addr: read_addr(&change.addr)?,
+        data_centre: read_name(&change.data_centre, "list_change.data_centre")?,
+        slots: change.slots,
+        state: match (change.unreadable, change.leaving) {
+            (true, _) => UpstreamState::Unreadable,
+            (false, true) => UpstreamState::Leaving,
+            (false, false) => UpstreamState::Serving,
+        },
+        cold_for: Duration::from_millis(u64::from(change.cold_ms)),
+        revision,
+    }))
+}
+
+fn retry_count(count: &RetryCount) -> pb::RepeatCount {
+    pb::RepeatCount {
+        service: count.service.to_string(),
+        requests: count.requests,
+        repeats: count.retries,
+    }
+}
+
+fn read_retry_count(count: &pb::RepeatCount) -> Result<RetryCount, WireError> {
+    Ok(RetryCount {
+        service: read_name(&count.service, "repeats.service")?,
+        requests: count.requests,
+        retries: count.repeats,
+    })
+}
+
+fn crash_count(crash_count: &CrashCount) -> pb::CrashCount {
+    pb::CrashCount {
+        content: id_bytes(crash_count.content.0),
+        count: u32::from(crash_count.count),
+    }
+}
+
+fn read_crash_count(crash_count: &pb::CrashCount) -> Result<CrashCount, WireError> {
+    Ok(CrashCount {
+        content: read_digest(&crash_count.content, "crash.content")?,
+        count: u8::try_from(crash_count.count).map_err(|_| WireError::BadValue("crash.count"))?,
+    })
+}
--- a/fireflycroft-wire/src/error.rs
+++ b/fireflycroft-wire/src/error.rs
@@ -18,7 +18,7 @@
     /// A number is out of range, or names nothing that is known here.
     BadValue(&'static str),
     /// A chunk's lengths do not add up, or its numbers run over.
-    UnsoundChunk,
+    InconsistentChunk,
     /// Something is over its bound.
     TooLong(&'static str),
     /// One message was asked for, and the packet holds another number.
@@ -44,7 +44,7 @@
             Self::BadAddress => f.write_str("bad address"),
             Self::BadId(field) => write!(f, "bad id in {field}"),
             Self::BadValue(field) => write!(f, "bad value in {field}"),
-            Self::UnsoundChunk => f.write_str("unsound chunk"),
+            Self::InconsistentChunk => f.write_str("unsound chunk"),
             Self::TooLong(field) => write!(f, "{field} too long"),
             Self::NotSingle(count) => write!(f, "{count} messages in place of one"),
         }
--- a/fireflycroft-wire/src/field.rs
+++ b/fireflycroft-wire/src/field.rs
@@ -15,8 +15,8 @@
 const PORT_BYTES: usize = 2;
 
 /// Whole microseconds of `span`, at most what the field holds.
-pub(crate) fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+pub(crate) fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
 /// Bytes of an identifier or digest.
--- a/fireflycroft-wire/src/lib.rs
+++ b/fireflycroft-wire/src/lib.rs
@@ -7,15 +7,15 @@
 
 mod decode;
 mod encode;
+mod entry_announcement;
 mod entry_message;
-mod entry_news;
 mod error;
 mod field;
 #[rustfmt::skip]
 #[allow(missing_docs, unreachable_pub, clippy::all, clippy::pedantic)]
 mod generated;
 mod limits;
-mod owner_news;
+mod owner_messages;
 
 pub use decode::{Header, decode, decode_all};
 pub use encode::{encode, encode_all, encode_into};
--- a/fireflycroft-wire/src/owner_news.rs
+++ b/fireflycroft-wire/src/owner_messages.rs
@@ -1,6 +1,6 @@
 //! What direct entries tell owners and ask them, to messages and back.
 
-use crate::entry_news::millis_of;
+use crate::entry_announcement::millis;
 use crate::error::WireError;
 use crate::field::{check_count, id_bytes, read_all, read_digest, read_name};
 use crate::generated as pb;
@@ -17,7 +17,7 @@
 const MAX_PACE: u64 = 1 << 37;
 
 /// Most requests or tokens of memory placed on an upstream, so that sums can't overflow.
-const MAX_PLACED: u64 = 1 << 20;
+const MAX_RUNNING: u64 = 1 << 20;
 const MAX_TOKENS: u64 = 1 << 37;
 
 pub(crate) fn report(report: &OwnerReport) -> pb::OwnerReport {
@@ -88,7 +88,7 @@
         }),
         OwnerReplyBody::Refused { content, age } => Answer::Refused(pb::Refused {
             content: id_bytes(content.0),
-            age_ms: age.map(millis_of),
+            age_ms: age.map(millis),
         }),
     };
     pb::OwnerReply {
@@ -124,7 +124,7 @@
 fn refusal(refusal: &Refusal) -> pb::Refusal {
     pb::Refusal {
         content: id_bytes(refusal.content.0),
-        age_ms: millis_of(refusal.age),
+        age_ms: millis(refusal.age),
     }
 }
 
@@ -191,8 +191,8 @@
 
 /// Refuses work whose figures would overflow when summed.
 fn read_placed(at: &pb::PlacedAt) -> Result<PlacedAt, WireError> {
-    let most = at.tokens.max(at.copies).max(at.unread);
-    if u64::from(at.running) > MAX_PLACED || most > MAX_TOKENS {
+    let max_tokens = at.tokens.max(at.copies).max(at.unread);
+    if u64::from(at.running) > MAX_RUNNING || max_tokens > MAX_TOKENS {
         return Err(WireError::TooLong("placed"));
     }
     Ok(PlacedAt {
--- a/fireflycroft-wire/tests/entry_news.rs
+++ b/fireflycroft-wire/tests/entry_messages.rs
@@ -23,24 +23,24 @@
 }
 
 cases! {
-    news_come_back_as_they_were => comes_back(of_news(news()));
-    empty_news_come_back => comes_back(of_news(EntryAnnouncement::default()));
-    report_comes_back_as_it_was => comes_back(EntryMessage::Report(report()));
-    empty_report_comes_back => comes_back(EntryMessage::Report(OwnerReport::default()));
-    queries_come_back_as_they_were => queries().into_iter().for_each(comes_back);
-    replies_come_back_as_they_were => replies().into_iter().for_each(comes_back);
-    endless_datagram_is_refused => refuses_endless();
+    announcement_round_trip => round_trips(announcement_message(announcement()));
+    empty_announcement_round_trip => round_trips(announcement_message(EntryAnnouncement::default()));
+    report_round_trip => round_trips(EntryMessage::Report(report()));
+    empty_report_round_trip => round_trips(EntryMessage::Report(OwnerReport::default()));
+    query_round_trip => queries().into_iter().for_each(round_trips);
+    reply_round_trip => replies().into_iter().for_each(round_trips);
+    oversized_datagram_is_refused => refuses_oversized();
     crash_count_out_of_range_is_refused => refuses_count();
     load_that_would_overflow_a_sum_is_refused => refuses_huge_load();
     datagram_without_a_message_is_refused => assert_eq!(decode_datagram(&[]), Err(WireError::Missing("datagram.message")));
 }
 
-fn comes_back(message: EntryMessage) {
+fn round_trips(message: EntryMessage) {
     assert_eq!(decode_datagram(&encode_datagram(&message)), Ok(message));
 }
 
-fn of_news(news: EntryAnnouncement) -> EntryMessage {
-    EntryMessage::Announcement(Box::new(news))
+fn announcement_message(announcement: EntryAnnouncement) -> EntryMessage {
+    EntryMessage::Announcement(Box::new(announcement))
 }
 
 fn placed() -> PlacedAt {
@@ -81,12 +81,12 @@
 }
 
 fn queries() -> [EntryMessage; 3] {
-    let asks = [
+    let bodies = [
         OwnerQueryBody::Loads(vec![life()]),
         OwnerQueryBody::Retry(Name::from("s")),
         OwnerQueryBody::Refused(Digest(u128::MAX)),
     ];
-    asks.map(|body| {
+    bodies.map(|body| {
         EntryMessage::Query(OwnerQuery {
             entry: Name::from("front-a-1"),
             id: u64::MAX,
@@ -106,7 +106,7 @@
         content: Digest(3),
         age,
     };
-    let answers = [
+    let bodies = [
         OwnerReplyBody::Loads(vec![load]),
         OwnerReplyBody::Retry {
             service: Name::from("s"),
@@ -115,7 +115,7 @@
         refused(Some(Duration::from_millis(310))),
         refused(None),
     ];
-    answers.map(|body| {
+    bodies.map(|body| {
         EntryMessage::Reply(OwnerReply {
             entry: Name::from("front-a-2"),
             id: 7,
@@ -131,7 +131,7 @@
     assert_eq!(decode_datagram(&bytes), Err(WireError::TooLong("placed")));
 }
 
-fn news() -> EntryAnnouncement {
+fn announcement() -> EntryAnnouncement {
     EntryAnnouncement {
         name: Name::from("front-a-1"),
         incarnation: Incarnation(5),
@@ -191,7 +191,7 @@
     }
 }
 
-fn refuses_endless() {
+fn refuses_oversized() {
     let bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
     assert!(matches!(
         decode_datagram(&bytes),
@@ -204,11 +204,11 @@
     let mut crash = vec![0x0a, 16];
     crash.extend([0; 16]);
     crash.extend([0x10, 0xac, 0x02]);
-    let mut news = vec![0x3a, u8::try_from(crash.len()).unwrap()];
-    news.extend(crash);
+    let mut announcement = vec![0x3a, u8::try_from(crash.len()).unwrap()];
+    announcement.extend(crash);
     // Field 1 of the datagram, the news.
-    let mut bytes = vec![0x0a, u8::try_from(news.len()).unwrap()];
-    bytes.extend(news);
+    let mut bytes = vec![0x0a, u8::try_from(announcement.len()).unwrap()];
+    bytes.extend(announcement);
     assert!(matches!(
         decode_datagram(&bytes),
         Err(WireError::BadValue(_))
@@ -220,17 +220,17 @@
 
     /// Any bytes give a message or an error, never a panic.
     #[test]
-    fn any_bytes_are_borne(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn any_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode_datagram(&bytes);
     }
 
     /// A datagram that lost bytes on the way or had some changed is borne as well.
     #[test]
-    fn torn_messages_are_borne(which in 0_usize..9, len in 0_usize..200, at in 0_usize..200, byte: u8) {
-        let mut all = vec![of_news(news()), EntryMessage::Report(report())];
+    fn damaged_messages_never_panic(index in 0_usize..9, len in 0_usize..200, at in 0_usize..200, byte: u8) {
+        let mut all = vec![announcement_message(announcement()), EntryMessage::Report(report())];
         all.extend(queries());
         all.extend(replies());
-        let mut bytes = encode_datagram(&all[which]);
+        let mut bytes = encode_datagram(&all[index]);
         bytes.truncate(len);
         if let Some(b) = bytes.get_mut(at) {
             *b = byte;
--- a/fireflycroft-wire/tests/faults.rs
+++ b/fireflycroft-wire/tests/faults.rs
@@ -189,7 +189,7 @@
     unknown_role: raw(Some(RawPeer { role: UNKNOWN_ROLE, ..raw_peer() }), vec![])
         => WireError::BadValue("role"), MessageMalformed;
     short_digest: raw_crashes(15, 1) => WireError::BadId("crashes.content"), MessageMalformed;
-    wide_count: raw_crashes(16, 256) => WireError::BadValue("crashes.count"), MessageMalformed;
+    count_out_of_range: raw_crashes(16, 256) => WireError::BadValue("crashes.count"), MessageMalformed;
     unknown_code: raw_body(RawBody {
         refuse: Some(RawRefuse { request: vec![0; 16], code: UNKNOWN_CODE }),
         ..RawBody::default()
@@ -205,12 +205,12 @@
         }),
         ..RawBody::default()
     }) => WireError::Missing("work"), MessageMalformed;
-    lengths_over_data: tokens(chunk(0, b"ab", &[1, 2]))
-        => WireError::UnsoundChunk, MessageMalformed;
-    lengths_under_data: tokens(chunk(0, b"abc", &[1, 1]))
-        => WireError::UnsoundChunk, MessageMalformed;
-    numbers_run_over: tokens(chunk(u64::MAX, b"a", &[1]))
-        => WireError::UnsoundChunk, MessageMalformed;
+    lengths_exceed_data: tokens(chunk(0, b"ab", &[1, 2]))
+        => WireError::InconsistentChunk, MessageMalformed;
+    lengths_fall_short_of_data: tokens(chunk(0, b"abc", &[1, 1]))
+        => WireError::InconsistentChunk, MessageMalformed;
+    offset_overflows: tokens(chunk(u64::MAX, b"a", &[1]))
+        => WireError::InconsistentChunk, MessageMalformed;
     chunk_of_too_many_tokens: tokens(chunk(0, b"", &vec![0; MAX_CHUNK_TOKENS + 1]))
         => WireError::TooLong("chunk"), MessageTooLong;
     long_name: encode_all(&peer(&"n".repeat(MAX_NAME_BYTES + 1)), ConfigVersion(0), None, &[])
@@ -228,7 +228,7 @@
     long_packet: vec![0; MAX_PACKET_BYTES + 1] => WireError::TooLong("packet"), MessageTooLong;
 }
 
-macro_rules! sound {
+macro_rules! valid {
     ($($name:ident: $bytes:expr;)+) => {
         $(
             #[test]
@@ -240,11 +240,11 @@
 }
 
 // The same packets without the fault, so that each fault is the only one.
-sound! {
+valid! {
     header_alone: raw(Some(raw_peer()), vec![]);
     digest_and_count: raw_crashes(16, 255);
     lengths_as_data: tokens(chunk(0, b"ab", &[1, 1]));
-    numbers_at_the_end: tokens(chunk(u64::MAX - 1, b"a", &[1]));
+    offset_at_the_end: tokens(chunk(u64::MAX - 1, b"a", &[1]));
     chunk_at_the_bound: tokens(chunk(0, b"", &vec![0; MAX_CHUNK_TOKENS]));
     name_at_the_bound: encode_all(&peer(&"n".repeat(MAX_NAME_BYTES)), ConfigVersion(0), None, &[]);
     hashes_at_the_bound: view_hashes(MAX_HASHES);
--- a/fireflycroft-wire/tests/round_trip.rs
+++ b/fireflycroft-wire/tests/round_trip.rs
@@ -10,7 +10,7 @@
 use support::{config, envelope, load, message, peer};
 
 const CASES: u32 = 1_024;
-const LONGEST_NOISE: usize = 512;
+const MAX_NOISE_BYTES: usize = 512;
 
 proptest! {
     #![proptest_config(config(CASES))]
@@ -50,7 +50,7 @@
     }
 
     #[test]
-    fn noise_never_panics(bytes in vec(any::<u8>(), 0..LONGEST_NOISE)) {
+    fn noise_never_panics(bytes in vec(any::<u8>(), 0..MAX_NOISE_BYTES)) {
         if let Err(e) = decode_all(&bytes) {
             prop_assert!(matches!(e.code(), Code::MessageMalformed | Code::MessageTooLong));
         }
--- a/fireflycroft-wire/tests/support/mod.rs
+++ b/fireflycroft-wire/tests/support/mod.rs
@@ -39,7 +39,7 @@
 
 pub(crate) fn load() -> impl Strategy<Value = Load> {
     let counts = any::<(u32, u32, u64, u64, u64, u32)>();
-    (counts, span(), span(), span(), any::<bool>()).prop_map(
+    (counts, duration(), duration(), duration(), any::<bool>()).prop_map(
         |(counts, step, wait_interactive, wait_batch, leaving)| Load {
             running: counts.0,
             queued: counts.1,
@@ -67,11 +67,11 @@
 }
 
 pub(crate) fn message() -> impl Strategy<Value = Message> {
-    prop_oneof![reserving(), reading(), fleet()]
+    prop_oneof![reservation_message(), generation_message(), fleet_message()]
 }
 
-fn reserving() -> impl Strategy<Value = Message> {
-    let offer = (request(), any::<u32>(), demand(), span()).prop_map(
+fn reservation_message() -> impl Strategy<Value = Message> {
+    let offer = (request(), any::<u32>(), demand(), duration()).prop_map(
         |(request, attempt, demand, max_wait)| Message::Offer {
             request,
             attempt,
@@ -79,13 +79,14 @@
             max_wait,
         },
     );
-    let queued =
-        (request(), any::<u32>(), span()).prop_map(|(request, attempt, wait)| Message::Queued {
+    let queued = (request(), any::<u32>(), duration()).prop_map(|(request, attempt, wait)| {
+        Message::Queued {
             request,
             attempt,
             wait,
-        });
-    let accept = (request(), any::<u32>(), generation(), span()).prop_map(
+        }
+    });
+    let accept = (request(), any::<u32>(), generation(), duration()).prop_map(
         |(request, attempt, generation, hold)| Message::Accept {
             request,
             attempt,
@@ -93,7 +94,7 @@
             hold,
         },
     );
-    let refuse = (request(), any::<u32>(), select(Code::ALL), span()).prop_map(
+    let refuse = (request(), any::<u32>(), select(Code::ALL), duration()).prop_map(
         |(request, attempt, code, retry_after)| Message::Refuse {
             request,
             attempt,
@@ -112,7 +113,7 @@
     prop_oneof![offer, queued, accept, refuse, withdraw, start]
 }
 
-fn reading() -> impl Strategy<Value = Message> {
+fn generation_message() -> impl Strategy<Value = Message> {
     let attach = (request(), request(), generation(), name(), any::<u64>()).prop_map(
         |(reader, request, generation, workspace, from)| Message::Attach {
             reader,
@@ -150,10 +151,10 @@
     prop_oneof![attach, tokens, stand, ack, detach, cancel]
 }
 
-fn fleet() -> impl Strategy<Value = Message> {
+fn fleet_message() -> impl Strategy<Value = Message> {
     let crashes =
         (digest(), any::<u8>()).prop_map(|(content, count)| Message::Crashes { content, count });
-    let asked =
+    let probe =
         (any::<u64>(), vec(record(), 0..4), any::<u64>()).prop_map(|(nonce, records, view)| {
             Message::Ping {
                 nonce,
@@ -161,7 +162,7 @@
                 view,
             }
         });
-    let answered =
+    let reply =
         (any::<u64>(), vec(record(), 0..4), any::<u64>()).prop_map(|(nonce, records, view)| {
             Message::Pong {
                 nonce,
@@ -214,7 +215,7 @@
     );
     let page = vec(record(), 0..4).prop_map(|records| Message::ViewPage { records });
     prop_oneof![
-        crashes, asked, answered, via, parts, hashes, page, pull, part, order, answer
+        crashes, probe, reply, via, parts, hashes, page, pull, part, order, answer
     ]
 }
 
@@ -307,7 +308,7 @@
     ])
 }
 
-fn span() -> impl Strategy<Value = Duration> {
+fn duration() -> impl Strategy<Value = Duration> {
     any::<u64>().prop_map(Duration::from_micros)
 }
 
