--- a/fireflylog/src/bounded.rs
+++ b/fireflylog/src/bounded.rs
@@ -18,13 +18,13 @@
 pub const QUEUE_BYTES: usize = 1 << 20;
 
 /// Part of the queue that is kept for warnings and errors: one in so many.
-const KEPT_FOR_FAILURES: usize = 4;
+const FAILURE_RESERVE_DIVISOR: usize = 4;
 
 /// Time for which the writer gathers lines after the first, so that many go in one write.
-const GATHER: Duration = Duration::from_millis(20);
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 
 /// Longest wait for the queue to be written at the end of the process.
-const FLUSH_WITHIN: Duration = Duration::from_millis(300);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Lines that wait, and what was dropped.
 #[derive(Debug, Default)]
@@ -63,10 +63,10 @@
     /// When no thread can be started.
     pub fn start(out: impl Write + Send + 'static) -> std::io::Result<Self> {
         let shared = Arc::new(Shared::default());
-        let of_thread = shared.clone();
+        let writer_shared = shared.clone();
         thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_out(&of_thread, out))?;
+            .spawn(move || run_writer(&writer_shared, out))?;
         Ok(Self { shared })
     }
 
@@ -82,7 +82,7 @@
         let limit = if is_failure {
             QUEUE_BYTES
         } else {
-            QUEUE_BYTES - QUEUE_BYTES / KEPT_FOR_FAILURES
+            QUEUE_BYTES - QUEUE_BYTES / FAILURE_RESERVE_DIVISOR
         };
         let mut queue = self.shared.lock();
         if queue.bytes + line.len() > limit {
@@ -107,20 +107,20 @@
     }
 
     fn flush(&self) -> Result<(), Error> {
-        let end = Instant::now() + FLUSH_WITHIN;
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
         let mut queue = self.shared.lock();
         while queue.writing || !queue.lines.is_empty() {
-            let Some(left) = end.checked_duration_since(Instant::now()) else {
+            let Some(remaining) = deadline.checked_duration_since(Instant::now()) else {
                 return Ok(());
             };
-            let waited = self.shared.written.wait_timeout(queue, left);
+            let waited = self.shared.written.wait_timeout(queue, remaining);
             queue = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         Ok(())
     }
 }
 
-fn write_out(shared: &Shared, mut out: impl Write) {
+fn run_writer(shared: &Shared, mut out: impl Write) {
     loop {
         let mut queue = shared.lock();
         while queue.lines.is_empty() {
@@ -128,8 +128,8 @@
             queue = waited.unwrap_or_else(PoisonError::into_inner);
         }
         drop(queue);
-        thread::sleep(GATHER);
-        let batch = take(shared);
+        thread::sleep(BATCH_DELAY);
+        let batch = take_batch(shared);
         // Nobody is left to tell when the stream itself is closed.
         let _ = out.write_all(&batch).and_then(|()| out.flush());
         shared.lock().writing = false;
@@ -138,7 +138,7 @@
 }
 
 /// All lines that wait, with one about those that were dropped.
-fn take(shared: &Shared) -> Vec<u8> {
+fn take_batch(shared: &Shared) -> Vec<u8> {
     let mut queue = shared.lock();
     queue.writing = true;
     queue.bytes = 0;
--- a/fireflylog/src/lib.rs
+++ b/fireflylog/src/lib.rs
@@ -22,16 +22,16 @@
 use logforth::{Diagnostic, Error, Layout, starter_log};
 
 /// Key of the event's name.
-const EVENT: &str = "event";
+const EVENT_KEY: &str = "event";
 /// Key of the request's id.
-const REQ: &str = "req";
+const REQUEST_ID_KEY: &str = "req";
 /// Event of a line that names none.
-const UNNAMED: &str = "log";
+const DEFAULT_EVENT: &str = "log";
 /// Seconds of a day.
-const DAY: u64 = 86_400;
+const SECONDS_PER_DAY: u64 = 86_400;
 
 tokio::task_local! {
-    static REQUEST: Arc<str>;
+    static REQUEST_ID: Arc<str>;
 }
 
 /// Where the lines go.
@@ -72,12 +72,12 @@
 ///
 /// Tasks that it spawns don't take the id over.
 pub async fn in_request<T>(id: impl Into<Arc<str>>, task: impl Future<Output = T>) -> T {
-    REQUEST.scope(id.into(), task).await
+    REQUEST_ID.scope(id.into(), task).await
 }
 
 /// Runs `f` with `req=id` on each of its log lines.
 pub fn in_request_sync<T>(id: impl Into<Arc<str>>, f: impl FnOnce() -> T) -> T {
-    REQUEST.sync_scope(id.into(), f)
+    REQUEST_ID.sync_scope(id.into(), f)
 }
 
 /// The layout of a line.
@@ -135,21 +135,21 @@
     }
 
     fn event(&mut self, record: &Record) {
-        if let Some(event) = record.key_values().get(EVENT) {
-            self.pair(EVENT, &event.to_string());
+        if let Some(event) = record.key_values().get(EVENT_KEY) {
+            self.pair(EVENT_KEY, &event.to_string());
         } else {
-            self.pair(EVENT, UNNAMED);
+            self.pair(EVENT_KEY, DEFAULT_EVENT);
             self.pair("target", record.target());
         }
     }
 
     fn request(&mut self, record: &Record) {
-        if let Some(req) = record.key_values().get(REQ) {
-            self.pair(REQ, &req.to_string());
+        if let Some(req) = record.key_values().get(REQUEST_ID_KEY) {
+            self.pair(REQUEST_ID_KEY, &req.to_string());
             return;
         }
         // Outside a request there is no id.
-        let _ = REQUEST.try_with(|req| self.pair(REQ, req));
+        let _ = REQUEST_ID.try_with(|req| self.pair(REQUEST_ID_KEY, req));
     }
 
     fn message(&mut self, record: &Record) {
@@ -162,7 +162,7 @@
 
 impl Visitor for Line {
     fn visit(&mut self, key: KeyView, value: ValueView) -> Result<(), Error> {
-        if !matches!(key.as_str(), EVENT | REQ) {
+        if !matches!(key.as_str(), EVENT_KEY | REQUEST_ID_KEY) {
             self.pair(key.as_str(), &value.to_string());
         }
         Ok(())
@@ -188,35 +188,39 @@
 /// A time as `YYYY-MM-DDThh:mm:ss.mmmZ`; times before 1970 are taken for its first moment.
 #[must_use]
 pub fn utc(time: SystemTime) -> String {
-    let since = time.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-    let (days, second) = (since.as_secs() / DAY, since.as_secs() % DAY);
-    let (year, month, day) = civil(days);
+    let since_epoch = time.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+    let (days, second) = (
+        since_epoch.as_secs() / SECONDS_PER_DAY,
+        since_epoch.as_secs() % SECONDS_PER_DAY,
+    );
+    let (year, month, day) = civil_date(days);
     let (hour, minute) = (second / 3600, second / 60 % 60);
     let mut text = format!("{year:04}-{month:02}-{day:02}T");
     // Writing to a string can't fail.
     let _ = write!(text, "{hour:02}:{minute:02}:{:02}", second % 60);
-    let _ = write!(text, ".{:03}Z", since.subsec_millis());
+    let _ = write!(text, ".{:03}Z", since_epoch.subsec_millis());
     text
 }
 
 /// Year, month and day of a count of days since 1970-01-01.
 ///
 /// Counts in years that begin in March, so that the leap day is the last of its year.
-fn civil(days: u64) -> (u64, u64, u64) {
+fn civil_date(days: u64) -> (u64, u64, u64) {
     /// Days from 0000-03-01 to 1970-01-01.
-    const TO_1970: u64 = 719_468;
+    const DAYS_TO_1970: u64 = 719_468;
     /// Days of 400 years.
-    const ERA: u64 = 146_097;
-    let days = days + TO_1970;
-    let (era, of_era) = (days / ERA, days % ERA);
-    let year_of_era = (of_era - of_era / 1460 + of_era / 36_524 - of_era / 146_096) / 365;
-    let of_year = of_era - (365 * year_of_era + year_of_era / 4 - year_of_era / 100);
-    let from_march = (5 * of_year + 2) / 153;
-    let day = of_year - (153 * from_march + 2) / 5 + 1;
-    let month = if from_march < 10 {
-        from_march + 3
+    const DAYS_PER_ERA: u64 = 146_097;
+    let days = days + DAYS_TO_1970;
+    let (era, day_of_era) = (days / DAYS_PER_ERA, days % DAYS_PER_ERA);
+    let year_of_era =
+        (day_of_era - day_of_era / 1460 + day_of_era / 36_524 - day_of_era / 146_096) / 365;
+    let day_of_year = day_of_era - (365 * year_of_era + year_of_era / 4 - year_of_era / 100);
+    let month_from_march = (5 * day_of_year + 2) / 153;
+    let day = day_of_year - (153 * month_from_march + 2) / 5 + 1;
+    let month = if month_from_march < 10 {
+        month_from_march + 3
     } else {
-        from_march - 9
+        month_from_march - 9
     };
     let year = era * 400 + year_of_era + u64::from(month <= 2);
     (year, month, day)
--- a/fireflylog/tests/bounded.rs
+++ b/fireflylog/tests/bounded.rs
@@ -18,9 +18,9 @@
 
 cases! {
     lines_come_out_in_order => in_order();
-    stalled_reader_holds_nobody_up => bears_stall();
-    failures_have_room_when_served_lines_have_none => keeps_failures();
-    dropped_lines_are_told_of => tells_of_dropped();
+    stalled_reader_does_not_block_callers => does_not_block_on_stall();
+    failures_are_queued_when_other_lines_are_dropped => queues_failures();
+    dropped_lines_are_reported => reports_dropped();
 }
 
 /// A stream whose reader can stall.
@@ -28,7 +28,7 @@
 struct Stream {
     written: Arc<Mutex<Vec<u8>>>,
     open: Arc<(Mutex<bool>, Condvar)>,
-    asked: Arc<(Mutex<bool>, Condvar)>,
+    write_started: Arc<(Mutex<bool>, Condvar)>,
 }
 
 impl Stream {
@@ -38,10 +38,10 @@
     }
 
     /// Waits until the writer has a batch in hand that nobody takes.
-    fn until_asked(&self) {
-        let mut asked = self.asked.0.lock().unwrap();
-        while !*asked {
-            asked = self.asked.1.wait(asked).unwrap();
+    fn await_write(&self) {
+        let mut write_started = self.write_started.0.lock().unwrap();
+        while !*write_started {
+            write_started = self.write_started.1.wait(write_started).unwrap();
         }
     }
 
@@ -52,8 +52,8 @@
 
 impl Write for Stream {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        *self.asked.0.lock().unwrap() = true;
-        self.asked.1.notify_all();
+        *self.write_started.0.lock().unwrap() = true;
+        self.write_started.1.notify_all();
         let mut open = self.open.0.lock().unwrap();
         while !*open {
             open = self.open.1.wait(open).unwrap();
@@ -81,12 +81,12 @@
 }
 
 /// Waits until all that was pushed has been written.
-fn written(append: &BoundedAppend, stream: &Stream, holds: impl Fn(&str) -> bool) -> String {
+fn written(append: &BoundedAppend, stream: &Stream, is_complete: impl Fn(&str) -> bool) -> String {
     stream.open();
     loop {
         append.flush().unwrap();
         let text = stream.text();
-        if holds(&text) {
+        if is_complete(&text) {
             return text;
         }
     }
@@ -104,20 +104,20 @@
 /// Fills the queue behind a batch that the writer can't get rid of.
 fn fill(append: &BoundedAppend, stream: &Stream) {
     append.push(line(b'1'), false);
-    stream.until_asked();
+    stream.await_write();
     for _ in 0..QUEUE_BYTES / LINE {
         append.push(line(b's'), false);
     }
 }
 
-fn bears_stall() {
+fn does_not_block_on_stall() {
     let (append, stream) = append();
     fill(&append, &stream);
     // Reached without the stream ever taking a byte.
     assert!(append.dropped().0 > 0);
 }
 
-fn keeps_failures() {
+fn queues_failures() {
     let (append, stream) = append();
     fill(&append, &stream);
     let before = append.dropped();
@@ -128,7 +128,7 @@
     written(&append, &stream, |t| t.contains("ffff"));
 }
 
-fn tells_of_dropped() {
+fn reports_dropped() {
     let (append, stream) = append();
     fill(&append, &stream);
     let text = written(&append, &stream, |t| t.contains("event=log_dropped"));
--- a/wiregen/src/lib.rs
+++ b/wiregen/src/lib.rs
@@ -16,8 +16,8 @@
 /// Root of the workspace, as this crate was built in it.
 #[must_use]
 pub fn workspace_root() -> PathBuf {
-    let here = Path::new(env!("CARGO_MANIFEST_DIR"));
-    here.parent().unwrap_or(here).to_path_buf()
+    let crate_dir = Path::new(env!("CARGO_MANIFEST_DIR"));
+    crate_dir.parent().unwrap_or(crate_dir).to_path_buf()
 }
 
 /// Message types of the schema below `root`, as Rust source.
@@ -50,10 +50,10 @@
 /// When they differ, or either cannot be read.
 pub fn check(root: &Path) -> Result<()> {
     let path = root.join(GENERATED);
-    let held =
+    let committed =
         std::fs::read_to_string(&path).with_context(|| format!("read {}", path.display()))?;
     ensure!(
-        held == generate(root)?,
+        committed == generate(root)?,
         "{GENERATED} is out of date: run `cargo run -p wiregen`"
     );
     Ok(())
