--- a/fireflycroft-wire/src/decode.rs
+++ b/fireflycroft-wire/src/decode.rs
@@ -1,4 +1,4 @@
-//! From bytes to the core's types.
+//! Decoding of packets into the core's types.
 
 use crate::error::WireError;
 use crate::field::{
@@ -18,22 +18,22 @@
 use prost::Message as _;
 use std::time::Duration;
 
-/// What stands once before all messages of a packet.
+/// Header of a packet, common to all its messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Header {
-    /// Who sent it.
+    /// Sender.
     pub from: Peer,
-    /// Configuration in force at the sender.
+    /// Version of the sender's active configuration.
     pub config: ConfigVersion,
     /// Load of the sender's upstream, from agents only.
     pub load: Option<Load>,
 }
 
-/// Reads a packet of one message.
+/// Decodes a packet of exactly one message.
 ///
 /// # Errors
 ///
-/// When the bytes are no sound packet, or it holds another number of messages.
+/// Fails if the bytes are no valid packet or it holds another number of messages.
 pub fn decode(bytes: &[u8]) -> Result<Envelope, WireError> {
     let (header, bodies) = decode_all(bytes)?;
     let [body] =
@@ -46,11 +46,11 @@
     })
 }
 
-/// Reads a packet of any number of messages.
+/// Decodes a packet of any number of messages.
 ///
 /// # Errors
 ///
-/// When the bytes are no sound packet; one unsound message spoils it whole.
+/// Fails if the bytes are no valid packet; one invalid message invalidates all of it.
 pub fn decode_all(bytes: &[u8]) -> Result<(Header, Vec<Message>), WireError> {
     check_count(bytes.len(), MAX_PACKET_BYTES, "packet")?;
     let packet = pb::Packet::decode(bytes)?;
--- a/fireflycroft-wire/src/encode.rs
+++ b/fireflycroft-wire/src/encode.rs
@@ -1,7 +1,7 @@
-//! From the core's types to bytes.
+//! Encoding of the core's types as packets.
 //!
-//! Writing cannot fail. Bounds are the reader's: what is longer than they
-//! allow is written, and refused where it arrives.
+//! Encoding can't fail. The limits are enforced by the decoder: a value that
+//! exceeds them is encoded, and rejected by the receiver.
 
 use crate::field::{
     addr_bytes, generation, id_bytes, member_state, micros, priority, role, standing,
@@ -16,7 +16,7 @@
 use prost::Message as _;
 use std::slice;
 
-/// Packet of one message.
+/// Encodes a packet of one message.
 #[must_use]
 pub fn encode(envelope: &Envelope) -> Vec<u8> {
     let mut buf = Vec::new();
@@ -38,7 +38,7 @@
     );
 }
 
-/// Packet of any number of messages of one sender.
+/// Encodes a packet of any number of messages from one sender.
 #[must_use]
 pub fn encode_all(
     from: &Peer,
@@ -101,7 +101,7 @@
     pb::Body { kind }
 }
 
-/// Messages up to the start.
+/// Converts the messages of offers and reservations, up to the start.
 fn reservation_message(message: &Message) -> Option<Kind> {
     Some(match message {
         Message::Offer {
@@ -163,7 +163,7 @@
     })
 }
 
-/// Messages about a generation that runs.
+/// Converts the messages about a started generation.
 fn generation_message(message: &Message) -> Option<Kind> {
     Some(match message {
         Message::Attach {
@@ -219,7 +219,7 @@
     })
 }
 
-/// Messages about the fleet itself.
+/// Converts the messages about the fleet itself.
 fn fleet_message(message: &Message) -> Option<Kind> {
     Some(match message {
         Message::Crashes { content, count } => Kind::Crashes(pb::Crashes {
@@ -287,7 +287,7 @@
             code: code.number(),
             fence: *fence,
         }),
-        // Named one by one, so that a new message does not compile unread.
+        // Listed one by one, so that a new message doesn't compile until it is handled.
         Message::Offer { .. }
         | Message::Queued { .. }
         | Message::Accept { .. }
--- a/fireflycroft-wire/src/entry_announcement.rs
+++ b/fireflycroft-wire/src/entry_announcement.rs
@@ -1,4 +1,4 @@
-//! News of direct entries, to messages and back.
+//! Conversion of direct entries' announcements to generated types and back.
 
 use crate::error::WireError;
 use crate::field::{addr_bytes, id_bytes, read_addr, read_all, read_digest, read_name};
@@ -101,7 +101,7 @@
     })
 }
 
-/// Whole milliseconds of `span`, at most what the field holds.
+/// Returns the whole milliseconds of `duration`, limited to the field's range.
 pub(crate) fn millis(duration: Duration) -> u32 {
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
--- a/fireflycroft-wire/src/entry_message.rs
+++ b/fireflycroft-wire/src/entry_message.rs
@@ -1,4 +1,4 @@
-//! Messages of direct entries, to bytes and back: one datagram holds one of them.
+//! Encoding and decoding of messages between direct entries, one per datagram.
 
 use crate::entry_announcement::{announcement, read_announcement};
 use crate::error::WireError;
@@ -10,7 +10,7 @@
 use pb::entry_message::Message as Body;
 use prost::Message as _;
 
-/// Writes a message as one datagram.
+/// Encodes a message as one datagram.
 #[must_use]
 pub fn encode_datagram(message: &EntryMessage) -> Vec<u8> {
     let body = match message {
@@ -25,11 +25,11 @@
     .encode_to_vec()
 }
 
-/// Reads the message of one datagram.
+/// Decodes the message of one datagram.
 ///
 /// # Errors
 ///
-/// When the bytes are no sound message.
+/// Fails if the bytes are no valid message.
 pub fn decode_datagram(bytes: &[u8]) -> Result<EntryMessage, WireError> {
     check_count(bytes.len(), MAX_DATAGRAM_BYTES, "datagram")?;
     let message = pb::EntryMessage::decode(bytes)?;
--- a/fireflycroft-wire/src/error.rs
+++ b/fireflycroft-wire/src/error.rs
@@ -1,32 +1,32 @@
-//! Why bytes could not be read.
+//! Decoding errors.
 
 use fireflycroft::Code;
 use std::error::Error;
 use std::fmt;
 
-/// Why bytes could not be read as messages.
+/// Error in the decoding of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WireError {
-    /// Not a packet of the schema.
+    /// The bytes don't parse under the schema.
     Malformed,
-    /// A field is not there.
+    /// A required field is missing.
     Missing(&'static str),
     /// An address has neither 6 nor 18 bytes.
     BadAddress,
-    /// An identifier or digest has not 16 bytes.
+    /// An identifier or digest doesn't have 16 bytes.
     BadId(&'static str),
-    /// A number is out of range, or names nothing that is known here.
+    /// A number is out of range or an unknown enum value.
     BadValue(&'static str),
-    /// A chunk's lengths do not add up, or its numbers run over.
+    /// A chunk's token lengths don't add up to its data, or its offset overflows.
     InconsistentChunk,
-    /// Something is over its bound.
+    /// A value exceeds its limit.
     TooLong(&'static str),
-    /// One message was asked for, and the packet holds another number.
+    /// A packet of exactly one message was expected; holds the number found.
     NotSingle(usize),
 }
 
 impl WireError {
-    /// Result code that goes with it.
+    /// Returns the result code of the error.
     #[must_use]
     pub const fn code(self) -> Code {
         match self {
@@ -39,14 +39,14 @@
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Malformed => f.write_str("not a packet"),
-            Self::Missing(field) => write!(f, "no {field}"),
-            Self::BadAddress => f.write_str("bad address"),
-            Self::BadId(field) => write!(f, "bad id in {field}"),
-            Self::BadValue(field) => write!(f, "bad value in {field}"),
-            Self::InconsistentChunk => f.write_str("unsound chunk"),
-            Self::TooLong(field) => write!(f, "{field} too long"),
-            Self::NotSingle(count) => write!(f, "{count} messages in place of one"),
+            Self::Malformed => f.write_str("malformed message"),
+            Self::Missing(field) => write!(f, "missing {field}"),
+            Self::BadAddress => f.write_str("address has neither 6 nor 18 bytes"),
+            Self::BadId(field) => write!(f, "{field} doesn't have 16 bytes"),
+            Self::BadValue(field) => write!(f, "invalid value of {field}"),
+            Self::InconsistentChunk => f.write_str("inconsistent chunk"),
+            Self::TooLong(field) => write!(f, "{field} exceeds its limit"),
+            Self::NotSingle(count) => write!(f, "expected one message, found {count}"),
         }
     }
 }
--- a/fireflycroft-wire/src/field.rs
+++ b/fireflycroft-wire/src/field.rs
@@ -1,4 +1,4 @@
-//! Single fields: how each simple type of the core stands in the schema.
+//! Conversion of the core's simple types to fields of the schema and back.
 
 use crate::error::WireError;
 use crate::generated as pb;
@@ -14,17 +14,17 @@
 const V6_BYTES: usize = 16;
 const PORT_BYTES: usize = 2;
 
-/// Whole microseconds of `span`, at most what the field holds.
+/// Returns the whole microseconds of `duration`, limited to the field's range.
 pub(crate) fn micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Bytes of an identifier or digest.
+/// Returns the bytes of an identifier or digest.
 pub(crate) fn id_bytes(id: u128) -> Vec<u8> {
     id.to_be_bytes().to_vec()
 }
 
-/// Bytes of an address; scope and flow of IPv6 stay behind.
+/// Returns the bytes of an address, without the scope and flow label of IPv6.
 pub(crate) fn addr_bytes(addr: SocketAddr) -> Vec<u8> {
     let mut buf = Vec::with_capacity(V6_BYTES + PORT_BYTES);
     match addr.ip() {
@@ -35,7 +35,7 @@
     buf
 }
 
-/// Reads what `addr_bytes` wrote.
+/// Reads an address written by `addr_bytes`.
 pub(crate) fn read_addr(bytes: &[u8]) -> Result<SocketAddr, WireError> {
     let (host, port) = bytes
         .split_last_chunk::<PORT_BYTES>()
@@ -63,12 +63,12 @@
     Ok(u128::from_be_bytes(bytes))
 }
 
-/// Reads a name of the fleet.
+/// Reads a name used within the fleet, limited to `MAX_NAME_BYTES`.
 pub(crate) fn read_name(text: &str, field: &'static str) -> Result<Name, WireError> {
     bounded(text, MAX_NAME_BYTES, field)
 }
 
-/// Reads a text that a caller or an upstream gave.
+/// Reads a text given by a caller or an upstream, limited to `MAX_TEXT_BYTES`.
 pub(crate) fn read_text(text: &str, field: &'static str) -> Result<Name, WireError> {
     bounded(text, MAX_TEXT_BYTES, field)
 }
@@ -80,7 +80,7 @@
     Ok(text.into())
 }
 
-/// Fails when there are more than `max` of something.
+/// Fails if `count` exceeds `max`.
 pub(crate) const fn check_count(
     count: usize,
     max: usize,
@@ -92,7 +92,7 @@
     Ok(())
 }
 
-/// Reads each of a list.
+/// Reads every element of a list.
 pub(crate) fn read_all<T, U>(
     all: &[T],
     read: impl Fn(&T) -> Result<U, WireError>,
@@ -127,7 +127,7 @@
     })
 }
 
-/// Both directions of an enumeration.
+/// Defines the conversions of an enum in both directions.
 macro_rules! enumeration {
     ($write:ident, $read:ident, $field:literal, $core:ident { $($variant:ident),+ }) => {
         pub(crate) const fn $write(value: $core) -> i32 {
--- a/fireflycroft-wire/src/lib.rs
+++ b/fireflycroft-wire/src/lib.rs
@@ -1,9 +1,9 @@
-//! Messages between the processes of the fleet, as bytes.
+//! Encoding and decoding of the messages between the processes of the fleet.
 //!
-//! The schema is `proto/fleet.proto`; the types that `wiregen` makes of it
-//! stay inside this crate, and what comes out are the core's own. One packet
-//! holds the header of one sender and any number of messages. Whatever bytes
-//! come in, reading them gives a value or a [`WireError`] and never panics.
+//! The schema is `proto/fleet.proto`; the types generated from it by `wiregen`
+//! are private, and the public functions use the core's types. One packet holds
+//! the header of one sender and any number of messages. Decoding arbitrary
+//! bytes returns a value or a [`WireError`] and never panics.
 
 mod decode;
 mod encode;
--- a/fireflycroft-wire/src/limits.rs
+++ b/fireflycroft-wire/src/limits.rs
@@ -1,31 +1,31 @@
-//! Bounds of what is read; the writer keeps to them on its own account.
+//! Limits enforced by the decoder; the encoder's callers keep to them themselves.
 
-/// Bytes of one packet.
+/// Maximum size of a packet in bytes.
 pub const MAX_PACKET_BYTES: usize = 16 * 1024 * 1024;
 
-/// Messages of one packet.
+/// Maximum number of messages in a packet.
 pub const MAX_BODIES: usize = 4_096;
 
-/// Bytes of a name: process, data centre, brand, workspace, model, service.
+/// Maximum size in bytes of a name: process, data centre, brand, workspace, model, service.
 pub const MAX_NAME_BYTES: usize = 1_024;
 
-/// Bytes of a text that a caller or an upstream gave: path, header, reason.
+/// Maximum size in bytes of a text given by a caller or an upstream: path, header, reason.
 pub const MAX_TEXT_BYTES: usize = 64 * 1024;
 
-/// Tokens of one chunk.
+/// Maximum number of tokens in a chunk.
 pub const MAX_CHUNK_TOKENS: usize = 64 * 1024;
 
-/// Parts of one table of members.
+/// Maximum number of parts of a member table.
 pub const MAX_PARTS: usize = 256;
 
-/// Hashes of records in one message.
+/// Maximum number of record hashes in a message.
 pub const MAX_HASHES: usize = 4_096;
 
-/// Member records of one message.
+/// Maximum number of member records in a message, and of items in an owner's message.
 pub const MAX_RECORDS: usize = 256;
 
-/// Models or plain services of one member.
+/// Maximum number of models or plain services of a member.
 pub const MAX_SERVES: usize = 256;
 
-/// Bytes of one datagram between direct entries.
+/// Maximum size in bytes of a datagram between direct entries.
 pub const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
--- a/fireflycroft-wire/src/owner_messages.rs
+++ b/fireflycroft-wire/src/owner_messages.rs
@@ -1,4 +1,4 @@
-//! What direct entries tell owners and ask them, to messages and back.
+//! Conversion of reports and queries to owners to generated types and back.
 
 use crate::entry_announcement::millis;
 use crate::error::WireError;
@@ -13,11 +13,13 @@
 use pb::owner_reply::Answer;
 use std::time::Duration;
 
-/// Most tokens and microseconds of a pace: a day of an engine's.
+/// Maximum of the tokens and of the microseconds of a pace; over a day of an engine's time.
 const MAX_PACE: u64 = 1 << 37;
 
-/// Most requests or tokens of memory placed on an upstream, so that sums can't overflow.
+/// Maximum number of requests placed on an upstream, so that sums can't overflow.
 const MAX_RUNNING: u64 = 1 << 20;
+
+/// Maximum number of tokens placed on an upstream, so that sums can't overflow.
 const MAX_TOKENS: u64 = 1 << 37;
 
 pub(crate) fn report(report: &OwnerReport) -> pb::OwnerReport {
@@ -189,7 +191,7 @@
     }
 }
 
-/// Refuses work whose figures would overflow when summed.
+/// Reads placed work; rejects counts whose sums could overflow.
 fn read_placed(at: &pb::PlacedAt) -> Result<PlacedAt, WireError> {
     let max_tokens = at.tokens.max(at.copies).max(at.unread);
     if u64::from(at.running) > MAX_RUNNING || max_tokens > MAX_TOKENS {
@@ -208,7 +210,7 @@
     })
 }
 
-/// Refuses a pace whose figures would overflow when summed.
+/// Reads a pace; rejects values whose sums could overflow.
 fn read_pace(at: &pb::PlacedAt) -> Result<Pace, WireError> {
     if at.made_tokens > MAX_PACE || at.made_micros > MAX_PACE {
         return Err(WireError::TooLong("placed.made"));
--- a/fireflycroft-wire/tests/entry_messages.rs
+++ b/fireflycroft-wire/tests/entry_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of direct entries to bytes and back, and bytes that are none.
+//! Round trips of messages between direct entries, and rejection of invalid bytes.
 
 use fireflycroft::{
     CrashCount, Digest, EntryAnnouncement, EntryMessage, Evacuations, Incarnation, Life,
@@ -206,7 +206,7 @@
     crash.extend([0x10, 0xac, 0x02]);
     let mut announcement = vec![0x3a, u8::try_from(crash.len()).unwrap()];
     announcement.extend(crash);
-    // Field 1 of the datagram, the news.
+    // Field 1 of the datagram: the announcement.
     let mut bytes = vec![0x0a, u8::try_from(announcement.len()).unwrap()];
     bytes.extend(announcement);
     assert!(matches!(
@@ -218,13 +218,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Any bytes give a message or an error, never a panic.
+    /// Decoding arbitrary bytes returns a message or an error.
     #[test]
     fn any_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode_datagram(&bytes);
     }
 
-    /// A datagram that lost bytes on the way or had some changed is borne as well.
+    /// Decoding a truncated datagram with a changed byte doesn't panic either.
     #[test]
     fn damaged_messages_never_panic(index in 0_usize..9, len in 0_usize..200, at in 0_usize..200, byte: u8) {
         let mut all = vec![announcement_message(announcement()), EntryMessage::Report(report())];
--- a/fireflycroft-wire/tests/faults.rs
+++ b/fireflycroft-wire/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Each fault of a packet has its own error.
+//! Each kind of malformed packet gives its own error.
 
 use fireflycroft::{
     Chunk, Code, ConfigVersion, GenerationId, Incarnation, MemberRecord, MemberState, Message,
@@ -10,7 +10,7 @@
 };
 use prost::Message as _;
 
-/// Stand-in for the schema's packet, with room for faults.
+/// Copy of the schema's packet that can encode malformed values.
 #[derive(Clone, PartialEq, prost::Message)]
 struct RawPacket {
     #[prost(message, optional, tag = "1")]
@@ -239,7 +239,7 @@
     };
 }
 
-// The same packets without the fault, so that each fault is the only one.
+// The same packets without the fault, so that each case above has exactly one.
 valid! {
     header_alone: raw(Some(raw_peer()), vec![]);
     digest_and_count: raw_crashes(16, 255);
--- a/fireflycroft-wire/tests/round_trip.rs
+++ b/fireflycroft-wire/tests/round_trip.rs
@@ -1,4 +1,4 @@
-//! What is written is read as it was; other bytes are errors, never panics.
+//! Decoding restores the encoded value; other bytes give errors, never panics.
 
 mod support;
 
@@ -68,7 +68,7 @@
             bytes[at] ^= mask;
         }
         bytes.truncate(cut.index(bytes.len() + 1));
-        // Whatever is still read must be written and read again as it is.
+        // A damaged packet that still decodes must survive another round trip.
         if let Ok(damaged) = decode(&bytes) {
             prop_assert_eq!(decode(&encode(&damaged)), Ok(damaged));
         }
--- a/fireflycroft-wire/tests/support/mod.rs
+++ b/fireflycroft-wire/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Strategies for every message of the core.
+//! Strategies that generate every message of the core.
 
 use fireflycroft::{
     Chunk, Code, ConfigVersion, Demand, Digest, Envelope, Finish, GenerationId, Incarnation, Load,
@@ -16,7 +16,7 @@
 
 const SEED: u64 = 0x00f1_4ef1_7c40_f700;
 
-/// Fixed seed; failures are kept beside the tests.
+/// Returns a configuration with a fixed seed that keeps failures beside the tests.
 pub(crate) fn config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
