--- a/fireflylog/src/bounded.rs
+++ b/fireflylog/src/bounded.rs
@@ -1,9 +1,9 @@
-//! Writing lines without ever waiting for whoever reads them.
+//! Log appender that never blocks on a slow reader.
 //!
-//! Lines go into a bounded queue, and a thread of its own writes them out. When
-//! the reader stalls and the queue fills, lines of what went well are dropped
-//! first: the last quarter of the queue is kept for warnings and errors. What
-//! was dropped is counted, and said in a line as soon as there is room again.
+//! Lines go into a bounded queue, and a separate thread writes them out. When
+//! the reader stalls and the queue fills, lines below warning level are dropped
+//! first: the last quarter of the queue is reserved for warnings and errors.
+//! Dropped lines are counted, and the count is logged with the next batch.
 
 use crate::{LineLayout, utc};
 use logforth::record::{Level, Record};
@@ -14,19 +14,19 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Bytes that wait to be written at most; a few seconds of the busiest process.
+/// Capacity of the queue in bytes: a few seconds of the busiest process's log.
 pub const QUEUE_BYTES: usize = 1 << 20;
 
-/// Part of the queue that is kept for warnings and errors: one in so many.
+/// Divisor of the queue's capacity that gives the part reserved for warnings and errors.
 const FAILURE_RESERVE_DIVISOR: usize = 4;
 
-/// Time for which the writer gathers lines after the first, so that many go in one write.
+/// Time that the writer waits for further lines, so that many go into one write.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
 
-/// Longest wait for the queue to be written at the end of the process.
+/// Maximum time to write out the queue at the end of the process.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Lines that wait, and what was dropped.
+/// Queued lines, and counts of dropped ones.
 #[derive(Debug, Default)]
 struct Queue {
     lines: VecDeque<Vec<u8>>,
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// When no thread can be started.
+    /// Fails if the thread can't be started.
     pub fn start(out: impl Write + Send + 'static) -> std::io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let writer_shared = shared.clone();
@@ -70,14 +70,14 @@
         Ok(Self { shared })
     }
 
-    /// Lines dropped so far that have not been told of yet, failures among them.
+    /// Returns the number of dropped lines not yet reported, and of warnings and errors among them.
     #[must_use]
     pub fn dropped(&self) -> (u64, u64) {
         let queue = self.shared.lock();
         (queue.dropped, queue.dropped_failures)
     }
 
-    /// Queues a line, or drops it when there is no room for its kind.
+    /// Queues a line, or drops it if the queue is full for lines of its level.
     pub fn push(&self, line: Vec<u8>, is_failure: bool) {
         let limit = if is_failure {
             QUEUE_BYTES
@@ -130,14 +130,14 @@
         drop(queue);
         thread::sleep(BATCH_DELAY);
         let batch = take_batch(shared);
-        // Nobody is left to tell when the stream itself is closed.
+        // A closed stream leaves no place to report the error.
         let _ = out.write_all(&batch).and_then(|()| out.flush());
         shared.lock().writing = false;
         shared.written.notify_all();
     }
 }
 
-/// All lines that wait, with one about those that were dropped.
+/// Takes all queued lines, and appends one that reports dropped lines.
 fn take_batch(shared: &Shared) -> Vec<u8> {
     let mut queue = shared.lock();
     queue.writing = true;
--- a/fireflylog/src/lib.rs
+++ b/fireflylog/src/lib.rs
@@ -1,13 +1,13 @@
-//! Log lines on a standard stream: one line of key=value pairs for each event.
+//! Logging to a standard stream: one line of key=value pairs per event.
 //!
-//! A line begins with `time` (UTC, with milliseconds), `level` and `event`; the pairs of the event
-//! follow. Within [`in_request`] each line carries `req`, whichever module writes it:
+//! A line begins with `time` (UTC, with milliseconds), `level` and `event`, followed by the pairs
+//! of the event. Within [`in_request`] each line has `req`, whichever module logs it:
 //!
 //! ```text
 //! time=2026-01-31T08:15:00.250Z level=warn event=offer_refused req=7f3a code=2003
 //! ```
 //!
-//! The lines of libraries, which name no event, have `event=log` with `target` and `message`.
+//! Lines without an event, as logged by libraries, have `event=log` with `target` and `message`.
 
 mod bounded;
 
@@ -21,35 +21,34 @@
 use logforth::record::{Level, LevelFilter, Record};
 use logforth::{Diagnostic, Error, Layout, starter_log};
 
-/// Key of the event's name.
+/// Key of the event name.
 const EVENT_KEY: &str = "event";
-/// Key of the request's id.
+/// Key of the request id.
 const REQUEST_ID_KEY: &str = "req";
-/// Event of a line that names none.
+/// Event name of a line without one.
 const DEFAULT_EVENT: &str = "log";
-/// Seconds of a day.
 const SECONDS_PER_DAY: u64 = 86_400;
 
 tokio::task_local! {
     static REQUEST_ID: Arc<str>;
 }
 
-/// Where the lines go.
+/// Stream that receives the log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Standard output, by a thread of its own, so that a reader that stalls holds nothing up.
+    /// Standard output, written by a separate thread so that a stalled reader blocks nothing.
     Stdout,
     /// Standard error.
     Stderr,
 }
 
-/// Sends the log of the process to `output`, from `level` up.
+/// Directs the process's log to `output`, from `level` up.
 ///
 /// # Errors
 ///
-/// An error when the process has a log already.
+/// Fails if the process already has a logger or the writer thread can't be started.
 pub fn init(level: log::LevelFilter, output: Output) -> anyhow::Result<()> {
-    // The level is checked by the macros, before a line is put together.
+    // The log macros check the level before a line is formatted.
     let all = LevelFilter::All;
     let applied = match output {
         Output::Stdout => {
@@ -70,7 +69,7 @@
 
 /// Runs `task` with `req=id` on each of its log lines.
 ///
-/// Tasks that it spawns don't take the id over.
+/// Tasks that it spawns don't inherit the id.
 pub async fn in_request<T>(id: impl Into<Arc<str>>, task: impl Future<Output = T>) -> T {
     REQUEST_ID.scope(id.into(), task).await
 }
@@ -80,7 +79,7 @@
     REQUEST_ID.sync_scope(id.into(), f)
 }
 
-/// The layout of a line.
+/// Layout of a log line.
 #[derive(Clone, Copy, Debug)]
 pub struct LineLayout;
 
@@ -97,7 +96,7 @@
     }
 }
 
-/// A line in the making.
+/// Builder of a line.
 #[derive(Default)]
 struct Line {
     text: String,
@@ -114,7 +113,7 @@
         self.value(value);
     }
 
-    /// Writes a value, in quotes when it is empty or holds more than plain characters.
+    /// Writes a value, quoted if it is empty or contains other than plain characters.
     fn value(&mut self, value: &str) {
         if !value.is_empty() && value.chars().all(is_plain) {
             self.text.push_str(value);
@@ -124,7 +123,7 @@
         for c in value.chars() {
             match c {
                 '"' | '\\' => self.text.extend(['\\', c]),
-                // What could end the line or move the cursor is written as an escape.
+                // Characters that could end the line or move the cursor are escaped.
                 c if c.is_control() || matches!(c, '\u{2028}' | '\u{2029}') => {
                     self.text.extend(c.escape_default());
                 }
@@ -148,7 +147,7 @@
             self.pair(REQUEST_ID_KEY, &req.to_string());
             return;
         }
-        // Outside a request there is no id.
+        // There is no id outside a request.
         let _ = REQUEST_ID.try_with(|req| self.pair(REQUEST_ID_KEY, req));
     }
 
@@ -169,7 +168,7 @@
     }
 }
 
-/// Whether a character needs no quotes.
+/// Returns whether a character needs no quotes.
 fn is_plain(c: char) -> bool {
     c.is_ascii_graphic() && !matches!(c, '"' | '=' | '\\')
 }
@@ -185,7 +184,7 @@
     }
 }
 
-/// A time as `YYYY-MM-DDThh:mm:ss.mmmZ`; times before 1970 are taken for its first moment.
+/// Formats a time as `YYYY-MM-DDThh:mm:ss.mmmZ`; times before 1970 give the start of 1970.
 #[must_use]
 pub fn utc(time: SystemTime) -> String {
     let since_epoch = time.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
@@ -202,13 +201,13 @@
     text
 }
 
-/// Year, month and day of a count of days since 1970-01-01.
+/// Returns year, month and day for a number of days since 1970-01-01.
 ///
-/// Counts in years that begin in March, so that the leap day is the last of its year.
+/// Years are counted from March, so that the leap day is the last day of its year.
 fn civil_date(days: u64) -> (u64, u64, u64) {
     /// Days from 0000-03-01 to 1970-01-01.
     const DAYS_TO_1970: u64 = 719_468;
-    /// Days of 400 years.
+    /// Days in 400 years.
     const DAYS_PER_ERA: u64 = 146_097;
     let days = days + DAYS_TO_1970;
     let (era, day_of_era) = (days / DAYS_PER_ERA, days % DAYS_PER_ERA);
--- a/fireflylog/tests/bounded.rs
+++ b/fireflylog/tests/bounded.rs
@@ -1,4 +1,4 @@
-//! Lines are written in order, never waited for, and dropped by rule.
+//! The bounded appender keeps lines in order, never blocks, and drops lines by level.
 
 use fireflylog::{BoundedAppend, QUEUE_BYTES};
 use logforth::Append;
@@ -23,7 +23,7 @@
     dropped_lines_are_reported => reports_dropped();
 }
 
-/// A stream whose reader can stall.
+/// Output stream whose reader can stall.
 #[derive(Clone, Default)]
 struct Stream {
     written: Arc<Mutex<Vec<u8>>>,
@@ -37,7 +37,7 @@
         self.open.1.notify_all();
     }
 
-    /// Waits until the writer has a batch in hand that nobody takes.
+    /// Waits until the writer has started a write.
     fn await_write(&self) {
         let mut write_started = self.write_started.0.lock().unwrap();
         while !*write_started {
@@ -80,7 +80,7 @@
     line
 }
 
-/// Waits until all that was pushed has been written.
+/// Opens the stream and waits until the written text meets the condition.
 fn written(append: &BoundedAppend, stream: &Stream, is_complete: impl Fn(&str) -> bool) -> String {
     stream.open();
     loop {
@@ -101,7 +101,7 @@
     assert_eq!(text.replace('\n', ""), "abcdefghij");
 }
 
-/// Fills the queue behind a batch that the writer can't get rid of.
+/// Fills the queue behind a batch whose write is stalled.
 fn fill(append: &BoundedAppend, stream: &Stream) {
     append.push(line(b'1'), false);
     stream.await_write();
@@ -113,7 +113,7 @@
 fn does_not_block_on_stall() {
     let (append, stream) = append();
     fill(&append, &stream);
-    // Reached without the stream ever taking a byte.
+    // This point is reached although the stream accepts no byte.
     assert!(append.dropped().0 > 0);
 }
 
--- a/fireflylog/tests/logs.rs
+++ b/fireflylog/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines: order, quoting, time, and the id of a request.
+//! Format of log lines: order, quoting, time, and request id.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -7,7 +7,7 @@
 use logforth::kv::{Key, Value};
 use logforth::record::{Level, Record};
 
-/// The line of an event without its time.
+/// Formats an event and returns the line without its time.
 fn line(level: Level, pairs: &[(&'static str, Value<'_>)], message: &str) -> String {
     let pairs: Vec<(Key<'_>, Value<'_>)> = pairs
         .iter()
--- a/wiregen/src/main.rs
+++ b/wiregen/src/main.rs
@@ -1,4 +1,4 @@
-//! Development only: writes the generated message types, or checks them.
+//! Writes or checks the generated message types; for development only.
 
 use anyhow::Result;
 use clap::{Arg, ArgAction, Command};
@@ -20,6 +20,6 @@
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Only check that the committed types are current"),
+                .help("Only check that the committed types are up to date"),
         )
 }
