--- a/fireflycroft-wire/src/owner_news.rs
+++ b/fireflycroft-wire/src/owner_messages.rs
@@ -1,6 +1,6 @@
-//! What direct entries tell owners and ask them, to messages and back.
+//! Conversion of reports and queries to owners to generated types and back.
 
-use crate::entry_news::millis_of;
+use crate::entry_announcement::millis;
 use crate::error::WireError;
 use crate::field::{check_count, id_bytes, read_all, read_digest, read_name};
 use crate::generated as pb;
@@ -13,11 +13,13 @@
 use pb::owner_reply::Answer;
 use std::time::Duration;
 
-/// Most tokens and microseconds of a pace: a day of an engine's.
+/// Maximum of the tokens and of the microseconds of a pace; over a day of an engine's time.
 const MAX_PACE: u64 = 1 << 37;
 
-/// Most requests or tokens of memory placed on an upstream, so that sums can't overflow.
-const MAX_PLACED: u64 = 1 << 20;
+/// Maximum number of requests placed on an upstream, so that sums can't overflow.
+const MAX_RUNNING: u64 = 1 << 20;
+
+/// Maximum number of tokens placed on an upstream, so that sums can't overflow.
 const MAX_TOKENS: u64 = 1 << 37;
 
 pub(crate) fn report(report: &OwnerReport) -> pb::OwnerReport {
@@ -88,7 +90,7 @@
         }),
         OwnerReplyBody::Refused { content, age } => Answer::Refused(pb::Refused {
             content: id_bytes(content.0),
-            age_ms: age.map(millis_of),
+            age_ms: age.map(millis),
         }),
     };
     pb::OwnerReply {
@@ -124,7 +126,7 @@
 fn refusal(refusal: &Refusal) -> pb::Refusal {
     pb::Refusal {
         content: id_bytes(refusal.content.0),
-        age_ms: millis_of(refusal.age),
+        age_ms: millis(refusal.age),
     }
 }
 
@@ -189,10 +191,10 @@
     }
 }
 
-/// Refuses work whose figures would overflow when summed.
+/// Reads placed work; rejects counts whose sums could overflow.
 fn read_placed(at: &pb::PlacedAt) -> Result<PlacedAt, WireError> {
-    let most = at.tokens.max(at.copies).max(at.unread);
-    if u64::from(at.running) > MAX_PLACED || most > MAX_TOKENS {
+    let max_tokens = at.tokens.max(at.copies).max(at.unread);
+    if u64::from(at.running) > MAX_RUNNING || max_tokens > MAX_TOKENS {
         return Err(WireError::TooLong("placed"));
     }
     Ok(PlacedAt {
@@ -208,7 +210,7 @@
     })
 }
 
-/// Refuses a pace whose figures would overflow when summed.
+/// Reads a pace; rejects values whose sums could overflow.
 fn read_pace(at: &pb::PlacedAt) -> Result<Pace, WireError> {
     if at.made_tokens > MAX_PACE || at.made_micros > MAX_PACE {
         return Err(WireError::TooLong("placed.made"));
--- a/fireflycroft-wire/tests/round_trip.rs
+++ b/fireflycroft-wire/tests/round_trip.rs
@@ -1,4 +1,4 @@
-//! What is written is read as it was; other bytes are errors, never panics.
+//! Decoding restores the encoded value; other bytes give errors, never panics.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use support::{config, envelope, load, message, peer};
 
 const CASES: u32 = 1_024;
-const LONGEST_NOISE: usize = 512;
+const MAX_NOISE_BYTES: usize = 512;
 
 proptest! {
     #![proptest_config(config(CASES))]
@@ -50,7 +50,7 @@
     }
 
     #[test]
-    fn noise_never_panics(bytes in vec(any::<u8>(), 0..LONGEST_NOISE)) {
+    fn noise_never_panics(bytes in vec(any::<u8>(), 0..MAX_NOISE_BYTES)) {
         if let Err(e) = decode_all(&bytes) {
             prop_assert!(matches!(e.code(), Code::MessageMalformed | Code::MessageTooLong));
         }
@@ -68,7 +68,7 @@
             bytes[at] ^= mask;
         }
         bytes.truncate(cut.index(bytes.len() + 1));
-        // Whatever is still read must be written and read again as it is.
+        // A damaged packet that still decodes must survive another round trip.
         if let Ok(damaged) = decode(&bytes) {
             prop_assert_eq!(decode(&encode(&damaged)), Ok(damaged));
         }
--- a/fireflydirect/src/feed.rs
+++ b/fireflydirect/src/feed.rs
@@ -15,7 +15,7 @@
 use crate::store_call::{StoreCall, page_path};
 use fireflycroft::{HedgedCall, Mechanism, Name, era_of};
 use fireflycroft_platform::{
-    Kind, StoreFault, StoreObject, StorePage, read_era, read_events, read_page, watch_path,
+    Kind, StoreError, StoreObject, StorePage, read_era, read_events, read_page, watch_path,
 };
 use std::cell::Cell;
 use std::rc::Rc;
@@ -177,7 +177,7 @@
         let after = listing.last_name();
         let path = page_path(call, self.kind, after.as_deref());
         let page = self.get_page(call, &path).await?;
-        self.ingest.record_nameless(page.nameless);
+        self.ingest.record_nameless(page.unnamed);
         // Objects of an incomplete list are valid as well.
         self.ingest.apply_objects(&page.objects);
         let more = page.more;
@@ -326,7 +326,7 @@
                     let read = read.in_era(era_of(revision));
                     self.record_success();
                     revision = read.revision;
-                    self.ingest.record_nameless(read.nameless);
+                    self.ingest.record_nameless(read.unnamed);
                     let any_events = !read.events.is_empty();
                     self.ingest.apply_events(read.events, revision);
                     if self.kind == Kind::Upstreams {
@@ -336,9 +336,9 @@
                         self.delay_batch().await;
                     }
                 }
-                Err(Some(StoreFault::HistoryGone)) => return,
+                Err(Some(StoreError::HistoryGone)) => return,
                 // A new list holds the same changes, decoded object by object.
-                Err(Some(StoreFault::Malformed)) => {
+                Err(Some(StoreError::Malformed)) => {
                     self.back_off("unreadable changes").await;
                     return;
                 }
--- a/fireflydirect/src/migration.rs
+++ b/fireflydirect/src/migration.rs
@@ -9,7 +9,7 @@
 use crate::runs::{MigrationCopy, Run};
 use bytes::Bytes;
 use fireflycroft::{DepartureAction, Mechanism, Need, UpstreamIx, departure_action};
-use fireflycroft_platform::{MoveOutcome, move_call, read_move};
+use fireflycroft_platform::{MigrationOutcome, migration_call, read_migration};
 use http_body_util::Full;
 use hyper::Request;
 use hyper::header::{CONTENT_TYPE, HOST, HeaderValue};
@@ -138,8 +138,8 @@
             wait_until_stop(node, from).await;
         }
         match copy_memory(node, from, to, run, stop).await {
-            MoveOutcome::Copied(_) if !stop => {}
-            MoveOutcome::Copied(memory) => {
+            MigrationOutcome::Copied(_) if !stop => {}
+            MigrationOutcome::Copied(memory) => {
                 log_outcome(node, run, from, Some(to), "moved");
                 *run.migration_copy.borrow_mut() = Some(MigrationCopy {
                     assignment,
@@ -148,7 +148,7 @@
                 });
                 return TargetOutcome::Settled;
             }
-            MoveOutcome::NoRoom(Some(memory)) if stop => {
+            MigrationOutcome::NoCapacity(Some(memory)) if stop => {
                 log_outcome(
                     node,
                     run,
@@ -164,7 +164,7 @@
                 });
                 return TargetOutcome::Settled;
             }
-            MoveOutcome::NoRoom(_) => {
+            MigrationOutcome::NoCapacity(_) => {
                 log_outcome(node, run, from, Some(to), "no room");
                 return TargetOutcome::NoCapacity;
             }
@@ -196,7 +196,7 @@
     to: UpstreamIx,
     run: &Run,
     stop: bool,
-) -> MoveOutcome {
+) -> MigrationOutcome {
     let request = request_copy(node, from, to, run, stop);
     let answer = tokio::time::timeout(COPY_TIMEOUT, request).await;
     match answer {
@@ -204,9 +204,9 @@
         Ok(Err(e)) => {
             let why = e.to_string();
             log::warn!(event = "move_failed", req = &*run.request_id, why = why; "");
-            MoveOutcome::Malformed
+            MigrationOutcome::Malformed
         }
-        Err(_) => MoveOutcome::Malformed,
+        Err(_) => MigrationOutcome::Malformed,
     }
 }
 
@@ -216,13 +216,13 @@
     to: UpstreamIx,
     run: &Run,
     stop: bool,
-) -> anyhow::Result<MoveOutcome> {
+) -> anyhow::Result<MigrationOutcome> {
     let (source, target) = {
         let pool = node.pool.borrow();
         (pool.record(from).clone(), pool.record(to).addr)
     };
     node.pool.borrow_mut().record_sending(node.now(), from);
-    let (path, body) = move_call(&run.request_id, target, stop);
+    let (path, body) = migration_call(&run.request_id, target, stop);
     let mut link = node
         .links
         .get(&source.life(), source.addr, COPY_TIMEOUT)
@@ -233,7 +233,7 @@
         .body(Full::new(Bytes::from(body)))?;
     let response = call(&mut link, req).await?;
     node.links.put_back(&source.life(), link, None);
-    Ok(read_move(source.addr, response.status, &response.body))
+    Ok(read_migration(source.addr, response.status, &response.body))
 }
 
 fn log_outcome(node: &Node, run: &Run, from: UpstreamIx, to: Option<UpstreamIx>, outcome: &str) {
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -15,7 +15,7 @@
     PoolChange, Quarantine, QueryBudget, Refusal, Regions, ReturningCallers, SharedRetryBudget,
     Time, UpstreamIx, ValueDensities, WatcherRole,
 };
-use fireflycroft_platform::{Place, StoreObject};
+use fireflycroft_platform::{PlatformSettings, StoreObject};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -35,14 +35,14 @@
 
 /// Returns whether an entry watches the store from its start on: seeds do, since all entries know
 /// them.
-fn watches_initially(place: &Place) -> bool {
+fn watches_initially(place: &PlatformSettings) -> bool {
     place.seeds.is_empty() || place.seeds.iter().any(|seed| seed.ip() == place.ip)
 }
 
 /// Shared state of one process.
 pub struct Node {
     /// The platform's settings: addresses, data centre, bounds.
-    pub place: Place,
+    pub place: PlatformSettings,
     /// Enabled mechanisms.
     pub policy: Policy,
     /// Clock of the process.
@@ -130,7 +130,7 @@
     /// # Errors
     ///
     /// Returns an error if two metrics have the same name.
-    pub fn new(place: Place, policy: Policy) -> anyhow::Result<Self> {
+    pub fn new(place: PlatformSettings, policy: Policy) -> anyhow::Result<Self> {
         let clock = Clock::start();
         let mut pool = Pool::new(place.data_centre.clone());
         pool.set_policy(policy);
@@ -140,10 +140,10 @@
             pool.set_heartbeat(heartbeat);
         }
         pool.set_fleet(FleetView::unknown(place.ip));
-        if let Some(limits) = place.bounds.cold {
+        if let Some(limits) = place.bounds.cold_limits {
             pool.set_cold_limits(&place.vm, limits);
         }
-        let retry_budget = SharedRetryBudget::new(place.bounds.repeats);
+        let retry_budget = SharedRetryBudget::new(place.bounds.retry_limits);
         let peers = Peers::new(&place);
         let metrics = Metrics::new()?;
         Ok(Self {
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -12,7 +12,7 @@
     Catalog, Code, Digest, Mechanism, Name, RequestHead, RouteSpec, STARTUP_RETRY_AFTER, Time,
     WorkspaceSpec, unconfigured_retry_after,
 };
-use fireflycroft_platform::read_ask;
+use fireflycroft_platform::read_request_head;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::header::HOST;
@@ -51,7 +51,7 @@
 pub async fn serve(node: Rc<Node>, req: Request<Incoming>) -> Answer {
     let arrival = node.now();
     let (parts, body) = req.into_parts();
-    let head = read_ask(&parts.headers);
+    let head = read_request_head(&parts.headers);
     let request_id = head.request_id.clone().unwrap_or_default();
     let mut answer = match admit(&node, arrival, parts, head, body).await {
         Ok(job) => answer_job(Rc::new(job)).await,
--- a/fireflydirect/src/store_call.rs
+++ b/fireflydirect/src/store_call.rs
@@ -1,6 +1,6 @@
 //! Calls to the platform's store, by cost.
 
-use fireflycroft_platform::{Kind, copy_path, list_path};
+use fireflycroft_platform::{Kind, list_path, replica_path};
 
 /// Kind of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 #[must_use]
 pub fn page_path(call: StoreCall, kind: Kind, after: Option<&str>) -> String {
     match call {
-        StoreCall::Replica => copy_path(kind, after),
+        StoreCall::Replica => replica_path(kind, after),
         StoreCall::List | StoreCall::Watch => list_path(kind, after),
     }
 }
