--- a/fireflycroft-wire/src/owner_news.rs
+++ b/fireflycroft-wire/src/owner_news.rs
@@ -6,8 +6,8 @@
 use crate::generated as pb;
 use crate::limits::MAX_RECORDS;
 use fireflycroft::{
-    Incarnation, Life, OwnedLoad, OwnerQuery, OwnerQueryBody, OwnerReply, OwnerReplyBody,
-    OwnerReport, Pace, Placed, PlacedAt, Refusal,
+    Incarnation, OwnedLoad, OwnerQuery, OwnerQueryBody, OwnerReply, OwnerReplyBody, OwnerReport,
+    Pace, Placed, PlacedAt, Refusal, UpstreamIncarnation,
 };
 use pb::owner_query::Ask;
 use pb::owner_reply::Answer;
@@ -135,15 +135,15 @@
     })
 }
 
-pub(crate) fn life(life: &Life) -> pb::Life {
+pub(crate) fn life(life: &UpstreamIncarnation) -> pb::Life {
     pb::Life {
         instance: life.instance.to_string(),
         incarnation: life.incarnation.0,
     }
 }
 
-pub(crate) fn read_life(life: &pb::Life) -> Result<Life, WireError> {
-    Ok(Life {
+pub(crate) fn read_life(life: &pb::Life) -> Result<UpstreamIncarnation, WireError> {
+    Ok(UpstreamIncarnation {
         instance: read_name(&life.instance, "life.instance")?,
         incarnation: Incarnation(life.incarnation),
     })
@@ -166,7 +166,7 @@
     let at = load.placed.as_ref();
     let at = read_placed(at.ok_or(WireError::Missing("owned.placed"))?)?;
     Ok(OwnedLoad {
-        upstream: Life {
+        upstream: UpstreamIncarnation {
             instance: at.instance,
             incarnation: at.incarnation,
         },
--- a/fireflycroft-wire/tests/entry_news.rs
+++ b/fireflycroft-wire/tests/entry_news.rs
@@ -1,10 +1,10 @@
 //! Messages of direct entries to bytes and back, and bytes that are none.
 
 use fireflycroft::{
-    CrashCount, Digest, EntryAnnouncement, EntryMessage, Evacuations, Incarnation, Life,
-    ListChange, Name, OwnedLoad, OwnerQuery, OwnerQueryBody, OwnerReply, OwnerReplyBody,
-    OwnerReport, Pace, Placed, PlacedAt, RateLimit, Refusal, RetryCount, ToldRate, UpstreamRecord,
-    UpstreamState,
+    CrashCount, Digest, EntryAnnouncement, EntryMessage, Evacuations, Incarnation, ListChange,
+    Name, OwnedLoad, OwnerQuery, OwnerQueryBody, OwnerReply, OwnerReplyBody, OwnerReport, Pace,
+    Placed, PlacedAt, RateLimit, Refusal, RetryCount, ToldRate, UpstreamIncarnation,
+    UpstreamRecord, UpstreamState,
 };
 use fireflycroft_wire::{MAX_DATAGRAM_BYTES, WireError, decode_datagram, encode_datagram};
 use proptest::prelude::*;
@@ -73,8 +73,8 @@
     }
 }
 
-fn life() -> Life {
-    Life {
+fn life() -> UpstreamIncarnation {
+    UpstreamIncarnation {
         instance: Name::from("i-1"),
         incarnation: Incarnation(1_790_000_000_123),
     }
--- a/fireflycroft/src/entry_announcement.rs
+++ b/fireflycroft/src/entry_announcement.rs
@@ -5,7 +5,7 @@
 use crate::listing::ListChange;
 use crate::rate_limit::ToldRate;
 use crate::retry_budget::RetryCount;
-use crate::upstream::Life;
+use crate::upstream::UpstreamIncarnation;
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
@@ -52,7 +52,7 @@
     /// Evacuated data centres.
     pub evacuations: Evacuations,
     /// Upstreams that gave a leave notice in a response and are still listed as serving.
-    pub departing: Vec<Life>,
+    pub departing: Vec<UpstreamIncarnation>,
     /// Current and recently lifted rate limits of upstreams.
     pub rate_limits: Vec<ToldRate>,
     /// Whether the sender is stopping.
--- a/fireflycroft/src/leave_notice.rs
+++ b/fireflycroft/src/leave_notice.rs
@@ -7,7 +7,7 @@
 use crate::listing::PoolChange;
 use crate::pool::Pool;
 use crate::time::Time;
-use crate::upstream::{Life, Upstream, UpstreamIx, least_recently_announced};
+use crate::upstream::{Upstream, UpstreamIncarnation, UpstreamIx, least_recently_announced};
 
 /// Upstreams in one announcement; more take turns.
 const MAX_ANNOUNCED: usize = 4;
@@ -36,7 +36,11 @@
     }
 
     /// Applies a leave notice that another entry announced.
-    pub fn apply_leave_notice(&mut self, now: Time, life: &Life) -> Option<PoolChange> {
+    pub fn apply_leave_notice(
+        &mut self,
+        now: Time,
+        life: &UpstreamIncarnation,
+    ) -> Option<PoolChange> {
         let ix = self.find(&life.instance)?;
         if self.record(ix).incarnation != life.incarnation {
             return None;
@@ -46,14 +50,14 @@
 
     /// Returns the upstreams with a leave notice that the list still has as serving, for announcement;
     /// the least recently announced first.
-    pub fn leave_notices_to_announce(&mut self, now: Time) -> Vec<Life> {
+    pub fn leave_notices_to_announce(&mut self, now: Time) -> Vec<UpstreamIncarnation> {
         let noticed = self.upstreams.iter_mut();
         let noticed = noticed.filter(|u| u.leave_notice.is_received && u.is_listed_as_serving());
         let announced =
             least_recently_announced(noticed, |u| u.leave_notice.announced_at, MAX_ANNOUNCED);
         let announce = |u: &mut Upstream| {
             u.leave_notice.announced_at = Some(now);
-            u.record.life()
+            u.record.upstream_incarnation()
         };
         announced.into_iter().map(announce).collect()
     }
--- a/fireflycroft/src/lib.rs
+++ b/fireflycroft/src/lib.rs
@@ -33,8 +33,8 @@
 //! };
 //! let now = Time::default();
 //! let mut pool = Pool::new(Name::from("a"));
-//! pool.learn(now, record("i-1", 1));
-//! pool.learn(now, record("i-2", 2));
+//! pool.upsert(now, record("i-1", 1));
+//! pool.upsert(now, record("i-2", 2));
 //! pool.set_memory(&Name::from("models"), Some(30_000));
 //!
 //! let need = Need { tokens: 4_000, ..Need::default() };
--- a/fireflycroft/src/listing.rs
+++ b/fireflycroft/src/listing.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolChange {
     /// A new upstream came.
-    Came(UpstreamIx),
+    Available(UpstreamIx),
     /// An upstream leaves or is gone from the list.
     Leaves(UpstreamIx),
     /// An upstream started again under its id.
@@ -40,7 +40,7 @@
     /// The list lacks an upstream, which may live all the same.
     Missing(UpstreamIx),
     /// An upstream that was missing is on the list again.
-    Back {
+    Relisted {
         /// The upstream.
         ix: UpstreamIx,
         /// Time for which it was missing.
@@ -74,34 +74,34 @@
 }
 
 /// Changes of the list that are kept to be told.
-const MAX_CHANGES: usize = 16;
+const MAX_ANNOUNCED_CHANGES: usize = 16;
 
 /// Time for which a change of the list is told again and again.
-const TELL_FOR: Duration = Duration::from_millis(1_200);
+const CHANGE_ANNOUNCE_TIME: Duration = Duration::from_millis(1_200);
 
 /// Time for which an upstream that is gone is remembered, so that an older
 /// record can't bring it back.
-const REMEMBER_GONE: Duration = Duration::from_mins(1);
+const REMOVED_RETENTION: Duration = Duration::from_mins(1);
 
 impl Pool {
     /// Takes a record unless it is older than the one held.
-    pub fn learn(&mut self, now: Time, record: UpstreamRecord) -> Option<PoolChange> {
+    pub fn upsert(&mut self, now: Time, record: UpstreamRecord) -> Option<PoolChange> {
         self.revision = self.revision.max(record.revision);
-        let record = self.unless_left_before(record);
+        let record = self.with_departure_kept(record);
         let Some(ix) = self.find(&record.instance) else {
-            return self.meet(now, record);
+            return self.add_new(now, record);
         };
         let u = &self.upstreams[ix.0];
-        match judge(&u.record, &record) {
-            Word::Stale => return None,
-            Word::Restart => return Some(self.restart(now, ix, record)),
-            Word::Foreign => {
+        match classify(&u.record, &record) {
+            RecordKind::Stale => return None,
+            RecordKind::Restart => return Some(self.restart(now, ix, record)),
+            RecordKind::Foreign => {
                 let lost = self.unreadable(&record.instance, record.revision)?;
-                return self.learn(now, lost);
+                return self.upsert(now, lost);
             }
-            Word::News => {}
+            RecordKind::Update => {}
         }
-        self.note_change(now, ListChange::Listed(record.clone()));
+        self.record_change(now, ListChange::Listed(record.clone()));
         self.digest ^= digest_of(&record);
         let u = &mut self.upstreams[ix.0];
         if !u.gone {
@@ -120,10 +120,10 @@
             }
             (false, UpstreamState::Serving) if u.is_serving() => {
                 u.left_at = None;
-                Some(PoolChange::Came(ix))
+                Some(PoolChange::Available(ix))
             }
             (true, UpstreamState::Unreadable) => Some(PoolChange::Unreadable(ix)),
-            _ => was_missing.map(|missing| PoolChange::Back {
+            _ => was_missing.map(|missing| PoolChange::Relisted {
                 ix,
                 missing_for: now.since(missing.since),
             }),
@@ -134,13 +134,14 @@
     ///
     /// A life that has announced its leaving, or is gone, doesn't take new work again; until it has
     /// written its record in the new era, the list has the old one.
-    fn unless_left_before(&self, record: UpstreamRecord) -> UpstreamRecord {
+    fn with_departure_kept(&self, record: UpstreamRecord) -> UpstreamRecord {
         let Some(ix) = self.find(&record.instance) else {
             return record;
         };
         let held = &self.upstreams[ix.0];
         let is_of_later_era = era_of(record.revision) > era_of(held.record.revision);
-        let is_same_life = record.incarnation.is_known() && record.life() == held.record.life();
+        let is_same_life = record.incarnation.is_known()
+            && record.upstream_incarnation() == held.record.upstream_incarnation();
         let had_left = held.gone || held.record.state == UpstreamState::Leaving;
         if is_of_later_era && is_same_life && had_left {
             let state = UpstreamState::Leaving;
@@ -150,15 +151,15 @@
     }
 
     /// Takes the first record of an upstream.
-    fn meet(&mut self, now: Time, record: UpstreamRecord) -> Option<PoolChange> {
-        let lacked = self.is_lacked(record.revision);
+    fn add_new(&mut self, now: Time, record: UpstreamRecord) -> Option<PoolChange> {
+        let lacked = self.is_missing_from_list(record.revision);
         if lacked && self.is_settled(now) {
             return None;
         }
-        let revision = self.listed_at;
-        self.note_change(now, ListChange::Listed(record.clone()));
+        let revision = self.list_revision;
+        self.record_change(now, ListChange::Listed(record.clone()));
         let change = self.add(now, record);
-        if lacked && let PoolChange::Came(ix) = change {
+        if lacked && let PoolChange::Available(ix) = change {
             self.mark_missing(now, ix, revision);
         }
         Some(change)
@@ -177,7 +178,7 @@
         u.left_at = Some(now);
         u.others.clear();
         u.replied = None;
-        self.note_change(now, ListChange::Listed(record.clone()));
+        self.record_change(now, ListChange::Listed(record.clone()));
         let begun = self.insert(now, record);
         self.upstreams[begun.0].missing = missing;
         PoolChange::Restarted { ended: old, begun }
@@ -204,7 +205,7 @@
         if leaving {
             PoolChange::Leaves(ix)
         } else {
-            PoolChange::Came(ix)
+            PoolChange::Available(ix)
         }
     }
 
@@ -213,7 +214,7 @@
         let upstream = Upstream {
             cold_until: now + record.cold_for,
             memory_tokens: self.memory_of.get(&record.service).copied(),
-            met_at: record.revision,
+            first_revision: record.revision,
             record,
             sent_requests: SentRequests::default(),
             rate: KnownRate::default(),
@@ -235,13 +236,13 @@
         let free = |u: &Upstream| {
             u.gone
                 && u.mine == Placed::default()
-                && u.left_at.is_none_or(|t| now.since(t) > REMEMBER_GONE)
+                && u.left_at.is_none_or(|t| now.since(t) > REMOVED_RETENTION)
         };
         let service = upstream.record.service.clone();
         let instance = upstream.record.instance.clone();
         self.digest ^= digest_of(&upstream.record);
         let at = if let Some(at) = self.upstreams.iter().position(free) {
-            self.take_out(at);
+            self.remove_from_indices(at);
             self.upstreams[at] = upstream;
             at
         } else {
@@ -254,7 +255,7 @@
     }
 
     /// Takes an upstream that is gone out of the indices.
-    fn take_out(&mut self, at: usize) {
+    fn remove_from_indices(&mut self, at: usize) {
         let record = &self.upstreams[at].record;
         // A later life may have taken the id.
         if self.by_instance.get(&record.instance) == Some(&at) {
@@ -265,9 +266,9 @@
         }
     }
 
-    fn note_change(&mut self, now: Time, change: ListChange) {
+    fn record_change(&mut self, now: Time, change: ListChange) {
         self.changes.push_back((now, change));
-        if self.changes.len() > MAX_CHANGES {
+        if self.changes.len() > MAX_ANNOUNCED_CHANGES {
             self.changes.pop_front();
         }
     }
@@ -275,16 +276,16 @@
     /// Changes of the list of late, to tell the others.
     #[must_use]
     pub fn list_changes(&self, now: Time) -> Vec<ListChange> {
-        let fresh = |(at, _): &&(Time, ListChange)| now.since(*at) < TELL_FOR;
+        let fresh = |(at, _): &&(Time, ListChange)| now.since(*at) < CHANGE_ANNOUNCE_TIME;
         let changes = self.changes.iter().filter(fresh);
         changes.map(|(_, change)| change.clone()).collect()
     }
 
     /// Takes a change that another entry told.
-    pub fn take_change(&mut self, now: Time, change: ListChange) -> Option<PoolChange> {
+    pub fn apply_change(&mut self, now: Time, change: ListChange) -> Option<PoolChange> {
         match change {
-            ListChange::Listed(record) => self.learn(now, record),
-            ListChange::Removed { instance, revision } => self.forget(now, &instance, revision),
+            ListChange::Listed(record) => self.upsert(now, record),
+            ListChange::Removed { instance, revision } => self.remove(now, &instance, revision),
         }
     }
 
@@ -296,14 +297,14 @@
 
     /// Changes since a revision that are still remembered.
     #[must_use]
-    pub fn since(&self, revision: u64) -> ChangesSince {
+    pub fn changes_since(&self, revision: u64) -> ChangesSince {
         let mut changes = ChangesSince::default();
         for u in &self.upstreams {
             if u.ended || u.record.revision <= revision {
                 continue;
             }
             let word = (u.record.instance.clone(), u.record.revision);
-            let is_known = u.met_at <= revision;
+            let is_known = u.first_revision <= revision;
             match u.record.state {
                 _ if u.gone => changes.removed.push(word),
                 UpstreamState::Leaving if is_known => changes.leaving.push(word),
@@ -314,23 +315,18 @@
     }
 
     /// Notes that an upstream has said that it leaves, as of `revision`.
-    pub fn learn_leaving(
-        &mut self,
-        now: Time,
-        instance: &str,
-        revision: u64,
-    ) -> Option<PoolChange> {
+    pub fn mark_leaving(&mut self, now: Time, instance: &str, revision: u64) -> Option<PoolChange> {
         let held = &self.upstreams[self.find(instance)?.0].record;
         let record = UpstreamRecord {
             state: UpstreamState::Leaving,
             revision,
             ..held.clone()
         };
-        self.learn(now, record)
+        self.upsert(now, record)
     }
 
     /// Notes that the list no longer has an upstream, as of `revision`.
-    pub fn forget(&mut self, now: Time, instance: &str, revision: u64) -> Option<PoolChange> {
+    pub fn remove(&mut self, now: Time, instance: &str, revision: u64) -> Option<PoolChange> {
         self.revision = self.revision.max(revision);
         let ix = self.find(instance)?;
         let u = &mut self.upstreams[ix.0];
@@ -346,7 +342,7 @@
         u.gone = true;
         u.missing = None;
         let instance = u.record.instance.clone();
-        self.note_change(now, ListChange::Removed { instance, revision });
+        self.record_change(now, ListChange::Removed { instance, revision });
         let u = &mut self.upstreams[ix.0];
         if u.left_at.is_some() {
             return None;
@@ -356,7 +352,7 @@
     }
 
     /// Forgets upstreams that a list as of `revision` surely lacks.
-    pub fn forget_others(
+    pub fn remove_unlisted(
         &mut self,
         now: Time,
         listed: &[UpstreamRecord],
@@ -371,17 +367,17 @@
         let names: Vec<Name> = names.map(|u| u.record.instance.clone()).collect();
         names
             .iter()
-            .filter_map(|name| self.forget(now, name, revision))
+            .filter_map(|name| self.remove(now, name, revision))
             .collect()
     }
 }
 
 /// What a record says against the one that is held.
-enum Word {
+enum RecordKind {
     /// Nothing new.
     Stale,
     /// The same life has written it.
-    News,
+    Update,
     /// A later life has.
     Restart,
     /// It is not the upstream's own.
@@ -392,17 +388,17 @@
 ///
 /// A life keeps its service and its address, and says of its start all along what it said once; a
 /// record that doesn't was written by somebody else.
-fn judge(held: &UpstreamRecord, told: &UpstreamRecord) -> Word {
+fn classify(held: &UpstreamRecord, told: &UpstreamRecord) -> RecordKind {
     let moved = told.service != held.service || told.addr != held.addr;
     match (held.incarnation.is_known(), told.incarnation.is_known()) {
-        (true, true) if told.incarnation > held.incarnation => Word::Restart,
-        (true, true) if told.incarnation < held.incarnation => Word::Stale,
-        _ if told.revision <= held.revision => Word::Stale,
+        (true, true) if told.incarnation > held.incarnation => RecordKind::Restart,
+        (true, true) if told.incarnation < held.incarnation => RecordKind::Stale,
+        _ if told.revision <= held.revision => RecordKind::Stale,
         // What was held without a start was a stranger's word.
-        (false, true) if moved => Word::Restart,
-        (true, false) => Word::Foreign,
-        _ if moved => Word::Foreign,
-        _ => Word::News,
+        (false, true) if moved => RecordKind::Restart,
+        (true, false) => RecordKind::Foreign,
+        _ if moved => RecordKind::Foreign,
+        _ => RecordKind::Update,
     }
 }
 
--- a/fireflycroft/src/loads.rs
+++ b/fireflycroft/src/loads.rs
@@ -10,7 +10,8 @@
 use crate::pool::Pool;
 use crate::time::Time;
 use crate::upstream::{
-    ANNOUNCED_FOR, Life, REPLY_HOLDS, REPLY_IS_FRESH, Upstream, UpstreamIx, draw_index, share,
+    ANNOUNCED_FOR, REPLY_HOLDS, REPLY_IS_FRESH, Upstream, UpstreamIncarnation, UpstreamIx,
+    draw_index, share,
 };
 use std::time::Duration;
 
@@ -134,7 +135,12 @@
 
     /// Returns the loads that another entry queries, without its own work.
     #[must_use]
-    pub fn loads_for(&self, now: Time, entry: &Name, incarnations: &[Life]) -> Vec<OwnedLoad> {
+    pub fn loads_for(
+        &self,
+        now: Time,
+        entry: &Name,
+        incarnations: &[UpstreamIncarnation],
+    ) -> Vec<OwnedLoad> {
         let known = incarnations.iter().filter_map(|life| {
             let u = &self.upstreams[self.find(&life.instance)?.0];
             (u.record.incarnation == life.incarnation).then(|| OwnedLoad {
@@ -151,7 +157,7 @@
     ///
     /// Upstreams that leave during a store outage stay on the list and look empty. Without reports
     /// each entry would have to find out itself, and refuse callers after three of them in a row.
-    pub fn record_unreachable(&mut self, now: Time, entry: &Name, life: &Life) {
+    pub fn record_unreachable(&mut self, now: Time, entry: &Name, life: &UpstreamIncarnation) {
         let Some(ix) = self.find(&life.instance) else {
             return;
         };
--- a/fireflycroft/src/missing.rs
+++ b/fireflycroft/src/missing.rs
@@ -25,43 +25,48 @@
 impl Pool {
     /// Sets the time between two heartbeats of an upstream.
     pub const fn set_heartbeat(&mut self, heartbeat: Duration) {
-        self.contact = StoreConnectivity::new(heartbeat);
+        self.store_connectivity = StoreConnectivity::new(heartbeat);
     }
 
     /// Notes that the store answered; true when records may have lapsed before.
-    pub fn note_contact(&mut self, at: Time) -> bool {
-        self.contact.record_answer(at)
+    pub fn record_store_answer(&mut self, at: Time) -> bool {
+        self.store_connectivity.record_answer(at)
     }
 
     /// Notes that it has come back from a copy.
-    pub const fn note_restored(&mut self, at: Time) {
-        self.contact.record_restored(at);
+    pub const fn record_store_restored(&mut self, at: Time) {
+        self.store_connectivity.record_restored(at);
     }
 
     /// Notes that it didn't.
-    pub const fn note_no_contact(&mut self) {
-        self.contact.record_failure();
+    pub const fn record_store_failure(&mut self) {
+        self.store_connectivity.record_failure();
     }
 
     /// When the store answered, as far as is known.
     #[must_use]
-    pub const fn contact(&self) -> &StoreConnectivity {
-        &self.contact
+    pub const fn store_connectivity(&self) -> &StoreConnectivity {
+        &self.store_connectivity
     }
 
     /// Whether what the list lacks is gone.
     #[must_use]
     pub fn is_settled(&self, now: Time) -> bool {
-        self.contact.is_settled(now)
+        self.store_connectivity.is_settled(now)
     }
 
     /// Takes the removal of a record, read from the store.
-    pub fn remove(&mut self, now: Time, instance: &str, revision: u64) -> Option<PoolChange> {
-        let is_gone = self.contact.confirms_removals(now);
-        self.lose(now, instance, revision, is_gone)
+    pub fn apply_removal(
+        &mut self,
+        now: Time,
+        instance: &str,
+        revision: u64,
+    ) -> Option<PoolChange> {
+        let is_gone = self.store_connectivity.confirms_removals(now);
+        self.remove_or_mark_missing(now, instance, revision, is_gone)
     }
 
-    fn lose(
+    fn remove_or_mark_missing(
         &mut self,
         now: Time,
         instance: &str,
@@ -69,7 +74,7 @@
         is_gone: bool,
     ) -> Option<PoolChange> {
         if is_gone {
-            return self.forget(now, instance, revision);
+            return self.remove(now, instance, revision);
         }
         self.revision = self.revision.max(revision);
         let ix = self.find(instance)?;
@@ -77,7 +82,7 @@
     }
 
     /// Takes a whole list as of `revision`, read from the store.
-    pub fn take_list(
+    pub fn apply_list(
         &mut self,
         now: Time,
         records: Vec<UpstreamRecord>,
@@ -89,10 +94,10 @@
         let are_gone = self.is_settled(now);
         let lacked = lacked.iter();
         let mut changes: Vec<PoolChange> = lacked
-            .filter_map(|name| self.lose(now, name, revision, are_gone))
+            .filter_map(|name| self.remove_or_mark_missing(now, name, revision, are_gone))
             .collect();
-        changes.extend(records.into_iter().filter_map(|r| self.learn(now, r)));
-        self.listed_at = self.listed_at.max(revision);
+        changes.extend(records.into_iter().filter_map(|r| self.upsert(now, r)));
+        self.list_revision = self.list_revision.max(revision);
         self.note_complete(revision);
         changes
     }
@@ -101,8 +106,8 @@
     ///
     /// Another entry tells it that hasn't given up the upstream yet; one that is lost before it
     /// does leaves nobody who would.
-    pub(crate) const fn is_lacked(&self, revision: u64) -> bool {
-        revision <= self.listed_at
+    pub(crate) const fn is_missing_from_list(&self, revision: u64) -> bool {
+        revision <= self.list_revision
     }
 
     pub(crate) fn mark_missing(
@@ -124,7 +129,7 @@
     }
 
     /// Forgets upstreams that are missing, once they are gone.
-    pub fn drop_missing(&mut self, now: Time) -> Vec<PoolChange> {
+    pub fn remove_missing(&mut self, now: Time) -> Vec<PoolChange> {
         if !self.is_settled(now) {
             return Vec::new();
         }
@@ -133,7 +138,7 @@
         let missing = missing.filter_map(|u| Some((u.record.instance.clone(), u.missing?)));
         let missing: Vec<(Name, Missing)> = missing.collect();
         let gone = missing.into_iter();
-        gone.filter_map(|(name, missing)| self.forget(now, &name, missing.revision))
+        gone.filter_map(|(name, missing)| self.remove(now, &name, missing.revision))
             .collect()
     }
 
--- a/fireflycroft/src/owner_messages.rs
+++ b/fireflycroft/src/owner_messages.rs
@@ -5,7 +5,7 @@
 use crate::pace::Pace;
 use crate::placed::{Placed, PlacedAt};
 use crate::returning_callers::Refusal;
-use crate::upstream::Life;
+use crate::upstream::UpstreamIncarnation;
 use std::time::Duration;
 
 /// Recent actions of an entry, reported to the owners of the keys concerned.
@@ -20,7 +20,7 @@
     /// Callers recently refused by the sender.
     pub refused: Vec<Refusal>,
     /// Upstreams that the sender recently failed to reach.
-    pub unreachable: Vec<Life>,
+    pub unreachable: Vec<UpstreamIncarnation>,
 }
 
 /// Query to an owner.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnerQueryBody {
     /// The load of upstreams, without the work of the querying entry.
-    Loads(Vec<Life>),
+    Loads(Vec<UpstreamIncarnation>),
     /// One retry of a request to this service.
     Retry(Name),
     /// Whether the caller of a request with this content was recently refused.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnedLoad {
     /// The upstream.
-    pub upstream: Life,
+    pub upstream: UpstreamIncarnation,
     /// Whether it is reachable and accepts new work, as far as the owner knows.
     pub serves: bool,
     /// Work of all entries except the querying one.
--- a/fireflycroft/src/pool.rs
+++ b/fireflycroft/src/pool.rs
@@ -35,8 +35,8 @@
     /// Revision up to which every change of the list is known; some later ones may be, too.
     pub(crate) complete_to: u64,
     /// Revision of the last whole list that was read from the store.
-    pub(crate) listed_at: u64,
-    pub(crate) contact: StoreConnectivity,
+    pub(crate) list_revision: u64,
+    pub(crate) store_connectivity: StoreConnectivity,
     /// Time for which an upstream that leaves may get requests; none until it is set.
     pub(crate) drain_timeout: Duration,
     pub(crate) changes: VecDeque<(Time, ListChange)>,
@@ -113,7 +113,7 @@
 
     /// Indices of the same.
     #[must_use]
-    pub fn known(&self) -> Vec<UpstreamIx> {
+    pub fn indices(&self) -> Vec<UpstreamIx> {
         let all = self.upstreams.iter().enumerate();
         all.filter(|(_, u)| !u.gone)
             .map(|(i, _)| UpstreamIx(i))
--- a/fireflycroft/src/rate_limit.rs
+++ b/fireflycroft/src/rate_limit.rs
@@ -14,7 +14,7 @@
 use crate::owners::OwnedKey;
 use crate::pool::Pool;
 use crate::time::Time;
-use crate::upstream::{Life, Upstream, UpstreamIx, least_recently_announced};
+use crate::upstream::{Upstream, UpstreamIncarnation, UpstreamIx, least_recently_announced};
 use std::fmt;
 use std::time::Duration;
 
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ToldRate {
     /// Incarnation of the upstream.
-    pub life: Life,
+    pub life: UpstreamIncarnation,
     /// The limit; none once it is lifted.
     pub limit: Option<RateLimit>,
     /// Time since the effective time.
@@ -172,7 +172,7 @@
         let announced = announced.into_iter().filter_map(|u| {
             u.rate.announced_at = Some(now);
             Some(ToldRate {
-                life: u.record.life(),
+                life: u.record.upstream_incarnation(),
                 limit: u.rate.limit,
                 age: now.since(u.rate.as_of?),
             })
--- a/fireflycroft/src/upstream.rs
+++ b/fireflycroft/src/upstream.rs
@@ -30,7 +30,7 @@
 
 /// One life of an upstream, from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Life {
+pub struct UpstreamIncarnation {
     /// Id, which it may keep when it starts again.
     pub instance: Name,
     /// Which start of that id.
@@ -63,8 +63,8 @@
 impl UpstreamRecord {
     /// The life that wrote the record.
     #[must_use]
-    pub fn life(&self) -> Life {
-        Life {
+    pub fn upstream_incarnation(&self) -> UpstreamIncarnation {
+        UpstreamIncarnation {
             instance: self.instance.clone(),
             incarnation: self.incarnation,
         }
@@ -81,7 +81,7 @@
     pub(crate) record: UpstreamRecord,
     pub(crate) memory_tokens: Option<u64>,
     /// Revision of the first record that was taken of it.
-    pub(crate) met_at: u64,
+    pub(crate) first_revision: u64,
     pub(crate) gone: bool,
     /// Whether a later life has taken its id: all that it ran or held is lost.
     pub(crate) ended: bool,
--- a/fireflycroft/tests/admission_load.rs
+++ b/fireflycroft/tests/admission_load.rs
@@ -94,7 +94,7 @@
 fn engines() -> Pool {
     let mut pool = Pool::new(Name::from("dc"));
     for i in 0..ENGINES {
-        pool.learn(at(0), record(&format!("m-{i}"), 1 + i));
+        pool.upsert(at(0), record(&format!("m-{i}"), 1 + i));
     }
     pool.set_memory(&Name::from("models"), Some(MEMORY));
     pool
--- a/fireflycroft/tests/cold.rs
+++ b/fireflycroft/tests/cold.rs
@@ -54,7 +54,7 @@
     pool.set_fleet(fleet_of(entries));
     pool.set_cold_rate(&models, Some(per_second));
     for (i, instance) in engines.iter().enumerate() {
-        pool.learn(at(0), cold(instance, 1 + i as u64, 60_000));
+        pool.upsert(at(0), cold(instance, 1 + i as u64, 60_000));
     }
     pool
 }
@@ -101,7 +101,7 @@
     let mut pool = pool_of(0, 1, 30.0, &["a"]);
     let a = ix(&pool, "a");
     assert_eq!(pool.withheld(at(70_000), a), None);
-    pool.learn(at(70_000), cold("a", 9, 2_000));
+    pool.upsert(at(70_000), cold("a", 9, 2_000));
     send_all(&mut pool, 70_000, a);
     assert_eq!(
         pool.withheld(at(70_500), a),
@@ -112,7 +112,7 @@
 
 fn choice_goes_elsewhere() {
     let mut pool = pool_of(0, 1, 30.0, &["a"]);
-    pool.learn(at(0), record("b", 5));
+    pool.upsert(at(0), record("b", 5));
     let b = ix(&pool, "b");
     pool.place(at(0), b, &need(9_000));
     pool.set_memory(&Name::from("models"), Some(10_000));
--- a/fireflycroft/tests/evacuation.rs
+++ b/fireflycroft/tests/evacuation.rs
@@ -35,8 +35,8 @@
 /// Returns a pool with one engine in each of two data centres; the first is the emptier.
 fn two_places() -> Pool {
     let mut pool = Pool::new(Name::from("north"));
-    pool.learn(at(0), in_place("a", "north", 1));
-    pool.learn(at(0), in_place("b", "south", 2));
+    pool.upsert(at(0), in_place("a", "north", 1));
+    pool.upsert(at(0), in_place("b", "south", 2));
     pool.set_memory(&Name::from("models"), Some(MEMORY));
     let b = ix(&pool, "b");
     pool.place(at(0), b, &need(5_000));
@@ -58,7 +58,7 @@
     let a = ix(&pool, "a");
     assert!(pool.is_serving(a));
     assert_eq!(pool.left_at(a), None);
-    assert!(pool.drop_missing(at(60_000)).is_empty());
+    assert!(pool.remove_missing(at(60_000)).is_empty());
 }
 
 fn older_list() {
@@ -106,7 +106,7 @@
 fn comes_later() {
     let mut pool = two_places();
     pool.apply_evacuations(at(0), evacuated(5, &["north"]));
-    pool.learn(at(0), in_place("c", "north", 7));
+    pool.upsert(at(0), in_place("c", "north", 7));
     assert_eq!(chosen(&pool, at(0), &need(100)), "b");
 }
 
--- a/fireflycroft/tests/failover.rs
+++ b/fireflycroft/tests/failover.rs
@@ -205,7 +205,7 @@
             cold_for: Duration::ZERO,
             revision: i as u64 + 1,
         };
-        pool.learn(at(0), record);
+        pool.upsert(at(0), record);
     }
     pool.set_memory(&Name::from("models"), Some(10_000));
     pool
--- a/fireflycroft/tests/leave_notice.rs
+++ b/fireflycroft/tests/leave_notice.rs
@@ -49,7 +49,7 @@
     let mut pool = pool(&["a"]);
     says_so(&mut pool, 5, "a");
     let a = ix(&pool, "a");
-    assert_eq!(pool.learn(at(400), record("a", 9)), None);
+    assert_eq!(pool.upsert(at(400), record("a", 9)), None);
     assert!(!pool.is_serving(a));
     assert_eq!(pool.left_at(a), Some(at(5)));
 }
@@ -59,8 +59,8 @@
     pool.set_drain_timeout(Duration::from_secs(2));
     says_so(&mut pool, 5, "a");
     let a = ix(&pool, "a");
-    assert_eq!(pool.learn(at(1_500), leaving("a", 9)), None);
-    assert_eq!(pool.forget(at(1_600), "a", 10), None);
+    assert_eq!(pool.upsert(at(1_500), leaving("a", 9)), None);
+    assert_eq!(pool.remove(at(1_600), "a", 10), None);
     assert!(!pool.may_get_requests(at(2_005), a));
 }
 
@@ -82,9 +82,9 @@
 
 fn new_life() {
     let mut pool = Pool::new(Name::from("dc"));
-    pool.learn(at(0), born("a", 1, 100));
+    pool.upsert(at(0), born("a", 1, 100));
     says_so(&mut pool, 5, "a");
-    pool.learn(at(900), born("a", 2, 200));
+    pool.upsert(at(900), born("a", 2, 200));
     assert!(pool.is_serving(ix(&pool, "a")));
 }
 
@@ -104,7 +104,7 @@
     says_so(&mut first, 5, "a");
     let told = first.leave_notices_to_announce(at(10));
     let mut second = Pool::new(Name::from("dc"));
-    second.learn(at(0), born("a", 1, 100));
+    second.upsert(at(0), born("a", 1, 100));
     assert_eq!(second.apply_leave_notice(at(11), &told[0]), None);
     assert!(second.is_serving(ix(&second, "a")));
 }
@@ -112,13 +112,13 @@
 fn list_knows() {
     let mut pool = pool(&["a"]);
     says_so(&mut pool, 5, "a");
-    pool.learn(at(10), leaving("a", 9));
+    pool.upsert(at(10), leaving("a", 9));
     assert!(pool.leave_notices_to_announce(at(11)).is_empty());
 }
 
 fn had_left() {
     let mut pool = pool(&["a"]);
-    pool.learn(at(3), leaving("a", 9));
+    pool.upsert(at(3), leaving("a", 9));
     assert_eq!(says_so(&mut pool, 5, "a"), None);
     assert_eq!(pool.left_at(ix(&pool, "a")), Some(at(3)));
 }
--- a/fireflycroft/tests/listing_gaps.rs
+++ b/fireflycroft/tests/listing_gaps.rs
@@ -28,21 +28,21 @@
 fn listed() -> Pool {
     let mut pool = Pool::new(Name::from("dc"));
     let records = (0..UPSTREAMS).map(|i| record(&format!("i-{i}"), 1 + i));
-    pool.note_contact(at(0));
-    pool.take_list(at(0), records.collect(), UPSTREAMS);
+    pool.record_store_answer(at(0));
+    pool.apply_list(at(0), records.collect(), UPSTREAMS);
     pool
 }
 
 /// Takes what another entry hands on.
 fn take(pool: &mut Pool, changes: ChangesSince, complete_to: u64) {
     for record in changes.listed {
-        pool.learn(at(2), record);
+        pool.upsert(at(2), record);
     }
     for (instance, revision) in changes.leaving {
-        pool.learn_leaving(at(2), &instance, revision);
+        pool.mark_leaving(at(2), &instance, revision);
     }
     for (instance, revision) in changes.removed {
-        pool.forget(at(2), &instance, revision);
+        pool.remove(at(2), &instance, revision);
     }
     pool.note_complete(complete_to);
 }
@@ -50,16 +50,16 @@
 fn gap_is_fetched() {
     let (mut watcher, mut other) = (listed(), listed());
     for i in 0..100 {
-        watcher.learn(at(1), leaving(&format!("i-{i}"), 1_000 + i));
+        watcher.upsert(at(1), leaving(&format!("i-{i}"), 1_000 + i));
     }
     watcher.note_complete(1_099);
     for change in watcher.list_changes(at(1)) {
-        other.take_change(at(1), change);
+        other.apply_change(at(1), change);
     }
     assert_eq!(other.revision(), watcher.revision());
     assert_ne!(other.digest(), watcher.digest());
     assert_eq!(other.complete_to(), UPSTREAMS);
-    let changes = watcher.since(other.complete_to());
+    let changes = watcher.changes_since(other.complete_to());
     take(&mut other, changes, watcher.complete_to());
     assert_eq!(other.digest(), watcher.digest());
     assert_eq!(other.complete_to(), 1_099);
@@ -67,8 +67,8 @@
 
 fn leaving_by_name() {
     let mut watcher = listed();
-    watcher.learn(at(1), leaving("i-7", 1_000));
-    let changes = watcher.since(UPSTREAMS);
+    watcher.upsert(at(1), leaving("i-7", 1_000));
+    let changes = watcher.changes_since(UPSTREAMS);
     assert_eq!(changes.leaving, [(Name::from("i-7"), 1_000)]);
     assert!(changes.listed.is_empty());
     let mut other = listed();
@@ -79,16 +79,16 @@
 
 fn new_and_leaving() {
     let mut watcher = listed();
-    watcher.learn(at(1), record("new", 900));
-    watcher.learn(at(1), leaving("new", 1_000));
-    let changes = watcher.since(UPSTREAMS);
+    watcher.upsert(at(1), record("new", 900));
+    watcher.upsert(at(1), leaving("new", 1_000));
+    let changes = watcher.changes_since(UPSTREAMS);
     assert_eq!(changes.listed.len(), 1);
     assert_eq!(changes.listed[0].state, UpstreamState::Leaving);
 }
 
 fn unknown_leaving() {
     let mut pool = listed();
-    assert_eq!(pool.learn_leaving(at(1), "stranger", 1_000), None);
+    assert_eq!(pool.mark_leaving(at(1), "stranger", 1_000), None);
 }
 
 fn list_is_complete() {
--- a/fireflycroft/tests/long_on_fast.rs
+++ b/fireflycroft/tests/long_on_fast.rs
@@ -62,7 +62,7 @@
     fn new(speeds: &[f64]) -> Self {
         let mut pool = Pool::new(Name::from("dc"));
         for i in 0..ENGINES {
-            pool.learn(at(0), record(&format!("e{i}"), 1 + i as u64));
+            pool.upsert(at(0), record(&format!("e{i}"), 1 + i as u64));
         }
         pool.set_memory(&Name::from("models"), Some(MEMORY));
         let speeds = speeds.iter().cycle().take(ENGINES);
@@ -110,7 +110,7 @@
     }
 
     fn fullest(&self, now: Time) -> f64 {
-        let all = self.pool.known().into_iter();
+        let all = self.pool.indices().into_iter();
         all.map(|ix| self.pool.fill(now, ix)).fold(0.0, f64::max)
     }
 }
--- a/fireflycroft/tests/mechanism.rs
+++ b/fireflycroft/tests/mechanism.rs
@@ -62,7 +62,7 @@
             cold_for: Duration::ZERO,
             revision,
         };
-        pool.learn(NOW, record);
+        pool.upsert(NOW, record);
     }
     pool.set_memory(&Name::from("models"), Some(100_000));
     let (first, second) = (pool.find("first").unwrap(), pool.find("second").unwrap());
--- a/fireflycroft/tests/missing.rs
+++ b/fireflycroft/tests/missing.rs
@@ -55,10 +55,10 @@
 fn hear(pool: &mut fireflycroft::Pool, from: u64, to: u64) {
     let mut millis = from;
     while millis < to {
-        pool.note_contact(at(millis));
+        pool.record_store_answer(at(millis));
         millis += WATCH_WAIT;
     }
-    pool.note_contact(at(to));
+    pool.record_store_answer(at(to));
 }
 
 /// Moment at which the doubt ends that began then.
@@ -73,38 +73,38 @@
 fn missing_serves_on() {
     let mut pool = pool(&["a", "b"]);
     hear(&mut pool, 0, 0);
-    pool.take_list(at(0), vec![record("b", 2)], 5);
+    pool.apply_list(at(0), vec![record("b", 2)], 5);
     assert_eq!(pool.count("models"), 2);
-    assert!(pool.drop_missing(at(100)).is_empty());
+    assert!(pool.remove_missing(at(100)).is_empty());
     hear(&mut pool, 0, 2_500);
-    assert_eq!(pool.drop_missing(settled(0)).len(), 1);
+    assert_eq!(pool.remove_missing(settled(0)).len(), 1);
     assert_eq!(pool.count("models"), 1);
 }
 
 fn missing_comes_back() {
     let mut pool = pool(&["a"]);
-    pool.note_no_contact();
+    pool.record_store_failure();
     hear(&mut pool, 0, 0);
-    pool.remove(at(0), "a", 4);
+    pool.apply_removal(at(0), "a", 4);
     let a = ix(&pool, "a");
     let missing_for = Duration::from_secs(1);
-    let back = PoolChange::Back { ix: a, missing_for };
-    assert_eq!(pool.learn(at(1_000), record("a", 5)), Some(back));
+    let back = PoolChange::Relisted { ix: a, missing_for };
+    assert_eq!(pool.upsert(at(1_000), record("a", 5)), Some(back));
     hear(&mut pool, 0, 9_000);
-    assert!(pool.drop_missing(at(9_000)).is_empty());
+    assert!(pool.remove_missing(at(9_000)).is_empty());
     assert_eq!(pool.count("models"), 1);
 }
 
 fn told_again_stays_missing() {
     let mut pool = pool(&["a", "b"]);
-    pool.note_no_contact();
+    pool.record_store_failure();
     hear(&mut pool, 0, 0);
-    pool.remove(at(0), "a", 4);
-    pool.learn(at(10), record("a", 1));
+    pool.apply_removal(at(0), "a", 4);
+    pool.upsert(at(10), record("a", 1));
     // Written after the one that is held, and before the removal.
-    pool.learn(at(20), record("a", 3));
+    pool.upsert(at(20), record("a", 3));
     hear(&mut pool, 0, 9_000);
-    assert_eq!(pool.drop_missing(at(9_000)).len(), 1);
+    assert_eq!(pool.remove_missing(at(9_000)).len(), 1);
     assert_eq!(pool.count("models"), 1);
 }
 
@@ -120,7 +120,7 @@
     let mut pool = after_outage();
     hear(&mut pool, 8_000, 10_600);
     let a = ix(&pool, "a");
-    let change = pool.remove(at(10_600), "a", 9);
+    let change = pool.apply_removal(at(10_600), "a", 9);
     assert_eq!(change, Some(PoolChange::Leaves(a)));
     assert_eq!(chosen(&pool, at(10_600), &need(1)), "b");
 }
@@ -129,11 +129,11 @@
     let mut pool = after_outage();
     hear(&mut pool, 8_000, 10_400);
     let a = ix(&pool, "a");
-    let change = pool.remove(at(10_400), "a", 9);
+    let change = pool.apply_removal(at(10_400), "a", 9);
     assert_eq!(change, Some(PoolChange::Missing(a)));
     assert!(serves(&pool, "a"));
-    assert_eq!(pool.contact().settles_at(), Some(settled(8_000)));
-    let gone = pool.drop_missing(settled(8_000));
+    assert_eq!(pool.store_connectivity().settles_at(), Some(settled(8_000)));
+    let gone = pool.remove_missing(settled(8_000));
     assert_eq!(gone, vec![PoolChange::Leaves(a)]);
     assert_eq!(
         pool.record(a).revision,
@@ -147,26 +147,26 @@
     let mut pool = pool(&["a", "b"]);
     hear(&mut pool, 0, 8_000);
     hear(&mut pool, 9_400, 9_400);
-    pool.remove(at(9_400), "a", 9);
+    pool.apply_removal(at(9_400), "a", 9);
     assert!(!serves(&pool, "a"));
 }
 
 fn silent_store() {
     let mut pool = after_outage();
-    pool.remove(at(8_000), "a", 9);
+    pool.apply_removal(at(8_000), "a", 9);
     // Away again before it was back for long enough.
-    assert!(pool.drop_missing(at(12_000)).is_empty());
+    assert!(pool.remove_missing(at(12_000)).is_empty());
     hear(&mut pool, 14_000, 14_000);
-    assert!(pool.drop_missing(at(14_000)).is_empty());
+    assert!(pool.remove_missing(at(14_000)).is_empty());
     hear(&mut pool, 14_000, 16_500);
-    assert_eq!(pool.drop_missing(at(16_500)).len(), 1);
+    assert_eq!(pool.remove_missing(at(16_500)).len(), 1);
 }
 
 /// The store dropped its history, and an upstream left before the list was read anew.
 fn calm_list() {
     let mut pool = pool(&["a", "b"]);
     hear(&mut pool, 0, 5_000);
-    pool.take_list(at(5_000), vec![record("b", 2)], 9);
+    pool.apply_list(at(5_000), vec![record("b", 2)], 9);
     assert!(!serves(&pool, "a"));
 }
 
@@ -175,7 +175,7 @@
 fn first_list() {
     let mut pool = pool(&["a", "b"]);
     hear(&mut pool, 300, 300);
-    pool.take_list(at(300), Vec::new(), 9);
+    pool.apply_list(at(300), Vec::new(), 9);
     assert_eq!(pool.count("models"), 2);
 }
 
@@ -183,19 +183,19 @@
 fn first_removal() {
     let mut pool = pool(&["a", "b"]);
     hear(&mut pool, 300, 1_100);
-    pool.remove(at(1_100), "a", 9);
+    pool.apply_removal(at(1_100), "a", 9);
     assert!(!serves(&pool, "a"));
 }
 
 /// It starts while the store is away.
 fn first_removal_after_silence() {
     let mut pool = pool(&["a", "b"]);
-    pool.note_no_contact();
+    pool.record_store_failure();
     hear(&mut pool, 300, 1_100);
-    pool.remove(at(1_100), "a", 9);
+    pool.apply_removal(at(1_100), "a", 9);
     assert!(serves(&pool, "a"));
     hear(&mut pool, 1_100, 2_800);
-    assert_eq!(pool.drop_missing(settled(300)).len(), 1);
+    assert_eq!(pool.remove_missing(settled(300)).len(), 1);
 }
 
 /// All entries that watch are lost, and another one steps in a second later.
@@ -204,30 +204,30 @@
     // Told with its age, as the others were answered then.
     hear(&mut pool, 0, 4_000);
     let told_at = at(5_000);
-    pool.note_contact(told_at - Duration::from_millis(200));
+    pool.record_store_answer(told_at - Duration::from_millis(200));
     hear(&mut pool, 6_200, 6_200);
-    pool.take_list(at(6_200), vec![record("b", 2)], 9);
+    pool.apply_list(at(6_200), vec![record("b", 2)], 9);
     assert!(!serves(&pool, "a"));
 }
 
 fn lacked_record() {
     let mut pool = pool(&["b"]);
     hear(&mut pool, 0, 5_000);
-    pool.take_list(at(5_000), vec![record("b", 1)], 9);
-    assert_eq!(pool.learn(at(5_010), record("a", 8)), None);
+    pool.apply_list(at(5_000), vec![record("b", 1)], 9);
+    assert_eq!(pool.upsert(at(5_010), record("a", 8)), None);
     assert_eq!(pool.count("models"), 1);
-    assert!(pool.learn(at(5_020), record("a", 10)).is_some());
+    assert!(pool.upsert(at(5_020), record("a", 10)).is_some());
     assert_eq!(pool.count("models"), 2);
 }
 
 fn lacked_record_in_doubt() {
     let mut pool = pool(&["b"]);
     hear(&mut pool, 300, 300);
-    pool.take_list(at(300), vec![record("b", 1)], 9);
-    assert!(pool.learn(at(310), record("a", 8)).is_some());
+    pool.apply_list(at(300), vec![record("b", 1)], 9);
+    assert!(pool.upsert(at(310), record("a", 8)).is_some());
     assert!(serves(&pool, "a"));
     hear(&mut pool, 300, 2_800);
-    assert_eq!(pool.drop_missing(settled(300)).len(), 1);
+    assert_eq!(pool.remove_missing(settled(300)).len(), 1);
 }
 
 /// An entry reads that an id is gone before it hears that the id had been taken by a later life.
@@ -237,14 +237,14 @@
         ..record("a", revision)
     };
     let mut pool = pool(&["b"]);
-    pool.learn(at(0), life(100, 2));
-    pool.note_no_contact();
+    pool.upsert(at(0), life(100, 2));
+    pool.record_store_failure();
     hear(&mut pool, 300, 300);
-    pool.remove(at(300), "a", 6);
-    let change = pool.learn(at(310), life(200, 5)).unwrap();
+    pool.apply_removal(at(300), "a", 6);
+    let change = pool.upsert(at(310), life(200, 5)).unwrap();
     assert!(matches!(change, PoolChange::Restarted { .. }), "{change:?}");
     hear(&mut pool, 300, 2_800);
-    assert_eq!(pool.drop_missing(settled(300)).len(), 1);
+    assert_eq!(pool.remove_missing(settled(300)).len(), 1);
     assert_eq!(pool.count("models"), 1);
 }
 
@@ -253,11 +253,11 @@
     pool.set_drain_timeout(Duration::from_millis(DRAIN_TIMEOUT));
     let a = ix(&pool, "a");
     assert!(pool.may_get_requests(at(0), a));
-    pool.forget(at(1_000), "a", 5);
+    pool.remove(at(1_000), "a", 5);
     // A request that was chosen before, or that goes on from a copy there.
     assert!(pool.may_get_requests(at(1_500), a));
     assert!(!pool.may_get_requests(at(1_000 + DRAIN_TIMEOUT), a));
-    pool.learn(at(9_000), record("a", 6));
+    pool.upsert(at(9_000), record("a", 6));
     assert!(pool.may_get_requests(at(9_000), a));
 }
 
@@ -265,7 +265,7 @@
     let mut pool = after_outage();
     pool.set_drain_timeout(Duration::from_millis(DRAIN_TIMEOUT));
     let a = ix(&pool, "a");
-    pool.remove(at(8_000), "a", 9);
+    pool.apply_removal(at(8_000), "a", 9);
     assert!(pool.may_get_requests(at(10_400), a));
 }
 
@@ -290,19 +290,19 @@
         let heard = returned + noticed;
         hear(&mut pool, 0, 10_000);
         hear(&mut pool, heard, heard);
-        pool.remove(at(heard), "lapses", 8);
+        pool.apply_removal(at(heard), "lapses", 8);
         let may_lapse = outage >= SHORTEST_TO_LAPSE;
         let back = (returned + back).max(heard);
         hear(&mut pool, heard, back);
-        pool.drop_missing(at(back));
+        pool.remove_missing(at(back));
         prop_assert!(serves(&pool, "lapses") || !may_lapse);
-        pool.learn(at(back), record("lapses", 9));
+        pool.upsert(at(back), record("lapses", 9));
         let removed = returned + removed;
         hear(&mut pool, back, removed);
-        pool.drop_missing(at(removed));
-        pool.remove(at(removed), "leaves", 10);
+        pool.remove_missing(at(removed));
+        pool.apply_removal(at(removed), "leaves", 10);
         hear(&mut pool, removed, removed + DRAIN_TIMEOUT);
-        pool.drop_missing(at(removed + DRAIN_TIMEOUT));
+        pool.remove_missing(at(removed + DRAIN_TIMEOUT));
         prop_assert!(!serves(&pool, "leaves"));
         prop_assert!(serves(&pool, "lapses"));
     }
--- a/fireflycroft/tests/owners.rs
+++ b/fireflycroft/tests/owners.rs
@@ -8,8 +8,8 @@
 mod pools;
 
 use fireflycroft::{
-    Digest, Incarnation, Life, Name, Need, OWNERS_PER_KEY, OwnedKey, OwnedLoad, Pace, Placed, Pool,
-    QueryBudget, Time, UpstreamIx, owners_of,
+    Digest, Incarnation, Name, Need, OWNERS_PER_KEY, OwnedKey, OwnedLoad, Pace, Placed, Pool,
+    QueryBudget, Time, UpstreamIncarnation, UpstreamIx, owners_of,
 };
 use pools::{announced_work, at, chosen, ix, leaving, need, pool};
 use proptest::prelude::*;
@@ -77,8 +77,8 @@
     );
 }
 
-fn upstream(instance: &str) -> Life {
-    Life {
+fn upstream(instance: &str) -> UpstreamIncarnation {
+    UpstreamIncarnation {
         instance: Name::from(instance),
         incarnation: Incarnation::default(),
     }
@@ -122,7 +122,7 @@
 
 fn reports_no_other_incarnation() {
     let owner = pool(&["a"]);
-    let later = Life {
+    let later = UpstreamIncarnation {
         incarnation: Incarnation(9),
         ..upstream("a")
     };
@@ -157,7 +157,7 @@
     pool.apply_reply(at(0), &Name::from("owner"), &loads);
     assert_eq!(chosen(&pool, at(5), &need(100)), "b");
     let mut owner = pools::pool(&["a"]);
-    owner.learn(at(0), leaving("a", 9));
+    owner.upsert(at(0), leaving("a", 9));
     assert!(!owner.loads_for(at(1), &Name::from("x"), &[upstream("a")])[0].serves);
 }
 
@@ -174,7 +174,7 @@
     owner.record_unreachable(at(20), &Name::from("z"), &upstream("a"));
     assert!(!serves(&owner, 30));
     assert!(serves(&owner, 3_000), "another entry tries again");
-    let later = Life {
+    let later = UpstreamIncarnation {
         incarnation: Incarnation(9),
         ..upstream("a")
     };
@@ -250,7 +250,7 @@
 
 fn queries_departing() {
     let mut pool = engines_pool(4);
-    pool.learn(at(0), leaving("i-2", 90));
+    pool.upsert(at(0), leaving("i-2", 90));
     let queried = queried(&pool, 1, 16);
     assert!(queried.contains(&ix(&pool, "i-2")));
     let long_after = pool.upstreams_to_query(at(9_000), "models", &need(1), &[], 16);
@@ -341,7 +341,7 @@
     let queried =
         pools[&ip].upstreams_to_query(now, "models", need, &[], query_limit.candidate_count(now));
     for ix in queried {
-        let upstream = pools[&ip].record(ix).life();
+        let upstream = pools[&ip].record(ix).upstream_incarnation();
         let owners = owners(ips, &upstream.instance)
             .into_iter()
             .filter(|o| *o != ip);
--- a/fireflycroft/tests/pool.rs
+++ b/fireflycroft/tests/pool.rs
@@ -78,11 +78,11 @@
     let mut pool = Pool::new(Name::from("dc"));
     for i in 0..400 {
         let instance = format!("gone{i}");
-        pool.learn(at(0), record(&instance, 1 + i));
-        pool.forget(at(0), &instance, 1_000 + i);
+        pool.upsert(at(0), record(&instance, 1 + i));
+        pool.remove(at(0), &instance, 1_000 + i);
     }
     for (i, instance) in ["a", "b", "c"].iter().enumerate() {
-        pool.learn(at(0), record(instance, 2_000 + i as u64));
+        pool.upsert(at(0), record(instance, 2_000 + i as u64));
     }
     pool.set_memory(&Name::from("models"), Some(MEMORY));
     for full in ["a", "b"] {
@@ -241,11 +241,11 @@
 
 fn leaving_is_not_chosen() {
     let mut pool = pool(&["a", "b"]);
-    let change = pool.learn(at(7), leaving("a", 9));
+    let change = pool.upsert(at(7), leaving("a", 9));
     assert_eq!(change, Some(PoolChange::Leaves(ix(&pool, "a"))));
     assert_eq!(pool.left_at(ix(&pool, "a")), Some(at(7)));
     assert_eq!(chosen(&pool, at(8), &need(1)), "b");
-    pool.forget(at(9), "b", 10);
+    pool.remove(at(9), "b", 10);
     assert_eq!(pool.choose(at(10), "models", &need(1), &[]), None);
 }
 
@@ -271,41 +271,41 @@
 
 fn older_changes_nothing() {
     let mut pool = pool(&["a"]);
-    pool.learn(at(1), leaving("a", 5));
-    assert_eq!(pool.learn(at(2), record("a", 4)), None);
+    pool.upsert(at(1), leaving("a", 5));
+    assert_eq!(pool.upsert(at(2), record("a", 4)), None);
     assert!(!pool.is_serving(ix(&pool, "a")));
 }
 
 fn removed_stays_away() {
     let mut pool = pool(&["a"]);
-    pool.forget(at(1), "a", 6);
-    assert_eq!(pool.learn(at(2), record("a", 1)), None);
+    pool.remove(at(1), "a", 6);
+    assert_eq!(pool.upsert(at(2), record("a", 1)), None);
     assert_eq!(pool.count("models"), 0);
 }
 
 fn came_back_serves() {
     let mut pool = pool(&["a"]);
-    pool.forget(at(1), "a", 6);
-    let change = pool.learn(at(2), record("a", 7));
-    assert_eq!(change, Some(PoolChange::Came(ix(&pool, "a"))));
+    pool.remove(at(1), "a", 6);
+    let change = pool.upsert(at(2), record("a", 7));
+    assert_eq!(change, Some(PoolChange::Available(ix(&pool, "a"))));
     assert_eq!(pool.count("models"), 1);
 }
 
 fn sure_list_removes() {
     let mut pool = pool(&["a", "b"]);
-    let gone = pool.forget_others(at(1), &[record("b", 2)], 8);
+    let gone = pool.remove_unlisted(at(1), &[record("b", 2)], 8);
     assert_eq!(gone, vec![PoolChange::Leaves(ix(&pool, "a"))]);
 }
 
 fn told_changes_converge() {
     let mut from = pool(&["a", "b"]);
     let mut to = pool(&["a", "b"]);
-    from.learn(at(1), leaving("a", 5));
-    from.forget(at(2), "b", 6);
-    from.learn(at(3), record("c", 7));
+    from.upsert(at(1), leaving("a", 5));
+    from.remove(at(2), "b", 6);
+    from.upsert(at(3), record("c", 7));
     assert_ne!(from.digest(), to.digest());
     for change in from.list_changes(at(4)) {
-        to.take_change(at(5), change);
+        to.apply_change(at(5), change);
     }
     assert_eq!(from.digest(), to.digest());
     assert_eq!(from.revision(), to.revision());
@@ -334,7 +334,7 @@
         data_centre: Name::from("far"),
         ..record("c", 9)
     };
-    pool.learn(at(0), far);
+    pool.upsert(at(0), far);
     pool.set_memory(&Name::from("models"), Some(MEMORY));
     let b = ix(&pool, "b");
     pool.place(at(0), b, &need(200));
@@ -378,10 +378,10 @@
         let build = |changes: &[ListChange]| {
             let mut pool = pool(&["a", "b", "c", "d"].map(|_| "x")[..1]);
             for name in ["a", "b", "c", "d"] {
-                pool.learn(at(0), record(name, 0));
+                pool.upsert(at(0), record(name, 0));
             }
             for change in changes {
-                pool.take_change(at(1), change.clone());
+                pool.apply_change(at(1), change.clone());
             }
             pool.digest()
         };
--- a/fireflycroft/tests/pool_lives.rs
+++ b/fireflycroft/tests/pool_lives.rs
@@ -41,7 +41,7 @@
 /// A pool that knows one life of `a`, with 5,000 tokens placed there.
 fn pool_of_one_life() -> (Pool, UpstreamIx) {
     let mut pool = Pool::new(Name::from("dc"));
-    pool.learn(at(0), life("a", 100, 1));
+    pool.upsert(at(0), life("a", 100, 1));
     pool.set_memory(&Name::from("models"), Some(MEMORY));
     let a = ix(&pool, "a");
     pool.place(at(0), a, &need(5_000));
@@ -50,7 +50,7 @@
 
 fn new_start_ends_old() {
     let (mut pool, old) = pool_of_one_life();
-    let change = pool.learn(at(10), life("a", 200, 5)).unwrap();
+    let change = pool.upsert(at(10), life("a", 200, 5)).unwrap();
     let begun = ix(&pool, "a");
     assert_eq!(change, PoolChange::Restarted { ended: old, begun });
     assert_ne!(old, begun);
@@ -72,7 +72,7 @@
         }],
         false,
     );
-    pool.learn(at(10), life("a", 200, 5));
+    pool.upsert(at(10), life("a", 200, 5));
     let view = pool.view(at(10), ix(&pool, "a"));
     assert_eq!(view.placed, Placed::default());
     assert!(view.failing.abs() < f64::EPSILON);
@@ -84,8 +84,8 @@
 
 fn new_start_holds() {
     let (mut pool, _) = pool_of_one_life();
-    pool.learn(at(5), life("a", 100, 9));
-    let change = pool.learn(at(10), life("a", 200, 8));
+    pool.upsert(at(5), life("a", 100, 9));
+    let change = pool.upsert(at(10), life("a", 200, 8));
     assert!(
         matches!(change, Some(PoolChange::Restarted { .. })),
         "{change:?}"
@@ -94,21 +94,21 @@
 
 fn older_start_is_stale() {
     let (mut pool, _) = pool_of_one_life();
-    pool.learn(at(10), life("a", 200, 5));
+    pool.upsert(at(10), life("a", 200, 5));
     let digest = pool.digest();
-    assert_eq!(pool.learn(at(20), life("a", 100, 7)), None);
+    assert_eq!(pool.upsert(at(20), life("a", 100, 7)), None);
     let leaves = UpstreamRecord {
         state: UpstreamState::Leaving,
         ..life("a", 100, 8)
     };
-    assert_eq!(pool.learn(at(20), leaves), None);
+    assert_eq!(pool.upsert(at(20), leaves), None);
     assert!(pool.is_serving(ix(&pool, "a")));
     assert_eq!(pool.digest(), digest);
 }
 
 fn other_life_counts_not() {
     let (mut pool, _) = pool_of_one_life();
-    pool.learn(at(10), life("a", 200, 5));
+    pool.upsert(at(10), life("a", 200, 5));
     let of_old = PlacedAt {
         incarnation: Incarnation(100),
         ..announced_work("a", 7_000)
@@ -119,17 +119,17 @@
 
 fn late_removal() {
     let (mut pool, _) = pool_of_one_life();
-    pool.learn(at(10), life("a", 200, 5));
-    assert_eq!(pool.forget(at(20), "a", 4), None);
+    pool.upsert(at(10), life("a", 200, 5));
+    assert_eq!(pool.remove(at(20), "a", 4), None);
     assert!(pool.is_serving(ix(&pool, "a")));
 }
 
 fn ended_is_not_told() {
     let (mut pool, old) = pool_of_one_life();
-    pool.learn(at(10), life("a", 200, 5));
+    pool.upsert(at(10), life("a", 200, 5));
     assert!(pool.placed().is_empty());
     assert!(pool.placed_at([old]).is_empty());
-    let changes = pool.since(0);
+    let changes = pool.changes_since(0);
     let (listed, removed) = (changes.listed, changes.removed);
     assert_eq!(listed, [life("a", 200, 5)]);
     assert!(removed.is_empty());
@@ -137,9 +137,9 @@
 
 fn ended_slot_is_free() {
     let (mut pool, old) = pool_of_one_life();
-    pool.learn(at(10), life("a", 200, 5));
+    pool.upsert(at(10), life("a", 200, 5));
     pool.release(old, &need(5_000));
-    pool.learn(at(120_000), record("b", 6));
+    pool.upsert(at(120_000), record("b", 6));
     assert_eq!(ix(&pool, "b"), old);
     assert_eq!(chosen(&pool, at(120_000), &need(1)).len(), 1);
     assert_eq!(pool.record(ix(&pool, "a")).incarnation, Incarnation(200));
@@ -148,7 +148,7 @@
 fn start_is_learned() {
     let mut pool = pool(&["a"]);
     let a = ix(&pool, "a");
-    assert_eq!(pool.learn(at(10), life("a", 200, 5)), None);
+    assert_eq!(pool.upsert(at(10), life("a", 200, 5)), None);
     assert_eq!(ix(&pool, "a"), a);
     assert_eq!(pool.record(a).incarnation, Incarnation(200));
 }
@@ -156,7 +156,7 @@
 /// The record of `a` can't be read as of `revision`.
 fn lose_record(pool: &mut Pool, revision: u64) -> Option<PoolChange> {
     let lost = pool.unreadable("a", revision).unwrap();
-    pool.learn(at(10), lost)
+    pool.upsert(at(10), lost)
 }
 
 fn unreadable_is_not_chosen() {
@@ -179,8 +179,8 @@
     lose_record(&mut pool, 7);
     assert_eq!(pool.count("models"), 0);
     assert_eq!(
-        pool.learn(at(20), record("a", 8)),
-        Some(PoolChange::Came(a))
+        pool.upsert(at(20), record("a", 8)),
+        Some(PoolChange::Available(a))
     );
     assert_eq!(pool.count("models"), 1);
 }
@@ -197,10 +197,10 @@
     };
     for strange in [of_service, elsewhere, record("a", 5)] {
         let (mut pool, a) = pool_of_one_life();
-        let change = pool.learn(at(10), strange);
+        let change = pool.upsert(at(10), strange);
         assert_eq!(change, Some(PoolChange::Unreadable(a)));
         assert_eq!((pool.count("models"), pool.count("records")), (0, 0));
-        pool.learn(at(20), life("a", 100, 6));
+        pool.upsert(at(20), life("a", 100, 6));
         assert_eq!(pool.count("models"), 1);
     }
 }
@@ -210,7 +210,7 @@
     let (mut other, _) = pool_of_one_life();
     lose_record(&mut one, 7);
     for change in one.list_changes(at(10)) {
-        other.take_change(at(15), change);
+        other.apply_change(at(15), change);
     }
     assert_eq!(other.count("models"), 0);
     assert_eq!(one.digest(), other.digest());
--- a/fireflycroft/tests/rate_limit.rs
+++ b/fireflycroft/tests/rate_limit.rs
@@ -8,7 +8,7 @@
 mod pools;
 
 use fireflycroft::{
-    FleetView, Incarnation, Life, Name, Need, Pool, RateChange, RateLimit, ToldRate,
+    FleetView, Incarnation, Name, Need, Pool, RateChange, RateLimit, ToldRate, UpstreamIncarnation,
 };
 use pools::{at, chosen, ix, need, pool};
 use proptest::prelude::*;
@@ -100,7 +100,7 @@
 fn other_life() {
     let mut pool = pool(&["a"]);
     let told = ToldRate {
-        life: Life {
+        life: UpstreamIncarnation {
             instance: Name::from("a"),
             incarnation: Incarnation(7),
         },
@@ -316,7 +316,7 @@
     let mut fleet = fleet(5, 2.9);
     for (i, pool) in fleet.iter_mut().enumerate() {
         for (revision, name) in (2..).zip(&names[1..]) {
-            pool.learn(at(0), pools::record(name, revision));
+            pool.upsert(at(0), pools::record(name, revision));
             let upstream = ix(pool, name);
             pool.record_rate_limit(at(1), upstream, at(0), rate(2.9));
         }
--- a/fireflycroft/tests/region.rs
+++ b/fireflycroft/tests/region.rs
@@ -32,7 +32,7 @@
     pool.set_regions(Regions::new(places));
     for (i, data_centre) in ["n1", "n2", "s1", "elsewhere"].into_iter().enumerate() {
         let revision = 1 + i as u64;
-        pool.learn(
+        pool.upsert(
             at(0),
             UpstreamRecord {
                 data_centre: Name::from(data_centre),
--- a/fireflycroft/tests/restored.rs
+++ b/fireflycroft/tests/restored.rs
@@ -53,10 +53,10 @@
 /// Creates a pool of two engines that has observed an undisturbed store for a while.
 fn settled_pool() -> Pool {
     let mut pool = Pool::new(Name::from("dc"));
-    pool.learn(at(0), serving("a", revision_in(1, 900)));
-    pool.learn(at(0), serving("b", revision_in(1, 901)));
+    pool.upsert(at(0), serving("a", revision_in(1, 900)));
+    pool.upsert(at(0), serving("b", revision_in(1, 901)));
     for tick in 0..10 {
-        pool.note_contact(at(tick * 1_000));
+        pool.record_store_answer(at(tick * 1_000));
     }
     assert!(pool.is_settled(at(9_000)));
     pool
@@ -68,29 +68,29 @@
 
 fn later_era_is_newer() {
     let mut pool = settled_pool();
-    pool.learn(at(9_000), leaving("a", revision_in(2, 12)));
+    pool.upsert(at(9_000), leaving("a", revision_in(2, 12)));
     assert!(!serves(&pool, "a"));
 }
 
 fn former_era_is_stale() {
     let mut pool = settled_pool();
-    pool.learn(at(9_000), leaving("a", revision_in(2, 12)));
-    pool.learn(at(9_001), serving("a", revision_in(1, 2_000)));
+    pool.upsert(at(9_000), leaving("a", revision_in(2, 12)));
+    pool.upsert(at(9_001), serving("a", revision_in(1, 2_000)));
     assert!(!serves(&pool, "a"));
 }
 
 fn former_removal_is_stale() {
     let mut pool = settled_pool();
-    pool.learn(at(9_000), serving("a", revision_in(2, 12)));
-    pool.remove(at(9_001), "a", revision_in(1, 2_000));
+    pool.upsert(at(9_000), serving("a", revision_in(2, 12)));
+    pool.apply_removal(at(9_001), "a", revision_in(1, 2_000));
     assert!(serves(&pool, "a"));
 }
 
 /// Restores the store from a copy that has only the first engine.
 fn restore_without_b(pool: &mut Pool) {
-    pool.note_restored(at(9_000));
+    pool.record_store_restored(at(9_000));
     let copied = vec![serving("a", revision_in(2, 900))];
-    pool.take_list(at(9_000), copied, revision_in(2, 950));
+    pool.apply_list(at(9_000), copied, revision_in(2, 950));
 }
 
 fn lacked_is_missing() {
@@ -98,69 +98,69 @@
     restore_without_b(&mut pool);
     assert!(serves(&pool, "b"));
     assert!(pool.any_missing());
-    pool.learn(at(10_500), serving("b", revision_in(2, 951)));
-    pool.note_contact(at(10_500));
-    pool.note_contact(at(9_000) + SETTLE_TIME);
-    assert!(pool.drop_missing(at(9_000) + SETTLE_TIME).is_empty());
+    pool.upsert(at(10_500), serving("b", revision_in(2, 951)));
+    pool.record_store_answer(at(10_500));
+    pool.record_store_answer(at(9_000) + SETTLE_TIME);
+    assert!(pool.remove_missing(at(9_000) + SETTLE_TIME).is_empty());
     assert!(serves(&pool, "b"));
 }
 
 fn not_written_again() {
     let mut pool = settled_pool();
     restore_without_b(&mut pool);
-    pool.note_contact(at(10_000));
+    pool.record_store_answer(at(10_000));
     let settled = at(9_000) + SETTLE_TIME;
-    assert_eq!(pool.drop_missing(settled).len(), 1);
+    assert_eq!(pool.remove_missing(settled).len(), 1);
     assert!(!serves(&pool, "b"));
 }
 
 fn left_before() {
     let mut pool = settled_pool();
-    pool.learn(at(9_000), leaving("a", revision_in(1, 990)));
-    pool.note_restored(at(9_100));
-    pool.learn(at(9_100), serving("a", revision_in(2, 900)));
+    pool.upsert(at(9_000), leaving("a", revision_in(1, 990)));
+    pool.record_store_restored(at(9_100));
+    pool.upsert(at(9_100), serving("a", revision_in(2, 900)));
     assert!(!serves(&pool, "a"));
 }
 
 fn gone_before() {
     let mut pool = settled_pool();
-    pool.remove(at(9_000), "a", revision_in(1, 990));
-    pool.note_restored(at(9_100));
-    pool.learn(at(9_100), serving("a", revision_in(2, 900)));
+    pool.apply_removal(at(9_000), "a", revision_in(1, 990));
+    pool.record_store_restored(at(9_100));
+    pool.upsert(at(9_100), serving("a", revision_in(2, 900)));
     assert!(!serves(&pool, "a"));
 }
 
 fn writes_anew() {
     let mut pool = settled_pool();
-    pool.remove(at(9_000), "a", revision_in(1, 990));
-    pool.note_restored(at(9_100));
-    pool.learn(at(9_100), serving("a", revision_in(2, 900)));
-    pool.learn(at(10_000), serving("a", revision_in(2, 951)));
+    pool.apply_removal(at(9_000), "a", revision_in(1, 990));
+    pool.record_store_restored(at(9_100));
+    pool.upsert(at(9_100), serving("a", revision_in(2, 900)));
+    pool.upsert(at(10_000), serving("a", revision_in(2, 951)));
     assert!(serves(&pool, "a"));
 }
 
 fn another_incarnation() {
     let mut pool = settled_pool();
-    pool.learn(at(9_000), leaving("a", revision_in(1, 990)));
-    pool.note_restored(at(9_100));
+    pool.upsert(at(9_000), leaving("a", revision_in(1, 990)));
+    pool.record_store_restored(at(9_100));
     let restarted = UpstreamRecord {
         incarnation: Incarnation(8),
         ..serving("a", revision_in(2, 900))
     };
-    pool.learn(at(9_100), restarted);
+    pool.upsert(at(9_100), restarted);
     assert!(serves(&pool, "a"));
 }
 
 fn evacuation_is_unconfirmed() {
     let mut pool = settled_pool();
     pool.apply_evacuations(at(9_000), evacuated(revision_in(1, 990), &["dc"]));
-    pool.note_restored(at(9_100));
+    pool.record_store_restored(at(9_100));
     pool.apply_evacuations(at(9_100), evacuated(revision_in(2, 950), &[]));
     assert_eq!(pool.count("models"), 0);
-    pool.note_contact(at(10_000));
+    pool.record_store_answer(at(10_000));
     let settled = at(9_100) + SETTLE_TIME;
-    pool.note_contact(settled);
-    pool.drop_missing(settled);
+    pool.record_store_answer(settled);
+    pool.remove_missing(settled);
     assert_eq!(pool.count("models"), 2);
 }
 
@@ -173,12 +173,12 @@
 
 fn twice() {
     let mut pool = settled_pool();
-    pool.note_restored(at(9_000));
-    pool.note_contact(at(10_000));
-    pool.note_restored(at(11_000));
+    pool.record_store_restored(at(9_000));
+    pool.record_store_answer(at(10_000));
+    pool.record_store_restored(at(11_000));
     assert!(!pool.is_settled(at(9_000) + SETTLE_TIME));
-    pool.note_contact(at(12_000));
-    pool.note_contact(at(13_000));
+    pool.record_store_answer(at(12_000));
+    pool.record_store_answer(at(13_000));
     assert!(pool.is_settled(at(11_000) + SETTLE_TIME));
 }
 
--- a/fireflycroft/tests/support/pools.rs
+++ b/fireflycroft/tests/support/pools.rs
@@ -44,7 +44,7 @@
 pub(crate) fn pool(instances: &[&str]) -> Pool {
     let mut pool = Pool::new(Name::from("dc"));
     for (i, instance) in instances.iter().enumerate() {
-        pool.learn(at(0), record(instance, 1 + i as u64));
+        pool.upsert(at(0), record(instance, 1 + i as u64));
     }
     pool.set_memory(&Name::from("models"), Some(MEMORY));
     pool
--- a/fireflydirect/src/conditions.rs
+++ b/fireflydirect/src/conditions.rs
@@ -4,7 +4,7 @@
 use crate::job::Job;
 use crate::node::Node;
 use fireflycroft::{
-    Life, RateChange, RateLimit, ResponseHead, RunClaim, Time, ToldRate, UpstreamIx,
+    RateChange, RateLimit, ResponseHead, RunClaim, Time, ToldRate, UpstreamIncarnation, UpstreamIx,
 };
 use hyper::StatusCode;
 use std::time::Duration;
@@ -52,7 +52,7 @@
 }
 
 /// Takes upstreams that leave, as another entry has heard from themselves.
-pub fn take_told_leaving(node: &Node, lives: &[Life]) {
+pub fn take_told_leaving(node: &Node, lives: &[UpstreamIncarnation]) {
     for life in lives {
         let change = node.pool.borrow_mut().apply_leave_notice(node.now(), life);
         node.take_changes(change, "peer_answer");
--- a/fireflydirect/src/contact.rs
+++ b/fireflydirect/src/contact.rs
@@ -52,7 +52,7 @@
 
     /// Notes that the store answered this or another entry.
     pub fn note_contact(&self, at: Time, source: &str) {
-        if self.pool.borrow_mut().note_contact(at) {
+        if self.pool.borrow_mut().record_store_answer(at) {
             let for_ms = SETTLE_TIME.as_millis();
             log::info!(event = "removals_doubted", source = source, for_ms = for_ms; "");
         }
@@ -73,7 +73,7 @@
         self.era.set(Some(era));
         if let Some(was) = was {
             log::warn!(event = "store_restored", era = era, was = was, source = source; "");
-            self.pool.borrow_mut().note_restored(self.now());
+            self.pool.borrow_mut().record_store_restored(self.now());
         }
     }
 
@@ -81,7 +81,7 @@
     pub fn note_store_failure(&self) {
         self.store_answers.set(false);
         self.store_failed.set(true);
-        self.pool.borrow_mut().note_no_contact();
+        self.pool.borrow_mut().record_store_failure();
     }
 
     /// Milliseconds since the first answer of the store after the last silence in which records may
@@ -89,7 +89,7 @@
     #[must_use]
     pub fn contact_ms(&self) -> Option<u128> {
         let pool = self.pool.borrow();
-        let unbroken = pool.contact().connected_for(self.now());
+        let unbroken = pool.store_connectivity().connected_for(self.now());
         unbroken.map(|span| span.as_millis())
     }
 
--- a/fireflydirect/src/departures.rs
+++ b/fireflydirect/src/departures.rs
@@ -109,13 +109,13 @@
     node.pool.borrow_mut().record_sending(node.now(), ix);
     let links = &node.links;
     let mut link = links
-        .get(&record.life(), record.addr, REPORT_TIMEOUT)
+        .get(&record.upstream_incarnation(), record.addr, REPORT_TIMEOUT)
         .await?;
     let req = Request::get(report_path())
         .header(HOST, record.addr.to_string())
         .body(Full::new(Bytes::new()))?;
     let answered = call_whole(&mut link, req).await?;
     anyhow::ensure!(answered.status == 200, "status {}", answered.status);
-    links.put_back(&record.life(), link, None);
+    links.put_back(&record.upstream_incarnation(), link, None);
     Ok(read_report(&answered.body)?)
 }
--- a/fireflydirect/src/exchange.rs
+++ b/fireflydirect/src/exchange.rs
@@ -93,7 +93,7 @@
     };
     let links = &job.node.links;
     let mut link = links
-        .get(&record.life(), record.addr, most_idle)
+        .get(&record.upstream_incarnation(), record.addr, most_idle)
         .await
         .map_err(|e| Unanswered::NeverSent(e.to_string()))?;
     link.sender
@@ -195,6 +195,6 @@
     if head.closes || head.claim != RunClaim::MayHaveRun {
         return;
     }
-    let life = job.node.pool.borrow().record(ix).life();
+    let life = job.node.pool.borrow().record(ix).upstream_incarnation();
     job.node.links.put_back(&life, link, head.keep_alive);
 }
--- a/fireflydirect/src/hear.rs
+++ b/fireflydirect/src/hear.rs
@@ -82,7 +82,7 @@
         node.note_contact(now - age, "peer");
     }
     for change in news.list_changes.iter().cloned() {
-        let taken = node.pool.borrow_mut().take_change(now, change);
+        let taken = node.pool.borrow_mut().apply_change(now, change);
         node.take_changes(taken, "peer");
     }
     if news.evacuations.revision > 0 {
--- a/fireflydirect/src/intake.rs
+++ b/fireflydirect/src/intake.rs
@@ -64,7 +64,7 @@
                 .node
                 .pool
                 .borrow_mut()
-                .take_list(now, records, revision);
+                .apply_list(now, records, revision);
             self.node.take_changes(changes, "store");
             self.node.listed.set(true);
             self.node.has_whole_list.set(true);
@@ -74,7 +74,7 @@
     fn take_record(&mut self, object: &StoreObject) {
         let record = self.read_record(object);
         let now = self.node.now();
-        let change = record.and_then(|r| self.node.pool.borrow_mut().learn(now, r));
+        let change = record.and_then(|r| self.node.pool.borrow_mut().upsert(now, r));
         self.node.take_changes(change, "store");
     }
 
@@ -144,10 +144,13 @@
         let now = node.now();
         log::info!(
             event = "upstream_removed", instance = &**instance, revision = revision,
-            contact_ms = or_empty(node.contact_ms()), sure = node.pool.borrow().contact().confirms_removals(now);
+            contact_ms = or_empty(node.contact_ms()), sure = node.pool.borrow().store_connectivity().confirms_removals(now);
             ""
         );
-        let change = node.pool.borrow_mut().remove(now, instance, revision);
+        let change = node
+            .pool
+            .borrow_mut()
+            .apply_removal(now, instance, revision);
         node.take_changes(change, "store");
     }
 }
@@ -163,12 +166,12 @@
         let removed =
             removed.map(|(instance, revision)| ListChange::Removed { instance, revision });
         for change in records.chain(removed) {
-            let taken = node.pool.borrow_mut().take_change(now, change);
+            let taken = node.pool.borrow_mut().apply_change(now, change);
             node.take_changes(taken, "peer");
         }
         for (instance, revision) in state.leaving {
             let mut pool = node.pool.borrow_mut();
-            let change = pool.learn_leaving(now, &instance, revision);
+            let change = pool.mark_leaving(now, &instance, revision);
             drop(pool);
             node.take_changes(change, "peer");
         }
@@ -176,12 +179,12 @@
     }
     if state.sure {
         let mut pool = node.pool.borrow_mut();
-        let changes = pool.forget_others(now, &state.upstreams, state.revision);
+        let changes = pool.remove_unlisted(now, &state.upstreams, state.revision);
         drop(pool);
         node.take_changes(changes, "peer");
     }
     for record in state.upstreams {
-        let change = node.pool.borrow_mut().learn(now, record);
+        let change = node.pool.borrow_mut().upsert(now, record);
         node.take_changes(change, "peer");
     }
     node.has_whole_list.set(true);
--- a/fireflydirect/src/links.rs
+++ b/fireflydirect/src/links.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::Clock;
 use bytes::Bytes;
-use fireflycroft::{Life, Time};
+use fireflycroft::{Time, UpstreamIncarnation};
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::{HeaderMap, Request};
@@ -77,7 +77,7 @@
 /// Connections that wait for their next request, by the life of the upstream that they lead to.
 pub struct Links {
     clock: Clock,
-    idle: RefCell<HashMap<Life, Vec<Idle>>>,
+    idle: RefCell<HashMap<UpstreamIncarnation, Vec<Idle>>>,
 }
 
 impl Links {
@@ -97,7 +97,7 @@
     /// When none could be opened within [`CONNECT_TIMEOUT`].
     pub async fn get(
         &self,
-        life: &Life,
+        life: &UpstreamIncarnation,
         addr: SocketAddr,
         most_idle: Duration,
     ) -> io::Result<Link> {
@@ -108,7 +108,12 @@
     }
 
     /// Keeps a connection for the next request.
-    pub fn put_back(&self, life: &Life, mut link: Link, keep_alive: Option<Duration>) {
+    pub fn put_back(
+        &self,
+        life: &UpstreamIncarnation,
+        mut link: Link,
+        keep_alive: Option<Duration>,
+    ) {
         if link.sender.is_closed() {
             return;
         }
@@ -132,11 +137,11 @@
     }
 
     /// Closes the idle connections to a life that has ended.
-    pub fn drop_idle(&self, life: &Life) {
+    pub fn drop_idle(&self, life: &UpstreamIncarnation) {
         self.idle.borrow_mut().remove(life);
     }
 
-    fn take_idle(&self, life: &Life, most_idle: Duration) -> Option<Link> {
+    fn take_idle(&self, life: &UpstreamIncarnation, most_idle: Duration) -> Option<Link> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(life)?;
--- a/fireflydirect/src/loads.rs
+++ b/fireflydirect/src/loads.rs
@@ -2,7 +2,9 @@
 
 use crate::node::Node;
 use crate::questions;
-use fireflycroft::{Life, Mechanism, Name, Need, OwnedKey, OwnerQueryBody, UpstreamIx};
+use fireflycroft::{
+    Mechanism, Name, Need, OwnedKey, OwnerQueryBody, UpstreamIncarnation, UpstreamIx,
+};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 
@@ -29,14 +31,14 @@
     service: &Name,
     need: &Need,
     tried: &[UpstreamIx],
-) -> HashMap<Ipv4Addr, Vec<Life>> {
+) -> HashMap<Ipv4Addr, Vec<UpstreamIncarnation>> {
     let now = node.now();
     let most = node.breadth.borrow_mut().candidate_count(now);
     let pool = node.pool.borrow();
     let peers = node.peers.borrow();
-    let mut queries: HashMap<Ipv4Addr, Vec<Life>> = HashMap::new();
+    let mut queries: HashMap<Ipv4Addr, Vec<UpstreamIncarnation>> = HashMap::new();
     for ix in pool.upstreams_to_query(now, service, need, tried, most) {
-        let life = pool.record(ix).life();
+        let life = pool.record(ix).upstream_incarnation();
         let key = OwnedKey::of_upstream(&life.instance);
         for owner in peers.other_owners(now, key) {
             queries.entry(owner).or_default().push(life.clone());
--- a/fireflydirect/src/metrics.rs
+++ b/fireflydirect/src/metrics.rs
@@ -215,7 +215,7 @@
     fn read_places(&self, pool: &Pool, now: Time) {
         let evacuated = pool.evacuations().data_centres.len();
         self.evacuated.set(to_i64(evacuated));
-        let known = pool.known();
+        let known = pool.indices();
         let cold = known
             .iter()
             .filter(|ix| !pool.cold_for(now, **ix).is_zero());
--- a/fireflydirect/src/mover.rs
+++ b/fireflydirect/src/mover.rs
@@ -209,14 +209,15 @@
     let (path, body) = move_call(&run.request_id, target, stop);
     let mut link = node
         .links
-        .get(&source.life(), source.addr, COPY_TIMEOUT)
+        .get(&source.upstream_incarnation(), source.addr, COPY_TIMEOUT)
         .await?;
     let req = Request::post(path)
         .header(HOST, source.addr.to_string())
         .header(CONTENT_TYPE, HeaderValue::from_static("application/json"))
         .body(Full::new(Bytes::from(body)))?;
     let answered = call_whole(&mut link, req).await?;
-    node.links.put_back(&source.life(), link, None);
+    node.links
+        .put_back(&source.upstream_incarnation(), link, None);
     Ok(read_move(source.addr, answered.status, &answered.body))
 }
 
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -11,9 +11,9 @@
 use crate::questions::Questions;
 use crate::runs::Runs;
 use fireflycroft::{
-    Catalog, Digest, Evacuations, FULL_VIEW_AFTER, FleetView, LengthEstimator, Life, Policy, Pool,
+    Catalog, Digest, Evacuations, FULL_VIEW_AFTER, FleetView, LengthEstimator, Policy, Pool,
     PoolChange, Quarantine, QueryBudget, Refusal, Regions, ReturningCallers, SharedRetryBudget,
-    Time, UpstreamIx, ValueDensities, WatcherRole,
+    Time, UpstreamIncarnation, UpstreamIx, ValueDensities, WatcherRole,
 };
 use fireflycroft_platform::{Place, StoreObject};
 use std::cell::{Cell, RefCell};
@@ -109,7 +109,7 @@
     /// Callers who were refused since then.
     pub refused: RefCell<Vec<Refusal>>,
     /// Upstreams that couldn't be reached since then.
-    pub unreachable: RefCell<Vec<Life>>,
+    pub unreachable: RefCell<Vec<UpstreamIncarnation>>,
     /// Upstreams that were found to leave, for the task that saves their runs.
     pub left: RefCell<Vec<UpstreamIx>>,
     /// Rings when an upstream was found to leave.
@@ -303,12 +303,12 @@
     pub fn take_changes(&self, changes: impl IntoIterator<Item = PoolChange>, source: &str) {
         for change in changes {
             let (ix, event) = match change {
-                PoolChange::Came(ix) => (ix, "upstream_came"),
+                PoolChange::Available(ix) => (ix, "upstream_came"),
                 PoolChange::Leaves(ix) => (ix, "upstream_leaves"),
                 PoolChange::Restarted { begun, .. } => (begun, "upstream_restarted"),
                 PoolChange::Unreadable(ix) => (ix, "upstream_set_aside"),
                 PoolChange::Missing(ix) => (ix, "upstream_missing"),
-                PoolChange::Back { ix, missing_for } => {
+                PoolChange::Relisted { ix, missing_for } => {
                     self.log_back(ix, missing_for, source);
                     continue;
                 }
@@ -330,10 +330,10 @@
                     self.end_life(ended);
                     self.urgent.notify_one();
                 }
-                PoolChange::Came(_)
+                PoolChange::Available(_)
                 | PoolChange::Unreadable(_)
                 | PoolChange::Missing(_)
-                | PoolChange::Back { .. } => {}
+                | PoolChange::Relisted { .. } => {}
             }
         }
         self.changed.notify_waiters();
@@ -353,7 +353,7 @@
     /// Lets go of all that a life of an upstream held: idle connections, copies, and what waits for
     /// an answer of it.
     fn end_life(&self, ix: UpstreamIx) {
-        let life = self.pool.borrow().record(ix).life();
+        let life = self.pool.borrow().record(ix).upstream_incarnation();
         self.links.drop_idle(&life);
         self.save_if_leaving(ix);
         self.life_ended.notify_waiters();
@@ -396,7 +396,7 @@
     /// Notes that an upstream couldn't be reached, here and for its owners.
     pub fn note_unreachable(&self, ix: UpstreamIx) {
         let mut pool = self.pool.borrow_mut();
-        let life = pool.record(ix).life();
+        let life = pool.record(ix).upstream_incarnation();
         pool.record_unreachable(self.now(), &self.place.vm, &life);
         self.unreachable.borrow_mut().push(life);
         self.to_report.notify_one();
--- a/fireflydirect/src/overview.rs
+++ b/fireflydirect/src/overview.rs
@@ -13,7 +13,7 @@
 pub fn overview(node: &Node) -> EntryOverview {
     let now = node.now();
     let pool = node.pool.borrow();
-    let known = pool.known().into_iter();
+    let known = pool.indices().into_iter();
     EntryOverview {
         name: node.place.vm.clone(),
         data_centre: node.place.data_centre.clone(),
--- a/fireflydirect/src/process.rs
+++ b/fireflydirect/src/process.rs
@@ -90,7 +90,7 @@
         tokio::time::sleep_until(node.clock.instant(next_tidy(&node))).await;
         node.links.tidy();
         let now = node.now();
-        let changes = node.pool.borrow_mut().drop_missing(now);
+        let changes = node.pool.borrow_mut().remove_missing(now);
         node.take_changes(changes, "missing");
         node.quarantine.borrow_mut().expire(now);
         node.configs.borrow_mut().tidy(now);
@@ -101,7 +101,7 @@
 /// get work until then.
 fn next_tidy(node: &Node) -> Time {
     let now = node.now();
-    let settles_at = node.pool.borrow().contact().settles_at();
+    let settles_at = node.pool.borrow().store_connectivity().settles_at();
     let settles_at = settles_at.filter(|at| *at > now);
     let due = now + TIDY_EVERY;
     settles_at.map_or(due, |at| at.min(due))
--- a/fireflydirect/src/reports.rs
+++ b/fireflydirect/src/reports.rs
@@ -5,7 +5,7 @@
 //! datagram may be lost and an owner may be new.
 
 use crate::node::Node;
-use fireflycroft::{EntryMessage, Life, OwnedKey, OwnerReport, PlacedAt, Refusal};
+use fireflycroft::{EntryMessage, OwnedKey, OwnerReport, PlacedAt, Refusal, UpstreamIncarnation};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -61,7 +61,7 @@
 struct News {
     placed: Vec<PlacedAt>,
     refused: Vec<Refusal>,
-    unreachable: Vec<Life>,
+    unreachable: Vec<UpstreamIncarnation>,
 }
 
 async fn report(node: &Node, news: News, is_whole: bool) {
--- a/fireflydirect/src/state_page.rs
+++ b/fireflydirect/src/state_page.rs
@@ -115,7 +115,7 @@
 
 fn state(node: &Node, asked: &Asked) -> PeerState {
     let pool = node.pool.borrow();
-    let changes = pool.since(asked.upstreams);
+    let changes = pool.changes_since(asked.upstreams);
     let newer = node.version() > asked.config;
     let configs = node.configs.borrow();
     let config = configs.since(asked.config_revision, asked.whole_config);
