--- a/fireflycroft/src/failover.rs
+++ b/fireflycroft/src/failover.rs
@@ -109,9 +109,9 @@
     need: &Need,
     at: UpstreamIx,
 ) -> Option<UpstreamIx> {
-    if pool.fill_of(now, service) > MAX_SERVICE_FILL_FOR_BACKUP {
+    if pool.service_memory_share(now, service) > MAX_SERVICE_FILL_FOR_BACKUP {
         return None;
     }
     let holder = pool.choose(now, service, need, &[at])?;
-    (pool.fill(now, holder) <= MAX_HOLDER_FILL).then_some(holder)
+    (pool.memory_share(now, holder) <= MAX_HOLDER_FILL).then_some(holder)
 }
--- a/fireflycroft/src/listing.rs
+++ b/fireflycroft/src/listing.rs
@@ -104,13 +104,13 @@
         self.record_change(now, ListChange::Listed(record.clone()));
         self.digest ^= digest_of(&record);
         let u = &mut self.upstreams[ix.0];
-        if !u.gone {
+        if !u.removed {
             self.digest ^= digest_of(&u.record);
         }
         // One that was written before the list lacked it says nothing of now.
         let was_missing = u.missing.take_if(|m| m.revision < record.revision);
         let was_serving = u.is_serving();
-        u.gone = false;
+        u.removed = false;
         u.cold_until = now + record.cold_for;
         u.record = record;
         match (was_serving, u.record.state) {
@@ -142,7 +142,7 @@
         let is_of_later_era = era_of(record.revision) > era_of(held.record.revision);
         let is_same_life = record.incarnation.is_known()
             && record.upstream_incarnation() == held.record.upstream_incarnation();
-        let had_left = held.gone || held.record.state == UpstreamState::Leaving;
+        let had_left = held.removed || held.record.state == UpstreamState::Leaving;
         if is_of_later_era && is_same_life && had_left {
             let state = UpstreamState::Leaving;
             return UpstreamRecord { state, ..record };
@@ -152,14 +152,14 @@
 
     /// Takes the first record of an upstream.
     fn add_new(&mut self, now: Time, record: UpstreamRecord) -> Option<PoolChange> {
-        let lacked = self.is_missing_from_list(record.revision);
-        if lacked && self.is_settled(now) {
+        let is_unlisted = self.is_missing_from_list(record.revision);
+        if is_unlisted && self.is_settled(now) {
             return None;
         }
         let revision = self.list_revision;
         self.record_change(now, ListChange::Listed(record.clone()));
         let change = self.add(now, record);
-        if lacked && let PoolChange::Available(ix) = change {
+        if is_unlisted && let PoolChange::Available(ix) = change {
             self.mark_missing(now, ix, revision);
         }
         Some(change)
@@ -170,13 +170,13 @@
         let u = &mut self.upstreams[old.0];
         // Its id may have gone from the list since the new life wrote its record.
         let missing = u.missing.take_if(|m| m.revision >= record.revision);
-        if !u.gone {
+        if !u.removed {
             self.digest ^= digest_of(&u.record);
         }
-        u.gone = true;
+        u.removed = true;
         u.ended = true;
         u.left_at = Some(now);
-        u.others.clear();
+        u.announced_work.clear();
         u.replied = None;
         self.record_change(now, ListChange::Listed(record.clone()));
         let begun = self.insert(now, record);
@@ -189,7 +189,7 @@
     #[must_use]
     pub fn unreadable(&self, instance: &str, revision: u64) -> Option<UpstreamRecord> {
         let held = &self.upstreams[self.find(instance)?.0];
-        if held.gone {
+        if held.removed {
             return None;
         }
         Some(UpstreamRecord {
@@ -218,24 +218,24 @@
             record,
             sent_requests: SentRequests::default(),
             rate: KnownRate::default(),
-            gone: false,
+            removed: false,
             ended: false,
             left_at: leaving.then_some(now),
             leave_notice: LeaveNotice::default(),
             missing: None,
-            mine: Placed::default(),
-            others: HashMap::new(),
+            own_work: Placed::default(),
+            announced_work: HashMap::new(),
             unreachable: HashMap::new(),
             replied: None,
             avoid_until: Time::default(),
             paused_until: Time::default(),
             failing: 0.0,
-            read: HashMap::new(),
+            shared_prompts: HashMap::new(),
             pace: ObservedPace::default(),
         };
         let free = |u: &Upstream| {
-            u.gone
-                && u.mine == Placed::default()
+            u.removed
+                && u.own_work == Placed::default()
                 && u.left_at.is_none_or(|t| now.since(t) > REMOVED_RETENTION)
         };
         let service = upstream.record.service.clone();
@@ -303,11 +303,11 @@
             if u.ended || u.record.revision <= revision {
                 continue;
             }
-            let word = (u.record.instance.clone(), u.record.revision);
+            let name_and_revision = (u.record.instance.clone(), u.record.revision);
             let is_known = u.first_revision <= revision;
             match u.record.state {
-                _ if u.gone => changes.removed.push(word),
-                UpstreamState::Leaving if is_known => changes.leaving.push(word),
+                _ if u.removed => changes.removed.push(name_and_revision),
+                UpstreamState::Leaving if is_known => changes.leaving.push(name_and_revision),
                 _ => changes.listed.push(u.record.clone()),
             }
         }
@@ -333,13 +333,13 @@
         if revision < u.record.revision {
             return None;
         }
-        if u.gone {
+        if u.removed {
             u.record.revision = revision;
             return None;
         }
         self.digest ^= digest_of(&u.record);
         u.record.revision = revision;
-        u.gone = true;
+        u.removed = true;
         u.missing = None;
         let instance = u.record.instance.clone();
         self.record_change(now, ListChange::Removed { instance, revision });
@@ -359,11 +359,11 @@
         revision: u64,
     ) -> Vec<PoolChange> {
         let listed: HashSet<&Name> = listed.iter().map(|r| &r.instance).collect();
-        let lacks = |u: &&Upstream| {
+        let is_unlisted = |u: &&Upstream| {
             let known = &u.record;
-            !u.gone && !listed.contains(&known.instance) && known.revision <= revision
+            !u.removed && !listed.contains(&known.instance) && known.revision <= revision
         };
-        let names = self.upstreams.iter().filter(lacks);
+        let names = self.upstreams.iter().filter(is_unlisted);
         let names: Vec<Name> = names.map(|u| u.record.instance.clone()).collect();
         names
             .iter()
@@ -388,12 +388,12 @@
 ///
 /// A life keeps its service and its address, and says of its start all along what it said once; a
 /// record that doesn't was written by somebody else.
-fn classify(held: &UpstreamRecord, told: &UpstreamRecord) -> RecordKind {
-    let moved = told.service != held.service || told.addr != held.addr;
-    match (held.incarnation.is_known(), told.incarnation.is_known()) {
-        (true, true) if told.incarnation > held.incarnation => RecordKind::Restart,
-        (true, true) if told.incarnation < held.incarnation => RecordKind::Stale,
-        _ if told.revision <= held.revision => RecordKind::Stale,
+fn classify(held: &UpstreamRecord, received: &UpstreamRecord) -> RecordKind {
+    let moved = received.service != held.service || received.addr != held.addr;
+    match (held.incarnation.is_known(), received.incarnation.is_known()) {
+        (true, true) if received.incarnation > held.incarnation => RecordKind::Restart,
+        (true, true) if received.incarnation < held.incarnation => RecordKind::Stale,
+        _ if received.revision <= held.revision => RecordKind::Stale,
         // What was held without a start was a stranger's word.
         (false, true) if moved => RecordKind::Restart,
         (true, false) => RecordKind::Foreign,
--- a/fireflycroft/src/loads.rs
+++ b/fireflycroft/src/loads.rs
@@ -10,8 +10,8 @@
 use crate::pool::Pool;
 use crate::time::Time;
 use crate::upstream::{
-    ANNOUNCED_FOR, REPLY_HOLDS, REPLY_IS_FRESH, Upstream, UpstreamIncarnation, UpstreamIx,
-    draw_index, share,
+    ANNOUNCEMENT_LIFETIME, FRESH_REPLY_AGE, MAX_REPLY_AGE, Upstream, UpstreamIncarnation,
+    UpstreamIx, draw_index, share,
 };
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
     ) {
         if !changes_only {
             for i in self.announced_by.remove(entry).unwrap_or_default() {
-                self.upstreams[i].others.remove(entry);
+                self.upstreams[i].announced_work.remove(entry);
             }
         }
         for at in placed {
@@ -50,9 +50,9 @@
             let same_life = |ix: &UpstreamIx| self.record(*ix).incarnation == at.incarnation;
             if let Some(ix) = known.filter(same_life) {
                 let u = &mut self.upstreams[ix.0];
-                u.others
-                    .retain(|_, (told_at, _)| now.since(*told_at) < ANNOUNCED_FOR);
-                u.others.insert(entry.clone(), (now, at.placed));
+                u.announced_work
+                    .retain(|_, (told_at, _)| now.since(*told_at) < ANNOUNCEMENT_LIFETIME);
+                u.announced_work.insert(entry.clone(), (now, at.placed));
                 u.pace.apply_other(entry, at.pace);
                 self.announced_by
                     .entry(entry.clone())
@@ -76,7 +76,7 @@
         let non_idle = self
             .upstreams
             .iter()
-            .filter(|u| !u.ended && u.mine != Placed::default());
+            .filter(|u| !u.ended && u.own_work != Placed::default());
         non_idle.map(Upstream::placed_at).collect()
     }
 
@@ -84,8 +84,8 @@
     #[must_use]
     pub fn view(&self, now: Time, ix: UpstreamIx) -> LoadView {
         let u = &self.upstreams[ix.0];
-        let ages = u.others.values().map(|(at, _)| now.since(*at));
-        let announced = ages.filter(|a| *a < ANNOUNCED_FOR).max();
+        let ages = u.announced_work.values().map(|(at, _)| now.since(*at));
+        let announced = ages.filter(|a| *a < ANNOUNCEMENT_LIFETIME).max();
         let replied = u.reply(now).map(|r| now.since(r.at));
         let placed = u.load(now);
         LoadView {
@@ -129,7 +129,7 @@
         let of_service = self.of_service(service).iter().copied();
         of_service.filter(move |i| {
             let u = &self.upstreams[*i];
-            !u.is_serving() && u.left_at.is_some() && !u.is_over(now)
+            !u.is_serving() && u.left_at.is_some() && !u.has_departed(now)
         })
     }
 
@@ -146,7 +146,7 @@
             (u.record.incarnation == life.incarnation).then(|| OwnedLoad {
                 upstream: life.clone(),
                 serves: u.is_serving() && u.witnesses(now) < MIN_WITNESSES,
-                placed: u.mine.plus(u.announced(now, Some(entry))),
+                placed: u.own_work.plus(u.announced(now, Some(entry))),
                 pace: u.pace.except(entry),
             })
         });
@@ -201,7 +201,7 @@
 impl Upstream {
     /// Returns the last reply of its owners, unless it is too old.
     pub(crate) fn reply(&self, now: Time) -> Option<OwnerReply> {
-        self.replied.filter(|r| now.since(r.at) < REPLY_HOLDS)
+        self.replied.filter(|r| now.since(r.at) < MAX_REPLY_AGE)
     }
 
     /// Counts the entries that couldn't reach it recently.
@@ -215,7 +215,7 @@
     /// Returns whether its owners' last reply is fresh.
     pub(crate) fn is_fresh(&self, now: Time) -> bool {
         self.replied
-            .is_some_and(|r| now.since(r.at) < REPLY_IS_FRESH)
+            .is_some_and(|r| now.since(r.at) < FRESH_REPLY_AGE)
     }
 
     fn apply_reply(&mut self, now: Time, placed: Placed) {
@@ -228,9 +228,10 @@
 
     /// Returns the work that others have announced, except one of them.
     pub(crate) fn announced(&self, now: Time, except: Option<&Name>) -> Placed {
-        let announced = self.others.iter();
-        let announced = announced
-            .filter(|(name, (at, _))| Some(*name) != except && now.since(*at) < ANNOUNCED_FOR);
+        let announced = self.announced_work.iter();
+        let announced = announced.filter(|(name, (at, _))| {
+            Some(*name) != except && now.since(*at) < ANNOUNCEMENT_LIFETIME
+        });
         announced.fold(Placed::default(), |sum, (_, (_, placed))| sum.plus(*placed))
     }
 
@@ -240,13 +241,13 @@
         // Announcements to this entry as an owner precede an older reply of the other owner.
         let counts = |_: &OwnerReply| self.is_fresh(now) || announced == Placed::default();
         let replied = self.reply(now).filter(counts);
-        self.mine
+        self.own_work
             .plus(replied.map_or(announced, |r| announced.larger_of_each(r.placed)))
     }
 
     /// Returns whether anything is known of the work of others here.
     pub(crate) fn is_known(&self, now: Time) -> bool {
-        let mut announced = self.others.values();
-        self.reply(now).is_some() || announced.any(|(at, _)| now.since(*at) < ANNOUNCED_FOR)
+        let mut announced = self.announced_work.values();
+        self.reply(now).is_some() || announced.any(|(at, _)| now.since(*at) < ANNOUNCEMENT_LIFETIME)
     }
 }
--- a/fireflycroft/src/missing.rs
+++ b/fireflycroft/src/missing.rs
@@ -90,15 +90,15 @@
     ) -> Vec<PoolChange> {
         let listed: HashSet<Name> = records.iter().map(|r| r.instance.clone()).collect();
         let known = self.records().map(|r| r.instance.clone());
-        let lacked: Vec<Name> = known.filter(|name| !listed.contains(name)).collect();
+        let unlisted: Vec<Name> = known.filter(|name| !listed.contains(name)).collect();
         let are_gone = self.is_settled(now);
-        let lacked = lacked.iter();
-        let mut changes: Vec<PoolChange> = lacked
+        let unlisted = unlisted.iter();
+        let mut changes: Vec<PoolChange> = unlisted
             .filter_map(|name| self.remove_or_mark_missing(now, name, revision, are_gone))
             .collect();
         changes.extend(records.into_iter().filter_map(|r| self.upsert(now, r)));
         self.list_revision = self.list_revision.max(revision);
-        self.note_complete(revision);
+        self.record_complete(revision);
         changes
     }
 
@@ -117,7 +117,7 @@
         revision: u64,
     ) -> Option<PoolChange> {
         let u = &mut self.upstreams[ix.0];
-        let is_known = u.gone || u.missing.is_some();
+        let is_known = u.removed || u.missing.is_some();
         if is_known || u.record.revision > revision {
             return None;
         }
@@ -134,7 +134,7 @@
             return Vec::new();
         }
         self.clear_unconfirmed_evacuations();
-        let missing = self.upstreams.iter().filter(|u| !u.gone);
+        let missing = self.upstreams.iter().filter(|u| !u.removed);
         let missing = missing.filter_map(|u| Some((u.record.instance.clone(), u.missing?)));
         let missing: Vec<(Name, Missing)> = missing.collect();
         let gone = missing.into_iter();
@@ -147,6 +147,6 @@
     pub fn any_missing(&self) -> bool {
         self.upstreams
             .iter()
-            .any(|u| !u.gone && u.missing.is_some())
+            .any(|u| !u.removed && u.missing.is_some())
     }
 }
--- a/fireflycroft/src/pool.rs
+++ b/fireflycroft/src/pool.rs
@@ -19,8 +19,8 @@
 use crate::store_connectivity::StoreConnectivity;
 use crate::time::Time;
 use crate::upstream::{
-    FAR_COPY_COST, LIMITED_COPY_COST, READ_FOR, SeenBy, Upstream, UpstreamIx, UpstreamRecord,
-    draw_for, draw_index, share, tie_cost,
+    CostContext, RATE_LIMITED_BACKUP_COST, REMOTE_BACKUP_COST, SHARED_PROMPT_LIFETIME, Upstream,
+    UpstreamIx, UpstreamRecord, draw_fraction, draw_index, share, tie_cost,
 };
 use std::borrow::Cow;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
@@ -62,17 +62,17 @@
 ///
 /// The best of 64 drawn ones is as good as the best of all but for one in sixty, and costs the
 /// same in a fleet of any size.
-const SAMPLE: usize = 64;
+const SAMPLE_SIZE: usize = 64;
 
 /// Part of the time for which an upstream that leaves may get requests that passes before its leaving
 /// is heard of: watches rest for 0.3 s after changes, and news takes some 25 ms to all entries.
-const HEARD_WITHIN: Duration = Duration::from_millis(400);
+const DEPARTURE_NOTICE_DELAY: Duration = Duration::from_millis(400);
 
 /// Parts of prompts remembered for an upstream.
-const MAX_READ: usize = 256;
+const MAX_SHARED_PROMPTS: usize = 256;
 
 /// Weight of the newest outcome in the failing share of an upstream.
-const FAILING_WEIGHT: f64 = 0.15;
+const OUTCOME_WEIGHT: f64 = 0.15;
 
 impl Pool {
     /// An empty pool of an entry in `data_centre`.
@@ -102,20 +102,23 @@
     }
 
     /// Notes that every change of the list up to a revision is known.
-    pub fn note_complete(&mut self, revision: u64) {
+    pub fn record_complete(&mut self, revision: u64) {
         self.complete_to = self.complete_to.max(revision);
     }
 
     /// Upstreams that are not gone.
     pub fn records(&self) -> impl Iterator<Item = &UpstreamRecord> {
-        self.upstreams.iter().filter(|u| !u.gone).map(|u| &u.record)
+        self.upstreams
+            .iter()
+            .filter(|u| !u.removed)
+            .map(|u| &u.record)
     }
 
     /// Indices of the same.
     #[must_use]
     pub fn indices(&self) -> Vec<UpstreamIx> {
         let all = self.upstreams.iter().enumerate();
-        all.filter(|(_, u)| !u.gone)
+        all.filter(|(_, u)| !u.removed)
             .map(|(i, _)| UpstreamIx(i))
             .collect()
     }
@@ -157,7 +160,7 @@
     #[must_use]
     pub fn may_get_requests(&self, now: Time, ix: UpstreamIx) -> bool {
         let u = &self.upstreams[ix.0];
-        let allowed = self.drain_timeout.saturating_sub(HEARD_WITHIN);
+        let allowed = self.drain_timeout.saturating_sub(DEPARTURE_NOTICE_DELAY);
         let left = u.left_at.filter(|_| !u.is_serving());
         !u.ended && left.is_none_or(|t| now.since(t) < allowed)
     }
@@ -195,44 +198,45 @@
     /// Counts a request as placed on an upstream.
     pub fn place(&mut self, now: Time, ix: UpstreamIx, need: &Need) {
         let u = &mut self.upstreams[ix.0];
-        u.mine = u.mine.with(need);
+        u.own_work = u.own_work.with(need);
         if let Some(shared) = need.shared {
-            if u.read.len() >= MAX_READ {
-                u.read.retain(|_, t| now.since(*t) < READ_FOR);
+            if u.shared_prompts.len() >= MAX_SHARED_PROMPTS {
+                u.shared_prompts
+                    .retain(|_, t| now.since(*t) < SHARED_PROMPT_LIFETIME);
             }
-            u.read.insert(shared, now);
+            u.shared_prompts.insert(shared, now);
         }
     }
 
     /// Notes that the prompt of a placed request has been read; its need changes with it.
-    pub fn note_read(&mut self, ix: UpstreamIx, need: &mut Need) {
-        let mine = &mut self.upstreams[ix.0].mine;
-        mine.unread = mine.unread.saturating_sub(need.unread);
+    pub fn record_prompt_read(&mut self, ix: UpstreamIx, need: &mut Need) {
+        let own_work = &mut self.upstreams[ix.0].own_work;
+        own_work.unread = own_work.unread.saturating_sub(need.unread);
         need.unread = 0;
     }
 
     /// Counts a placed request as needing `tokens` of memory in all.
     pub fn grow(&mut self, ix: UpstreamIx, need: &mut Need, tokens: u64) {
-        let mine = &mut self.upstreams[ix.0].mine;
-        mine.tokens += tokens.saturating_sub(need.tokens);
+        let own_work = &mut self.upstreams[ix.0].own_work;
+        own_work.tokens += tokens.saturating_sub(need.tokens);
         need.tokens = need.tokens.max(tokens);
     }
 
     /// Takes back what [`Pool::place`] counted.
     pub fn release(&mut self, ix: UpstreamIx, need: &Need) {
-        let mine = &mut self.upstreams[ix.0].mine;
-        *mine = mine.without(need);
+        let own_work = &mut self.upstreams[ix.0].own_work;
+        *own_work = own_work.without(need);
     }
 
     /// Notes whether a request failed through the upstream's fault.
-    pub fn note_outcome(&mut self, ix: UpstreamIx, failed: bool) {
+    pub fn record_outcome(&mut self, ix: UpstreamIx, failed: bool) {
         let u = &mut self.upstreams[ix.0];
         let newest = if failed { 1.0 } else { 0.0 };
-        u.failing += FAILING_WEIGHT * (newest - u.failing);
+        u.failing += OUTCOME_WEIGHT * (newest - u.failing);
     }
 
     /// Notes that an upstream made tokens of a stream in a span without a break.
-    pub fn note_pace(&mut self, ix: UpstreamIx, tokens: u64, span: Duration) {
+    pub fn record_pace(&mut self, ix: UpstreamIx, tokens: u64, span: Duration) {
         let u = &mut self.upstreams[ix.0];
         u.pace.own.record_for_engine(tokens, span);
         let of_service = self.pace_of.entry(u.record.service.clone()).or_default();
@@ -246,8 +250,8 @@
         u.pace.relative(self.pace_of_service(u))
     }
 
-    fn seen_by(&self, u: &Upstream) -> SeenBy<'_> {
-        SeenBy {
+    fn cost_context(&self, u: &Upstream) -> CostContext<'_> {
+        CostContext {
             data_centre: &self.data_centre,
             pace: self.pace_of_service(u),
             policy: self.policy,
@@ -268,7 +272,7 @@
     /// Share of an engine's memory that would be spoken for with one more request, copies left
     /// out: they give way to runs.
     #[must_use]
-    pub fn fill_with(&self, now: Time, ix: UpstreamIx, need: &Need) -> f64 {
+    pub fn memory_share_with(&self, now: Time, ix: UpstreamIx, need: &Need) -> f64 {
         let u = &self.upstreams[ix.0];
         let tokens = u.load(now).tokens + need.tokens;
         share(tokens, u.memory_tokens.unwrap_or(0))
@@ -276,27 +280,27 @@
 
     /// Share of an engine's memory that is spoken for, by all entries.
     #[must_use]
-    pub fn fill(&self, now: Time, ix: UpstreamIx) -> f64 {
+    pub fn memory_share(&self, now: Time, ix: UpstreamIx) -> f64 {
         let u = &self.upstreams[ix.0];
         share(u.load(now).memory(), u.memory_tokens.unwrap_or(0))
     }
 
     /// Share of the memory of all serving engines of a service that is spoken for, copies included.
     #[must_use]
-    pub fn fill_of(&self, now: Time, service: &str) -> f64 {
-        self.share_of(now, service, Placed::memory)
+    pub fn service_memory_share(&self, now: Time, service: &str) -> f64 {
+        self.service_share(now, service, Placed::memory)
     }
 
     /// Share of that memory that runs need, with those on engines that leave, which have to find
     /// room on the others.
     #[must_use]
-    pub fn runs_fill_of(&self, now: Time, service: &str) -> f64 {
-        self.share_of(now, service, |placed| placed.tokens)
+    pub fn service_run_memory_share(&self, now: Time, service: &str) -> f64 {
+        self.service_share(now, service, |placed| placed.tokens)
     }
 
-    fn share_of(&self, now: Time, service: &str, of: impl Fn(&Placed) -> u64) -> f64 {
+    fn service_share(&self, now: Time, service: &str, of: impl Fn(&Placed) -> u64) -> f64 {
         let of_service = self.of_service(service).iter().map(|i| &self.upstreams[*i]);
-        let of_service: Vec<&Upstream> = of_service.filter(|u| !u.is_over(now)).collect();
+        let of_service: Vec<&Upstream> = of_service.filter(|u| !u.has_departed(now)).collect();
         // Those whose load is known stand for the others.
         let known = of_service.iter().filter(|u| u.is_known(now));
         let known: Vec<&Upstream> = known.copied().collect();
@@ -330,15 +334,16 @@
         tried: &[UpstreamIx],
     ) -> Option<UpstreamIx> {
         let open: Vec<usize> = self.untried(now, service, need, tried).collect();
-        let sound = |i: &usize| self.upstreams[*i].avoid_until <= now;
-        let drawn = self.known_or_drawn(now, need, &open);
-        let best = self.least_cost(now, need, drawn.iter().copied().filter(sound));
-        let best = best.or_else(|| self.least_cost(now, need, open.iter().copied().filter(sound)));
+        let is_healthy = |i: &usize| self.upstreams[*i].avoid_until <= now;
+        let sampled = self.fresh_or_sampled(now, need, &open);
+        let best = self.least_cost(now, need, sampled.iter().copied().filter(is_healthy));
+        let best =
+            best.or_else(|| self.least_cost(now, need, open.iter().copied().filter(is_healthy)));
         best.or_else(|| self.least_cost(now, need, open.iter().copied()))
     }
 
     /// Those whose owners have replied just now; where these are few, [`SAMPLE`] drawn ones.
-    fn known_or_drawn<'a>(&self, now: Time, need: &Need, open: &'a [usize]) -> Cow<'a, [usize]> {
+    fn fresh_or_sampled<'a>(&self, now: Time, need: &Need, open: &'a [usize]) -> Cow<'a, [usize]> {
         let fresh = |i: &&usize| self.upstreams[**i].is_fresh(now);
         let fresh: Vec<usize> = open.iter().filter(fresh).copied().collect();
         if fresh.len() >= MIN_REPLIES && need.tokens > 0 {
@@ -355,10 +360,10 @@
         need: &Need,
         tried: &'a [UpstreamIx],
     ) -> impl Iterator<Item = usize> {
-        let homes = need.homes;
+        let regions = need.homes;
         let takes = move |i: &usize| {
             let u = &self.upstreams[*i];
-            let is_home = self.is_home(homes, &u.record.data_centre);
+            let is_home = self.is_home(regions, &u.record.data_centre);
             is_home && self.withheld_reason(now, u).is_none() && !tried.contains(&UpstreamIx(*i))
         };
         self.serving(service).filter(takes)
@@ -370,13 +375,13 @@
         now: Time,
         need: &Need,
         open: &[usize],
-        most: usize,
+        max_count: usize,
     ) -> Vec<usize> {
-        let drawn = sample(open, need.draw);
-        let costs = drawn.iter().map(|i| (self.cost(now, need, *i), *i));
+        let sampled = sample(open, need.draw);
+        let costs = sampled.iter().map(|i| (self.cost(now, need, *i), *i));
         let mut costs: Vec<(f64, usize)> = costs.collect();
         costs.sort_unstable_by(|(a, _), (b, _)| a.total_cmp(b));
-        costs.into_iter().take(most).map(|(_, i)| i).collect()
+        costs.into_iter().take(max_count).map(|(_, i)| i).collect()
     }
 
     pub(crate) fn of_service(&self, service: &str) -> &[usize] {
@@ -400,38 +405,38 @@
         &self,
         now: Time,
         need: &Need,
-        among: impl Iterator<Item = usize>,
+        candidates: impl Iterator<Item = usize>,
     ) -> Option<UpstreamIx> {
-        let costs = among.map(|i| (i, self.cost(now, need, i)));
+        let costs = candidates.map(|i| (i, self.cost(now, need, i)));
         let best = costs.min_by(|(_, a), (_, b)| a.total_cmp(b));
         best.map(|(i, _)| UpstreamIx(i))
     }
 
     /// What a copy from `source` costs at `u` beyond what any request costs there.
-    fn copy_cost(&self, source: UpstreamIx, u: &Upstream) -> f64 {
-        let is_far = self.record(source).data_centre != u.record.data_centre;
-        let far = if is_far { FAR_COPY_COST } else { 0.0 };
+    fn backup_cost(&self, source: UpstreamIx, u: &Upstream) -> f64 {
+        let is_remote = self.record(source).data_centre != u.record.data_centre;
+        let remote = if is_remote { REMOTE_BACKUP_COST } else { 0.0 };
         let limited = if u.rate.limit().is_some() {
-            LIMITED_COPY_COST
+            RATE_LIMITED_BACKUP_COST
         } else {
             0.0
         };
-        far + limited
+        remote + limited
     }
 
     fn cost(&self, now: Time, need: &Need, i: usize) -> f64 {
         let u = &self.upstreams[i];
-        let copy = need.copied_from.map_or(0.0, |ix| self.copy_cost(ix, u));
-        let tie = tie_cost(need) * draw_for(need.draw, i);
-        u.cost(now, need, &self.seen_by(u)) + copy + tie
+        let backup = need.copied_from.map_or(0.0, |ix| self.backup_cost(ix, u));
+        let tie = tie_cost(need) * draw_fraction(need.draw, i);
+        u.cost(now, need, &self.cost_context(u)) + backup + tie
     }
 }
 
 /// All of `open`, or [`SAMPLE`] drawn ones of many.
 fn sample(open: &[usize], draw: u64) -> Cow<'_, [usize]> {
-    if open.len() <= SAMPLE {
+    if open.len() <= SAMPLE_SIZE {
         return Cow::Borrowed(open);
     }
-    let drawn = (0..SAMPLE).map(|k| open[draw_index(draw, k, open.len())]);
-    Cow::Owned(drawn.collect())
+    let sampled = (0..SAMPLE_SIZE).map(|k| open[draw_index(draw, k, open.len())]);
+    Cow::Owned(sampled.collect())
 }
--- a/fireflycroft/src/rate_limit.rs
+++ b/fireflycroft/src/rate_limit.rs
@@ -165,7 +165,7 @@
     /// Returns the rate limits to announce now: those in force or lifted recently, the least recently
     /// announced first.
     pub fn rates_to_announce(&mut self, now: Time) -> Vec<ToldRate> {
-        let known = self.upstreams.iter_mut().filter(|u| !u.gone);
+        let known = self.upstreams.iter_mut().filter(|u| !u.removed);
         let to_announce = known.filter(|u| u.rate.needs_announcement(now));
         let announced =
             least_recently_announced(to_announce, |u| u.rate.announced_at, MAX_ANNOUNCED);
--- a/fireflycroft/tests/admission_load.rs
+++ b/fireflycroft/tests/admission_load.rs
@@ -19,9 +19,9 @@
 use std::time::Duration;
 
 cases! {
-    callers_of_a_calm_load_are_let_in => moderate_load();
+    callers_of_a_moderate_load_are_admitted => moderate_load();
     engines_of_a_heavy_load_do_not_run_out => heavy_load();
-    heavy_load_lets_in_more_of_what_yields_more => heavy_load_by_density();
+    heavy_load_admits_higher_value_densities => heavy_load_by_density();
 }
 
 /// Serving engines, each with memory for about five generations.
@@ -149,8 +149,8 @@
             };
             let best = pool.choose(now, "models", &need, &[]).unwrap();
             let fill = MemoryUsage {
-                engine: pool.fill_with(now, best, &need),
-                service: pool.runs_fill_of(now, "models"),
+                engine: pool.memory_share_with(now, best, &need),
+                service: pool.service_run_memory_share(now, "models"),
             };
             if is_admitted(&request, &fill) {
                 pool.place(now, best, &need);
--- a/fireflycroft/tests/evacuation.rs
+++ b/fireflycroft/tests/evacuation.rs
@@ -112,8 +112,8 @@
 
 fn no_room_there() {
     let mut pool = two_places();
-    let of_both = pool.runs_fill_of(at(0), "models");
+    let of_both = pool.service_run_memory_share(at(0), "models");
     pool.apply_evacuations(at(0), evacuated(5, &["north"]));
-    let of_one = pool.runs_fill_of(at(0), "models");
+    let of_one = pool.service_run_memory_share(at(0), "models");
     assert!(of_one > of_both, "{of_one} after {of_both}");
 }
--- a/fireflycroft/tests/failover.rs
+++ b/fireflycroft/tests/failover.rs
@@ -233,7 +233,7 @@
         ..Need::default()
     };
     pool.place(at(0), source, &need);
-    assert!(pool.fill_of(at(0), "models") > MAX_SERVICE_FILL_FOR_BACKUP);
+    assert!(pool.service_memory_share(at(0), "models") > MAX_SERVICE_FILL_FOR_BACKUP);
     let holder = pick_backup_holder(&pool, at(0), &Name::from("models"), &copy(), source);
     assert_eq!(holder, None);
 }
--- a/fireflycroft/tests/listing_gaps.rs
+++ b/fireflycroft/tests/listing_gaps.rs
@@ -15,10 +15,10 @@
 use pools::{at, ix, leaving, record};
 
 cases! {
-    changes_older_than_those_heard_are_asked_for => gap_is_fetched();
-    upstream_that_only_says_that_it_leaves_is_handed_on_by_name => leaving_by_name();
-    upstream_that_came_and_leaves_is_handed_on_whole => new_and_leaving();
-    leaving_of_one_that_is_not_known_is_passed_over => unknown_leaving();
+    changes_older_than_those_received_are_fetched => gap_is_fetched();
+    known_departing_upstream_is_sent_by_name => leaving_by_name();
+    new_departing_upstream_is_sent_with_its_record => new_and_leaving();
+    departure_of_an_unknown_upstream_is_ignored => unknown_leaving();
     list_read_from_the_store_is_complete => list_is_complete();
 }
 
@@ -34,7 +34,7 @@
 }
 
 /// Takes what another entry hands on.
-fn take(pool: &mut Pool, changes: ChangesSince, complete_to: u64) {
+fn apply(pool: &mut Pool, changes: ChangesSince, complete_to: u64) {
     for record in changes.listed {
         pool.upsert(at(2), record);
     }
@@ -44,7 +44,7 @@
     for (instance, revision) in changes.removed {
         pool.remove(at(2), &instance, revision);
     }
-    pool.note_complete(complete_to);
+    pool.record_complete(complete_to);
 }
 
 fn gap_is_fetched() {
@@ -52,7 +52,7 @@
     for i in 0..100 {
         watcher.upsert(at(1), leaving(&format!("i-{i}"), 1_000 + i));
     }
-    watcher.note_complete(1_099);
+    watcher.record_complete(1_099);
     for change in watcher.list_changes(at(1)) {
         other.apply_change(at(1), change);
     }
@@ -60,7 +60,7 @@
     assert_ne!(other.digest(), watcher.digest());
     assert_eq!(other.complete_to(), UPSTREAMS);
     let changes = watcher.changes_since(other.complete_to());
-    take(&mut other, changes, watcher.complete_to());
+    apply(&mut other, changes, watcher.complete_to());
     assert_eq!(other.digest(), watcher.digest());
     assert_eq!(other.complete_to(), 1_099);
 }
@@ -72,7 +72,7 @@
     assert_eq!(changes.leaving, [(Name::from("i-7"), 1_000)]);
     assert!(changes.listed.is_empty());
     let mut other = listed();
-    take(&mut other, changes, 1_000);
+    apply(&mut other, changes, 1_000);
     assert!(!other.is_serving(ix(&other, "i-7")));
     assert_eq!(other.digest(), watcher.digest());
 }
--- a/fireflycroft/tests/long_on_fast.rs
+++ b/fireflycroft/tests/long_on_fast.rs
@@ -86,7 +86,7 @@
         let ended: Vec<Run> = ended;
         for run in ended {
             let span = answer_takes(self.speed(run.engine));
-            self.pool.note_pace(run.engine, ANSWER.into(), span);
+            self.pool.record_pace(run.engine, ANSWER.into(), span);
             self.pool.release(run.engine, &run.need);
         }
     }
@@ -111,7 +111,8 @@
 
     fn fullest(&self, now: Time) -> f64 {
         let all = self.pool.indices().into_iter();
-        all.map(|ix| self.pool.fill(now, ix)).fold(0.0, f64::max)
+        all.map(|ix| self.pool.memory_share(now, ix))
+            .fold(0.0, f64::max)
     }
 }
 
--- a/fireflycroft/tests/mechanism.rs
+++ b/fireflycroft/tests/mechanism.rs
@@ -123,7 +123,7 @@
 }
 
 fn failing_first(pool: &mut Pool, first: UpstreamIx, _: UpstreamIx) {
-    pool.note_outcome(first, true);
+    pool.record_outcome(first, true);
 }
 
 fn part_at_second(pool: &mut Pool, _: UpstreamIx, second: UpstreamIx) {
@@ -136,6 +136,6 @@
 }
 
 fn fast_second(pool: &mut Pool, first: UpstreamIx, second: UpstreamIx) {
-    pool.note_pace(first, 10_000, Duration::from_secs(100));
-    pool.note_pace(second, 10_000, Duration::from_secs(50));
+    pool.record_pace(first, 10_000, Duration::from_secs(100));
+    pool.record_pace(second, 10_000, Duration::from_secs(50));
 }
--- a/fireflycroft/tests/missing.rs
+++ b/fireflycroft/tests/missing.rs
@@ -20,49 +20,49 @@
 use std::time::Duration;
 
 /// Time between two answers of a watch that hears nothing new.
-const WATCH_WAIT: u64 = 800;
+const WATCH_TIMEOUT: u64 = 800;
 
 /// Users allow work on an upstream that has left for so long.
 const DRAIN_TIMEOUT: u64 = 2_000;
 
 /// Removals count from this time after the store's return on.
-const STABLE_AFTER: u64 = 3_000;
+const REMOVALS_COUNT_AFTER: u64 = 3_000;
 
 /// Silence of the store in which a record may lapse: two heartbeats.
-const SHORTEST_TO_LAPSE: u64 = 2_400;
+const MIN_SILENCE_TO_EXPIRE: u64 = 2_400;
 
 cases! {
     missing_upstream_serves_on_for_a_while => missing_serves_on();
     missing_upstream_that_is_listed_again_stays => missing_comes_back();
-    missing_upstream_told_by_its_old_record_stays_missing => told_again_stays_missing();
-    removal_after_the_doubt_is_believed_at_once => late_removal();
-    removal_amid_the_doubt_is_believed_at_its_end => early_removal();
-    removal_after_a_short_silence_is_believed_at_once => short_silence();
-    nobody_is_given_up_while_the_store_is_silent => silent_store();
-    list_in_calm_is_believed_at_once => calm_list();
-    first_list_is_doubted => first_list();
-    first_removal_is_believed => first_removal();
-    first_removal_after_a_silence_is_doubted => first_removal_after_silence();
-    what_others_hear_of_the_store_counts => others_contact();
-    old_record_of_one_that_the_list_lacked_brings_nothing => lacked_record();
-    old_record_amid_the_doubt_is_missing_too => lacked_record_in_doubt();
-    later_life_that_is_gone_as_well_is_missing => missing_life();
-    one_that_left_gets_what_is_on_its_way_for_a_while => left_lately();
-    missing_one_gets_what_is_on_its_way => missing_gets();
+    missing_upstream_with_its_old_record_received_stays_missing => old_record_stays_missing();
+    removal_after_the_grace_period_is_confirmed_at_once => late_removal();
+    removal_within_the_grace_period_is_confirmed_at_its_end => early_removal();
+    removal_after_a_short_silence_is_confirmed_at_once => short_silence();
+    no_upstream_is_removed_while_the_store_is_silent => silent_store();
+    list_without_an_outage_is_confirmed_at_once => list_without_outage();
+    first_list_is_unconfirmed => first_list();
+    first_removal_is_confirmed => first_removal();
+    first_removal_after_a_silence_is_unconfirmed => first_removal_after_silence();
+    store_answers_to_others_count => answers_to_others();
+    old_record_of_an_unlisted_upstream_is_ignored => unlisted_record();
+    old_record_within_the_grace_period_is_missing_too => unlisted_record_in_grace_period();
+    later_incarnation_that_is_unlisted_too_is_missing => missing_incarnation();
+    departed_upstream_gets_requests_in_flight_for_a_while => left_recently();
+    missing_upstream_gets_requests_in_flight => missing_gets();
 }
 
 /// The store answers from one time to another, in milliseconds.
-fn hear(pool: &mut fireflycroft::Pool, from: u64, to: u64) {
+fn store_answers(pool: &mut fireflycroft::Pool, from: u64, to: u64) {
     let mut millis = from;
     while millis < to {
         pool.record_store_answer(at(millis));
-        millis += WATCH_WAIT;
+        millis += WATCH_TIMEOUT;
     }
     pool.record_store_answer(at(to));
 }
 
 /// Moment at which the doubt ends that began then.
-fn settled(since: u64) -> Time {
+fn grace_period_end(since: u64) -> Time {
     at(since) + SETTLE_TIME
 }
 
@@ -72,38 +72,38 @@
 
 fn missing_serves_on() {
     let mut pool = pool(&["a", "b"]);
-    hear(&mut pool, 0, 0);
+    store_answers(&mut pool, 0, 0);
     pool.apply_list(at(0), vec![record("b", 2)], 5);
     assert_eq!(pool.count("models"), 2);
     assert!(pool.remove_missing(at(100)).is_empty());
-    hear(&mut pool, 0, 2_500);
-    assert_eq!(pool.remove_missing(settled(0)).len(), 1);
+    store_answers(&mut pool, 0, 2_500);
+    assert_eq!(pool.remove_missing(grace_period_end(0)).len(), 1);
     assert_eq!(pool.count("models"), 1);
 }
 
 fn missing_comes_back() {
     let mut pool = pool(&["a"]);
     pool.record_store_failure();
-    hear(&mut pool, 0, 0);
+    store_answers(&mut pool, 0, 0);
     pool.apply_removal(at(0), "a", 4);
     let a = ix(&pool, "a");
     let missing_for = Duration::from_secs(1);
     let back = PoolChange::Relisted { ix: a, missing_for };
     assert_eq!(pool.upsert(at(1_000), record("a", 5)), Some(back));
-    hear(&mut pool, 0, 9_000);
+    store_answers(&mut pool, 0, 9_000);
     assert!(pool.remove_missing(at(9_000)).is_empty());
     assert_eq!(pool.count("models"), 1);
 }
 
-fn told_again_stays_missing() {
+fn old_record_stays_missing() {
     let mut pool = pool(&["a", "b"]);
     pool.record_store_failure();
-    hear(&mut pool, 0, 0);
+    store_answers(&mut pool, 0, 0);
     pool.apply_removal(at(0), "a", 4);
     pool.upsert(at(10), record("a", 1));
     // Written after the one that is held, and before the removal.
     pool.upsert(at(20), record("a", 3));
-    hear(&mut pool, 0, 9_000);
+    store_answers(&mut pool, 0, 9_000);
     assert_eq!(pool.remove_missing(at(9_000)).len(), 1);
     assert_eq!(pool.count("models"), 1);
 }
@@ -111,14 +111,14 @@
 /// The store is away from 4 s to 8 s.
 fn after_outage() -> fireflycroft::Pool {
     let mut pool = pool(&["a", "b"]);
-    hear(&mut pool, 0, 4_000);
-    hear(&mut pool, 8_000, 8_000);
+    store_answers(&mut pool, 0, 4_000);
+    store_answers(&mut pool, 8_000, 8_000);
     pool
 }
 
 fn late_removal() {
     let mut pool = after_outage();
-    hear(&mut pool, 8_000, 10_600);
+    store_answers(&mut pool, 8_000, 10_600);
     let a = ix(&pool, "a");
     let change = pool.apply_removal(at(10_600), "a", 9);
     assert_eq!(change, Some(PoolChange::Leaves(a)));
@@ -127,13 +127,16 @@
 
 fn early_removal() {
     let mut pool = after_outage();
-    hear(&mut pool, 8_000, 10_400);
+    store_answers(&mut pool, 8_000, 10_400);
     let a = ix(&pool, "a");
     let change = pool.apply_removal(at(10_400), "a", 9);
     assert_eq!(change, Some(PoolChange::Missing(a)));
     assert!(serves(&pool, "a"));
-    assert_eq!(pool.store_connectivity().settles_at(), Some(settled(8_000)));
-    let gone = pool.remove_missing(settled(8_000));
+    assert_eq!(
+        pool.store_connectivity().settles_at(),
+        Some(grace_period_end(8_000))
+    );
+    let gone = pool.remove_missing(grace_period_end(8_000));
     assert_eq!(gone, vec![PoolChange::Leaves(a)]);
     assert_eq!(
         pool.record(a).revision,
@@ -145,8 +148,8 @@
 /// A watch hung on a dead connection for 1.4 s; no heartbeat was missed for it.
 fn short_silence() {
     let mut pool = pool(&["a", "b"]);
-    hear(&mut pool, 0, 8_000);
-    hear(&mut pool, 9_400, 9_400);
+    store_answers(&mut pool, 0, 8_000);
+    store_answers(&mut pool, 9_400, 9_400);
     pool.apply_removal(at(9_400), "a", 9);
     assert!(!serves(&pool, "a"));
 }
@@ -156,16 +159,16 @@
     pool.apply_removal(at(8_000), "a", 9);
     // Away again before it was back for long enough.
     assert!(pool.remove_missing(at(12_000)).is_empty());
-    hear(&mut pool, 14_000, 14_000);
+    store_answers(&mut pool, 14_000, 14_000);
     assert!(pool.remove_missing(at(14_000)).is_empty());
-    hear(&mut pool, 14_000, 16_500);
+    store_answers(&mut pool, 14_000, 16_500);
     assert_eq!(pool.remove_missing(at(16_500)).len(), 1);
 }
 
 /// The store dropped its history, and an upstream left before the list was read anew.
-fn calm_list() {
+fn list_without_outage() {
     let mut pool = pool(&["a", "b"]);
-    hear(&mut pool, 0, 5_000);
+    store_answers(&mut pool, 0, 5_000);
     pool.apply_list(at(5_000), vec![record("b", 2)], 9);
     assert!(!serves(&pool, "a"));
 }
@@ -174,7 +177,7 @@
 /// back.
 fn first_list() {
     let mut pool = pool(&["a", "b"]);
-    hear(&mut pool, 300, 300);
+    store_answers(&mut pool, 300, 300);
     pool.apply_list(at(300), Vec::new(), 9);
     assert_eq!(pool.count("models"), 2);
 }
@@ -182,7 +185,7 @@
 /// It reads that one left which it has just listed.
 fn first_removal() {
     let mut pool = pool(&["a", "b"]);
-    hear(&mut pool, 300, 1_100);
+    store_answers(&mut pool, 300, 1_100);
     pool.apply_removal(at(1_100), "a", 9);
     assert!(!serves(&pool, "a"));
 }
@@ -191,28 +194,28 @@
 fn first_removal_after_silence() {
     let mut pool = pool(&["a", "b"]);
     pool.record_store_failure();
-    hear(&mut pool, 300, 1_100);
+    store_answers(&mut pool, 300, 1_100);
     pool.apply_removal(at(1_100), "a", 9);
     assert!(serves(&pool, "a"));
-    hear(&mut pool, 1_100, 2_800);
-    assert_eq!(pool.remove_missing(settled(300)).len(), 1);
+    store_answers(&mut pool, 1_100, 2_800);
+    assert_eq!(pool.remove_missing(grace_period_end(300)).len(), 1);
 }
 
 /// All entries that watch are lost, and another one steps in a second later.
-fn others_contact() {
+fn answers_to_others() {
     let mut pool = pool(&["a", "b"]);
     // Told with its age, as the others were answered then.
-    hear(&mut pool, 0, 4_000);
-    let told_at = at(5_000);
-    pool.record_store_answer(told_at - Duration::from_millis(200));
-    hear(&mut pool, 6_200, 6_200);
+    store_answers(&mut pool, 0, 4_000);
+    let announced_at = at(5_000);
+    pool.record_store_answer(announced_at - Duration::from_millis(200));
+    store_answers(&mut pool, 6_200, 6_200);
     pool.apply_list(at(6_200), vec![record("b", 2)], 9);
     assert!(!serves(&pool, "a"));
 }
 
-fn lacked_record() {
+fn unlisted_record() {
     let mut pool = pool(&["b"]);
-    hear(&mut pool, 0, 5_000);
+    store_answers(&mut pool, 0, 5_000);
     pool.apply_list(at(5_000), vec![record("b", 1)], 9);
     assert_eq!(pool.upsert(at(5_010), record("a", 8)), None);
     assert_eq!(pool.count("models"), 1);
@@ -220,35 +223,35 @@
     assert_eq!(pool.count("models"), 2);
 }
 
-fn lacked_record_in_doubt() {
+fn unlisted_record_in_grace_period() {
     let mut pool = pool(&["b"]);
-    hear(&mut pool, 300, 300);
+    store_answers(&mut pool, 300, 300);
     pool.apply_list(at(300), vec![record("b", 1)], 9);
     assert!(pool.upsert(at(310), record("a", 8)).is_some());
     assert!(serves(&pool, "a"));
-    hear(&mut pool, 300, 2_800);
-    assert_eq!(pool.remove_missing(settled(300)).len(), 1);
+    store_answers(&mut pool, 300, 2_800);
+    assert_eq!(pool.remove_missing(grace_period_end(300)).len(), 1);
 }
 
 /// An entry reads that an id is gone before it hears that the id had been taken by a later life.
-fn missing_life() {
-    let life = |started, revision| UpstreamRecord {
+fn missing_incarnation() {
+    let incarnation = |started, revision| UpstreamRecord {
         incarnation: Incarnation(started),
         ..record("a", revision)
     };
     let mut pool = pool(&["b"]);
-    pool.upsert(at(0), life(100, 2));
+    pool.upsert(at(0), incarnation(100, 2));
     pool.record_store_failure();
-    hear(&mut pool, 300, 300);
+    store_answers(&mut pool, 300, 300);
     pool.apply_removal(at(300), "a", 6);
-    let change = pool.upsert(at(310), life(200, 5)).unwrap();
+    let change = pool.upsert(at(310), incarnation(200, 5)).unwrap();
     assert!(matches!(change, PoolChange::Restarted { .. }), "{change:?}");
-    hear(&mut pool, 300, 2_800);
-    assert_eq!(pool.remove_missing(settled(300)).len(), 1);
+    store_answers(&mut pool, 300, 2_800);
+    assert_eq!(pool.remove_missing(grace_period_end(300)).len(), 1);
     assert_eq!(pool.count("models"), 1);
 }
 
-fn left_lately() {
+fn left_recently() {
     let mut pool = pool(&["a"]);
     pool.set_drain_timeout(Duration::from_millis(DRAIN_TIMEOUT));
     let a = ix(&pool, "a");
@@ -279,29 +282,29 @@
     /// whose removal counts gets nothing once the time allowed is over, and one that is listed again
     /// as soon as the platform says serves all the time.
     #[test]
-    fn removals_that_count_are_believed_in_time(
+    fn removals_that_count_are_confirmed_in_time(
         outage in 100_u64..20_000,
-        noticed in 0_u64..1_500,
-        removed in STABLE_AFTER..12_000,
+        notice_delay in 0_u64..1_500,
+        removed in REMOVALS_COUNT_AFTER..12_000,
         back in 0_u64..2_000,
     ) {
         let mut pool = pool(&["lapses", "leaves"]);
         let returned = 10_000 + outage;
-        let heard = returned + noticed;
-        hear(&mut pool, 0, 10_000);
-        hear(&mut pool, heard, heard);
-        pool.apply_removal(at(heard), "lapses", 8);
-        let may_lapse = outage >= SHORTEST_TO_LAPSE;
-        let back = (returned + back).max(heard);
-        hear(&mut pool, heard, back);
+        let noticed_at = returned + notice_delay;
+        store_answers(&mut pool, 0, 10_000);
+        store_answers(&mut pool, noticed_at, noticed_at);
+        pool.apply_removal(at(noticed_at), "lapses", 8);
+        let may_expire = outage >= MIN_SILENCE_TO_EXPIRE;
+        let back = (returned + back).max(noticed_at);
+        store_answers(&mut pool, noticed_at, back);
         pool.remove_missing(at(back));
-        prop_assert!(serves(&pool, "lapses") || !may_lapse);
+        prop_assert!(serves(&pool, "lapses") || !may_expire);
         pool.upsert(at(back), record("lapses", 9));
         let removed = returned + removed;
-        hear(&mut pool, back, removed);
+        store_answers(&mut pool, back, removed);
         pool.remove_missing(at(removed));
         pool.apply_removal(at(removed), "leaves", 10);
-        hear(&mut pool, removed, removed + DRAIN_TIMEOUT);
+        store_answers(&mut pool, removed, removed + DRAIN_TIMEOUT);
         pool.remove_missing(at(removed + DRAIN_TIMEOUT));
         prop_assert!(!serves(&pool, "leaves"));
         prop_assert!(serves(&pool, "lapses"));
--- a/fireflycroft/tests/owners.rs
+++ b/fireflycroft/tests/owners.rs
@@ -207,9 +207,9 @@
 
 fn unknown_are_like_others() {
     let mut pool = pool(&["a", "b", "c", "d"]);
-    assert!(pool.runs_fill_of(at(5), "models") < 0.01);
+    assert!(pool.service_run_memory_share(at(5), "models") < 0.01);
     reply(&mut pool, &[("a", 9_000), ("b", 7_000)]);
-    let fill = pool.runs_fill_of(at(5), "models");
+    let fill = pool.service_run_memory_share(at(5), "models");
     assert!((fill - 0.8).abs() < 0.01, "{fill}");
 }
 
--- a/fireflycroft/tests/pool.rs
+++ b/fireflycroft/tests/pool.rs
@@ -17,8 +17,8 @@
 cases! {
     emptier_memory_is_chosen => chooses_emptier_memory();
     what_others_placed_counts => counts_others();
-    what_others_told_long_ago_does_not => forgets_others();
-    changes_leave_the_rest_of_what_was_told => keeps_the_rest();
+    old_announcements_of_others_do_not_count => forgets_others();
+    changes_keep_the_rest_of_an_announcement => keeps_the_rest();
     unread_prompts_are_avoided => avoids_unread();
     prompts_that_would_hold_up_the_first_event_are_avoided => avoids_late_first();
     those_that_are_gone_take_no_place_in_a_choice => gone_take_no_place();
@@ -29,15 +29,15 @@
     read_prompts_no_longer_count => read_no_longer_counts();
     leaving_upstream_is_not_chosen => leaving_is_not_chosen();
     avoided_upstream_is_the_last_resort => avoided_is_last();
-    failing_upstream_is_left_for_a_sound_one => failing_is_left();
+    failing_upstream_is_left_for_a_healthy_one => failing_is_left();
     older_record_changes_nothing => older_changes_nothing();
     removed_upstream_does_not_come_back_by_an_old_record => removed_stays_away();
     upstream_that_came_back_serves => came_back_serves();
-    list_of_a_sure_peer_removes_at_once => sure_list_removes();
-    told_changes_lead_to_the_same_list => told_changes_converge();
+    list_of_a_confirmed_peer_removes_at_once => confirmed_list_removes();
+    announced_changes_lead_to_the_same_list => announced_changes_converge();
     outgrown_run_counts_for_more => outgrown_counts();
     other_service_is_never_chosen => other_service();
-    copy_stays_in_its_data_centre => copy_stays_near();
+    backup_stays_in_its_data_centre => backup_stays_near();
 }
 
 fn chooses_emptier_memory() {
@@ -118,7 +118,7 @@
     let mut pool = pool(&["slow", "fast"]);
     for (instance, pace) in [("slow", SLOW), ("fast", FAST)] {
         let ix = ix(&pool, instance);
-        pool.note_pace(ix, pace.tokens, Duration::from_micros(pace.micros));
+        pool.record_pace(ix, pace.tokens, Duration::from_micros(pace.micros));
     }
     let fast = ix(&pool, "fast");
     pool.place(at(0), fast, &need(500));
@@ -139,8 +139,8 @@
 fn few_views_kept() {
     let mut pool = pool(&["slow", "fast"]);
     let fast = ix(&pool, "fast");
-    pool.note_pace(fast, FAST.tokens, Duration::from_micros(FAST.micros));
-    let mut tell = |entry: usize, pace| {
+    pool.record_pace(fast, FAST.tokens, Duration::from_micros(FAST.micros));
+    let mut announce = |entry: usize, pace| {
         let of_slow = PlacedAt {
             pace,
             ..announced_work("slow", 0)
@@ -152,8 +152,8 @@
         tokens: 10,
         micros: 90_000,
     };
-    let few = (0..16).map(|e| tell(e, SLOW)).last();
-    let many = (16..400).map(|e| tell(e, seen_little)).last();
+    let few = (0..16).map(|e| announce(e, SLOW)).last();
+    let many = (16..400).map(|e| announce(e, seen_little)).last();
     assert_eq!(few, many);
     assert!(many.unwrap() > 1.3, "{many:?}");
 }
@@ -161,7 +161,7 @@
 fn others_pace_counts() {
     let mut pool = pool(&["slow", "fast"]);
     let fast = ix(&pool, "fast");
-    pool.note_pace(fast, FAST.tokens, Duration::from_micros(FAST.micros));
+    pool.record_pace(fast, FAST.tokens, Duration::from_micros(FAST.micros));
     pool.place(at(0), fast, &need(500));
     assert_eq!(chosen(&pool, at(0), &answer(800)), "slow");
     let of_slow = PlacedAt {
@@ -233,7 +233,7 @@
     let mut unread = unread_need();
     pool.place(at(0), a, &unread);
     pool.place(at(0), b, &need(6_000));
-    pool.note_read(a, &mut unread);
+    pool.record_prompt_read(a, &mut unread);
     assert_eq!(chosen(&pool, at(0), &need(100)), "a");
     pool.release(a, &unread);
     assert_eq!(pool.view(at(0), a).placed, Placed::default());
@@ -262,7 +262,7 @@
     let mut pool = pool(&["a", "b"]);
     let a = ix(&pool, "a");
     for _ in 0..10 {
-        pool.note_outcome(a, true);
+        pool.record_outcome(a, true);
     }
     let b = ix(&pool, "b");
     pool.place(at(0), b, &need(5_000));
@@ -291,13 +291,13 @@
     assert_eq!(pool.count("models"), 1);
 }
 
-fn sure_list_removes() {
+fn confirmed_list_removes() {
     let mut pool = pool(&["a", "b"]);
     let gone = pool.remove_unlisted(at(1), &[record("b", 2)], 8);
     assert_eq!(gone, vec![PoolChange::Leaves(ix(&pool, "a"))]);
 }
 
-fn told_changes_converge() {
+fn announced_changes_converge() {
     let mut from = pool(&["a", "b"]);
     let mut to = pool(&["a", "b"]);
     from.upsert(at(1), leaving("a", 5));
@@ -328,7 +328,7 @@
     assert_eq!(pool.choose(at(0), "records", &need(0), &[]), None);
 }
 
-fn copy_stays_near() {
+fn backup_stays_near() {
     let mut pool = pool(&["a", "b"]);
     let far = UpstreamRecord {
         data_centre: Name::from("far"),
@@ -338,12 +338,12 @@
     pool.set_memory(&Name::from("models"), Some(MEMORY));
     let b = ix(&pool, "b");
     pool.place(at(0), b, &need(200));
-    let copy = Need {
+    let backup = Need {
         copied_from: pool.find("a"),
         ..need(10)
     };
-    let keeper = pool.choose(at(0), "models", &copy, &[ix(&pool, "a")]);
-    assert_eq!(keeper, Some(b));
+    let holder = pool.choose(at(0), "models", &backup, &[ix(&pool, "a")]);
+    assert_eq!(holder, Some(b));
 }
 
 fn change() -> impl Strategy<Value = ListChange> {
--- a/fireflycroft/tests/pool_lives.rs
+++ b/fireflycroft/tests/pool_incarnations.rs
@@ -15,23 +15,23 @@
 use std::time::Duration;
 
 cases! {
-    new_start_ends_the_old_life => new_start_ends_old();
+    new_start_ends_the_old_incarnation => new_start_ends_old();
     new_start_takes_nothing_over => new_start_is_fresh();
     new_start_holds_whatever_its_revision => new_start_holds();
     older_start_is_stale_whenever_written => older_start_is_stale();
-    what_others_placed_on_another_life_counts_not => other_life_counts_not();
-    removal_of_the_old_life_leaves_the_new_one => late_removal();
-    ended_life_is_told_to_nobody => ended_is_not_told();
-    slot_of_an_ended_life_is_used_again => ended_slot_is_free();
-    start_that_was_not_known_is_learned => start_is_learned();
-    unreadable_record_names_nobody => unreadable_is_not_chosen();
+    work_announced_for_another_incarnation_is_ignored => other_incarnation_is_ignored();
+    removal_of_the_old_incarnation_keeps_the_new_one => late_removal();
+    ended_incarnation_is_not_announced => ended_is_not_announced();
+    slot_of_an_ended_incarnation_is_reused => ended_slot_is_free();
+    unknown_start_is_recorded => start_is_recorded();
+    upstream_with_an_unreadable_record_is_not_chosen => unreadable_is_not_chosen();
     unreadable_record_of_an_unknown_one_is_ignored => unreadable_unknown();
     record_that_is_readable_again_serves => readable_again();
-    strangers_record_names_nobody => strangers_word();
-    unreadable_is_told_to_others => unreadable_is_told();
+    foreign_record_is_not_chosen => foreign_record();
+    unreadable_record_is_announced => unreadable_is_announced();
 }
 
-fn life(instance: &str, start: u64, revision: u64) -> UpstreamRecord {
+fn incarnation_record(instance: &str, start: u64, revision: u64) -> UpstreamRecord {
     UpstreamRecord {
         incarnation: Incarnation(start),
         ..record(instance, revision)
@@ -39,9 +39,9 @@
 }
 
 /// A pool that knows one life of `a`, with 5,000 tokens placed there.
-fn pool_of_one_life() -> (Pool, UpstreamIx) {
+fn pool_of_one_incarnation() -> (Pool, UpstreamIx) {
     let mut pool = Pool::new(Name::from("dc"));
-    pool.upsert(at(0), life("a", 100, 1));
+    pool.upsert(at(0), incarnation_record("a", 100, 1));
     pool.set_memory(&Name::from("models"), Some(MEMORY));
     let a = ix(&pool, "a");
     pool.place(at(0), a, &need(5_000));
@@ -49,8 +49,10 @@
 }
 
 fn new_start_ends_old() {
-    let (mut pool, old) = pool_of_one_life();
-    let change = pool.upsert(at(10), life("a", 200, 5)).unwrap();
+    let (mut pool, old) = pool_of_one_incarnation();
+    let change = pool
+        .upsert(at(10), incarnation_record("a", 200, 5))
+        .unwrap();
     let begun = ix(&pool, "a");
     assert_eq!(change, PoolChange::Restarted { ended: old, begun });
     assert_ne!(old, begun);
@@ -60,8 +62,8 @@
 }
 
 fn new_start_is_fresh() {
-    let (mut pool, old) = pool_of_one_life();
-    pool.note_outcome(old, true);
+    let (mut pool, old) = pool_of_one_incarnation();
+    pool.record_outcome(old, true);
     pool.avoid(at(0), old, Duration::from_mins(1));
     pool.apply_placed(
         at(5),
@@ -72,20 +74,20 @@
         }],
         false,
     );
-    pool.upsert(at(10), life("a", 200, 5));
+    pool.upsert(at(10), incarnation_record("a", 200, 5));
     let view = pool.view(at(10), ix(&pool, "a"));
     assert_eq!(view.placed, Placed::default());
     assert!(view.failing.abs() < f64::EPSILON);
-    assert!(pool.runs_fill_of(at(10), "models").abs() < f64::EPSILON);
+    assert!(pool.service_run_memory_share(at(10), "models").abs() < f64::EPSILON);
     // What still runs is taken back from the old life, and not from the new one.
     pool.release(old, &need(5_000));
     assert_eq!(pool.view(at(10), ix(&pool, "a")).placed, Placed::default());
 }
 
 fn new_start_holds() {
-    let (mut pool, _) = pool_of_one_life();
-    pool.upsert(at(5), life("a", 100, 9));
-    let change = pool.upsert(at(10), life("a", 200, 8));
+    let (mut pool, _) = pool_of_one_incarnation();
+    pool.upsert(at(5), incarnation_record("a", 100, 9));
+    let change = pool.upsert(at(10), incarnation_record("a", 200, 8));
     assert!(
         matches!(change, Some(PoolChange::Restarted { .. })),
         "{change:?}"
@@ -93,22 +95,22 @@
 }
 
 fn older_start_is_stale() {
-    let (mut pool, _) = pool_of_one_life();
-    pool.upsert(at(10), life("a", 200, 5));
+    let (mut pool, _) = pool_of_one_incarnation();
+    pool.upsert(at(10), incarnation_record("a", 200, 5));
     let digest = pool.digest();
-    assert_eq!(pool.upsert(at(20), life("a", 100, 7)), None);
+    assert_eq!(pool.upsert(at(20), incarnation_record("a", 100, 7)), None);
     let leaves = UpstreamRecord {
         state: UpstreamState::Leaving,
-        ..life("a", 100, 8)
+        ..incarnation_record("a", 100, 8)
     };
     assert_eq!(pool.upsert(at(20), leaves), None);
     assert!(pool.is_serving(ix(&pool, "a")));
     assert_eq!(pool.digest(), digest);
 }
 
-fn other_life_counts_not() {
-    let (mut pool, _) = pool_of_one_life();
-    pool.upsert(at(10), life("a", 200, 5));
+fn other_incarnation_is_ignored() {
+    let (mut pool, _) = pool_of_one_incarnation();
+    pool.upsert(at(10), incarnation_record("a", 200, 5));
     let of_old = PlacedAt {
         incarnation: Incarnation(100),
         ..announced_work("a", 7_000)
@@ -118,26 +120,26 @@
 }
 
 fn late_removal() {
-    let (mut pool, _) = pool_of_one_life();
-    pool.upsert(at(10), life("a", 200, 5));
+    let (mut pool, _) = pool_of_one_incarnation();
+    pool.upsert(at(10), incarnation_record("a", 200, 5));
     assert_eq!(pool.remove(at(20), "a", 4), None);
     assert!(pool.is_serving(ix(&pool, "a")));
 }
 
-fn ended_is_not_told() {
-    let (mut pool, old) = pool_of_one_life();
-    pool.upsert(at(10), life("a", 200, 5));
+fn ended_is_not_announced() {
+    let (mut pool, old) = pool_of_one_incarnation();
+    pool.upsert(at(10), incarnation_record("a", 200, 5));
     assert!(pool.placed().is_empty());
     assert!(pool.placed_at([old]).is_empty());
     let changes = pool.changes_since(0);
     let (listed, removed) = (changes.listed, changes.removed);
-    assert_eq!(listed, [life("a", 200, 5)]);
+    assert_eq!(listed, [incarnation_record("a", 200, 5)]);
     assert!(removed.is_empty());
 }
 
 fn ended_slot_is_free() {
-    let (mut pool, old) = pool_of_one_life();
-    pool.upsert(at(10), life("a", 200, 5));
+    let (mut pool, old) = pool_of_one_incarnation();
+    pool.upsert(at(10), incarnation_record("a", 200, 5));
     pool.release(old, &need(5_000));
     pool.upsert(at(120_000), record("b", 6));
     assert_eq!(ix(&pool, "b"), old);
@@ -145,16 +147,16 @@
     assert_eq!(pool.record(ix(&pool, "a")).incarnation, Incarnation(200));
 }
 
-fn start_is_learned() {
+fn start_is_recorded() {
     let mut pool = pool(&["a"]);
     let a = ix(&pool, "a");
-    assert_eq!(pool.upsert(at(10), life("a", 200, 5)), None);
+    assert_eq!(pool.upsert(at(10), incarnation_record("a", 200, 5)), None);
     assert_eq!(ix(&pool, "a"), a);
     assert_eq!(pool.record(a).incarnation, Incarnation(200));
 }
 
 /// The record of `a` can't be read as of `revision`.
-fn lose_record(pool: &mut Pool, revision: u64) -> Option<PoolChange> {
+fn mark_unreadable(pool: &mut Pool, revision: u64) -> Option<PoolChange> {
     let lost = pool.unreadable("a", revision).unwrap();
     pool.upsert(at(10), lost)
 }
@@ -162,11 +164,11 @@
 fn unreadable_is_not_chosen() {
     let mut pool = pool(&["a", "b"]);
     let a = ix(&pool, "a");
-    let change = lose_record(&mut pool, 7);
+    let change = mark_unreadable(&mut pool, 7);
     assert_eq!(change, Some(PoolChange::Unreadable(a)));
     assert_eq!(chosen(&pool, at(10), &need(1)), "b");
     assert_eq!(pool.left_at(a), None, "what runs there goes on");
-    assert_eq!(lose_record(&mut pool, 7), None, "one line a change");
+    assert_eq!(mark_unreadable(&mut pool, 7), None, "one line a change");
 }
 
 fn unreadable_unknown() {
@@ -176,7 +178,7 @@
 fn readable_again() {
     let mut pool = pool(&["a"]);
     let a = ix(&pool, "a");
-    lose_record(&mut pool, 7);
+    mark_unreadable(&mut pool, 7);
     assert_eq!(pool.count("models"), 0);
     assert_eq!(
         pool.upsert(at(20), record("a", 8)),
@@ -186,29 +188,29 @@
 }
 
 /// Another service, another address, or no start where one was told: not the upstream's own word.
-fn strangers_word() {
+fn foreign_record() {
     let of_service = UpstreamRecord {
         service: Name::from("records"),
-        ..life("a", 100, 5)
+        ..incarnation_record("a", 100, 5)
     };
     let elsewhere = UpstreamRecord {
         addr: "127.0.0.9:9".parse().unwrap(),
-        ..life("a", 100, 5)
+        ..incarnation_record("a", 100, 5)
     };
-    for strange in [of_service, elsewhere, record("a", 5)] {
-        let (mut pool, a) = pool_of_one_life();
-        let change = pool.upsert(at(10), strange);
+    for foreign in [of_service, elsewhere, record("a", 5)] {
+        let (mut pool, a) = pool_of_one_incarnation();
+        let change = pool.upsert(at(10), foreign);
         assert_eq!(change, Some(PoolChange::Unreadable(a)));
         assert_eq!((pool.count("models"), pool.count("records")), (0, 0));
-        pool.upsert(at(20), life("a", 100, 6));
+        pool.upsert(at(20), incarnation_record("a", 100, 6));
         assert_eq!(pool.count("models"), 1);
     }
 }
 
-fn unreadable_is_told() {
-    let (mut one, _) = pool_of_one_life();
-    let (mut other, _) = pool_of_one_life();
-    lose_record(&mut one, 7);
+fn unreadable_is_announced() {
+    let (mut one, _) = pool_of_one_incarnation();
+    let (mut other, _) = pool_of_one_incarnation();
+    mark_unreadable(&mut one, 7);
     for change in one.list_changes(at(10)) {
         other.apply_change(at(15), change);
     }
--- a/fireflydirect/src/call.rs
+++ b/fireflydirect/src/call.rs
@@ -145,7 +145,7 @@
     job.node.note_refused(job.content);
     let pool = job.node.pool.borrow();
     Some(capacity_expected_after(
-        pool.runs_fill_of(job.now(), &job.service),
+        pool.service_run_memory_share(job.now(), &job.service),
     ))
 }
 
@@ -153,8 +153,8 @@
     let pool = job.node.pool.borrow();
     let now = job.now();
     let fill = MemoryUsage {
-        engine: pool.fill_with(now, ix, need),
-        service: pool.runs_fill_of(now, &job.service),
+        engine: pool.memory_share_with(now, ix, need),
+        service: pool.service_run_memory_share(now, &job.service),
     };
     let asking = AdmissionRequest {
         expected_tokens: job.expected_tokens(),
@@ -168,7 +168,7 @@
 fn refuse_for_room(job: &Job, ix: UpstreamIx, tries: &RefCell<Attempts>, wait: Duration) -> Reply {
     let pool = job.node.pool.borrow();
     let view = pool.view(job.now(), ix);
-    let of_service = pool.runs_fill_of(job.now(), &job.service);
+    let of_service = pool.service_run_memory_share(job.now(), &job.service);
     log::warn!(
         event = "no_room", req = &*job.request_id, route = &*job.route.name,
         expected = job.expected_tokens(), yields = format!("{:.2}", job.yields),
@@ -232,7 +232,7 @@
 fn note_choice(job: &Job, ix: UpstreamIx) {
     let pool = job.node.pool.borrow();
     let view = pool.view(job.now(), ix);
-    let of_service = pool.fill_of(job.now(), &job.service);
+    let of_service = pool.service_memory_share(job.now(), &job.service);
     log::info!(
         event = "sent", req = &*job.request_id, route = &*job.route.name,
         instance = &*pool.record(ix).instance, running = view.placed.running,
@@ -325,7 +325,7 @@
     job.node.metrics.tries.with_label_values(&[&outcome]).inc();
     let mut pool = job.node.pool.borrow_mut();
     if tried.outcome != AttemptOutcome::Withheld {
-        pool.note_outcome(ix, tried.outcome != AttemptOutcome::Answered);
+        pool.record_outcome(ix, tried.outcome != AttemptOutcome::Answered);
     }
     match tried.outcome {
         AttemptOutcome::NeverSent | AttemptOutcome::Lost => pool.avoid(now, ix, AVOID_UNREACHABLE),
--- a/fireflydirect/src/feed.rs
+++ b/fireflydirect/src/feed.rs
@@ -322,7 +322,7 @@
                     let any = !read.events.is_empty();
                     self.intake.take_events(read.events, revision);
                     if self.kind == Kind::Upstreams {
-                        self.node.pool.borrow_mut().note_complete(revision);
+                        self.node.pool.borrow_mut().record_complete(revision);
                     }
                     if any && self.kind == Kind::Upstreams {
                         self.gather().await;
--- a/fireflydirect/src/generation.rs
+++ b/fireflydirect/src/generation.rs
@@ -236,7 +236,7 @@
         let tokens = produced - since.produced;
         if tokens >= PACE_TOKENS {
             let mut pool = self.job.node.pool.borrow_mut();
-            pool.note_pace(self.placed.ix, tokens, now.since(since.since));
+            pool.record_pace(self.placed.ix, tokens, now.since(since.since));
             self.paced = None;
         }
     }
@@ -250,7 +250,7 @@
             .node
             .pool
             .borrow_mut()
-            .note_outcome(self.placed.ix, false);
+            .record_outcome(self.placed.ix, false);
         self.learn_length();
         self.note_end("whole");
         self.say("stream_ended", "");
--- a/fireflydirect/src/hear.rs
+++ b/fireflydirect/src/hear.rs
@@ -110,7 +110,7 @@
     let mut peers = node.peers.borrow_mut();
     let is_same = pool.digest() == news.upstreams_digest;
     if is_same {
-        pool.note_complete(news.upstreams_complete);
+        pool.record_complete(news.upstreams_complete);
     }
     if news.watches && is_same {
         peers.note_list_held();
@@ -254,7 +254,7 @@
     let (revision, digest, complete_to) = (state.revision, state.digest, state.complete_to);
     take_told(node, state);
     let mut pool = node.pool.borrow_mut();
-    pool.note_complete(complete_to);
+    pool.record_complete(complete_to);
     // Changes that don't lead to the same list at a revision up to which all of them are known leave
     // only the whole of it.
     let differs = pool.revision() == revision && pool.digest() != digest;
--- a/fireflydirect/src/metrics.rs
+++ b/fireflydirect/src/metrics.rs
@@ -240,7 +240,7 @@
         for service in catalog.iter().flat_map(|c| c.services()) {
             let name = &service.name;
             let pool = node.pool.borrow();
-            let fill = pool.fill_of(now, name);
+            let fill = pool.service_memory_share(now, name);
             self.memory.with_label_values(&[name]).set(fill);
             #[allow(clippy::cast_precision_loss)]
             let count = pool.count(name) as f64;
--- a/fireflydirect/src/placed.rs
+++ b/fireflydirect/src/placed.rs
@@ -41,7 +41,7 @@
     pub fn note_read(&mut self) {
         if self.need.unread > 0 {
             let mut pool = self.node.pool.borrow_mut();
-            pool.note_read(self.ix, &mut self.need);
+            pool.record_prompt_read(self.ix, &mut self.need);
             self.node.note_load(self.ix);
         }
     }
