--- a/fireflycroft/src/listing.rs
+++ b/fireflycroft/src/listing.rs
@@ -140,10 +140,10 @@
         };
         let held = &self.upstreams[ix.0];
         let is_of_later_era = era_of(record.revision) > era_of(held.record.revision);
-        let is_same_life = record.incarnation.is_known()
+        let is_same_incarnation = record.incarnation.is_known()
             && record.upstream_incarnation() == held.record.upstream_incarnation();
         let had_left = held.removed || held.record.state == UpstreamState::Leaving;
-        if is_of_later_era && is_same_life && had_left {
+        if is_of_later_era && is_same_incarnation && had_left {
             let state = UpstreamState::Leaving;
             return UpstreamRecord { state, ..record };
         }
@@ -200,9 +200,9 @@
     }
 
     fn add(&mut self, now: Time, record: UpstreamRecord) -> PoolChange {
-        let leaving = record.state == UpstreamState::Leaving;
+        let is_leaving = record.state == UpstreamState::Leaving;
         let ix = self.insert(now, record);
-        if leaving {
+        if is_leaving {
             PoolChange::Leaves(ix)
         } else {
             PoolChange::Available(ix)
@@ -210,7 +210,7 @@
     }
 
     fn insert(&mut self, now: Time, record: UpstreamRecord) -> UpstreamIx {
-        let leaving = record.state == UpstreamState::Leaving;
+        let is_leaving = record.state == UpstreamState::Leaving;
         let upstream = Upstream {
             cold_until: now + record.cold_for,
             memory_tokens: self.memory_of.get(&record.service).copied(),
@@ -220,7 +220,7 @@
             rate: KnownRate::default(),
             removed: false,
             ended: false,
-            left_at: leaving.then_some(now),
+            left_at: is_leaving.then_some(now),
             leave_notice: LeaveNotice::default(),
             missing: None,
             own_work: Placed::default(),
--- a/fireflycroft/src/missing.rs
+++ b/fireflycroft/src/missing.rs
@@ -62,8 +62,8 @@
         instance: &str,
         revision: u64,
     ) -> Option<PoolChange> {
-        let is_gone = self.store_connectivity.confirms_removals(now);
-        self.remove_or_mark_missing(now, instance, revision, is_gone)
+        let is_confirmed = self.store_connectivity.confirms_removals(now);
+        self.remove_or_mark_missing(now, instance, revision, is_confirmed)
     }
 
     fn remove_or_mark_missing(
@@ -71,9 +71,9 @@
         now: Time,
         instance: &str,
         revision: u64,
-        is_gone: bool,
+        is_confirmed: bool,
     ) -> Option<PoolChange> {
-        if is_gone {
+        if is_confirmed {
             return self.remove(now, instance, revision);
         }
         self.revision = self.revision.max(revision);
@@ -91,10 +91,10 @@
         let listed: HashSet<Name> = records.iter().map(|r| r.instance.clone()).collect();
         let known = self.records().map(|r| r.instance.clone());
         let unlisted: Vec<Name> = known.filter(|name| !listed.contains(name)).collect();
-        let are_gone = self.is_settled(now);
+        let is_confirmed = self.is_settled(now);
         let unlisted = unlisted.iter();
         let mut changes: Vec<PoolChange> = unlisted
-            .filter_map(|name| self.remove_or_mark_missing(now, name, revision, are_gone))
+            .filter_map(|name| self.remove_or_mark_missing(now, name, revision, is_confirmed))
             .collect();
         changes.extend(records.into_iter().filter_map(|r| self.upsert(now, r)));
         self.list_revision = self.list_revision.max(revision);
@@ -137,8 +137,9 @@
         let missing = self.upstreams.iter().filter(|u| !u.removed);
         let missing = missing.filter_map(|u| Some((u.record.instance.clone(), u.missing?)));
         let missing: Vec<(Name, Missing)> = missing.collect();
-        let gone = missing.into_iter();
-        gone.filter_map(|(name, missing)| self.remove(now, &name, missing.revision))
+        let missing = missing.into_iter();
+        missing
+            .filter_map(|(name, missing)| self.remove(now, &name, missing.revision))
             .collect()
     }
 
--- a/fireflycroft/src/pool.rs
+++ b/fireflycroft/src/pool.rs
@@ -334,11 +334,11 @@
         tried: &[UpstreamIx],
     ) -> Option<UpstreamIx> {
         let open: Vec<usize> = self.untried(now, service, need, tried).collect();
-        let is_healthy = |i: &usize| self.upstreams[*i].avoid_until <= now;
+        let not_avoided = |i: &usize| self.upstreams[*i].avoid_until <= now;
         let sampled = self.fresh_or_sampled(now, need, &open);
-        let best = self.least_cost(now, need, sampled.iter().copied().filter(is_healthy));
+        let best = self.least_cost(now, need, sampled.iter().copied().filter(not_avoided));
         let best =
-            best.or_else(|| self.least_cost(now, need, open.iter().copied().filter(is_healthy)));
+            best.or_else(|| self.least_cost(now, need, open.iter().copied().filter(not_avoided)));
         best.or_else(|| self.least_cost(now, need, open.iter().copied()))
     }
 
@@ -361,12 +361,12 @@
         tried: &'a [UpstreamIx],
     ) -> impl Iterator<Item = usize> {
         let regions = need.homes;
-        let takes = move |i: &usize| {
+        let is_candidate = move |i: &usize| {
             let u = &self.upstreams[*i];
             let is_home = self.is_home(regions, &u.record.data_centre);
             is_home && self.withheld_reason(now, u).is_none() && !tried.contains(&UpstreamIx(*i))
         };
-        self.serving(service).filter(takes)
+        self.serving(service).filter(is_candidate)
     }
 
     /// The `most` of `open` that would cost least.
--- a/fireflycroft/tests/missing.rs
+++ b/fireflycroft/tests/missing.rs
@@ -35,8 +35,8 @@
     missing_upstream_serves_on_for_a_while => missing_serves_on();
     missing_upstream_that_is_listed_again_stays => missing_comes_back();
     missing_upstream_with_its_old_record_received_stays_missing => old_record_stays_missing();
-    removal_after_the_grace_period_is_confirmed_at_once => late_removal();
-    removal_within_the_grace_period_is_confirmed_at_its_end => early_removal();
+    removal_after_the_grace_period_is_confirmed_at_once => removal_after_grace_period();
+    removal_within_the_grace_period_is_confirmed_at_its_end => removal_in_grace_period();
     removal_after_a_short_silence_is_confirmed_at_once => short_silence();
     no_upstream_is_removed_while_the_store_is_silent => silent_store();
     list_without_an_outage_is_confirmed_at_once => list_without_outage();
@@ -48,7 +48,7 @@
     old_record_within_the_grace_period_is_missing_too => unlisted_record_in_grace_period();
     later_incarnation_that_is_unlisted_too_is_missing => missing_incarnation();
     departed_upstream_gets_requests_in_flight_for_a_while => left_recently();
-    missing_upstream_gets_requests_in_flight => missing_gets();
+    missing_upstream_gets_requests_in_flight => missing_gets_requests();
 }
 
 /// The store answers from one time to another, in milliseconds.
@@ -116,7 +116,7 @@
     pool
 }
 
-fn late_removal() {
+fn removal_after_grace_period() {
     let mut pool = after_outage();
     store_answers(&mut pool, 8_000, 10_600);
     let a = ix(&pool, "a");
@@ -125,7 +125,7 @@
     assert_eq!(chosen(&pool, at(10_600), &need(1)), "b");
 }
 
-fn early_removal() {
+fn removal_in_grace_period() {
     let mut pool = after_outage();
     store_answers(&mut pool, 8_000, 10_400);
     let a = ix(&pool, "a");
@@ -264,7 +264,7 @@
     assert!(pool.may_get_requests(at(9_000), a));
 }
 
-fn missing_gets() {
+fn missing_gets_requests() {
     let mut pool = after_outage();
     pool.set_drain_timeout(Duration::from_millis(DRAIN_TIMEOUT));
     let a = ix(&pool, "a");
@@ -289,18 +289,18 @@
         back in 0_u64..2_000,
     ) {
         let mut pool = pool(&["lapses", "leaves"]);
-        let returned = 10_000 + outage;
-        let noticed_at = returned + notice_delay;
+        let returned_at = 10_000 + outage;
+        let noticed_at = returned_at + notice_delay;
         store_answers(&mut pool, 0, 10_000);
         store_answers(&mut pool, noticed_at, noticed_at);
         pool.apply_removal(at(noticed_at), "lapses", 8);
         let may_expire = outage >= MIN_SILENCE_TO_EXPIRE;
-        let back = (returned + back).max(noticed_at);
+        let back = (returned_at + back).max(noticed_at);
         store_answers(&mut pool, noticed_at, back);
         pool.remove_missing(at(back));
         prop_assert!(serves(&pool, "lapses") || !may_expire);
         pool.upsert(at(back), record("lapses", 9));
-        let removed = returned + removed;
+        let removed = returned_at + removed;
         store_answers(&mut pool, back, removed);
         pool.remove_missing(at(removed));
         pool.apply_removal(at(removed), "leaves", 10);
--- a/fireflycroft/tests/pool.rs
+++ b/fireflycroft/tests/pool.rs
@@ -20,12 +20,12 @@
     old_announcements_of_others_do_not_count => forgets_others();
     changes_keep_the_rest_of_an_announcement => keeps_the_rest();
     unread_prompts_are_avoided => avoids_unread();
-    prompts_that_would_hold_up_the_first_event_are_avoided => avoids_late_first();
-    those_that_are_gone_take_no_place_in_a_choice => gone_take_no_place();
+    prompts_that_delay_the_first_event_are_avoided => avoids_late_first();
+    removed_upstreams_are_not_sampled => removed_are_not_sampled();
     long_generation_goes_to_a_fast_engine => long_goes_to_fast();
-    pace_that_others_saw_counts => others_pace_counts();
+    pace_observed_by_others_counts => others_pace_counts();
     short_generation_leaves_the_fast_engine_alone => short_ignores_pace();
-    few_entries_views_of_a_pace_are_kept => few_views_kept();
+    few_entries_observations_of_a_pace_are_kept => few_observations_kept();
     read_prompts_no_longer_count => read_no_longer_counts();
     leaving_upstream_is_not_chosen => leaving_is_not_chosen();
     avoided_upstream_is_the_last_resort => avoided_is_last();
@@ -35,7 +35,7 @@
     upstream_that_came_back_serves => came_back_serves();
     list_of_a_confirmed_peer_removes_at_once => confirmed_list_removes();
     announced_changes_lead_to_the_same_list => announced_changes_converge();
-    outgrown_run_counts_for_more => outgrown_counts();
+    run_beyond_its_estimate_counts_for_more => grown_run_counts();
     other_service_is_never_chosen => other_service();
     backup_stays_in_its_data_centre => backup_stays_near();
 }
@@ -74,7 +74,7 @@
     assert_eq!(chosen(&pool, at(0), &long), "b");
 }
 
-fn gone_take_no_place() {
+fn removed_are_not_sampled() {
     let mut pool = Pool::new(Name::from("dc"));
     for i in 0..400 {
         let instance = format!("gone{i}");
@@ -136,7 +136,7 @@
 }
 
 /// Of hundreds of entries only those count that have seen most of an engine.
-fn few_views_kept() {
+fn few_observations_kept() {
     let mut pool = pool(&["slow", "fast"]);
     let fast = ix(&pool, "fast");
     pool.record_pace(fast, FAST.tokens, Duration::from_micros(FAST.micros));
@@ -312,7 +312,7 @@
     assert!(from.list_changes(at(9_000)).is_empty());
 }
 
-fn outgrown_counts() {
+fn grown_run_counts() {
     let mut pool = pool(&["a"]);
     let a = ix(&pool, "a");
     let mut run = need(1_000);
--- a/fireflycroft/tests/pool_incarnations.rs
+++ b/fireflycroft/tests/pool_incarnations.rs
@@ -16,17 +16,17 @@
 
 cases! {
     new_start_ends_the_old_incarnation => new_start_ends_old();
-    new_start_takes_nothing_over => new_start_is_fresh();
+    new_start_inherits_no_work => new_start_is_fresh();
     new_start_holds_whatever_its_revision => new_start_holds();
     older_start_is_stale_whenever_written => older_start_is_stale();
     work_announced_for_another_incarnation_is_ignored => other_incarnation_is_ignored();
-    removal_of_the_old_incarnation_keeps_the_new_one => late_removal();
+    removal_of_the_old_incarnation_keeps_the_new_one => removal_of_old();
     ended_incarnation_is_not_announced => ended_is_not_announced();
     slot_of_an_ended_incarnation_is_reused => ended_slot_is_free();
     unknown_start_is_recorded => start_is_recorded();
     upstream_with_an_unreadable_record_is_not_chosen => unreadable_is_not_chosen();
     unreadable_record_of_an_unknown_one_is_ignored => unreadable_unknown();
-    record_that_is_readable_again_serves => readable_again();
+    upstream_with_a_readable_record_serves_again => readable_again();
     foreign_record_is_not_chosen => foreign_record();
     unreadable_record_is_announced => unreadable_is_announced();
 }
@@ -99,11 +99,11 @@
     pool.upsert(at(10), incarnation_record("a", 200, 5));
     let digest = pool.digest();
     assert_eq!(pool.upsert(at(20), incarnation_record("a", 100, 7)), None);
-    let leaves = UpstreamRecord {
+    let leaving_record = UpstreamRecord {
         state: UpstreamState::Leaving,
         ..incarnation_record("a", 100, 8)
     };
-    assert_eq!(pool.upsert(at(20), leaves), None);
+    assert_eq!(pool.upsert(at(20), leaving_record), None);
     assert!(pool.is_serving(ix(&pool, "a")));
     assert_eq!(pool.digest(), digest);
 }
@@ -119,7 +119,7 @@
     assert_eq!(pool.view(at(20), ix(&pool, "a")).placed, Placed::default());
 }
 
-fn late_removal() {
+fn removal_of_old() {
     let (mut pool, _) = pool_of_one_incarnation();
     pool.upsert(at(10), incarnation_record("a", 200, 5));
     assert_eq!(pool.remove(at(20), "a", 4), None);
