--- a/fireflycroft/src/admission_limit.rs
+++ b/fireflycroft/src/admission_limit.rs
@@ -102,7 +102,7 @@
     /// Logarithm of its value density relative to the mean of its kind.
     pub value_density: f64,
     /// Whether it is new or returns after a refusal.
-    pub coming: ArrivalKind,
+    pub arrival: ArrivalKind,
     /// Rank of its workspace or route as set by the operator; 0 is the first.
     pub rank: u8,
 }
@@ -118,11 +118,11 @@
 
 /// Returns whether a generation is admitted.
 #[must_use]
-pub fn is_admitted(request: &AdmissionRequest, fill: &MemoryUsage) -> bool {
+pub fn is_admitted(request: &AdmissionRequest, usage: &MemoryUsage) -> bool {
     let limit = if request.expected_tokens <= SHORT_TOKENS {
         SHORT_LIMIT
     } else {
-        let base = match request.coming {
+        let base = match request.arrival {
             ArrivalKind::First => LONG_LIMIT,
             ArrivalKind::AgainInTime => RETURNING_LIMIT,
             ArrivalKind::AgainLate => LATE_LIMIT,
@@ -134,18 +134,18 @@
     } else {
         0.0
     };
-    fill.engine.max(fill.service - SERVICE_TOLERANCE) <= limit + first_rank_reserve
+    usage.engine.max(usage.service - SERVICE_TOLERANCE) <= limit + first_rank_reserve
 }
 
-/// Returns the time until capacity is expected, if the share `fill` of all memory is reserved.
+/// Returns the time until capacity is expected, if `reserved_share` of all memory is reserved.
 ///
 /// Some engine ends a run within a fraction of a second, however full all are, and a caller who
 /// returns soon can still meet its objective.
 #[must_use]
-pub fn capacity_expected_after(fill: f64) -> Duration {
+pub fn capacity_expected_after(reserved_share: f64) -> Duration {
     const FREE_SECONDS: f64 = 0.3;
     const SECONDS_BEYOND: f64 = 0.3;
-    let beyond = (fill - 0.9).clamp(0.0, 1.0);
+    let beyond = (reserved_share - 0.9).clamp(0.0, 1.0);
     Duration::from_secs_f64(FREE_SECONDS + beyond * SECONDS_BEYOND)
 }
 
--- a/fireflycroft/src/mechanism.rs
+++ b/fireflycroft/src/mechanism.rs
@@ -10,17 +10,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
     /// Memory backups of runs, updated as they grow ([`crate::pick_backup_holder`]).
-    Copies,
+    Backups,
     /// Migration of runs off departing upstreams ([`crate::departure_action`]).
-    Moves,
+    Migrations,
     /// Queries to departing upstreams for the time of their end ([`crate::Departure`]).
     Departures,
     /// Admission limits for generations ([`crate::is_admitted`]).
-    Door,
+    AdmissionLimits,
     /// Knowing refused callers when they come back ([`crate::ReturningCallers`]).
-    Returns,
+    ReturningCallers,
     /// Preference by value density at admission ([`crate::ValueDensities`]).
-    Yields,
+    ValueDensities,
     /// Cost of unread prompts in the choice of an upstream.
     Reading,
     /// Preference of fast engines for long generations ([`crate::Pace`]).
@@ -30,7 +30,7 @@
     /// Cost of failures in the choice of an upstream.
     Failing,
     /// Trying a call to the store beside one that hangs ([`crate::HedgedCall`]).
-    Overlap,
+    Hedging,
     /// Sending callers back after an outage ([`crate::unconfigured_retry_after`]).
     Outage,
     /// Asking the owners of upstreams for their load ([`crate::owners_of`]).
@@ -40,17 +40,17 @@
 impl Mechanism {
     /// All mechanisms.
     pub const ALL: [Self; 13] = [
-        Self::Copies,
-        Self::Moves,
+        Self::Backups,
+        Self::Migrations,
         Self::Departures,
-        Self::Door,
-        Self::Returns,
-        Self::Yields,
+        Self::AdmissionLimits,
+        Self::ReturningCallers,
+        Self::ValueDensities,
         Self::Reading,
         Self::Pace,
         Self::Shared,
         Self::Failing,
-        Self::Overlap,
+        Self::Hedging,
         Self::Outage,
         Self::Owners,
     ];
@@ -59,17 +59,17 @@
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
-            Self::Copies => "copies",
-            Self::Moves => "moves",
+            Self::Backups => "copies",
+            Self::Migrations => "moves",
             Self::Departures => "departures",
-            Self::Door => "door",
-            Self::Returns => "returns",
-            Self::Yields => "yields",
+            Self::AdmissionLimits => "door",
+            Self::ReturningCallers => "returns",
+            Self::ValueDensities => "yields",
             Self::Reading => "reading",
             Self::Pace => "pace",
             Self::Shared => "shared",
             Self::Failing => "failing",
-            Self::Overlap => "overlap",
+            Self::Hedging => "overlap",
             Self::Outage => "outage",
             Self::Owners => "owners",
         }
--- a/fireflycroft/tests/admission_load.rs
+++ b/fireflycroft/tests/admission_load.rs
@@ -39,7 +39,7 @@
 struct Generation {
     prompt: u64,
     expected: u64,
-    made: u64,
+    produced: u64,
 }
 
 /// Deterministic random numbers.
@@ -62,12 +62,12 @@
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     fn generation(&mut self) -> Generation {
         let prompt = (3_000.0 * (0.35 * self.normal()).exp()).min(6_000.0);
-        let made = (450.0 * self.normal().exp()).clamp(8.0, 1_768.0);
-        let expected = (made * (0.7 * self.normal()).exp()).clamp(8.0, 1_768.0);
+        let produced = (450.0 * self.normal().exp()).clamp(8.0, 1_768.0);
+        let expected = (produced * (0.7 * self.normal()).exp()).clamp(8.0, 1_768.0);
         Generation {
             prompt: prompt as u64,
             expected: expected as u64,
-            made: made as u64,
+            produced: produced as u64,
         }
     }
 }
@@ -111,7 +111,7 @@
     let mut next = 0;
     for millis in (0..LOAD_MILLIS).step_by(10) {
         running.retain(|run| {
-            let ends = run.since + run.generation.made * TOKEN_MILLIS;
+            let ends = run.since + run.generation.produced * TOKEN_MILLIS;
             if ends <= millis {
                 pool.release(run.at, &run.need);
             }
@@ -144,7 +144,7 @@
             let request = AdmissionRequest {
                 expected_tokens: generation.expected,
                 value_density,
-                coming: ArrivalKind::after(waited, Duration::from_millis(1_800)),
+                arrival: ArrivalKind::after(waited, Duration::from_millis(1_800)),
                 rank: 1,
             };
             let best = pool.choose(now, "models", &need, &[]).unwrap();
@@ -180,8 +180,8 @@
 fn beyond_memory(running: &[Running], millis: u64) -> u64 {
     let mut held: BTreeMap<UpstreamIx, u64> = BTreeMap::new();
     for run in running {
-        let made = (millis - run.since) / TOKEN_MILLIS;
-        *held.entry(run.at).or_default() += run.generation.prompt + made;
+        let produced = (millis - run.since) / TOKEN_MILLIS;
+        *held.entry(run.at).or_default() += run.generation.prompt + produced;
     }
     held.values().filter(|tokens| **tokens > MEMORY).count() as u64
 }
--- a/fireflycroft/tests/failover.rs
+++ b/fireflycroft/tests/failover.rs
@@ -46,18 +46,18 @@
     calls_of_a_silent_store_do_not_grow_with_the_fleet => calls_stay_few();
 }
 
-fn asking(expected_tokens: u64, coming: ArrivalKind) -> AdmissionRequest {
+fn asking(expected_tokens: u64, arrival: ArrivalKind) -> AdmissionRequest {
     AdmissionRequest {
         expected_tokens,
         value_density: 0.0,
-        coming,
+        arrival,
         rank: 1,
     }
 }
 
-fn admits(expected_tokens: u64, coming: ArrivalKind, engine: f64, service: f64) -> bool {
+fn admits(expected_tokens: u64, arrival: ArrivalKind, engine: f64, service: f64) -> bool {
     is_admitted(
-        &asking(expected_tokens, coming),
+        &asking(expected_tokens, arrival),
         &MemoryUsage { engine, service },
     )
 }
--- a/fireflydirect/src/call.rs
+++ b/fireflydirect/src/call.rs
@@ -136,7 +136,7 @@
 /// when the first one would be refused.
 async fn no_room(job: &Job, ix: UpstreamIx, need: &Need) -> Option<Duration> {
     job.engine?;
-    if !job.node.policy.uses(Mechanism::Door) || has_room(job, ix, need) {
+    if !job.node.policy.uses(Mechanism::AdmissionLimits) || has_room(job, ix, need) {
         return None;
     }
     if returns::learn(job).await && has_room(job, ix, need) {
@@ -159,7 +159,7 @@
     let asking = AdmissionRequest {
         expected_tokens: job.expected_tokens(),
         value_density: job.yields,
-        coming: returns::coming(job),
+        arrival: returns::coming(job),
         rank: job.rank,
     };
     is_admitted(&asking, &fill)
@@ -253,7 +253,7 @@
 /// Place for a copy of a long stream, if memory is plentiful.
 pub fn place_backup(job: &Job, at: UpstreamIx, need: Need) -> Option<PlacedGuard> {
     let can_keep = job.engine.is_some_and(|e| e.can_back_up) && job.route.kind.is_stream();
-    let keeps = can_keep && job.node.policy.uses(Mechanism::Copies);
+    let keeps = can_keep && job.node.policy.uses(Mechanism::Backups);
     if !keeps || job.expected_tokens() < MIN_BACKUP_TOKENS {
         return None;
     }
--- a/fireflydirect/src/feed.rs
+++ b/fireflydirect/src/feed.rs
@@ -245,7 +245,7 @@
 
     /// Tries that overlap, as often as this entry may call a store that is away.
     fn patient(&self) -> HedgedCall {
-        if self.kind == Kind::Evacuations || !self.node.policy.uses(Mechanism::Overlap) {
+        if self.kind == Kind::Evacuations || !self.node.policy.uses(Mechanism::Hedging) {
             return HedgedCall::single(HANG_LIMIT);
         }
         HedgedCall::new(PATIENCE, self.node.duty.borrow().max_pause())
--- a/fireflydirect/src/mover.rs
+++ b/fireflydirect/src/mover.rs
@@ -61,7 +61,7 @@
     let keeper = run.backup.get();
     let has_copy = keeper.is_some_and(|k| node.pool.borrow().is_serving(k));
     let wanted = departure_action(has_copy) == DepartureAction::Migrate;
-    let can_move = run.can_move && node.policy.uses(Mechanism::Moves);
+    let can_move = run.can_move && node.policy.uses(Mechanism::Migrations);
     if !wanted || !can_move || run.moving.replace(true) {
         return;
     }
--- a/fireflydirect/src/returns.rs
+++ b/fireflydirect/src/returns.rs
@@ -31,5 +31,5 @@
 }
 
 fn is_on(job: &Job) -> bool {
-    job.node.policy.uses(Mechanism::Returns)
+    job.node.policy.uses(Mechanism::ReturningCallers)
 }
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -174,7 +174,7 @@
     let Some(size) = &job.ask.size else {
         return 0.0;
     };
-    if !job.node.policy.uses(Mechanism::Yields) {
+    if !job.node.policy.uses(Mechanism::ValueDensities) {
         return 0.0;
     }
     let prompt = u64::from(size.prompt_tokens);
--- a/fireflydirect/tests/settings.rs
+++ b/fireflydirect/tests/settings.rs
@@ -27,10 +27,10 @@
 
 fn switches_off() {
     let settings = parse(&["--without", "copies,overlap"]).unwrap();
-    assert_eq!(settings.off, [Mechanism::Copies, Mechanism::Overlap]);
+    assert_eq!(settings.off, [Mechanism::Backups, Mechanism::Hedging]);
     assert_eq!(settings.without(), "copies,overlap");
-    assert!(!settings.policy().uses(Mechanism::Copies));
-    assert!(settings.policy().uses(Mechanism::Moves));
+    assert!(!settings.policy().uses(Mechanism::Backups));
+    assert!(settings.policy().uses(Mechanism::Migrations));
 }
 
 fn refuses_unknown() {
