--- a/fireflycroft/src/listing.rs
+++ b/fireflycroft/src/listing.rs
@@ -1,12 +1,12 @@
-//! Following the list of upstreams: records that come, change and go.
+//! Updates of the pool from records of the upstream list.
 //!
-//! Each record carries the revision of the list at which it was written, and the
-//! newest of an upstream holds, whatever order they come in and from whom.
+//! Each record carries the revision of the list at which it was written. The newest
+//! record of an upstream holds, whatever the order and the source of records.
 //!
-//! An upstream may start again under its id. Its start goes before the revision:
-//! a record of an older start is stale whenever it was written, and one of a
-//! newer start ends the old life, which gets no successor in its place but one
-//! beside it, so that whatever still refers to the old life finds it ended.
+//! An upstream may restart under the same id. The start takes precedence over the
+//! revision: a record of an older start is stale whenever it was written, and one of
+//! a newer start ends the old incarnation. The new incarnation gets an entry of its
+//! own in the pool, so that references to the old one find it ended.
 
 use crate::ids::{Digest, Name};
 use crate::leave_notice::LeaveNotice;
@@ -21,25 +21,25 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// What changed for those who have work on an upstream.
+/// Change of an upstream that affects the work on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolChange {
-    /// A new upstream came.
+    /// An upstream newly takes work.
     Available(UpstreamIx),
-    /// An upstream leaves or is gone from the list.
+    /// An upstream leaves or was removed from the list.
     Leaves(UpstreamIx),
-    /// An upstream started again under its id.
+    /// An upstream restarted under the same id.
     Restarted {
-        /// The life that has ended, with all that it ran and held.
+        /// The old incarnation; its runs and its memory are lost.
         ended: UpstreamIx,
-        /// The life that has begun.
+        /// The new incarnation.
         begun: UpstreamIx,
     },
-    /// The record of an upstream can't be read any more.
+    /// The record of an upstream became unreadable.
     Unreadable(UpstreamIx),
-    /// The list lacks an upstream, which may live all the same.
+    /// The list lacks an upstream that may still be alive.
     Missing(UpstreamIx),
-    /// An upstream that was missing is on the list again.
+    /// A missing upstream is on the list again.
     Relisted {
         /// The upstream.
         ix: UpstreamIx,
@@ -48,43 +48,42 @@
     },
 }
 
-/// A change of the list of upstreams, as entries tell it each other.
+/// Change of the list of upstreams, as announced between entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListChange {
     /// An upstream wrote its record.
     Listed(UpstreamRecord),
-    /// An upstream is no longer on the list.
+    /// An upstream was removed from the list.
     Removed {
         /// The upstream.
         instance: Name,
-        /// Revision of the list at which it went.
+        /// Revision of its removal.
         revision: u64,
     },
 }
 
-/// Changes of the list since a revision, as entries hand them to those who know it as of then.
+/// Changes of the list since a revision, as sent to an entry that knows the list as of then.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChangesSince {
     /// Records that were written.
     pub listed: Vec<UpstreamRecord>,
-    /// Upstreams, known before, that only said that they leave, with the revision.
+    /// Upstreams, known before, of which only the state changed to leaving, with the revision.
     pub leaving: Vec<(Name, u64)>,
-    /// Upstreams that are no longer on the list, with the revision of their removal.
+    /// Upstreams removed from the list, with the revision of the removal.
     pub removed: Vec<(Name, u64)>,
 }
 
-/// Changes of the list that are kept to be told.
+/// Maximum number of recent changes kept to be announced.
 const MAX_ANNOUNCED_CHANGES: usize = 16;
 
-/// Time for which a change of the list is told again and again.
+/// Time for which a change of the list is announced repeatedly.
 const CHANGE_ANNOUNCE_TIME: Duration = Duration::from_millis(1_200);
 
-/// Time for which an upstream that is gone is remembered, so that an older
-/// record can't bring it back.
+/// Time for which a removed upstream is kept, so that an older record can't add it again.
 const REMOVED_RETENTION: Duration = Duration::from_mins(1);
 
 impl Pool {
-    /// Takes a record unless it is older than the one held.
+    /// Inserts or updates an upstream by its record, unless the held one is newer.
     pub fn upsert(&mut self, now: Time, record: UpstreamRecord) -> Option<PoolChange> {
         self.revision = self.revision.max(record.revision);
         let record = self.with_departure_kept(record);
@@ -107,7 +106,7 @@
         if !u.removed {
             self.digest ^= digest_of(&u.record);
         }
-        // One that was written before the list lacked it says nothing of now.
+        // A record written before the list lacked the upstream doesn't show that it is listed again.
         let was_missing = u.missing.take_if(|m| m.revision < record.revision);
         let was_serving = u.is_serving();
         u.removed = false;
@@ -130,10 +129,10 @@
         }
     }
 
-    /// A record as it stands, but for one that a restored store has of the time before its upstream left.
+    /// Returns the record, with the state set to leaving if its upstream left before the store was restored.
     ///
-    /// A life that has announced its leaving, or is gone, doesn't take new work again; until it has
-    /// written its record in the new era, the list has the old one.
+    /// An incarnation that announced its leaving, or was removed, never takes new work again. Until it
+    /// writes its record in the new era, the restored list contains an older one.
     fn with_departure_kept(&self, record: UpstreamRecord) -> UpstreamRecord {
         let Some(ix) = self.find(&record.instance) else {
             return record;
@@ -150,7 +149,7 @@
         record
     }
 
-    /// Takes the first record of an upstream.
+    /// Adds an unknown upstream, unless the list is known to lack it.
     fn add_new(&mut self, now: Time, record: UpstreamRecord) -> Option<PoolChange> {
         let is_unlisted = self.is_missing_from_list(record.revision);
         if is_unlisted && self.is_settled(now) {
@@ -165,10 +164,10 @@
         Some(change)
     }
 
-    /// Ends a life whose id a later one has taken.
+    /// Ends an incarnation and adds the later one that has taken its id.
     fn restart(&mut self, now: Time, old: UpstreamIx, record: UpstreamRecord) -> PoolChange {
         let u = &mut self.upstreams[old.0];
-        // Its id may have gone from the list since the new life wrote its record.
+        // The id may have been removed from the list since the new incarnation wrote its record.
         let missing = u.missing.take_if(|m| m.revision >= record.revision);
         if !u.removed {
             self.digest ^= digest_of(&u.record);
@@ -184,8 +183,8 @@
         PoolChange::Restarted { ended: old, begun }
     }
 
-    /// What the list says of an upstream whose record, as of `revision`, can't be read; nothing of
-    /// one that isn't known.
+    /// Returns the record to hold for an upstream whose listed record is unreadable as of `revision`;
+    /// `None` for an unknown or removed upstream.
     #[must_use]
     pub fn unreadable(&self, instance: &str, revision: u64) -> Option<UpstreamRecord> {
         let held = &self.upstreams[self.find(instance)?.0];
@@ -254,10 +253,10 @@
         UpstreamIx(at)
     }
 
-    /// Takes an upstream that is gone out of the indices.
+    /// Removes an upstream from the indices by instance and by service.
     fn remove_from_indices(&mut self, at: usize) {
         let record = &self.upstreams[at].record;
-        // A later life may have taken the id.
+        // A later incarnation may have taken the id.
         if self.by_instance.get(&record.instance) == Some(&at) {
             self.by_instance.remove(&record.instance);
         }
@@ -273,7 +272,7 @@
         }
     }
 
-    /// Changes of the list of late, to tell the others.
+    /// Returns the recent changes of the list, to announce to other entries.
     #[must_use]
     pub fn list_changes(&self, now: Time) -> Vec<ListChange> {
         let fresh = |(at, _): &&(Time, ListChange)| now.since(*at) < CHANGE_ANNOUNCE_TIME;
@@ -281,7 +280,7 @@
         changes.map(|(_, change)| change.clone()).collect()
     }
 
-    /// Takes a change that another entry told.
+    /// Applies a change that another entry announced.
     pub fn apply_change(&mut self, now: Time, change: ListChange) -> Option<PoolChange> {
         match change {
             ListChange::Listed(record) => self.upsert(now, record),
@@ -289,13 +288,13 @@
         }
     }
 
-    /// Digest of the list; two entries with the same one know the same upstreams.
+    /// Returns the digest of the list; entries with equal digests know the same upstreams.
     #[must_use]
     pub const fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Changes since a revision that are still remembered.
+    /// Returns the changes since a revision, as far as they are still kept.
     #[must_use]
     pub fn changes_since(&self, revision: u64) -> ChangesSince {
         let mut changes = ChangesSince::default();
@@ -314,7 +313,7 @@
         changes
     }
 
-    /// Notes that an upstream has said that it leaves, as of `revision`.
+    /// Records that an upstream leaves, as of `revision`.
     pub fn mark_leaving(&mut self, now: Time, instance: &str, revision: u64) -> Option<PoolChange> {
         let held = &self.upstreams[self.find(instance)?.0].record;
         let record = UpstreamRecord {
@@ -325,7 +324,7 @@
         self.upsert(now, record)
     }
 
-    /// Notes that the list no longer has an upstream, as of `revision`.
+    /// Removes an upstream that is confirmed to be gone as of `revision`.
     pub fn remove(&mut self, now: Time, instance: &str, revision: u64) -> Option<PoolChange> {
         self.revision = self.revision.max(revision);
         let ix = self.find(instance)?;
@@ -351,7 +350,7 @@
         Some(PoolChange::Leaves(ix))
     }
 
-    /// Forgets upstreams that a list as of `revision` surely lacks.
+    /// Removes the upstreams that a confirmed list as of `revision` lacks.
     pub fn remove_unlisted(
         &mut self,
         now: Time,
@@ -372,29 +371,29 @@
     }
 }
 
-/// What a record says against the one that is held.
+/// Kind of a received record, compared with the held one.
 enum RecordKind {
-    /// Nothing new.
+    /// Older than the held one, or as old.
     Stale,
-    /// The same life has written it.
+    /// Newer record of the same incarnation.
     Update,
-    /// A later life has.
+    /// Record of a later incarnation.
     Restart,
-    /// It is not the upstream's own.
+    /// Not written by the upstream itself.
     Foreign,
 }
 
-/// Tells whose word a record is.
+/// Classifies a received record against the held one.
 ///
-/// A life keeps its service and its address, and says of its start all along what it said once; a
-/// record that doesn't was written by somebody else.
+/// An incarnation never changes its service, its address or a start that it has stated; a record that
+/// does was written by someone else.
 fn classify(held: &UpstreamRecord, received: &UpstreamRecord) -> RecordKind {
     let moved = received.service != held.service || received.addr != held.addr;
     match (held.incarnation.is_known(), received.incarnation.is_known()) {
         (true, true) if received.incarnation > held.incarnation => RecordKind::Restart,
         (true, true) if received.incarnation < held.incarnation => RecordKind::Stale,
         _ if received.revision <= held.revision => RecordKind::Stale,
-        // What was held without a start was a stranger's word.
+        // The held record, which states no start, was foreign.
         (false, true) if moved => RecordKind::Restart,
         (true, false) => RecordKind::Foreign,
         _ if moved => RecordKind::Foreign,
@@ -402,7 +401,7 @@
     }
 }
 
-/// What one record adds to the digest of a list.
+/// Returns the contribution of a record to the digest of the list.
 #[allow(clippy::cast_possible_truncation)]
 fn digest_of(record: &UpstreamRecord) -> u64 {
     let revision = record.revision.to_le_bytes();
--- a/fireflycroft/src/missing.rs
+++ b/fireflycroft/src/missing.rs
@@ -1,8 +1,8 @@
-//! Upstreams that the list lacks: gone, or missing until the store has answered for long enough.
+//! Upstreams that the list lacks: removed, or missing until the store has answered for long enough.
 //!
-//! Whoever reads the store says what it read and when it answered; whether an
-//! upstream that isn't there any more is gone is decided here, by [`StoreConnectivity`].
-//! What another entry tells as removed is gone: it has decided the same.
+//! The reader of the store passes in what it read and when the store answered. Whether an unlisted
+//! upstream is gone is decided here, by [`StoreConnectivity`]. A removal announced by another entry
+//! is applied at once, since that entry has confirmed it in the same way.
 
 use crate::ids::Name;
 use crate::listing::PoolChange;
@@ -13,49 +13,50 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// An upstream that the list lacks and that may live.
+/// State of an upstream that the list lacks but that may be alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Missing {
-    /// When it was found missing.
+    /// Time at which it was found missing.
     pub(crate) since: Time,
-    /// Revision of the list that lacked it.
+    /// Revision of the list that lacks it.
     pub(crate) revision: u64,
 }
 
 impl Pool {
-    /// Sets the time between two heartbeats of an upstream.
+    /// Sets the interval between heartbeats of an upstream.
     pub const fn set_heartbeat(&mut self, heartbeat: Duration) {
         self.store_connectivity = StoreConnectivity::new(heartbeat);
     }
 
-    /// Notes that the store answered; true when records may have lapsed before.
+    /// Records an answer of the store; returns true if records may have expired in the silence before it.
     pub fn record_store_answer(&mut self, at: Time) -> bool {
         self.store_connectivity.record_answer(at)
     }
 
-    /// Notes that it has come back from a copy.
+    /// Records that the store was restored from a copy.
     pub const fn record_store_restored(&mut self, at: Time) {
         self.store_connectivity.record_restored(at);
     }
 
-    /// Notes that it didn't.
+    /// Records an unanswered call to the store.
     pub const fn record_store_failure(&mut self) {
         self.store_connectivity.record_failure();
     }
 
-    /// When the store answered, as far as is known.
+    /// Returns the connectivity of the store, as far as known.
     #[must_use]
     pub const fn store_connectivity(&self) -> &StoreConnectivity {
         &self.store_connectivity
     }
 
-    /// Whether what the list lacks is gone.
+    /// Returns whether upstreams missing from the list are gone.
     #[must_use]
     pub fn is_settled(&self, now: Time) -> bool {
         self.store_connectivity.is_settled(now)
     }
 
-    /// Takes the removal of a record, read from the store.
+    /// Applies the removal of a record, read from the store: removes the upstream, or marks it missing
+    /// while removals are unconfirmed.
     pub fn apply_removal(
         &mut self,
         now: Time,
@@ -81,7 +82,7 @@
         self.mark_missing(now, ix, revision)
     }
 
-    /// Takes a whole list as of `revision`, read from the store.
+    /// Applies a whole list as of `revision`, read from the store.
     pub fn apply_list(
         &mut self,
         now: Time,
@@ -102,10 +103,10 @@
         changes
     }
 
-    /// Whether the list that was read last had no such record, though it was written before.
+    /// Returns whether a record of an unknown upstream predates the last list read, which lacks it.
     ///
-    /// Another entry tells it that hasn't given up the upstream yet; one that is lost before it
-    /// does leaves nobody who would.
+    /// It comes from an entry that hasn't removed the upstream yet. If that entry is lost first, no
+    /// other one announces the removal.
     pub(crate) const fn is_missing_from_list(&self, revision: u64) -> bool {
         revision <= self.list_revision
     }
@@ -128,7 +129,7 @@
         Some(PoolChange::Missing(ix))
     }
 
-    /// Forgets upstreams that are missing, once they are gone.
+    /// Removes the missing upstreams once they are confirmed to be gone.
     pub fn remove_missing(&mut self, now: Time) -> Vec<PoolChange> {
         if !self.is_settled(now) {
             return Vec::new();
@@ -143,7 +144,7 @@
             .collect()
     }
 
-    /// Whether any upstream is missing.
+    /// Returns whether any upstream is missing.
     #[must_use]
     pub fn any_missing(&self) -> bool {
         self.upstreams
--- a/fireflycroft/src/pool.rs
+++ b/fireflycroft/src/pool.rs
@@ -1,9 +1,9 @@
 //! Upstreams that a direct entry drives itself, and its choice among them.
 //!
-//! What this entry has placed is known to it at once; what the others have
-//! placed is known from what they told last. Both are counted in tokens of
-//! memory, prompt and expected answer, since it is memory that engines run out
-//! of. A generation goes where the least of the memory is spoken for.
+//! This entry's own work is known at once, the work of others from their last
+//! announcements and replies. Both are counted in tokens of memory, prompt and
+//! expected answer, since engines run out of memory first. A generation goes to
+//! the engine with the least cost, mainly its reserved share of memory.
 
 use crate::cold::{COLD_SPAN, ColdShare};
 use crate::evacuation::Evacuations;
@@ -26,18 +26,18 @@
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::time::Duration;
 
-/// The upstreams known.
+/// Known upstreams, and the state that a choice among them depends on.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     pub(crate) upstreams: Vec<Upstream>,
     pub(crate) data_centre: Name,
     pub(crate) revision: u64,
-    /// Revision up to which every change of the list is known; some later ones may be, too.
+    /// Revision up to which every change of the list is known; some later ones may be known too.
     pub(crate) complete_to: u64,
-    /// Revision of the last whole list that was read from the store.
+    /// Revision of the last whole list read from the store.
     pub(crate) list_revision: u64,
     pub(crate) store_connectivity: StoreConnectivity,
-    /// Time for which an upstream that leaves may get requests; none until it is set.
+    /// Time for which a departing upstream may get requests; zero until it is set.
     pub(crate) drain_timeout: Duration,
     pub(crate) changes: VecDeque<(Time, ListChange)>,
     pub(crate) by_instance: HashMap<Name, usize>,
@@ -45,37 +45,37 @@
     pub(crate) digest: u64,
     pub(crate) memory_of: HashMap<Name, u64>,
     pub(crate) pace_of: HashMap<Name, Pace>,
-    /// Upstreams of which each other entry has told this one.
+    /// Upstreams with announced work, by the entry that announced it.
     pub(crate) announced_by: HashMap<Name, HashSet<usize>>,
     pub(crate) policy: Policy,
     pub(crate) regions: Regions,
     pub(crate) fleet: FleetView,
     pub(crate) cold: ColdShare,
-    /// Requests a second that a cold upstream bears, by service.
+    /// Requests per second that a cold upstream can take, by service.
     pub(crate) cold_rate_of: HashMap<Name, f64>,
     pub(crate) evacuations: Evacuations,
-    /// Data centres that were evacuated when the store came back from a copy that doesn't say so.
+    /// Data centres evacuated before the store was restored from a copy that doesn't list them.
     pub(crate) unconfirmed_evacuations: BTreeSet<Name>,
 }
 
-/// Upstreams of a service beyond which a choice looks at a sample of so many.
+/// Maximum number of upstreams that a choice compares; of more it takes a random sample of this size.
 ///
-/// The best of 64 drawn ones is as good as the best of all but for one in sixty, and costs the
-/// same in a fleet of any size.
+/// On average one in sixty upstreams is better than the best of 64 random ones, and the work of a
+/// choice is the same in a fleet of any size.
 const SAMPLE_SIZE: usize = 64;
 
-/// Part of the time for which an upstream that leaves may get requests that passes before its leaving
-/// is heard of: watches rest for 0.3 s after changes, and news takes some 25 ms to all entries.
+/// Time until every entry knows that an upstream leaves, subtracted from the drain timeout: watches
+/// pause for 0.3 s after changes, and an announcement takes about 25 ms to reach all entries.
 const DEPARTURE_NOTICE_DELAY: Duration = Duration::from_millis(400);
 
-/// Parts of prompts remembered for an upstream.
+/// Number of shared parts of prompts per upstream from which expired ones are removed.
 const MAX_SHARED_PROMPTS: usize = 256;
 
-/// Weight of the newest outcome in the failing share of an upstream.
+/// Weight of the newest outcome in the moving average of an upstream's failures.
 const OUTCOME_WEIGHT: f64 = 0.15;
 
 impl Pool {
-    /// An empty pool of an entry in `data_centre`.
+    /// Creates an empty pool for an entry in `data_centre`.
     #[must_use]
     pub fn new(data_centre: Name) -> Self {
         Self {
@@ -84,29 +84,29 @@
         }
     }
 
-    /// Chooses by these mechanisms from now on.
+    /// Sets the mechanisms used in choices.
     pub const fn set_policy(&mut self, policy: Policy) {
         self.policy = policy;
     }
 
-    /// Highest revision of any record taken.
+    /// Returns the highest revision received.
     #[must_use]
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Revision up to which every change of the list is known.
+    /// Returns the revision up to which every change of the list is known.
     #[must_use]
     pub const fn complete_to(&self) -> u64 {
         self.complete_to
     }
 
-    /// Notes that every change of the list up to a revision is known.
+    /// Records that every change of the list up to a revision is known.
     pub fn record_complete(&mut self, revision: u64) {
         self.complete_to = self.complete_to.max(revision);
     }
 
-    /// Upstreams that are not gone.
+    /// Returns the records of the upstreams that have not been removed.
     pub fn records(&self) -> impl Iterator<Item = &UpstreamRecord> {
         self.upstreams
             .iter()
@@ -114,7 +114,7 @@
             .map(|u| &u.record)
     }
 
-    /// Indices of the same.
+    /// Returns the indices of the same upstreams.
     #[must_use]
     pub fn indices(&self) -> Vec<UpstreamIx> {
         let all = self.upstreams.iter().enumerate();
@@ -123,24 +123,24 @@
             .collect()
     }
 
-    /// The record of an upstream.
+    /// Returns the record of an upstream.
     #[must_use]
     pub fn record(&self, ix: UpstreamIx) -> &UpstreamRecord {
         &self.upstreams[ix.0].record
     }
 
-    /// Whether an upstream takes new work, as far as is known.
+    /// Returns whether an upstream takes new work, as far as known.
     #[must_use]
     pub fn is_serving(&self, ix: UpstreamIx) -> bool {
         self.upstreams[ix.0].is_serving()
     }
 
-    /// Shares what the fleet may send among these entries.
+    /// Sets the entries among which the fleet's request limits are shared.
     pub fn set_fleet(&mut self, fleet: FleetView) {
         self.fleet = fleet;
     }
 
-    /// Notes that a request is about to be sent to an upstream.
+    /// Records that a request is about to be sent to an upstream.
     pub fn record_sending(&mut self, now: Time, ix: UpstreamIx) {
         let u = &mut self.upstreams[ix.0];
         if u.rate.is_known() {
@@ -150,13 +150,13 @@
         }
     }
 
-    /// Sets the time for which an upstream that leaves may get requests.
+    /// Sets the time for which a departing upstream may get requests.
     pub const fn set_drain_timeout(&mut self, timeout: Duration) {
         self.drain_timeout = timeout;
     }
 
-    /// Whether a request may be sent to an upstream that was chosen before, or that holds memory of
-    /// it: its life goes on, and it hasn't left for longer than allowed.
+    /// Returns whether a request may still go to an upstream that was chosen for it or holds its memory:
+    /// the incarnation has not ended, and if it leaves, the time allowed has not passed.
     #[must_use]
     pub fn may_get_requests(&self, now: Time, ix: UpstreamIx) -> bool {
         let u = &self.upstreams[ix.0];
@@ -165,25 +165,25 @@
         !u.ended && left.is_none_or(|t| now.since(t) < allowed)
     }
 
-    /// When an upstream was first known to leave.
+    /// Returns the time at which an upstream was first known to leave.
     #[must_use]
     pub fn left_at(&self, ix: UpstreamIx) -> Option<Time> {
         self.upstreams[ix.0].left_at
     }
 
-    /// Whether a later life of the same id is known, so that nothing of this one is left.
+    /// Returns whether a later incarnation of its id is known, so that its runs and memory are lost.
     #[must_use]
     pub fn is_ended(&self, ix: UpstreamIx) -> bool {
         self.upstreams[ix.0].ended
     }
 
-    /// The upstream of that instance, in its latest life.
+    /// Returns the latest incarnation of an instance.
     #[must_use]
     pub fn find(&self, instance: &str) -> Option<UpstreamIx> {
         self.by_instance.get(instance).copied().map(UpstreamIx)
     }
 
-    /// Sets the memory of the engines of a service.
+    /// Sets the memory of each engine of a service; `None` if unknown.
     pub fn set_memory(&mut self, service: &Name, tokens: Option<u64>) {
         match tokens {
             Some(tokens) => self.memory_of.insert(service.clone(), tokens),
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Counts a request as placed on an upstream.
+    /// Adds a request to this entry's work on an upstream.
     pub fn place(&mut self, now: Time, ix: UpstreamIx, need: &Need) {
         let u = &mut self.upstreams[ix.0];
         u.own_work = u.own_work.with(need);
@@ -208,34 +208,34 @@
         }
     }
 
-    /// Notes that the prompt of a placed request has been read; its need changes with it.
+    /// Records that the prompt of a placed request has been read, and updates its need.
     pub fn record_prompt_read(&mut self, ix: UpstreamIx, need: &mut Need) {
         let own_work = &mut self.upstreams[ix.0].own_work;
         own_work.unread = own_work.unread.saturating_sub(need.unread);
         need.unread = 0;
     }
 
-    /// Counts a placed request as needing `tokens` of memory in all.
+    /// Raises the memory that a placed request needs to `tokens` in all.
     pub fn grow(&mut self, ix: UpstreamIx, need: &mut Need, tokens: u64) {
         let own_work = &mut self.upstreams[ix.0].own_work;
         own_work.tokens += tokens.saturating_sub(need.tokens);
         need.tokens = need.tokens.max(tokens);
     }
 
-    /// Takes back what [`Pool::place`] counted.
+    /// Removes a request that [`Pool::place`] added.
     pub fn release(&mut self, ix: UpstreamIx, need: &Need) {
         let own_work = &mut self.upstreams[ix.0].own_work;
         *own_work = own_work.without(need);
     }
 
-    /// Notes whether a request failed through the upstream's fault.
+    /// Records whether a request failed through a fault of the upstream.
     pub fn record_outcome(&mut self, ix: UpstreamIx, failed: bool) {
         let u = &mut self.upstreams[ix.0];
         let newest = if failed { 1.0 } else { 0.0 };
         u.failing += OUTCOME_WEIGHT * (newest - u.failing);
     }
 
-    /// Notes that an upstream made tokens of a stream in a span without a break.
+    /// Records that an upstream produced tokens of a stream in a span without a break.
     pub fn record_pace(&mut self, ix: UpstreamIx, tokens: u64, span: Duration) {
         let u = &mut self.upstreams[ix.0];
         u.pace.own.record_for_engine(tokens, span);
@@ -243,7 +243,7 @@
         of_service.record_for_service(tokens, span);
     }
 
-    /// Time that an upstream takes for a token, against the mean of its service.
+    /// Returns the token time of an upstream relative to the mean of its service.
     #[must_use]
     pub fn relative_pace(&self, ix: UpstreamIx) -> f64 {
         let u = &self.upstreams[ix.0];
@@ -263,14 +263,14 @@
         of_service.copied().unwrap_or_default()
     }
 
-    /// Leaves an upstream out for a while where there is another.
+    /// Excludes an upstream from choices for `span` if there is another.
     pub fn avoid(&mut self, now: Time, ix: UpstreamIx, span: Duration) {
         let u = &mut self.upstreams[ix.0];
         u.avoid_until = u.avoid_until.max(now + span);
     }
 
-    /// Share of an engine's memory that would be spoken for with one more request, copies left
-    /// out: they give way to runs.
+    /// Returns the share of an engine's memory that would be reserved with one more request, without
+    /// memory backups, which runs displace.
     #[must_use]
     pub fn memory_share_with(&self, now: Time, ix: UpstreamIx, need: &Need) -> f64 {
         let u = &self.upstreams[ix.0];
@@ -278,21 +278,22 @@
         share(tokens, u.memory_tokens.unwrap_or(0))
     }
 
-    /// Share of an engine's memory that is spoken for, by all entries.
+    /// Returns the share of an engine's memory that all entries have reserved.
     #[must_use]
     pub fn memory_share(&self, now: Time, ix: UpstreamIx) -> f64 {
         let u = &self.upstreams[ix.0];
         share(u.load(now).memory(), u.memory_tokens.unwrap_or(0))
     }
 
-    /// Share of the memory of all serving engines of a service that is spoken for, copies included.
+    /// Returns the reserved share of the memory of all serving engines of a service, memory backups
+    /// included.
     #[must_use]
     pub fn service_memory_share(&self, now: Time, service: &str) -> f64 {
         self.service_share(now, service, Placed::memory)
     }
 
-    /// Share of that memory that runs need, with those on engines that leave, which have to find
-    /// room on the others.
+    /// Returns the share of that memory that runs need, including those on departing engines, which
+    /// will need capacity on the others.
     #[must_use]
     pub fn service_run_memory_share(&self, now: Time, service: &str) -> f64 {
         self.service_share(now, service, |placed| placed.tokens)
@@ -301,7 +302,7 @@
     fn service_share(&self, now: Time, service: &str, of: impl Fn(&Placed) -> u64) -> f64 {
         let of_service = self.of_service(service).iter().map(|i| &self.upstreams[*i]);
         let of_service: Vec<&Upstream> = of_service.filter(|u| !u.has_departed(now)).collect();
-        // Those whose load is known stand for the others.
+        // Upstreams with a known load represent the others.
         let known = of_service.iter().filter(|u| u.is_known(now));
         let known: Vec<&Upstream> = known.copied().collect();
         let counted = if known.is_empty() { of_service } else { known };
@@ -316,7 +317,7 @@
         share(used, all)
     }
 
-    /// Upstreams of a service that take new work.
+    /// Returns the number of upstreams of a service that take new work.
     #[must_use]
     pub fn count(&self, service: &str) -> usize {
         self.serving(service).count()
@@ -324,7 +325,7 @@
 
     /// Chooses an upstream of `service` that is not in `tried`.
     ///
-    /// One that is avoided is chosen only where there is no other.
+    /// An avoided upstream is chosen only if there is no other.
     #[must_use]
     pub fn choose(
         &self,
@@ -342,7 +343,7 @@
         best.or_else(|| self.least_cost(now, need, open.iter().copied()))
     }
 
-    /// Those whose owners have replied just now; where these are few, [`SAMPLE`] drawn ones.
+    /// Returns the upstreams with fresh replies of their owners, or a random sample if these are few.
     fn fresh_or_sampled<'a>(&self, now: Time, need: &Need, open: &'a [usize]) -> Cow<'a, [usize]> {
         let fresh = |i: &&usize| self.upstreams[**i].is_fresh(now);
         let fresh: Vec<usize> = open.iter().filter(fresh).copied().collect();
@@ -352,7 +353,7 @@
         sample(open, need.draw)
     }
 
-    /// Upstreams of a service that may be chosen for `need` and are not in `tried`.
+    /// Returns the upstreams of a service that may be chosen for `need` and are not in `tried`.
     pub(crate) fn untried<'a>(
         &'a self,
         now: Time,
@@ -369,7 +370,7 @@
         self.serving(service).filter(is_candidate)
     }
 
-    /// The `most` of `open` that would cost least.
+    /// Returns up to `max_count` of `open` with the least cost.
     pub(crate) fn cheapest(
         &self,
         now: Time,
@@ -396,7 +397,7 @@
         })
     }
 
-    /// Whether an upstream is in a data centre that takes nothing new.
+    /// Returns whether the upstream's data centre takes no new work.
     fn is_closed(&self, u: &Upstream) -> bool {
         self.is_closed_to_new_work(&u.record.data_centre)
     }
@@ -412,7 +413,7 @@
         best.map(|(i, _)| UpstreamIx(i))
     }
 
-    /// What a copy from `source` costs at `u` beyond what any request costs there.
+    /// Returns the additional cost at `u` of a memory backup from `source`.
     fn backup_cost(&self, source: UpstreamIx, u: &Upstream) -> f64 {
         let is_remote = self.record(source).data_centre != u.record.data_centre;
         let remote = if is_remote { REMOTE_BACKUP_COST } else { 0.0 };
@@ -432,7 +433,7 @@
     }
 }
 
-/// All of `open`, or [`SAMPLE`] drawn ones of many.
+/// Returns all of `open`, or a random sample if there are more than [`SAMPLE_SIZE`].
 fn sample(open: &[usize], draw: u64) -> Cow<'_, [usize]> {
     if open.len() <= SAMPLE_SIZE {
         return Cow::Borrowed(open);
--- a/fireflycroft/src/upstream.rs
+++ b/fireflycroft/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream as a direct entry sees it, and what one more request there costs.
+//! State of one upstream at a direct entry, and the cost of one more request there.
 
 use crate::admission_limit::SHORT_TOKENS;
 use crate::ids::{Incarnation, Name};
@@ -19,49 +19,49 @@
 /// Whether an upstream takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamState {
-    /// It does.
+    /// Takes new work.
     Serving,
-    /// It has announced that it leaves.
+    /// Has announced that it leaves.
     Leaving,
-    /// Its record was overwritten with what can't be read: nothing new goes there until it writes
-    /// its record again, and what runs there goes on.
+    /// Its record was overwritten with an unreadable one. It gets no new work until it writes its
+    /// record again; its runs continue.
     Unreadable,
 }
 
-/// One life of an upstream, from its start to its end.
+/// One incarnation of an upstream, from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct UpstreamIncarnation {
-    /// Id, which it may keep when it starts again.
+    /// Id of the upstream, which may stay the same after a restart.
     pub instance: Name,
-    /// Which start of that id.
+    /// Start of that id.
     pub incarnation: Incarnation,
 }
 
-/// One upstream, as the platform's list has it.
+/// Record of an upstream in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamRecord {
-    /// Id of the upstream; it may keep it when it starts again.
+    /// Id of the upstream, which may stay the same after a restart.
     pub instance: Name,
-    /// Unix milliseconds of its start; zero where it doesn't say.
+    /// Unix time of its start in milliseconds; zero if not stated.
     pub incarnation: Incarnation,
-    /// Service that it answers for.
+    /// Service that it provides.
     pub service: Name,
-    /// Where it listens; may pass to another upstream later.
+    /// Address that it listens on; another upstream may get it later.
     pub addr: SocketAddr,
     /// Data centre that it runs in.
     pub data_centre: Name,
-    /// Requests that it runs at once.
+    /// Maximum concurrent requests.
     pub slots: u32,
     /// Whether it takes new work.
     pub state: UpstreamState,
-    /// How much longer it is slow after its start.
+    /// Remaining time for which it is slow after its start.
     pub cold_for: Duration,
     /// Revision of the list at which the record was written.
     pub revision: u64,
 }
 
 impl UpstreamRecord {
-    /// The life that wrote the record.
+    /// Returns the incarnation that wrote the record.
     #[must_use]
     pub fn upstream_incarnation(&self) -> UpstreamIncarnation {
         UpstreamIncarnation {
@@ -71,139 +71,143 @@
     }
 }
 
-/// Index of one life of an upstream in the pool.
+/// Index of one incarnation of an upstream in the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct UpstreamIx(pub(crate) usize);
 
-/// What the pool knows of one upstream.
+/// State of one incarnation of an upstream in the pool.
 #[derive(Clone, Debug)]
 pub(crate) struct Upstream {
     pub(crate) record: UpstreamRecord,
     pub(crate) memory_tokens: Option<u64>,
-    /// Revision of the first record that was taken of it.
+    /// Revision of its first record.
     pub(crate) first_revision: u64,
+    /// Whether the list no longer has this incarnation.
     pub(crate) removed: bool,
-    /// Whether a later life has taken its id: all that it ran or held is lost.
+    /// Whether a later incarnation has taken its id: its runs and its memory are lost.
     pub(crate) ended: bool,
+    /// Time at which it was first known to leave.
     pub(crate) left_at: Option<Time>,
     pub(crate) leave_notice: LeaveNotice,
     pub(crate) missing: Option<Missing>,
+    /// Work of this entry.
     pub(crate) own_work: Placed,
-    /// What other entries have told this one as an owner.
+    /// Work that other entries have announced to this one as an owner, with the time.
     pub(crate) announced_work: HashMap<Name, (Time, Placed)>,
-    /// Entries that couldn't reach it, and when.
+    /// Entries that couldn't reach it, with the time.
     pub(crate) unreachable: HashMap<Name, Time>,
-    /// What an owner has told this entry.
+    /// Last reply of its owners to this entry.
     pub(crate) replied: Option<OwnerReply>,
     pub(crate) avoid_until: Time,
     pub(crate) paused_until: Time,
+    /// Moving average of failures, from 0 to 1.
     pub(crate) failing: f64,
     pub(crate) cold_until: Time,
-    /// Requests of this entry, where a cold one bears only so many.
+    /// Recent requests of this entry, recorded if its rate is limited or limited while it is cold.
     pub(crate) sent_requests: SentRequests,
     pub(crate) rate: KnownRate,
+    /// Shared parts of prompts sent there, by hash, with the time.
     pub(crate) shared_prompts: HashMap<u64, Time>,
     pub(crate) pace: ObservedPace,
 }
 
-/// Time for which what another entry told counts.
+/// Lifetime of another entry's announcement.
 ///
-/// Entries tell twice a second; three lost in a row mean that it is gone.
+/// Entries announce twice a second; after three lost announcements in a row an entry counts as gone.
 pub(crate) const ANNOUNCEMENT_LIFETIME: Duration = Duration::from_millis(1_600);
 
-/// Age up to which a choice goes by what an owner replied: replies are waited for for a little less.
+/// Age up to which an owner's reply is fresh; the wait for replies is a little shorter.
 ///
-/// Those of an earlier choice would send the entries of a large fleet to the same few upstreams.
+/// With replies to an earlier choice, the entries of a large fleet would choose the same few upstreams.
 pub(crate) const FRESH_REPLY_AGE: Duration = Duration::from_millis(30);
 
-/// Age up to which a reply tells what to ask next, and how full the service is: loads change by a
-/// run or two in that time.
+/// Maximum age of a reply used to select the next queries and to compute the service's memory share:
+/// loads change by one or two runs in that time.
 pub(crate) const MAX_REPLY_AGE: Duration = Duration::from_secs(3);
 
-/// Time from an upstream's notice to its end, at which nothing runs there any more.
+/// Time after an upstream's leave notice within which it ends, and with it all of its runs.
 const MAX_DEPARTURE_TIME: Duration = Duration::from_secs(2);
 
-/// Time for which a shared part of a prompt is taken to stay in memory.
+/// Time for which a shared part of a prompt is assumed to stay in an engine's memory.
 pub(crate) const SHARED_PROMPT_LIFETIME: Duration = Duration::from_secs(6);
 
-/// What a wholly failing upstream costs, against one whose memory is full.
+/// Cost of an upstream that fails every request, relative to a full memory.
 const FAILING_COST: f64 = 4.0;
 
-/// What another data centre costs, against a full memory.
+/// Cost of another data centre, relative to a full memory.
 const REMOTE_COST: f64 = 0.02;
 
-/// What a copy from another data centre costs, against a full memory: it takes twice as long on
-/// the links of both upstreams.
+/// Cost of a memory backup from another data centre, relative to a full memory: it takes twice as
+/// long on the links of both upstreams.
 pub(crate) const REMOTE_BACKUP_COST: f64 = 0.8;
 
-/// What a copy costs at an upstream that names a rate, against a full memory: more than a crowded one,
-/// since a run can't go on from there while the share of its entry is spent.
+/// Cost of a memory backup at a rate-limited upstream, relative to a full memory: more than at an
+/// overloaded one, since a run can't resume there while its entry's share is exhausted.
 pub(crate) const RATE_LIMITED_BACKUP_COST: f64 = 16.0;
 
-/// Costs that differ by less are taken for equal, against a full memory.
+/// Difference below which costs count as equal, relative to a full memory.
 ///
-/// Entries that decide within the quarter of a second between two tellings see the same upstream
-/// as the best and would all go there.
+/// Entries that decide within the 250 ms between two announcements see the same best upstream, and
+/// would all choose it.
 const TIE_COST: f64 = 0.12;
 
-/// The same for copies: when upstreams leave together, all entries look for room for all their
-/// runs within a few milliseconds.
+/// The same for memory backups: when upstreams leave together, all entries look for capacity for all
+/// of their runs within a few milliseconds.
 const BACKUP_TIE_COST: f64 = 0.4;
 
-/// What a cold upstream costs, against a full memory.
+/// Cost of a cold upstream, relative to a full memory.
 const COLD_COST: f64 = 0.25;
 
-/// What a full batch costs, against a full memory.
+/// Cost of a full batch, relative to a full memory.
 const BATCH_COST: f64 = 0.5;
 
-/// Share of the memory from which on runs are likely to be preempted.
+/// Share of the memory beyond which preemption is likely.
 const OVERLOAD_SHARE: f64 = 0.85;
 
-/// What each share of the memory beyond [`CROWDED`] costs on top.
+/// Additional cost per share of the memory beyond [`OVERLOAD_SHARE`].
 const OVERLOAD_COST: f64 = 4.0;
 
-/// Tokens of prompts still to be read that cost as much as a full memory: an engine that reads
-/// between the steps of its batch takes about two seconds for them, the longest objective of a
-/// first event.
+/// Unread prompt tokens that cost as much as a full memory: an engine that reads between the steps of
+/// its batch takes about two seconds for them, the longest objective for a first event.
 const FULL_PREFILL_TOKENS: u64 = 14_000;
 
-/// Share of [`UNREAD_TOKENS`] from which on a prompt is likely to be read too late: between the
-/// steps of a batch an engine reads some seven tokens a millisecond.
+/// Share of [`FULL_PREFILL_TOKENS`] beyond which a prompt is likely to be read too late: between the
+/// steps of a batch an engine reads about seven tokens per millisecond.
 const LATE_PREFILL_SHARE: f64 = 0.5;
 
-/// What each share beyond [`LATE_READING`] costs on top.
+/// Additional cost per share beyond [`LATE_PREFILL_SHARE`].
 ///
 /// Without it all prompts go to engines that have just started, since these are empty.
 const LATE_PREFILL_COST: f64 = 4.0;
 
-/// What an engine that takes twice the mean time for a token costs a long generation, against a
-/// full memory.
+/// Cost for a long generation of an engine with twice the mean token time, relative to a full memory.
 const PACE_COST: f64 = 1.0;
 
-/// What a shared part that lies there saves, against a full memory.
+/// Discount for an engine that holds a shared part of the prompt, relative to a full memory.
 const SHARED_PROMPT_DISCOUNT: f64 = 0.03;
 
-/// What a choice compares an upstream with.
+/// Data besides the upstream that its cost depends on.
 pub(crate) struct CostContext<'a> {
-    /// Data centre of the entry that chooses.
+    /// Data centre of this entry.
     pub(crate) data_centre: &'a Name,
     /// Mean pace of the service.
     pub(crate) pace: Pace,
-    /// Mechanisms that are on.
+    /// Enabled mechanisms.
     pub(crate) policy: Policy,
 }
 
 impl Upstream {
+    /// Returns whether it takes new work: it is listed so and has sent no leave notice.
     pub(crate) fn is_serving(&self) -> bool {
         self.is_listed_as_serving() && !self.has_sent_leave_notice()
     }
 
-    /// Whether the list has it, and as one that takes new work.
+    /// Returns whether it is listed as taking new work.
     pub(crate) fn is_listed_as_serving(&self) -> bool {
         !self.removed && !self.ended && self.record.state == UpstreamState::Serving
     }
 
-    /// Whether it has left, so that what ran there has ended or moved.
+    /// Returns whether it has departed: its runs have ended or were migrated.
     pub(crate) fn has_departed(&self, now: Time) -> bool {
         if self.ended {
             return true;
@@ -212,7 +216,7 @@
         left.is_some_and(|t| now.since(t) > MAX_DEPARTURE_TIME)
     }
 
-    /// What this entry has placed here, to tell the others.
+    /// Returns the work of this entry here, to announce to others.
     pub(crate) fn placed_at(&self) -> PlacedAt {
         PlacedAt {
             instance: self.record.instance.clone(),
@@ -222,7 +226,7 @@
         }
     }
 
-    /// Cost of one more request here, against a full memory.
+    /// Returns the cost of one more request here, relative to a full memory.
     pub(crate) fn cost(&self, now: Time, need: &Need, context: &CostContext<'_>) -> f64 {
         let load = self.load(now);
         let memory = self
@@ -270,7 +274,7 @@
     }
 }
 
-/// The `most` of some upstreams that were told to other entries longest ago.
+/// Returns up to `max_count` upstreams, those announced to other entries least recently.
 pub(crate) fn least_recently_announced<'a>(
     upstreams: impl Iterator<Item = &'a mut Upstream>,
     announced_at: impl Fn(&Upstream) -> Option<Time>,
@@ -282,7 +286,7 @@
     upstreams
 }
 
-/// Costs that are taken for equal in this choice.
+/// Returns the difference below which costs count as equal for this request.
 pub(crate) const fn tie_cost(need: &Need) -> f64 {
     match need.copied_from {
         _ if need.tokens == 0 => 0.0,
@@ -291,7 +295,7 @@
     }
 }
 
-/// The `k`-th index below `len` that a draw gives.
+/// Returns the `k`-th random index below `len` from a random number.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -302,7 +306,7 @@
     if at < len { at } else { len - 1 }
 }
 
-/// A number from 0 to 1 for the upstream at `i`, by a finaliser of the `SplitMix64` generator.
+/// Returns a random number from 0 to 1 for the upstream at `i`, by the finaliser of `SplitMix64`.
 #[allow(clippy::cast_precision_loss)]
 pub(crate) const fn draw_fraction(draw: u64, i: usize) -> f64 {
     let mut z = draw.wrapping_add((i as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
@@ -311,6 +315,7 @@
     (z ^ (z >> 31)) as f64 / u64::MAX as f64
 }
 
+/// Returns `part / whole`, or zero for an empty whole.
 #[allow(clippy::cast_precision_loss)]
 pub(crate) fn share(part: u64, whole: u64) -> f64 {
     if whole == 0 {
--- a/fireflycroft/tests/listing_gaps.rs
+++ b/fireflycroft/tests/listing_gaps.rs
@@ -1,8 +1,8 @@
-//! Lists of which the newest changes are known, and older ones are not.
+//! Lists with gaps: the newest changes are known, some older ones are not.
 //!
-//! Users' sweeps showed the links between data centres full: of some 500 changes of one moment a
-//! datagram carries the newest 16. An entry that heard them asked for what was newer still, found its
-//! list different at the same revision, and fetched the whole of it, again and again.
+//! Guards against repeated fetches of the whole list, which saturated the links between data centres:
+//! of about 500 simultaneous changes a datagram carries the newest 16. An entry that received them
+//! requested only later ones, found its list different at the same revision, and fetched all of it.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -24,7 +24,7 @@
 
 const UPSTREAMS: u64 = 300;
 
-/// A pool that has read the list from the store.
+/// Returns a pool that has read the list from the store.
 fn listed() -> Pool {
     let mut pool = Pool::new(Name::from("dc"));
     let records = (0..UPSTREAMS).map(|i| record(&format!("i-{i}"), 1 + i));
@@ -33,7 +33,7 @@
     pool
 }
 
-/// Takes what another entry hands on.
+/// Applies the changes that another entry sent.
 fn apply(pool: &mut Pool, changes: ChangesSince, complete_to: u64) {
     for record in changes.listed {
         pool.upsert(at(2), record);
--- a/fireflycroft/tests/missing.rs
+++ b/fireflycroft/tests/missing.rs
@@ -1,10 +1,10 @@
-//! Upstreams that the list lacks: which are gone at once, and which only once the doubt ends.
+//! Upstreams missing from the list: removed at once, or only at the end of the grace period.
 //!
-//! Users saw requests reach an upstream 2.0 to 2.8 s after its record had been removed, two seconds
-//! being allowed. The store had been away and was back for 2.5 to 3 s; all entries read the removal
-//! at once and waited for 2.5 s from then on, though every living upstream had come back 1.65 s
-//! after the return at the latest. The last cases are of the same cause in other places, found by
-//! reading: an entry that begins to watch, a list read anew, an old record told once more.
+//! Guards against requests that reach an upstream 2.0 to 2.8 s after the removal of its record, where
+//! two seconds are allowed. This happened 2.5 to 3 s after the end of a store outage: entries counted
+//! the grace period of 2.5 s from the removal and not from the store's return, though every live
+//! upstream was listed again within 1.65 s. The last cases cover the same cause elsewhere: an entry
+//! that begins to watch, a list read again, an old record received again.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -19,16 +19,16 @@
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
 
-/// Time between two answers of a watch that hears nothing new.
+/// Milliseconds between answers of a watch without changes.
 const WATCH_TIMEOUT: u64 = 800;
 
-/// Users allow work on an upstream that has left for so long.
+/// Milliseconds for which a departed upstream may get work.
 const DRAIN_TIMEOUT: u64 = 2_000;
 
-/// Removals count from this time after the store's return on.
+/// Milliseconds after the store's return from which removals count.
 const REMOVALS_COUNT_AFTER: u64 = 3_000;
 
-/// Silence of the store in which a record may lapse: two heartbeats.
+/// Milliseconds of silence of the store after which a record may expire: two heartbeats.
 const MIN_SILENCE_TO_EXPIRE: u64 = 2_400;
 
 cases! {
@@ -51,7 +51,7 @@
     missing_upstream_gets_requests_in_flight => missing_gets_requests();
 }
 
-/// The store answers from one time to another, in milliseconds.
+/// Records answers of the store from one time to another, in milliseconds.
 fn store_answers(pool: &mut fireflycroft::Pool, from: u64, to: u64) {
     let mut millis = from;
     while millis < to {
@@ -61,7 +61,7 @@
     pool.record_store_answer(at(to));
 }
 
-/// Moment at which the doubt ends that began then.
+/// Returns the end of a grace period that began at `since`.
 fn grace_period_end(since: u64) -> Time {
     at(since) + SETTLE_TIME
 }
@@ -101,14 +101,14 @@
     store_answers(&mut pool, 0, 0);
     pool.apply_removal(at(0), "a", 4);
     pool.upsert(at(10), record("a", 1));
-    // Written after the one that is held, and before the removal.
+    // Written after the held record and before the removal.
     pool.upsert(at(20), record("a", 3));
     store_answers(&mut pool, 0, 9_000);
     assert_eq!(pool.remove_missing(at(9_000)).len(), 1);
     assert_eq!(pool.count("models"), 1);
 }
 
-/// The store is away from 4 s to 8 s.
+/// Returns a pool after a store outage from 4 s to 8 s.
 fn after_outage() -> fireflycroft::Pool {
     let mut pool = pool(&["a", "b"]);
     store_answers(&mut pool, 0, 4_000);
@@ -138,14 +138,10 @@
     );
     let gone = pool.remove_missing(grace_period_end(8_000));
     assert_eq!(gone, vec![PoolChange::Leaves(a)]);
-    assert_eq!(
-        pool.record(a).revision,
-        9,
-        "others are told of this removal"
-    );
+    assert_eq!(pool.record(a).revision, 9, "this removal is announced");
 }
 
-/// A watch hung on a dead connection for 1.4 s; no heartbeat was missed for it.
+/// A watch hung on a dead connection for 1.4 s; no heartbeat was missed.
 fn short_silence() {
     let mut pool = pool(&["a", "b"]);
     store_answers(&mut pool, 0, 8_000);
@@ -157,7 +153,7 @@
 fn silent_store() {
     let mut pool = after_outage();
     pool.apply_removal(at(8_000), "a", 9);
-    // Away again before it was back for long enough.
+    // The next outage begins before the grace period has ended.
     assert!(pool.remove_missing(at(12_000)).is_empty());
     store_answers(&mut pool, 14_000, 14_000);
     assert!(pool.remove_missing(at(14_000)).is_empty());
@@ -165,7 +161,7 @@
     assert_eq!(pool.remove_missing(at(16_500)).len(), 1);
 }
 
-/// The store dropped its history, and an upstream left before the list was read anew.
+/// The store dropped its history, and an upstream left before the list was read again.
 fn list_without_outage() {
     let mut pool = pool(&["a", "b"]);
     store_answers(&mut pool, 0, 5_000);
@@ -173,8 +169,8 @@
     assert!(!serves(&pool, "a"));
 }
 
-/// An entry that has just started knows upstreams from others, and not how long the store has been
-/// back.
+/// A newly started entry knows upstreams from other entries, but not the time of the store's last
+/// return.
 fn first_list() {
     let mut pool = pool(&["a", "b"]);
     store_answers(&mut pool, 300, 300);
@@ -182,7 +178,7 @@
     assert_eq!(pool.count("models"), 2);
 }
 
-/// It reads that one left which it has just listed.
+/// A newly started entry reads the removal of an upstream that it has just listed.
 fn first_removal() {
     let mut pool = pool(&["a", "b"]);
     store_answers(&mut pool, 300, 1_100);
@@ -190,7 +186,7 @@
     assert!(!serves(&pool, "a"));
 }
 
-/// It starts while the store is away.
+/// An entry starts during a store outage.
 fn first_removal_after_silence() {
     let mut pool = pool(&["a", "b"]);
     pool.record_store_failure();
@@ -201,10 +197,10 @@
     assert_eq!(pool.remove_missing(grace_period_end(300)).len(), 1);
 }
 
-/// All entries that watch are lost, and another one steps in a second later.
+/// All watching entries are lost, and another one takes over a second later.
 fn answers_to_others() {
     let mut pool = pool(&["a", "b"]);
-    // Told with its age, as the others were answered then.
+    // Announced with its age, as the store answered the others then.
     store_answers(&mut pool, 0, 4_000);
     let announced_at = at(5_000);
     pool.record_store_answer(announced_at - Duration::from_millis(200));
@@ -233,7 +229,7 @@
     assert_eq!(pool.remove_missing(grace_period_end(300)).len(), 1);
 }
 
-/// An entry reads that an id is gone before it hears that the id had been taken by a later life.
+/// An entry reads the removal of an id before it receives the record of the id's later incarnation.
 fn missing_incarnation() {
     let incarnation = |started, revision| UpstreamRecord {
         incarnation: Incarnation(started),
@@ -257,7 +253,7 @@
     let a = ix(&pool, "a");
     assert!(pool.may_get_requests(at(0), a));
     pool.remove(at(1_000), "a", 5);
-    // A request that was chosen before, or that goes on from a copy there.
+    // A request assigned before, or resumed from a memory backup there.
     assert!(pool.may_get_requests(at(1_500), a));
     assert!(!pool.may_get_requests(at(1_000 + DRAIN_TIMEOUT), a));
     pool.upsert(at(9_000), record("a", 6));
@@ -278,9 +274,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// However long the store was away and however late an entry noticed its return, an upstream
-    /// whose removal counts gets nothing once the time allowed is over, and one that is listed again
-    /// as soon as the platform says serves all the time.
+    /// Whatever the length of the store outage and the delay until an entry notices its end, an upstream
+    /// whose removal counts gets no work after the time allowed, and one that is listed again within the
+    /// platform's time serves throughout.
     #[test]
     fn removals_that_count_are_confirmed_in_time(
         outage in 100_u64..20_000,
--- a/fireflycroft/tests/pool.rs
+++ b/fireflycroft/tests/pool.rs
@@ -1,4 +1,4 @@
-//! The table of upstreams a direct entry drives, and its choice among them.
+//! The pool of upstreams that a direct entry drives, and its choice among them.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -113,7 +113,7 @@
     }
 }
 
-/// Two engines of which the slow one is a little emptier.
+/// Returns a pool of two engines of which the slow one is a little less loaded.
 fn slow_and_fast() -> Pool {
     let mut pool = pool(&["slow", "fast"]);
     for (instance, pace) in [("slow", SLOW), ("fast", FAST)] {
@@ -135,7 +135,7 @@
     assert_eq!(chosen(&slow_and_fast(), at(0), &answer(20)), "slow");
 }
 
-/// Of hundreds of entries only those count that have seen most of an engine.
+/// Of hundreds of entries only those count that have observed most of an engine.
 fn few_observations_kept() {
     let mut pool = pool(&["slow", "fast"]);
     let fast = ix(&pool, "fast");
@@ -361,12 +361,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever order changes come in, and however often, the newest of each upstream holds.
+    /// The newest change of each upstream holds, whatever order changes are received in.
     #[test]
     fn order_of_changes_does_not_matter(
         changes in prop::collection::vec(change(), 1..30).prop_shuffle(),
     ) {
-        // One revision is one change, as in the store.
+        // Each revision belongs to one change, as in the store.
         let mut seen = std::collections::HashSet::new();
         let revision_of = |c: &ListChange| match c {
             ListChange::Listed(r) => r.revision,
@@ -388,7 +388,7 @@
         prop_assert_eq!(build(&once), build(&sorted));
     }
 
-    /// Placing and releasing in any order leaves nothing behind.
+    /// Releasing all placed requests leaves no work in the pool.
     #[test]
     fn placements_balance(tokens in prop::collection::vec(1_u64..5_000, 1..40)) {
         let mut pool = pool(&["a", "b", "c"]);
--- a/fireflycroft/tests/pool_incarnations.rs
+++ b/fireflycroft/tests/pool_incarnations.rs
@@ -1,4 +1,4 @@
-//! Lives of upstreams in the pool, and records that are not their own.
+//! Incarnations of upstreams in the pool, and records not written by the upstreams themselves.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -38,7 +38,7 @@
     }
 }
 
-/// A pool that knows one life of `a`, with 5,000 tokens placed there.
+/// Returns a pool with one incarnation of `a`, with 5,000 tokens placed there, and its index.
 fn pool_of_one_incarnation() -> (Pool, UpstreamIx) {
     let mut pool = Pool::new(Name::from("dc"));
     pool.upsert(at(0), incarnation_record("a", 100, 1));
@@ -79,7 +79,7 @@
     assert_eq!(view.placed, Placed::default());
     assert!(view.failing.abs() < f64::EPSILON);
     assert!(pool.service_run_memory_share(at(10), "models").abs() < f64::EPSILON);
-    // What still runs is taken back from the old life, and not from the new one.
+    // The run is released on the old incarnation, not on the new one.
     pool.release(old, &need(5_000));
     assert_eq!(pool.view(at(10), ix(&pool, "a")).placed, Placed::default());
 }
@@ -155,7 +155,7 @@
     assert_eq!(pool.record(a).incarnation, Incarnation(200));
 }
 
-/// The record of `a` can't be read as of `revision`.
+/// Makes the record of `a` unreadable as of `revision`.
 fn mark_unreadable(pool: &mut Pool, revision: u64) -> Option<PoolChange> {
     let lost = pool.unreadable("a", revision).unwrap();
     pool.upsert(at(10), lost)
@@ -167,8 +167,12 @@
     let change = mark_unreadable(&mut pool, 7);
     assert_eq!(change, Some(PoolChange::Unreadable(a)));
     assert_eq!(chosen(&pool, at(10), &need(1)), "b");
-    assert_eq!(pool.left_at(a), None, "what runs there goes on");
-    assert_eq!(mark_unreadable(&mut pool, 7), None, "one line a change");
+    assert_eq!(pool.left_at(a), None, "its runs continue");
+    assert_eq!(
+        mark_unreadable(&mut pool, 7),
+        None,
+        "one change, one log line"
+    );
 }
 
 fn unreadable_unknown() {
@@ -187,7 +191,7 @@
     assert_eq!(pool.count("models"), 1);
 }
 
-/// Another service, another address, or no start where one was told: not the upstream's own word.
+/// A record with another service, another address, or no start after one was stated is foreign.
 fn foreign_record() {
     let of_service = UpstreamRecord {
         service: Name::from("records"),
