--- a/fireflycroft/src/admission_limit.rs
+++ b/fireflycroft/src/admission_limit.rs
@@ -25,10 +25,10 @@
 pub const RETURNING_LIMIT: f64 = 1.02;
 
 /// The same for those that return after their objective has passed: they have little value, and
-/// hold as much as others.
+/// hold as much memory as others.
 pub const LATE_LIMIT: f64 = 0.9;
 
-/// Share of the memory that is added to the limit for e times the value density.
+/// Share of the memory added to the limit at e times the mean value density, the most that counts.
 const DENSITY_BONUS: f64 = 0.12;
 
 /// Share of the memory up to which short generations are admitted.
@@ -37,8 +37,8 @@
 /// Share of the memory that is reserved for the first rank.
 pub const FIRST_RANK_RESERVE: f64 = 0.05;
 
-/// Share by which the service's memory use may exceed that of the one engine: it includes runs on
-/// departing engines, part of which end before they migrate.
+/// Share by which the memory of all engines may be fuller than that of the one engine: it includes
+/// runs on departing engines, some of which end by themselves.
 const SERVICE_TOLERANCE: f64 = 0.05;
 
 /// Maximum expected tokens of a short answer.
@@ -57,18 +57,19 @@
 /// Weight of the newest generation in the mean of its kind: about a hundred count.
 const TYPICAL_WEIGHT: f64 = 0.01;
 
-/// Maximum ratio to the mean at which a generation enters the mean, so that a caller's absurd sizes
+/// Multiple of the mean up to which a generation counts in the mean, so that a caller's absurd sizes
 /// don't affect others.
 const MAX_RATIO: f64 = 8.0;
 
-/// Consecutive generations below the mean by [`MAX_RATIO`] after which the mean is reset.
+/// Consecutive generations of a kind with less than 1/[`MAX_RATIO`] of the mean memory time after which
+/// the means are computed anew.
 const FAR_BELOW_LIMIT: u8 = 3;
 
-/// Maximum number of kinds.
+/// Number of kinds at which all means are cleared.
 const MAX_KINDS: usize = 4_096;
 
-/// Time to the first event on an engine with capacity: a prompt is read in about 200 ms, and in half
-/// as long again beside others.
+/// Time to the first event on an engine with capacity: a prompt is read in about 200 ms, and takes
+/// half as long again beside others.
 const FIRST_EVENT: Duration = Duration::from_millis(400);
 
 /// Whether a generation is new or returns after a refusal.
@@ -107,12 +108,12 @@
     pub rank: u8,
 }
 
-/// Shares of memory that would be reserved with one more generation.
+/// Reserved shares of memory that an admission depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemoryUsage {
-    /// Share on the best engine for it.
+    /// Share on the best engine for the generation, including it.
     pub engine: f64,
-    /// Share on all engines of the service.
+    /// Share on all engines of the service, without it.
     pub service: f64,
 }
 
--- a/fireflycroft/src/admit.rs
+++ b/fireflycroft/src/admit.rs
@@ -35,7 +35,7 @@
     prompt: u32,
     produced: u64,
     limit: u32,
-    /// Time of its last token; its start before the first one.
+    /// Time of its last token; before the first one, its start.
     at: Time,
 }
 
@@ -94,7 +94,7 @@
 const INTERACTIVE_SLOT_FLOOR_DIVISOR: usize = 4;
 
 /// Fraction of the expected wait that must fit before the deadline of a
-/// request; less than 1 because the expectation errs to both sides.
+/// request; less than 1 because the expected wait may also be too long.
 const REQUIRED_WAIT_FRACTION: f64 = 0.5;
 
 /// A batch request is aged, and capacity is set aside for it, after 1/2 of its
@@ -123,7 +123,7 @@
 /// 1/64.
 const PREFILL_RISE_SMOOTHING: u32 = 64;
 
-/// Maximum number of steps that a batch request is held back for its prefill.
+/// Wait, in steps, after which a batch request's prefill no longer holds it back.
 const MAX_PREFILL_DELAY_STEPS: u32 = 192;
 
 /// Steps by which prefill may delay interactive answers.
@@ -243,7 +243,7 @@
             .record_progress(&admitted.key, before, produced);
         let count = produced.saturating_sub(before);
         self.tokens_since_forecast += count;
-        // Needed without offers too: the load sent to entries depends on it.
+        // Also needed when no offers arrive: the load sent to entries depends on it.
         self.refresh_forecast();
         if count == 0 {
             return;
@@ -347,9 +347,9 @@
         priority == Priority::Batch || self.leaves_capacity_for_aged(now, &waiting.forecast)
     }
 
-    /// Returns whether prefill of this prompt, with the prefills under way,
-    /// delays the next token of the others within bounds. A request held back
-    /// for `MAX_PREFILL_DELAY_STEPS` runs in any case.
+    /// Returns whether prefill of this prompt, with the prefills in progress,
+    /// delays the next token of the others within bounds. A request that has
+    /// waited for `MAX_PREFILL_DELAY_STEPS` may start in any case.
     fn may_start_prefill(&self, now: Time, waiting: &WaitingRequest) -> bool {
         if now.since(waiting.arrived) >= self.step * MAX_PREFILL_DELAY_STEPS {
             return true;
--- a/fireflycroft/src/cold.rs
+++ b/fireflycroft/src/cold.rs
@@ -2,7 +2,7 @@
 //!
 //! An upstream is cold for some time after it starts, and may become so again;
 //! too many requests then crash it. The bound holds for the requests of all
-//! entries in any second, even across network partitions, so entries don't
+//! entries in any second, even across network partitions, so entries can't
 //! coordinate: each derives its share from the number of entries and its own
 //! name. Where the bound is less than one request per entry, a hash of entry and
 //! upstream selects those that may send one. The number selected varies, so the
@@ -26,7 +26,7 @@
 pub struct ColdLimits {
     /// Multiple of the cold rate of the service's upstreams.
     pub overshoot: f64,
-    /// Additional requests.
+    /// Requests added to that.
     pub slack: f64,
 }
 
--- a/fireflycroft/src/lib.rs
+++ b/fireflycroft/src/lib.rs
@@ -4,14 +4,14 @@
 //! clocks, threads or global state. Time and randomness are passed in as arguments, and actions are
 //! returned as values.
 //!
-//! It has two users, each with modules of its own:
+//! It has two parts, each with modules of its own:
 //!
 //! - the agents' path (`fireflyd`): [`Entry`] and [`Agent`] with `member`, `route`, `admit`,
 //!   `placement`, `lease`, `claim` and related modules;
 //! - the direct entry (`fireflydirect`): [`Pool`] with `upstream`, `listing`, `loads`, `pace` and
 //!   `admission_limit` selects the upstream of a request, and `evacuation`, `cold`, `rate_limit`
 //!   and `region` exclude upstreams; `owners`, `retry_budget`, `returning_callers`, `watchers` and
-//!   `store_connectivity` hold what entries know of each other and of the platform's store;
+//!   `store_connectivity` hold state about other entries and about the platform's store;
 //!   `attempt`, `relay` and `failover` handle one request.
 //!
 //! A direct entry that knows two engines sends a generation to the less loaded one:
--- a/fireflycroft/src/listing.rs
+++ b/fireflycroft/src/listing.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Returns the record, with the state set to leaving if its upstream left before the store was restored.
+    /// Returns the record, set to leaving if its upstream left before the store was restored.
     ///
     /// An incarnation that announced its leaving, or was removed, never takes new work again. Until it
     /// writes its record in the new era, the restored list contains an older one.
--- a/fireflycroft/src/mechanism.rs
+++ b/fireflycroft/src/mechanism.rs
@@ -1,7 +1,7 @@
 //! Mechanisms of the direct entry that can be switched off, one by one.
 //!
-//! All are on by default. Operators switch one off if it does harm in an incident;
-//! measurements do so to determine its effect.
+//! All are on by default. Operators switch one off if it does harm in an incident,
+//! and measurements to determine its effect.
 
 use std::fmt;
 use std::str::FromStr;
@@ -17,7 +17,7 @@
     Departures,
     /// Admission limits for generations ([`crate::is_admitted`]).
     AdmissionLimits,
-    /// Knowing refused callers when they come back ([`crate::ReturningCallers`]).
+    /// Recognition of refused callers when they return ([`crate::ReturningCallers`]).
     ReturningCallers,
     /// Preference by value density at admission ([`crate::ValueDensities`]).
     ValueDensities,
@@ -29,11 +29,11 @@
     Shared,
     /// Cost of failures in the choice of an upstream.
     Failing,
-    /// Trying a call to the store beside one that hangs ([`crate::HedgedCall`]).
+    /// Hedged calls to the store ([`crate::HedgedCall`]).
     Hedging,
-    /// Sending callers back after an outage ([`crate::unconfigured_retry_after`]).
+    /// Longer retry times for callers in an outage ([`crate::unconfigured_retry_after`]).
     Outage,
-    /// Asking the owners of upstreams for their load ([`crate::owners_of`]).
+    /// Load queries to the owners of upstreams ([`crate::owners_of`]).
     Owners,
 }
 
--- a/fireflycroft/src/missing.rs
+++ b/fireflycroft/src/missing.rs
@@ -28,7 +28,7 @@
         self.store_connectivity = StoreConnectivity::new(heartbeat);
     }
 
-    /// Records an answer of the store; returns true if records may have expired in the silence before it.
+    /// Records an answer of the store; returns true if records may have expired in the silence before.
     pub fn record_store_answer(&mut self, at: Time) -> bool {
         self.store_connectivity.record_answer(at)
     }
--- a/fireflycroft/tests/admission_load.rs
+++ b/fireflycroft/tests/admission_load.rs
@@ -1,7 +1,7 @@
 //! Simulation of admission under load, in virtual time.
 //!
-//! Guards against refusing callers while a fifth of all memory or more is free: where a request takes a
-//! fifth of an engine, a limit lowered by a quarter of the memory for a low value density wastes capacity.
+//! Guards against refusals while a fifth of all memory or more is free: where a request takes a fifth of
+//! an engine, lowering the limit by a quarter of the memory for a low value density wastes capacity.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -24,14 +24,16 @@
     heavy_load_admits_higher_value_densities => heavy_load_by_density();
 }
 
-/// Serving engines, each with memory for about five generations.
+/// Serving engines.
 const ENGINES: u64 = 36;
+
+/// Tokens of memory per engine, enough for about five generations.
 const MEMORY: u64 = 22_054;
 
-/// Time of an engine for a token.
+/// Milliseconds that an engine takes for a token.
 const TOKEN_MILLIS: u64 = 10;
 
-/// Length of the load.
+/// Milliseconds of simulated load.
 const LOAD_MILLIS: u64 = 40_000;
 
 /// One caller's generation.
@@ -100,7 +102,7 @@
     pool
 }
 
-/// Simulates callers with a mean gap of `mean_gap_millis`, each of whom returns once.
+/// Simulates callers with a mean gap of `mean_gap_millis`; a refused one returns once.
 fn simulate(mean_gap_millis: u64) -> Outcome {
     let mut pool = engines();
     let mut rng = Rng(7);
@@ -176,7 +178,7 @@
     outcome
 }
 
-/// Counts the engines beyond their memory.
+/// Counts the engines whose runs hold more than their memory.
 fn beyond_memory(running: &[Running], millis: u64) -> u64 {
     let mut held: BTreeMap<UpstreamIx, u64> = BTreeMap::new();
     for run in running {
@@ -191,7 +193,7 @@
     all.iter().sum::<f64>() / f64::from(count)
 }
 
-/// Expected answers and prompts take two thirds of the memory.
+/// Load whose expected answers and prompts take two thirds of the memory.
 fn moderate_load() {
     let outcome = simulate(50);
     assert!(outcome.requested > 700, "{}", outcome.requested);
@@ -203,7 +205,7 @@
     );
 }
 
-/// Half as many again: memory may run out on one engine in a hundred.
+/// Load half as high again: an engine's memory may run out for at most 1% of the time.
 fn heavy_load() {
     let outcome = simulate(33);
     let share = outcome.beyond_memory * 100 / (ENGINES * LOAD_MILLIS);
