--- a/fireflycroft-wire/src/entry_news.rs
+++ b/fireflycroft-wire/src/entry_news.rs
@@ -65,7 +65,7 @@
 
 fn told_rate(told: &ToldRate) -> pb::ToldRate {
     pb::ToldRate {
-        life: Some(life(&told.life)),
+        life: Some(life(&told.upstream)),
         thousandths: told.limit.map(RateLimit::thousandths),
         age_ms: millis_of(told.age),
     }
@@ -74,7 +74,7 @@
 fn read_told_rate(told: &pb::ToldRate) -> Result<ToldRate, WireError> {
     let told_life = told.life.as_ref();
     Ok(ToldRate {
-        life: read_life(told_life.ok_or(WireError::Missing("rate_limits.life"))?)?,
+        upstream: read_life(told_life.ok_or(WireError::Missing("rate_limits.life"))?)?,
         limit: told.thousandths.map(RateLimit::from_thousandths),
         age: Duration::from_millis(told.age_ms.into()),
     })
--- a/fireflycroft-wire/tests/entry_news.rs
+++ b/fireflycroft-wire/tests/entry_news.rs
@@ -172,12 +172,12 @@
         departing: vec![life()],
         rate_limits: vec![
             ToldRate {
-                life: life(),
+                upstream: life(),
                 limit: RateLimit::new(2.5),
                 age: Duration::from_millis(70),
             },
             ToldRate {
-                life: life(),
+                upstream: life(),
                 limit: None,
                 age: Duration::ZERO,
             },
--- a/fireflycroft/src/leave_notice.rs
+++ b/fireflycroft/src/leave_notice.rs
@@ -39,10 +39,10 @@
     pub fn apply_leave_notice(
         &mut self,
         now: Time,
-        life: &UpstreamIncarnation,
+        upstream: &UpstreamIncarnation,
     ) -> Option<PoolChange> {
-        let ix = self.find(&life.instance)?;
-        if self.record(ix).incarnation != life.incarnation {
+        let ix = self.find(&upstream.instance)?;
+        if self.record(ix).incarnation != upstream.incarnation {
             return None;
         }
         self.record_leave_notice(now, ix)
--- a/fireflycroft/src/loads.rs
+++ b/fireflycroft/src/loads.rs
@@ -47,11 +47,11 @@
         }
         for at in placed {
             let known = self.find(&at.instance);
-            let same_life = |ix: &UpstreamIx| self.record(*ix).incarnation == at.incarnation;
-            if let Some(ix) = known.filter(same_life) {
+            let same_incarnation = |ix: &UpstreamIx| self.record(*ix).incarnation == at.incarnation;
+            if let Some(ix) = known.filter(same_incarnation) {
                 let u = &mut self.upstreams[ix.0];
                 u.announced_work
-                    .retain(|_, (told_at, _)| now.since(*told_at) < ANNOUNCEMENT_LIFETIME);
+                    .retain(|_, (time, _)| now.since(*time) < ANNOUNCEMENT_LIFETIME);
                 u.announced_work.insert(entry.clone(), (now, at.placed));
                 u.pace.apply_other(entry, at.pace);
                 self.announced_by
@@ -141,10 +141,10 @@
         entry: &Name,
         incarnations: &[UpstreamIncarnation],
     ) -> Vec<OwnedLoad> {
-        let known = incarnations.iter().filter_map(|life| {
-            let u = &self.upstreams[self.find(&life.instance)?.0];
-            (u.record.incarnation == life.incarnation).then(|| OwnedLoad {
-                upstream: life.clone(),
+        let known = incarnations.iter().filter_map(|upstream| {
+            let u = &self.upstreams[self.find(&upstream.instance)?.0];
+            (u.record.incarnation == upstream.incarnation).then(|| OwnedLoad {
+                upstream: upstream.clone(),
                 serves: u.is_serving() && u.witnesses(now) < MIN_WITNESSES,
                 placed: u.own_work.plus(u.announced(now, Some(entry))),
                 pace: u.pace.except(entry),
@@ -157,12 +157,12 @@
     ///
     /// Upstreams that leave during a store outage stay on the list and look empty. Without reports
     /// each entry would have to find out itself, and refuse callers after three of them in a row.
-    pub fn record_unreachable(&mut self, now: Time, entry: &Name, life: &UpstreamIncarnation) {
-        let Some(ix) = self.find(&life.instance) else {
+    pub fn record_unreachable(&mut self, now: Time, entry: &Name, upstream: &UpstreamIncarnation) {
+        let Some(ix) = self.find(&upstream.instance) else {
             return;
         };
         let u = &mut self.upstreams[ix.0];
-        if u.record.incarnation == life.incarnation {
+        if u.record.incarnation == upstream.incarnation {
             u.unreachable
                 .retain(|_, at| now.since(*at) < UNREACHABLE_FOR);
             u.unreachable.insert(entry.clone(), now);
--- a/fireflycroft/src/rate_limit.rs
+++ b/fireflycroft/src/rate_limit.rs
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ToldRate {
     /// Incarnation of the upstream.
-    pub life: UpstreamIncarnation,
+    pub upstream: UpstreamIncarnation,
     /// The limit; none once it is lifted.
     pub limit: Option<RateLimit>,
     /// Time since the effective time.
@@ -153,9 +153,9 @@
         now: Time,
         announced: &ToldRate,
     ) -> Option<(UpstreamIx, RateChange)> {
-        let ix = self.find(&announced.life.instance)?;
+        let ix = self.find(&announced.upstream.instance)?;
         let u = &mut self.upstreams[ix.0];
-        if u.record.incarnation != announced.life.incarnation {
+        if u.record.incarnation != announced.upstream.incarnation {
             return None;
         }
         let change = u.rate.apply(now, now - announced.age, announced.limit)?;
@@ -172,7 +172,7 @@
         let announced = announced.into_iter().filter_map(|u| {
             u.rate.announced_at = Some(now);
             Some(ToldRate {
-                life: u.record.upstream_incarnation(),
+                upstream: u.record.upstream_incarnation(),
                 limit: u.rate.limit,
                 age: now.since(u.rate.as_of?),
             })
--- a/fireflycroft/tests/rate_limit.rs
+++ b/fireflycroft/tests/rate_limit.rs
@@ -100,7 +100,7 @@
 fn other_life() {
     let mut pool = pool(&["a"]);
     let told = ToldRate {
-        life: UpstreamIncarnation {
+        upstream: UpstreamIncarnation {
             instance: Name::from("a"),
             incarnation: Incarnation(7),
         },
