--- a/fireflycroft-wire/src/entry_announcement.rs
+++ b/fireflycroft-wire/src/entry_announcement.rs
@@ -69,7 +69,7 @@
 
 fn rate_limit(rate_limit: &ToldRate) -> pb::ToldRate {
     pb::ToldRate {
-        life: Some(life(&rate_limit.life)),
+        life: Some(life(&rate_limit.upstream)),
         thousandths: rate_limit.limit.map(RateLimit::thousandths),
         age_ms: millis(rate_limit.age),
     }
@@ -78,7 +78,7 @@
 fn read_rate_limit(rate_limit: &pb::ToldRate) -> Result<ToldRate, WireError> {
     let life = rate_limit.life.as_ref();
     Ok(ToldRate {
-        life: read_life(life.ok_or(WireError::Missing("rate_limits.life"))?)?,
+        upstream: read_life(life.ok_or(WireError::Missing("rate_limits.life"))?)?,
         limit: rate_limit.thousandths.map(RateLimit::from_thousandths),
         age: Duration::from_millis(rate_limit.age_ms.into()),
     })
--- a/fireflycroft/src/listing.rs
+++ b/fireflycroft/src/listing.rs
@@ -1,12 +1,12 @@
-//! Following the list of upstreams: records that come, change and go.
+//! Updates of the pool from records of the upstream list.
 //!
-//! Each record carries the revision of the list at which it was written, and the
-//! newest of an upstream holds, whatever order they come in and from whom.
+//! Each record carries the revision of the list at which it was written. The newest
+//! record of an upstream holds, whatever the order and the source of records.
 //!
-//! An upstream may start again under its id. Its start goes before the revision:
-//! a record of an older start is stale whenever it was written, and one of a
-//! newer start ends the old life, which gets no successor in its place but one
-//! beside it, so that whatever still refers to the old life finds it ended.
+//! An upstream may restart under the same id. The start takes precedence over the
+//! revision: a record of an older start is stale whenever it was written, and one of
+//! a newer start ends the old incarnation. The new incarnation gets an entry of its
+//! own in the pool, so that references to the old one find it ended.
 
 use crate::ids::{Digest, Name};
 use crate::leave_notice::LeaveNotice;
@@ -21,26 +21,26 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// What changed for those who have work on an upstream.
+/// Change of an upstream that affects the work on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolChange {
-    /// A new upstream came.
-    Came(UpstreamIx),
-    /// An upstream leaves or is gone from the list.
+    /// An upstream newly takes work.
+    Available(UpstreamIx),
+    /// An upstream leaves or was removed from the list.
     Leaves(UpstreamIx),
-    /// An upstream started again under its id.
+    /// An upstream restarted under the same id.
     Restarted {
-        /// The life that has ended, with all that it ran and held.
+        /// The old incarnation; its runs and its memory are lost.
         ended: UpstreamIx,
-        /// The life that has begun.
+        /// The new incarnation.
         begun: UpstreamIx,
     },
-    /// The record of an upstream can't be read any more.
+    /// The record of an upstream became unreadable.
     Unreadable(UpstreamIx),
-    /// The list lacks an upstream, which may live all the same.
+    /// The list lacks an upstream that may still be alive.
     Missing(UpstreamIx),
-    /// An upstream that was missing is on the list again.
-    Back {
+    /// A missing upstream is on the list again.
+    Relisted {
         /// The upstream.
         ix: UpstreamIx,
         /// Time for which it was missing.
@@ -48,69 +48,68 @@
     },
 }
 
-/// A change of the list of upstreams, as entries tell it each other.
+/// Change of the list of upstreams, as announced between entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListChange {
     /// An upstream wrote its record.
     Listed(UpstreamRecord),
-    /// An upstream is no longer on the list.
+    /// An upstream was removed from the list.
     Removed {
         /// The upstream.
         instance: Name,
-        /// Revision of the list at which it went.
+        /// Revision of its removal.
         revision: u64,
     },
 }
 
-/// Changes of the list since a revision, as entries hand them to those who know it as of then.
+/// Changes of the list since a revision, as sent to an entry that knows the list as of then.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChangesSince {
     /// Records that were written.
     pub listed: Vec<UpstreamRecord>,
-    /// Upstreams, known before, that only said that they leave, with the revision.
+    /// Upstreams, known before, of which only the state changed to leaving, with the revision.
     pub leaving: Vec<(Name, u64)>,
-    /// Upstreams that are no longer on the list, with the revision of their removal.
+    /// Upstreams removed from the list, with the revision of the removal.
     pub removed: Vec<(Name, u64)>,
 }
 
-/// Changes of the list that are kept to be told.
-const MAX_CHANGES: usize = 16;
+/// Maximum number of recent changes kept to be announced.
+const MAX_ANNOUNCED_CHANGES: usize = 16;
 
-/// Time for which a change of the list is told again and again.
-const TELL_FOR: Duration = Duration::from_millis(1_200);
+/// Time for which a change of the list is announced repeatedly.
+const CHANGE_ANNOUNCE_TIME: Duration = Duration::from_millis(1_200);
 
-/// Time for which an upstream that is gone is remembered, so that an older
-/// record can't bring it back.
-const REMEMBER_GONE: Duration = Duration::from_mins(1);
+/// Time for which a removed upstream is kept, so that an older record can't add it again.
+const REMOVED_RETENTION: Duration = Duration::from_mins(1);
 
 impl Pool {
-    /// Takes a record unless it is older than the one held.
-    pub fn learn(&mut self, now: Time, record: UpstreamRecord) -> Option<PoolChange> {
+    /// Inserts or updates an upstream by its record, unless the held one is newer.
+    pub fn upsert(&mut self, now: Time, record: UpstreamRecord) -> Option<PoolChange> {
         self.revision = self.revision.max(record.revision);
-        let record = self.unless_left_before(record);
+        let record = self.with_departure_kept(record);
         let Some(ix) = self.find(&record.instance) else {
-            return self.meet(now, record);
+            return self.add_new(now, record);
         };
         let u = &self.upstreams[ix.0];
-        match judge(&u.record, &record) {
-            Word::Stale => return None,
-            Word::Restart => return Some(self.restart(now, ix, record)),
-            Word::Foreign => {
+        match classify(&u.record, &record) {
+            RecordKind::Stale => return None,
+            RecordKind::Restart => return Some(self.restart(now, ix, record)),
+            RecordKind::Foreign => {
                 let lost = self.unreadable(&record.instance, record.revision)?;
-                return self.learn(now, lost);
+                return self.upsert(now, lost);
             }
-            Word::News => {}
+            RecordKind::Update => {}
         }
-        self.note_change(now, ListChange::Listed(record.clone()));
+        self.record_change(now, ListChange::Listed(record.clone()));
         self.digest ^= digest_of(&record);
         let u = &mut self.upstreams[ix.0];
-        if !u.gone {
+        if !u.removed {
             self.digest ^= digest_of(&u.record);
         }
-        // One that was written before the list lacked it says nothing of now.
+        // A record written before the list lacked the upstream doesn't show that it is listed again.
         let was_missing = u.missing.take_if(|m| m.revision < record.revision);
         let was_serving = u.is_serving();
-        u.gone = false;
+        u.removed = false;
         u.cold_until = now + record.cold_for;
         u.record = record;
         match (was_serving, u.record.state) {
@@ -120,75 +119,76 @@
             }
             (false, UpstreamState::Serving) if u.is_serving() => {
                 u.left_at = None;
-                Some(PoolChange::Came(ix))
+                Some(PoolChange::Available(ix))
             }
             (true, UpstreamState::Unreadable) => Some(PoolChange::Unreadable(ix)),
-            _ => was_missing.map(|missing| PoolChange::Back {
+            _ => was_missing.map(|missing| PoolChange::Relisted {
                 ix,
                 missing_for: now.since(missing.since),
             }),
         }
     }
 
-    /// A record as it stands, but for one that a restored store has of the time before its upstream left.
+    /// Returns the record, set to leaving if its upstream left before the store was restored.
     ///
-    /// A life that has announced its leaving, or is gone, doesn't take new work again; until it has
-    /// written its record in the new era, the list has the old one.
-    fn unless_left_before(&self, record: UpstreamRecord) -> UpstreamRecord {
+    /// An incarnation that announced its leaving, or was removed, never takes new work again. Until it
+    /// writes its record in the new era, the restored list contains an older one.
+    fn with_departure_kept(&self, record: UpstreamRecord) -> UpstreamRecord {
         let Some(ix) = self.find(&record.instance) else {
             return record;
         };
         let held = &self.upstreams[ix.0];
         let is_of_later_era = era_of(record.revision) > era_of(held.record.revision);
-        let is_same_life = record.incarnation.is_known() && record.life() == held.record.life();
-        let had_left = held.gone || held.record.state == UpstreamState::Leaving;
-        if is_of_later_era && is_same_life && had_left {
+        let is_same_incarnation = record.incarnation.is_known()
+            && record.upstream_incarnation() == held.record.upstream_incarnation();
+        let had_left = held.removed || held.record.state == UpstreamState::Leaving;
+        if is_of_later_era && is_same_incarnation && had_left {
             let state = UpstreamState::Leaving;
             return UpstreamRecord { state, ..record };
         }
         record
     }
 
-    /// Takes the first record of an upstream.
-    fn meet(&mut self, now: Time, record: UpstreamRecord) -> Option<PoolChange> {
-        let lacked = self.is_lacked(record.revision);
-        if lacked && self.is_settled(now) {
+    /// Adds an unknown upstream, unless the list is known to lack it.
+    fn add_new(&mut self, now: Time, record: UpstreamRecord) -> Option<PoolChange> {
+        let is_unlisted = self.is_missing_from_list(record.revision);
+        if is_unlisted && self.is_settled(now) {
             return None;
         }
-        let revision = self.listed_at;
-        self.note_change(now, ListChange::Listed(record.clone()));
+        let revision = self.list_revision;
+        self.record_change(now, ListChange::Listed(record.clone()));
         let change = self.add(now, record);
-        if lacked && let PoolChange::Came(ix) = change {
+        if is_unlisted && let PoolChange::Available(ix) = change {
             self.mark_missing(now, ix, revision);
         }
         Some(change)
     }
 
-    /// Ends a life whose id a later one has taken.
+    /// Ends an incarnation and adds the later one that has taken its id.
     fn restart(&mut self, now: Time, old: UpstreamIx, record: UpstreamRecord) -> PoolChange {
         let u = &mut self.upstreams[old.0];
-        // Its id may have gone from the list since the new life wrote its record.
+        // The id may have been removed from the list since the new incarnation wrote its record.
         let missing = u.missing.take_if(|m| m.revision >= record.revision);
-        if !u.gone {
+        if !u.removed {
             self.digest ^= digest_of(&u.record);
         }
-        u.gone = true;
+        u.removed = true;
         u.ended = true;
         u.left_at = Some(now);
-        u.others.clear();
+        u.announced_work.clear();
         u.replied = None;
-        self.note_change(now, ListChange::Listed(record.clone()));
+        self.record_change(now, ListChange::Listed(record.clone()));
         let begun = self.insert(now, record);
         self.upstreams[begun.0].missing = missing;
         PoolChange::Restarted { ended: old, begun }
     }
 
-    /// What the list says of an upstream whose record, as of `revision`, can't be read; nothing of
-    /// one that isn't known.
+    /// Returns the record to hold for an upstream whose listed record is unreadable as of `revision`;
+    /// `None` for an unknown or removed upstream.
     #[must_use]
     pub fn unreadable(&self, instance: &str, revision: u64) -> Option<UpstreamRecord> {
         let held = &self.upstreams[self.find(instance)?.0];
-        if held.gone {
+        if held.removed {
             return None;
         }
         Some(UpstreamRecord {
@@ -199,49 +199,49 @@
     }
 
     fn add(&mut self, now: Time, record: UpstreamRecord) -> PoolChange {
-        let leaving = record.state == UpstreamState::Leaving;
+        let is_leaving = record.state == UpstreamState::Leaving;
         let ix = self.insert(now, record);
-        if leaving {
+        if is_leaving {
             PoolChange::Leaves(ix)
         } else {
-            PoolChange::Came(ix)
+            PoolChange::Available(ix)
         }
     }
 
     fn insert(&mut self, now: Time, record: UpstreamRecord) -> UpstreamIx {
-        let leaving = record.state == UpstreamState::Leaving;
+        let is_leaving = record.state == UpstreamState::Leaving;
         let upstream = Upstream {
             cold_until: now + record.cold_for,
             memory_tokens: self.memory_of.get(&record.service).copied(),
-            met_at: record.revision,
+            first_revision: record.revision,
             record,
             sent_requests: SentRequests::default(),
             rate: KnownRate::default(),
-            gone: false,
+            removed: false,
             ended: false,
-            left_at: leaving.then_some(now),
+            left_at: is_leaving.then_some(now),
             leave_notice: LeaveNotice::default(),
             missing: None,
-            mine: Placed::default(),
-            others: HashMap::new(),
+            own_work: Placed::default(),
+            announced_work: HashMap::new(),
             unreachable: HashMap::new(),
             replied: None,
             avoid_until: Time::default(),
             paused_until: Time::default(),
             failing: 0.0,
-            read: HashMap::new(),
+            shared_prompts: HashMap::new(),
             pace: ObservedPace::default(),
         };
         let free = |u: &Upstream| {
-            u.gone
-                && u.mine == Placed::default()
-                && u.left_at.is_none_or(|t| now.since(t) > REMEMBER_GONE)
+            u.removed
+                && u.own_work == Placed::default()
+                && u.left_at.is_none_or(|t| now.since(t) > REMOVED_RETENTION)
         };
         let service = upstream.record.service.clone();
         let instance = upstream.record.instance.clone();
         self.digest ^= digest_of(&upstream.record);
         let at = if let Some(at) = self.upstreams.iter().position(free) {
-            self.take_out(at);
+            self.remove_from_indices(at);
             self.upstreams[at] = upstream;
             at
         } else {
@@ -253,10 +253,10 @@
         UpstreamIx(at)
     }
 
-    /// Takes an upstream that is gone out of the indices.
-    fn take_out(&mut self, at: usize) {
+    /// Removes an upstream from the indices by instance and by service.
+    fn remove_from_indices(&mut self, at: usize) {
         let record = &self.upstreams[at].record;
-        // A later life may have taken the id.
+        // A later incarnation may have taken the id.
         if self.by_instance.get(&record.instance) == Some(&at) {
             self.by_instance.remove(&record.instance);
         }
@@ -265,88 +265,83 @@
         }
     }
 
-    fn note_change(&mut self, now: Time, change: ListChange) {
+    fn record_change(&mut self, now: Time, change: ListChange) {
         self.changes.push_back((now, change));
-        if self.changes.len() > MAX_CHANGES {
+        if self.changes.len() > MAX_ANNOUNCED_CHANGES {
             self.changes.pop_front();
         }
     }
 
-    /// Changes of the list of late, to tell the others.
+    /// Returns the recent changes of the list, to announce to other entries.
     #[must_use]
     pub fn list_changes(&self, now: Time) -> Vec<ListChange> {
-        let fresh = |(at, _): &&(Time, ListChange)| now.since(*at) < TELL_FOR;
+        let fresh = |(at, _): &&(Time, ListChange)| now.since(*at) < CHANGE_ANNOUNCE_TIME;
         let changes = self.changes.iter().filter(fresh);
         changes.map(|(_, change)| change.clone()).collect()
     }
 
-    /// Takes a change that another entry told.
-    pub fn take_change(&mut self, now: Time, change: ListChange) -> Option<PoolChange> {
+    /// Applies a change that another entry announced.
+    pub fn apply_change(&mut self, now: Time, change: ListChange) -> Option<PoolChange> {
         match change {
-            ListChange::Listed(record) => self.learn(now, record),
-            ListChange::Removed { instance, revision } => self.forget(now, &instance, revision),
+            ListChange::Listed(record) => self.upsert(now, record),
+            ListChange::Removed { instance, revision } => self.remove(now, &instance, revision),
         }
     }
 
-    /// Digest of the list; two entries with the same one know the same upstreams.
+    /// Returns the digest of the list; entries with equal digests know the same upstreams.
     #[must_use]
     pub const fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Changes since a revision that are still remembered.
+    /// Returns the changes since a revision, as far as they are still kept.
     #[must_use]
-    pub fn since(&self, revision: u64) -> ChangesSince {
+    pub fn changes_since(&self, revision: u64) -> ChangesSince {
         let mut changes = ChangesSince::default();
         for u in &self.upstreams {
             if u.ended || u.record.revision <= revision {
                 continue;
             }
-            let word = (u.record.instance.clone(), u.record.revision);
-            let is_known = u.met_at <= revision;
+            let name_and_revision = (u.record.instance.clone(), u.record.revision);
+            let is_known = u.first_revision <= revision;
             match u.record.state {
-                _ if u.gone => changes.removed.push(word),
-                UpstreamState::Leaving if is_known => changes.leaving.push(word),
+                _ if u.removed => changes.removed.push(name_and_revision),
+                UpstreamState::Leaving if is_known => changes.leaving.push(name_and_revision),
                 _ => changes.listed.push(u.record.clone()),
             }
         }
         changes
     }
 
-    /// Notes that an upstream has said that it leaves, as of `revision`.
-    pub fn learn_leaving(
-        &mut self,
-        now: Time,
-        instance: &str,
-        revision: u64,
-    ) -> Option<PoolChange> {
+    /// Records that an upstream leaves, as of `revision`.
+    pub fn mark_leaving(&mut self, now: Time, instance: &str, revision: u64) -> Option<PoolChange> {
         let held = &self.upstreams[self.find(instance)?.0].record;
         let record = UpstreamRecord {
             state: UpstreamState::Leaving,
             revision,
             ..held.clone()
         };
-        self.learn(now, record)
+        self.upsert(now, record)
     }
 
-    /// Notes that the list no longer has an upstream, as of `revision`.
-    pub fn forget(&mut self, now: Time, instance: &str, revision: u64) -> Option<PoolChange> {
+    /// Removes an upstream that is confirmed to be gone as of `revision`.
+    pub fn remove(&mut self, now: Time, instance: &str, revision: u64) -> Option<PoolChange> {
         self.revision = self.revision.max(revision);
         let ix = self.find(instance)?;
         let u = &mut self.upstreams[ix.0];
         if revision < u.record.revision {
             return None;
         }
-        if u.gone {
+        if u.removed {
             u.record.revision = revision;
             return None;
         }
         self.digest ^= digest_of(&u.record);
         u.record.revision = revision;
-        u.gone = true;
+        u.removed = true;
         u.missing = None;
         let instance = u.record.instance.clone();
-        self.note_change(now, ListChange::Removed { instance, revision });
+        self.record_change(now, ListChange::Removed { instance, revision });
         let u = &mut self.upstreams[ix.0];
         if u.left_at.is_some() {
             return None;
@@ -355,58 +350,58 @@
         Some(PoolChange::Leaves(ix))
     }
 
-    /// Forgets upstreams that a list as of `revision` surely lacks.
-    pub fn forget_others(
+    /// Removes the upstreams that a confirmed list as of `revision` lacks.
+    pub fn remove_unlisted(
         &mut self,
         now: Time,
         listed: &[UpstreamRecord],
         revision: u64,
     ) -> Vec<PoolChange> {
         let listed: HashSet<&Name> = listed.iter().map(|r| &r.instance).collect();
-        let lacks = |u: &&Upstream| {
+        let is_unlisted = |u: &&Upstream| {
             let known = &u.record;
-            !u.gone && !listed.contains(&known.instance) && known.revision <= revision
+            !u.removed && !listed.contains(&known.instance) && known.revision <= revision
         };
-        let names = self.upstreams.iter().filter(lacks);
+        let names = self.upstreams.iter().filter(is_unlisted);
         let names: Vec<Name> = names.map(|u| u.record.instance.clone()).collect();
         names
             .iter()
-            .filter_map(|name| self.forget(now, name, revision))
+            .filter_map(|name| self.remove(now, name, revision))
             .collect()
     }
 }
 
-/// What a record says against the one that is held.
-enum Word {
-    /// Nothing new.
+/// Kind of a received record, compared with the held one.
+enum RecordKind {
+    /// Older than the held one, or as old.
     Stale,
-    /// The same life has written it.
-    News,
-    /// A later life has.
+    /// Newer record of the same incarnation.
+    Update,
+    /// Record of a later incarnation.
     Restart,
-    /// It is not the upstream's own.
+    /// Not written by the upstream itself.
     Foreign,
 }
 
-/// Tells whose word a record is.
+/// Classifies a received record against the held one.
 ///
-/// A life keeps its service and its address, and says of its start all along what it said once; a
-/// record that doesn't was written by somebody else.
-fn judge(held: &UpstreamRecord, told: &UpstreamRecord) -> Word {
-    let moved = told.service != held.service || told.addr != held.addr;
-    match (held.incarnation.is_known(), told.incarnation.is_known()) {
-        (true, true) if told.incarnation > held.incarnation => Word::Restart,
-        (true, true) if told.incarnation < held.incarnation => Word::Stale,
-        _ if told.revision <= held.revision => Word::Stale,
-        // What was held without a start was a stranger's word.
-        (false, true) if moved => Word::Restart,
-        (true, false) => Word::Foreign,
-        _ if moved => Word::Foreign,
-        _ => Word::News,
+/// An incarnation never changes its service, its address or a start that it has stated; a record that
+/// does was written by someone else.
+fn classify(held: &UpstreamRecord, received: &UpstreamRecord) -> RecordKind {
+    let moved = received.service != held.service || received.addr != held.addr;
+    match (held.incarnation.is_known(), received.incarnation.is_known()) {
+        (true, true) if received.incarnation > held.incarnation => RecordKind::Restart,
+        (true, true) if received.incarnation < held.incarnation => RecordKind::Stale,
+        _ if received.revision <= held.revision => RecordKind::Stale,
+        // The held record, which states no start, was foreign.
+        (false, true) if moved => RecordKind::Restart,
+        (true, false) => RecordKind::Foreign,
+        _ if moved => RecordKind::Foreign,
+        _ => RecordKind::Update,
     }
 }
 
-/// What one record adds to the digest of a list.
+/// Returns the contribution of a record to the digest of the list.
 #[allow(clippy::cast_possible_truncation)]
 fn digest_of(record: &UpstreamRecord) -> u64 {
     let revision = record.revision.to_le_bytes();
--- a/fireflycroft/src/missing.rs
+++ b/fireflycroft/src/missing.rs
@@ -1,8 +1,8 @@
-//! Upstreams that the list lacks: gone, or missing until the store has answered for long enough.
+//! Upstreams that the list lacks: removed, or missing until the store has answered for long enough.
 //!
-//! Whoever reads the store says what it read and when it answered; whether an
-//! upstream that isn't there any more is gone is decided here, by [`StoreConnectivity`].
-//! What another entry tells as removed is gone: it has decided the same.
+//! The reader of the store passes in what it read and when the store answered. Whether an unlisted
+//! upstream is gone is decided here, by [`StoreConnectivity`]. A removal announced by another entry
+//! is applied at once, since that entry has confirmed it in the same way.
 
 use crate::ids::Name;
 use crate::listing::PoolChange;
@@ -13,71 +13,77 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// An upstream that the list lacks and that may live.
+/// State of an upstream that the list lacks but that may be alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Missing {
-    /// When it was found missing.
+    /// Time at which it was found missing.
     pub(crate) since: Time,
-    /// Revision of the list that lacked it.
+    /// Revision of the list that lacks it.
     pub(crate) revision: u64,
 }
 
 impl Pool {
-    /// Sets the time between two heartbeats of an upstream.
+    /// Sets the interval between heartbeats of an upstream.
     pub const fn set_heartbeat(&mut self, heartbeat: Duration) {
-        self.contact = StoreConnectivity::new(heartbeat);
+        self.store_connectivity = StoreConnectivity::new(heartbeat);
     }
 
-    /// Notes that the store answered; true when records may have lapsed before.
-    pub fn note_contact(&mut self, at: Time) -> bool {
-        self.contact.record_answer(at)
+    /// Records an answer of the store; returns true if records may have expired in the silence before.
+    pub fn record_store_answer(&mut self, at: Time) -> bool {
+        self.store_connectivity.record_answer(at)
     }
 
-    /// Notes that it has come back from a copy.
-    pub const fn note_restored(&mut self, at: Time) {
-        self.contact.record_restored(at);
+    /// Records that the store was restored from a copy.
+    pub const fn record_store_restored(&mut self, at: Time) {
+        self.store_connectivity.record_restored(at);
     }
 
-    /// Notes that it didn't.
-    pub const fn note_no_contact(&mut self) {
-        self.contact.record_failure();
+    /// Records an unanswered call to the store.
+    pub const fn record_store_failure(&mut self) {
+        self.store_connectivity.record_failure();
     }
 
-    /// When the store answered, as far as is known.
+    /// Returns the connectivity of the store, as far as known.
     #[must_use]
-    pub const fn contact(&self) -> &StoreConnectivity {
-        &self.contact
+    pub const fn store_connectivity(&self) -> &StoreConnectivity {
+        &self.store_connectivity
     }
 
-    /// Whether what the list lacks is gone.
+    /// Returns whether upstreams missing from the list are gone.
     #[must_use]
     pub fn is_settled(&self, now: Time) -> bool {
-        self.contact.is_settled(now)
+        self.store_connectivity.is_settled(now)
     }
 
-    /// Takes the removal of a record, read from the store.
-    pub fn remove(&mut self, now: Time, instance: &str, revision: u64) -> Option<PoolChange> {
-        let is_gone = self.contact.confirms_removals(now);
-        self.lose(now, instance, revision, is_gone)
+    /// Applies the removal of a record, read from the store: removes the upstream, or marks it missing
+    /// while removals are unconfirmed.
+    pub fn apply_removal(
+        &mut self,
+        now: Time,
+        instance: &str,
+        revision: u64,
+    ) -> Option<PoolChange> {
+        let is_confirmed = self.store_connectivity.confirms_removals(now);
+        self.remove_or_mark_missing(now, instance, revision, is_confirmed)
     }
 
-    fn lose(
+    fn remove_or_mark_missing(
         &mut self,
         now: Time,
         instance: &str,
         revision: u64,
-        is_gone: bool,
+        is_confirmed: bool,
     ) -> Option<PoolChange> {
-        if is_gone {
-            return self.forget(now, instance, revision);
+        if is_confirmed {
+            return self.remove(now, instance, revision);
         }
         self.revision = self.revision.max(revision);
         let ix = self.find(instance)?;
         self.mark_missing(now, ix, revision)
     }
 
-    /// Takes a whole list as of `revision`, read from the store.
-    pub fn take_list(
+    /// Applies a whole list as of `revision`, read from the store.
+    pub fn apply_list(
         &mut self,
         now: Time,
         records: Vec<UpstreamRecord>,
@@ -85,24 +91,24 @@
     ) -> Vec<PoolChange> {
         let listed: HashSet<Name> = records.iter().map(|r| r.instance.clone()).collect();
         let known = self.records().map(|r| r.instance.clone());
-        let lacked: Vec<Name> = known.filter(|name| !listed.contains(name)).collect();
-        let are_gone = self.is_settled(now);
-        let lacked = lacked.iter();
-        let mut changes: Vec<PoolChange> = lacked
-            .filter_map(|name| self.lose(now, name, revision, are_gone))
+        let unlisted: Vec<Name> = known.filter(|name| !listed.contains(name)).collect();
+        let is_confirmed = self.is_settled(now);
+        let unlisted = unlisted.iter();
+        let mut changes: Vec<PoolChange> = unlisted
+            .filter_map(|name| self.remove_or_mark_missing(now, name, revision, is_confirmed))
             .collect();
-        changes.extend(records.into_iter().filter_map(|r| self.learn(now, r)));
-        self.listed_at = self.listed_at.max(revision);
-        self.note_complete(revision);
+        changes.extend(records.into_iter().filter_map(|r| self.upsert(now, r)));
+        self.list_revision = self.list_revision.max(revision);
+        self.record_complete(revision);
         changes
     }
 
-    /// Whether the list that was read last had no such record, though it was written before.
+    /// Returns whether a record of an unknown upstream predates the last list read, which lacks it.
     ///
-    /// Another entry tells it that hasn't given up the upstream yet; one that is lost before it
-    /// does leaves nobody who would.
-    pub(crate) const fn is_lacked(&self, revision: u64) -> bool {
-        revision <= self.listed_at
+    /// It comes from an entry that hasn't removed the upstream yet. If that entry is lost first, no
+    /// other one announces the removal.
+    pub(crate) const fn is_missing_from_list(&self, revision: u64) -> bool {
+        revision <= self.list_revision
     }
 
     pub(crate) fn mark_missing(
@@ -112,7 +118,7 @@
         revision: u64,
     ) -> Option<PoolChange> {
         let u = &mut self.upstreams[ix.0];
-        let is_known = u.gone || u.missing.is_some();
+        let is_known = u.removed || u.missing.is_some();
         if is_known || u.record.revision > revision {
             return None;
         }
@@ -123,25 +129,26 @@
         Some(PoolChange::Missing(ix))
     }
 
-    /// Forgets upstreams that are missing, once they are gone.
-    pub fn drop_missing(&mut self, now: Time) -> Vec<PoolChange> {
+    /// Removes the missing upstreams once they are confirmed to be gone.
+    pub fn remove_missing(&mut self, now: Time) -> Vec<PoolChange> {
         if !self.is_settled(now) {
             return Vec::new();
         }
         self.clear_unconfirmed_evacuations();
-        let missing = self.upstreams.iter().filter(|u| !u.gone);
+        let missing = self.upstreams.iter().filter(|u| !u.removed);
         let missing = missing.filter_map(|u| Some((u.record.instance.clone(), u.missing?)));
         let missing: Vec<(Name, Missing)> = missing.collect();
-        let gone = missing.into_iter();
-        gone.filter_map(|(name, missing)| self.forget(now, &name, missing.revision))
+        let missing = missing.into_iter();
+        missing
+            .filter_map(|(name, missing)| self.remove(now, &name, missing.revision))
             .collect()
     }
 
-    /// Whether any upstream is missing.
+    /// Returns whether any upstream is missing.
     #[must_use]
     pub fn any_missing(&self) -> bool {
         self.upstreams
             .iter()
-            .any(|u| !u.gone && u.missing.is_some())
+            .any(|u| !u.removed && u.missing.is_some())
     }
 }
--- a/fireflycroft/src/pool.rs
+++ b/fireflycroft/src/pool.rs
@@ -1,9 +1,9 @@
 //! Upstreams that a direct entry drives itself, and its choice among them.
 //!
-//! What this entry has placed is known to it at once; what the others have
-//! placed is known from what they told last. Both are counted in tokens of
-//! memory, prompt and expected answer, since it is memory that engines run out
-//! of. A generation goes where the least of the memory is spoken for.
+//! This entry's own work is known at once, the work of others from their last
+//! announcements and replies. Both are counted in tokens of memory, prompt and
+//! expected answer, since engines run out of memory first. A generation goes to
+//! the engine with the least cost, mainly its reserved share of memory.
 
 use crate::cold::{COLD_SPAN, ColdShare};
 use crate::evacuation::Evacuations;
@@ -19,25 +19,25 @@
 use crate::store_connectivity::StoreConnectivity;
 use crate::time::Time;
 use crate::upstream::{
-    FAR_COPY_COST, LIMITED_COPY_COST, READ_FOR, SeenBy, Upstream, UpstreamIx, UpstreamRecord,
-    draw_for, draw_index, share, tie_cost,
+    CostContext, RATE_LIMITED_BACKUP_COST, REMOTE_BACKUP_COST, SHARED_PROMPT_LIFETIME, Upstream,
+    UpstreamIx, UpstreamRecord, draw_fraction, draw_index, share, tie_cost,
 };
 use std::borrow::Cow;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::time::Duration;
 
-/// The upstreams known.
+/// Known upstreams, and the state that a choice among them depends on.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     pub(crate) upstreams: Vec<Upstream>,
     pub(crate) data_centre: Name,
     pub(crate) revision: u64,
-    /// Revision up to which every change of the list is known; some later ones may be, too.
+    /// Revision up to which every change of the list is known; some later ones may be known too.
     pub(crate) complete_to: u64,
-    /// Revision of the last whole list that was read from the store.
-    pub(crate) listed_at: u64,
-    pub(crate) contact: StoreConnectivity,
-    /// Time for which an upstream that leaves may get requests; none until it is set.
+    /// Revision of the last whole list read from the store.
+    pub(crate) list_revision: u64,
+    pub(crate) store_connectivity: StoreConnectivity,
+    /// Time for which a departing upstream may get requests; zero until it is set.
     pub(crate) drain_timeout: Duration,
     pub(crate) changes: VecDeque<(Time, ListChange)>,
     pub(crate) by_instance: HashMap<Name, usize>,
@@ -45,37 +45,37 @@
     pub(crate) digest: u64,
     pub(crate) memory_of: HashMap<Name, u64>,
     pub(crate) pace_of: HashMap<Name, Pace>,
-    /// Upstreams of which each other entry has told this one.
+    /// Upstreams with announced work, by the entry that announced it.
     pub(crate) announced_by: HashMap<Name, HashSet<usize>>,
     pub(crate) policy: Policy,
     pub(crate) regions: Regions,
     pub(crate) fleet: FleetView,
     pub(crate) cold: ColdShare,
-    /// Requests a second that a cold upstream bears, by service.
+    /// Requests per second that a cold upstream can take, by service.
     pub(crate) cold_rate_of: HashMap<Name, f64>,
     pub(crate) evacuations: Evacuations,
-    /// Data centres that were evacuated when the store came back from a copy that doesn't say so.
+    /// Data centres evacuated before the store was restored from a copy that doesn't list them.
     pub(crate) unconfirmed_evacuations: BTreeSet<Name>,
 }
 
-/// Upstreams of a service beyond which a choice looks at a sample of so many.
+/// Maximum number of upstreams that a choice compares; of more it takes a random sample of this size.
 ///
-/// The best of 64 drawn ones is as good as the best of all but for one in sixty, and costs the
-/// same in a fleet of any size.
-const SAMPLE: usize = 64;
+/// On average one in sixty upstreams is better than the best of 64 random ones, and the work of a
+/// choice is the same in a fleet of any size.
+const SAMPLE_SIZE: usize = 64;
 
-/// Part of the time for which an upstream that leaves may get requests that passes before its leaving
-/// is heard of: watches rest for 0.3 s after changes, and news takes some 25 ms to all entries.
-const HEARD_WITHIN: Duration = Duration::from_millis(400);
+/// Time until every entry knows that an upstream leaves, subtracted from the drain timeout: watches
+/// pause for 0.3 s after changes, and an announcement takes about 25 ms to reach all entries.
+const DEPARTURE_NOTICE_DELAY: Duration = Duration::from_millis(400);
 
-/// Parts of prompts remembered for an upstream.
-const MAX_READ: usize = 256;
+/// Number of shared parts of prompts per upstream from which expired ones are removed.
+const MAX_SHARED_PROMPTS: usize = 256;
 
-/// Weight of the newest outcome in the failing share of an upstream.
-const FAILING_WEIGHT: f64 = 0.15;
+/// Weight of the newest outcome in the moving average of an upstream's failures.
+const OUTCOME_WEIGHT: f64 = 0.15;
 
 impl Pool {
-    /// An empty pool of an entry in `data_centre`.
+    /// Creates an empty pool for an entry in `data_centre`.
     #[must_use]
     pub fn new(data_centre: Name) -> Self {
         Self {
@@ -84,60 +84,63 @@
         }
     }
 
-    /// Chooses by these mechanisms from now on.
+    /// Sets the mechanisms used in choices.
     pub const fn set_policy(&mut self, policy: Policy) {
         self.policy = policy;
     }
 
-    /// Highest revision of any record taken.
+    /// Returns the highest revision received.
     #[must_use]
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Revision up to which every change of the list is known.
+    /// Returns the revision up to which every change of the list is known.
     #[must_use]
     pub const fn complete_to(&self) -> u64 {
         self.complete_to
     }
 
-    /// Notes that every change of the list up to a revision is known.
-    pub fn note_complete(&mut self, revision: u64) {
+    /// Records that every change of the list up to a revision is known.
+    pub fn record_complete(&mut self, revision: u64) {
         self.complete_to = self.complete_to.max(revision);
     }
 
-    /// Upstreams that are not gone.
+    /// Returns the records of the upstreams that have not been removed.
     pub fn records(&self) -> impl Iterator<Item = &UpstreamRecord> {
-        self.upstreams.iter().filter(|u| !u.gone).map(|u| &u.record)
+        self.upstreams
+            .iter()
+            .filter(|u| !u.removed)
+            .map(|u| &u.record)
     }
 
-    /// Indices of the same.
+    /// Returns the indices of the same upstreams.
     #[must_use]
-    pub fn known(&self) -> Vec<UpstreamIx> {
+    pub fn indices(&self) -> Vec<UpstreamIx> {
         let all = self.upstreams.iter().enumerate();
-        all.filter(|(_, u)| !u.gone)
+        all.filter(|(_, u)| !u.removed)
             .map(|(i, _)| UpstreamIx(i))
             .collect()
     }
 
-    /// The record of an upstream.
+    /// Returns the record of an upstream.
     #[must_use]
     pub fn record(&self, ix: UpstreamIx) -> &UpstreamRecord {
         &self.upstreams[ix.0].record
     }
 
-    /// Whether an upstream takes new work, as far as is known.
+    /// Returns whether an upstream takes new work, as far as known.
     #[must_use]
     pub fn is_serving(&self, ix: UpstreamIx) -> bool {
         self.upstreams[ix.0].is_serving()
     }
 
-    /// Shares what the fleet may send among these entries.
+    /// Sets the entries among which the fleet's request limits are shared.
     pub fn set_fleet(&mut self, fleet: FleetView) {
         self.fleet = fleet;
     }
 
-    /// Notes that a request is about to be sent to an upstream.
+    /// Records that a request is about to be sent to an upstream.
     pub fn record_sending(&mut self, now: Time, ix: UpstreamIx) {
         let u = &mut self.upstreams[ix.0];
         if u.rate.is_known() {
@@ -147,40 +150,40 @@
         }
     }
 
-    /// Sets the time for which an upstream that leaves may get requests.
+    /// Sets the time for which a departing upstream may get requests.
     pub const fn set_drain_timeout(&mut self, timeout: Duration) {
         self.drain_timeout = timeout;
     }
 
-    /// Whether a request may be sent to an upstream that was chosen before, or that holds memory of
-    /// it: its life goes on, and it hasn't left for longer than allowed.
+    /// Returns whether a request may still go to an upstream that was chosen for it or holds its memory:
+    /// the incarnation has not ended, and if it leaves, the time allowed has not passed.
     #[must_use]
     pub fn may_get_requests(&self, now: Time, ix: UpstreamIx) -> bool {
         let u = &self.upstreams[ix.0];
-        let allowed = self.drain_timeout.saturating_sub(HEARD_WITHIN);
+        let allowed = self.drain_timeout.saturating_sub(DEPARTURE_NOTICE_DELAY);
         let left = u.left_at.filter(|_| !u.is_serving());
         !u.ended && left.is_none_or(|t| now.since(t) < allowed)
     }
 
-    /// When an upstream was first known to leave.
+    /// Returns the time at which an upstream was first known to leave.
     #[must_use]
     pub fn left_at(&self, ix: UpstreamIx) -> Option<Time> {
         self.upstreams[ix.0].left_at
     }
 
-    /// Whether a later life of the same id is known, so that nothing of this one is left.
+    /// Returns whether a later incarnation of its id is known, so that its runs and memory are lost.
     #[must_use]
     pub fn is_ended(&self, ix: UpstreamIx) -> bool {
         self.upstreams[ix.0].ended
     }
 
-    /// The upstream of that instance, in its latest life.
+    /// Returns the latest incarnation of an instance.
     #[must_use]
     pub fn find(&self, instance: &str) -> Option<UpstreamIx> {
         self.by_instance.get(instance).copied().map(UpstreamIx)
     }
 
-    /// Sets the memory of the engines of a service.
+    /// Sets the memory of each engine of a service; `None` if unknown.
     pub fn set_memory(&mut self, service: &Name, tokens: Option<u64>) {
         match tokens {
             Some(tokens) => self.memory_of.insert(service.clone(), tokens),
@@ -192,62 +195,63 @@
         }
     }
 
-    /// Counts a request as placed on an upstream.
+    /// Adds a request to this entry's work on an upstream.
     pub fn place(&mut self, now: Time, ix: UpstreamIx, need: &Need) {
         let u = &mut self.upstreams[ix.0];
-        u.mine = u.mine.with(need);
+        u.own_work = u.own_work.with(need);
         if let Some(shared) = need.shared {
-            if u.read.len() >= MAX_READ {
-                u.read.retain(|_, t| now.since(*t) < READ_FOR);
+            if u.shared_prompts.len() >= MAX_SHARED_PROMPTS {
+                u.shared_prompts
+                    .retain(|_, t| now.since(*t) < SHARED_PROMPT_LIFETIME);
             }
-            u.read.insert(shared, now);
+            u.shared_prompts.insert(shared, now);
         }
     }
 
-    /// Notes that the prompt of a placed request has been read; its need changes with it.
-    pub fn note_read(&mut self, ix: UpstreamIx, need: &mut Need) {
-        let mine = &mut self.upstreams[ix.0].mine;
-        mine.unread = mine.unread.saturating_sub(need.unread);
+    /// Records that the prompt of a placed request has been read, and updates its need.
+    pub fn record_prompt_read(&mut self, ix: UpstreamIx, need: &mut Need) {
+        let own_work = &mut self.upstreams[ix.0].own_work;
+        own_work.unread = own_work.unread.saturating_sub(need.unread);
         need.unread = 0;
     }
 
-    /// Counts a placed request as needing `tokens` of memory in all.
+    /// Raises the memory that a placed request needs to `tokens` in all.
     pub fn grow(&mut self, ix: UpstreamIx, need: &mut Need, tokens: u64) {
-        let mine = &mut self.upstreams[ix.0].mine;
-        mine.tokens += tokens.saturating_sub(need.tokens);
+        let own_work = &mut self.upstreams[ix.0].own_work;
+        own_work.tokens += tokens.saturating_sub(need.tokens);
         need.tokens = need.tokens.max(tokens);
     }
 
-    /// Takes back what [`Pool::place`] counted.
+    /// Removes a request that [`Pool::place`] added.
     pub fn release(&mut self, ix: UpstreamIx, need: &Need) {
-        let mine = &mut self.upstreams[ix.0].mine;
-        *mine = mine.without(need);
+        let own_work = &mut self.upstreams[ix.0].own_work;
+        *own_work = own_work.without(need);
     }
 
-    /// Notes whether a request failed through the upstream's fault.
-    pub fn note_outcome(&mut self, ix: UpstreamIx, failed: bool) {
+    /// Records whether a request failed through a fault of the upstream.
+    pub fn record_outcome(&mut self, ix: UpstreamIx, failed: bool) {
         let u = &mut self.upstreams[ix.0];
         let newest = if failed { 1.0 } else { 0.0 };
-        u.failing += FAILING_WEIGHT * (newest - u.failing);
+        u.failing += OUTCOME_WEIGHT * (newest - u.failing);
     }
 
-    /// Notes that an upstream made tokens of a stream in a span without a break.
-    pub fn note_pace(&mut self, ix: UpstreamIx, tokens: u64, span: Duration) {
+    /// Records that an upstream produced tokens of a stream in a span without a break.
+    pub fn record_pace(&mut self, ix: UpstreamIx, tokens: u64, span: Duration) {
         let u = &mut self.upstreams[ix.0];
         u.pace.own.record_for_engine(tokens, span);
         let of_service = self.pace_of.entry(u.record.service.clone()).or_default();
         of_service.record_for_service(tokens, span);
     }
 
-    /// Time that an upstream takes for a token, against the mean of its service.
+    /// Returns the token time of an upstream relative to the mean of its service.
     #[must_use]
     pub fn relative_pace(&self, ix: UpstreamIx) -> f64 {
         let u = &self.upstreams[ix.0];
         u.pace.relative(self.pace_of_service(u))
     }
 
-    fn seen_by(&self, u: &Upstream) -> SeenBy<'_> {
-        SeenBy {
+    fn cost_context(&self, u: &Upstream) -> CostContext<'_> {
+        CostContext {
             data_centre: &self.data_centre,
             pace: self.pace_of_service(u),
             policy: self.policy,
@@ -259,45 +263,46 @@
         of_service.copied().unwrap_or_default()
     }
 
-    /// Leaves an upstream out for a while where there is another.
+    /// Excludes an upstream from choices for `span` if there is another.
     pub fn avoid(&mut self, now: Time, ix: UpstreamIx, span: Duration) {
         let u = &mut self.upstreams[ix.0];
         u.avoid_until = u.avoid_until.max(now + span);
     }
 
-    /// Share of an engine's memory that would be spoken for with one more request, copies left
-    /// out: they give way to runs.
+    /// Returns the share of an engine's memory that would be reserved with one more request, without
+    /// memory backups, which runs displace.
     #[must_use]
-    pub fn fill_with(&self, now: Time, ix: UpstreamIx, need: &Need) -> f64 {
+    pub fn memory_share_with(&self, now: Time, ix: UpstreamIx, need: &Need) -> f64 {
         let u = &self.upstreams[ix.0];
         let tokens = u.load(now).tokens + need.tokens;
         share(tokens, u.memory_tokens.unwrap_or(0))
     }
 
-    /// Share of an engine's memory that is spoken for, by all entries.
+    /// Returns the share of an engine's memory that all entries have reserved.
     #[must_use]
-    pub fn fill(&self, now: Time, ix: UpstreamIx) -> f64 {
+    pub fn memory_share(&self, now: Time, ix: UpstreamIx) -> f64 {
         let u = &self.upstreams[ix.0];
         share(u.load(now).memory(), u.memory_tokens.unwrap_or(0))
     }
 
-    /// Share of the memory of all serving engines of a service that is spoken for, copies included.
+    /// Returns the reserved share of the memory of all serving engines of a service, memory backups
+    /// included.
     #[must_use]
-    pub fn fill_of(&self, now: Time, service: &str) -> f64 {
-        self.share_of(now, service, Placed::memory)
+    pub fn service_memory_share(&self, now: Time, service: &str) -> f64 {
+        self.service_share(now, service, Placed::memory)
     }
 
-    /// Share of that memory that runs need, with those on engines that leave, which have to find
-    /// room on the others.
+    /// Returns the share of that memory that runs need, including those on departing engines, which
+    /// will need capacity on the others.
     #[must_use]
-    pub fn runs_fill_of(&self, now: Time, service: &str) -> f64 {
-        self.share_of(now, service, |placed| placed.tokens)
+    pub fn service_run_memory_share(&self, now: Time, service: &str) -> f64 {
+        self.service_share(now, service, |placed| placed.tokens)
     }
 
-    fn share_of(&self, now: Time, service: &str, of: impl Fn(&Placed) -> u64) -> f64 {
+    fn service_share(&self, now: Time, service: &str, of: impl Fn(&Placed) -> u64) -> f64 {
         let of_service = self.of_service(service).iter().map(|i| &self.upstreams[*i]);
-        let of_service: Vec<&Upstream> = of_service.filter(|u| !u.is_over(now)).collect();
-        // Those whose load is known stand for the others.
+        let of_service: Vec<&Upstream> = of_service.filter(|u| !u.has_departed(now)).collect();
+        // Upstreams with a known load represent the others.
         let known = of_service.iter().filter(|u| u.is_known(now));
         let known: Vec<&Upstream> = known.copied().collect();
         let counted = if known.is_empty() { of_service } else { known };
@@ -312,7 +317,7 @@
         share(used, all)
     }
 
-    /// Upstreams of a service that take new work.
+    /// Returns the number of upstreams of a service that take new work.
     #[must_use]
     pub fn count(&self, service: &str) -> usize {
         self.serving(service).count()
@@ -320,7 +325,7 @@
 
     /// Chooses an upstream of `service` that is not in `tried`.
     ///
-    /// One that is avoided is chosen only where there is no other.
+    /// An avoided upstream is chosen only if there is no other.
     #[must_use]
     pub fn choose(
         &self,
@@ -330,15 +335,16 @@
         tried: &[UpstreamIx],
     ) -> Option<UpstreamIx> {
         let open: Vec<usize> = self.untried(now, service, need, tried).collect();
-        let sound = |i: &usize| self.upstreams[*i].avoid_until <= now;
-        let drawn = self.known_or_drawn(now, need, &open);
-        let best = self.least_cost(now, need, drawn.iter().copied().filter(sound));
-        let best = best.or_else(|| self.least_cost(now, need, open.iter().copied().filter(sound)));
+        let not_avoided = |i: &usize| self.upstreams[*i].avoid_until <= now;
+        let sampled = self.fresh_or_sampled(now, need, &open);
+        let best = self.least_cost(now, need, sampled.iter().copied().filter(not_avoided));
+        let best =
+            best.or_else(|| self.least_cost(now, need, open.iter().copied().filter(not_avoided)));
         best.or_else(|| self.least_cost(now, need, open.iter().copied()))
     }
 
-    /// Those whose owners have replied just now; where these are few, [`SAMPLE`] drawn ones.
-    fn known_or_drawn<'a>(&self, now: Time, need: &Need, open: &'a [usize]) -> Cow<'a, [usize]> {
+    /// Returns the upstreams with fresh replies of their owners, or a random sample if these are few.
+    fn fresh_or_sampled<'a>(&self, now: Time, need: &Need, open: &'a [usize]) -> Cow<'a, [usize]> {
         let fresh = |i: &&usize| self.upstreams[**i].is_fresh(now);
         let fresh: Vec<usize> = open.iter().filter(fresh).copied().collect();
         if fresh.len() >= MIN_REPLIES && need.tokens > 0 {
@@ -347,7 +353,7 @@
         sample(open, need.draw)
     }
 
-    /// Upstreams of a service that may be chosen for `need` and are not in `tried`.
+    /// Returns the upstreams of a service that may be chosen for `need` and are not in `tried`.
     pub(crate) fn untried<'a>(
         &'a self,
         now: Time,
@@ -355,28 +361,28 @@
         need: &Need,
         tried: &'a [UpstreamIx],
     ) -> impl Iterator<Item = usize> {
-        let homes = need.homes;
-        let takes = move |i: &usize| {
+        let regions = need.homes;
+        let is_candidate = move |i: &usize| {
             let u = &self.upstreams[*i];
-            let is_home = self.is_home(homes, &u.record.data_centre);
+            let is_home = self.is_home(regions, &u.record.data_centre);
             is_home && self.withheld_reason(now, u).is_none() && !tried.contains(&UpstreamIx(*i))
         };
-        self.serving(service).filter(takes)
+        self.serving(service).filter(is_candidate)
     }
 
-    /// The `most` of `open` that would cost least.
+    /// Returns up to `max_count` of `open` with the least cost.
     pub(crate) fn cheapest(
         &self,
         now: Time,
         need: &Need,
         open: &[usize],
-        most: usize,
+        max_count: usize,
     ) -> Vec<usize> {
-        let drawn = sample(open, need.draw);
-        let costs = drawn.iter().map(|i| (self.cost(now, need, *i), *i));
+        let sampled = sample(open, need.draw);
+        let costs = sampled.iter().map(|i| (self.cost(now, need, *i), *i));
         let mut costs: Vec<(f64, usize)> = costs.collect();
         costs.sort_unstable_by(|(a, _), (b, _)| a.total_cmp(b));
-        costs.into_iter().take(most).map(|(_, i)| i).collect()
+        costs.into_iter().take(max_count).map(|(_, i)| i).collect()
     }
 
     pub(crate) fn of_service(&self, service: &str) -> &[usize] {
@@ -391,7 +397,7 @@
         })
     }
 
-    /// Whether an upstream is in a data centre that takes nothing new.
+    /// Returns whether the upstream's data centre takes no new work.
     fn is_closed(&self, u: &Upstream) -> bool {
         self.is_closed_to_new_work(&u.record.data_centre)
     }
@@ -400,38 +406,38 @@
         &self,
         now: Time,
         need: &Need,
-        among: impl Iterator<Item = usize>,
+        candidates: impl Iterator<Item = usize>,
     ) -> Option<UpstreamIx> {
-        let costs = among.map(|i| (i, self.cost(now, need, i)));
+        let costs = candidates.map(|i| (i, self.cost(now, need, i)));
         let best = costs.min_by(|(_, a), (_, b)| a.total_cmp(b));
         best.map(|(i, _)| UpstreamIx(i))
     }
 
-    /// What a copy from `source` costs at `u` beyond what any request costs there.
-    fn copy_cost(&self, source: UpstreamIx, u: &Upstream) -> f64 {
-        let is_far = self.record(source).data_centre != u.record.data_centre;
-        let far = if is_far { FAR_COPY_COST } else { 0.0 };
+    /// Returns the additional cost at `u` of a memory backup from `source`.
+    fn backup_cost(&self, source: UpstreamIx, u: &Upstream) -> f64 {
+        let is_remote = self.record(source).data_centre != u.record.data_centre;
+        let remote = if is_remote { REMOTE_BACKUP_COST } else { 0.0 };
         let limited = if u.rate.limit().is_some() {
-            LIMITED_COPY_COST
+            RATE_LIMITED_BACKUP_COST
         } else {
             0.0
         };
-        far + limited
+        remote + limited
     }
 
     fn cost(&self, now: Time, need: &Need, i: usize) -> f64 {
         let u = &self.upstreams[i];
-        let copy = need.copied_from.map_or(0.0, |ix| self.copy_cost(ix, u));
-        let tie = tie_cost(need) * draw_for(need.draw, i);
-        u.cost(now, need, &self.seen_by(u)) + copy + tie
+        let backup = need.copied_from.map_or(0.0, |ix| self.backup_cost(ix, u));
+        let tie = tie_cost(need) * draw_fraction(need.draw, i);
+        u.cost(now, need, &self.cost_context(u)) + backup + tie
     }
 }
 
-/// All of `open`, or [`SAMPLE`] drawn ones of many.
+/// Returns all of `open`, or a random sample if there are more than [`SAMPLE_SIZE`].
 fn sample(open: &[usize], draw: u64) -> Cow<'_, [usize]> {
-    if open.len() <= SAMPLE {
+    if open.len() <= SAMPLE_SIZE {
         return Cow::Borrowed(open);
     }
-    let drawn = (0..SAMPLE).map(|k| open[draw_index(draw, k, open.len())]);
-    Cow::Owned(drawn.collect())
+    let sampled = (0..SAMPLE_SIZE).map(|k| open[draw_index(draw, k, open.len())]);
+    Cow::Owned(sampled.collect())
 }
--- a/fireflycroft/src/rate_limit.rs
+++ b/fireflycroft/src/rate_limit.rs
@@ -14,7 +14,7 @@
 use crate::owners::OwnedKey;
 use crate::pool::Pool;
 use crate::time::Time;
-use crate::upstream::{Life, Upstream, UpstreamIx, least_recently_announced};
+use crate::upstream::{Upstream, UpstreamIncarnation, UpstreamIx, least_recently_announced};
 use std::fmt;
 use std::time::Duration;
 
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ToldRate {
     /// Incarnation of the upstream.
-    pub life: Life,
+    pub upstream: UpstreamIncarnation,
     /// The limit; none once it is lifted.
     pub limit: Option<RateLimit>,
     /// Time since the effective time.
@@ -153,9 +153,9 @@
         now: Time,
         announced: &ToldRate,
     ) -> Option<(UpstreamIx, RateChange)> {
-        let ix = self.find(&announced.life.instance)?;
+        let ix = self.find(&announced.upstream.instance)?;
         let u = &mut self.upstreams[ix.0];
-        if u.record.incarnation != announced.life.incarnation {
+        if u.record.incarnation != announced.upstream.incarnation {
             return None;
         }
         let change = u.rate.apply(now, now - announced.age, announced.limit)?;
@@ -165,14 +165,14 @@
     /// Returns the rate limits to announce now: those in force or lifted recently, the least recently
     /// announced first.
     pub fn rates_to_announce(&mut self, now: Time) -> Vec<ToldRate> {
-        let known = self.upstreams.iter_mut().filter(|u| !u.gone);
+        let known = self.upstreams.iter_mut().filter(|u| !u.removed);
         let to_announce = known.filter(|u| u.rate.needs_announcement(now));
         let announced =
             least_recently_announced(to_announce, |u| u.rate.announced_at, MAX_ANNOUNCED);
         let announced = announced.into_iter().filter_map(|u| {
             u.rate.announced_at = Some(now);
             Some(ToldRate {
-                life: u.record.life(),
+                upstream: u.record.upstream_incarnation(),
                 limit: u.rate.limit,
                 age: now.since(u.rate.as_of?),
             })
--- a/fireflycroft/tests/admission_load.rs
+++ b/fireflycroft/tests/admission_load.rs
@@ -1,7 +1,7 @@
 //! Simulation of admission under load, in virtual time.
 //!
-//! Guards against refusing callers while a fifth of all memory or more is free: where a request takes a
-//! fifth of an engine, a limit lowered by a quarter of the memory for a low value density wastes capacity.
+//! Guards against refusals while a fifth of all memory or more is free: where a request takes a fifth of
+//! an engine, lowering the limit by a quarter of the memory for a low value density wastes capacity.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -19,19 +19,21 @@
 use std::time::Duration;
 
 cases! {
-    callers_of_a_calm_load_are_let_in => moderate_load();
+    callers_of_a_moderate_load_are_admitted => moderate_load();
     engines_of_a_heavy_load_do_not_run_out => heavy_load();
-    heavy_load_lets_in_more_of_what_yields_more => heavy_load_by_density();
+    heavy_load_admits_higher_value_densities => heavy_load_by_density();
 }
 
-/// Serving engines, each with memory for about five generations.
+/// Serving engines.
 const ENGINES: u64 = 36;
+
+/// Tokens of memory per engine, enough for about five generations.
 const MEMORY: u64 = 22_054;
 
-/// Time of an engine for a token.
+/// Milliseconds that an engine takes for a token.
 const TOKEN_MILLIS: u64 = 10;
 
-/// Length of the load.
+/// Milliseconds of simulated load.
 const LOAD_MILLIS: u64 = 40_000;
 
 /// One caller's generation.
@@ -39,7 +41,7 @@
 struct Generation {
     prompt: u64,
     expected: u64,
-    made: u64,
+    produced: u64,
 }
 
 /// Deterministic random numbers.
@@ -62,12 +64,12 @@
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     fn generation(&mut self) -> Generation {
         let prompt = (3_000.0 * (0.35 * self.normal()).exp()).min(6_000.0);
-        let made = (450.0 * self.normal().exp()).clamp(8.0, 1_768.0);
-        let expected = (made * (0.7 * self.normal()).exp()).clamp(8.0, 1_768.0);
+        let produced = (450.0 * self.normal().exp()).clamp(8.0, 1_768.0);
+        let expected = (produced * (0.7 * self.normal()).exp()).clamp(8.0, 1_768.0);
         Generation {
             prompt: prompt as u64,
             expected: expected as u64,
-            made: made as u64,
+            produced: produced as u64,
         }
     }
 }
@@ -94,13 +96,13 @@
 fn engines() -> Pool {
     let mut pool = Pool::new(Name::from("dc"));
     for i in 0..ENGINES {
-        pool.learn(at(0), record(&format!("m-{i}"), 1 + i));
+        pool.upsert(at(0), record(&format!("m-{i}"), 1 + i));
     }
     pool.set_memory(&Name::from("models"), Some(MEMORY));
     pool
 }
 
-/// Simulates callers with a mean gap of `mean_gap_millis`, each of whom returns once.
+/// Simulates callers with a mean gap of `mean_gap_millis`; a refused one returns once.
 fn simulate(mean_gap_millis: u64) -> Outcome {
     let mut pool = engines();
     let mut rng = Rng(7);
@@ -111,7 +113,7 @@
     let mut next = 0;
     for millis in (0..LOAD_MILLIS).step_by(10) {
         running.retain(|run| {
-            let ends = run.since + run.generation.made * TOKEN_MILLIS;
+            let ends = run.since + run.generation.produced * TOKEN_MILLIS;
             if ends <= millis {
                 pool.release(run.at, &run.need);
             }
@@ -144,13 +146,13 @@
             let request = AdmissionRequest {
                 expected_tokens: generation.expected,
                 value_density,
-                coming: ArrivalKind::after(waited, Duration::from_millis(1_800)),
+                arrival: ArrivalKind::after(waited, Duration::from_millis(1_800)),
                 rank: 1,
             };
             let best = pool.choose(now, "models", &need, &[]).unwrap();
             let fill = MemoryUsage {
-                engine: pool.fill_with(now, best, &need),
-                service: pool.runs_fill_of(now, "models"),
+                engine: pool.memory_share_with(now, best, &need),
+                service: pool.service_run_memory_share(now, "models"),
             };
             if is_admitted(&request, &fill) {
                 pool.place(now, best, &need);
@@ -176,12 +178,12 @@
     outcome
 }
 
-/// Counts the engines beyond their memory.
+/// Counts the engines whose runs hold more than their memory.
 fn beyond_memory(running: &[Running], millis: u64) -> u64 {
     let mut held: BTreeMap<UpstreamIx, u64> = BTreeMap::new();
     for run in running {
-        let made = (millis - run.since) / TOKEN_MILLIS;
-        *held.entry(run.at).or_default() += run.generation.prompt + made;
+        let produced = (millis - run.since) / TOKEN_MILLIS;
+        *held.entry(run.at).or_default() += run.generation.prompt + produced;
     }
     held.values().filter(|tokens| **tokens > MEMORY).count() as u64
 }
@@ -191,7 +193,7 @@
     all.iter().sum::<f64>() / f64::from(count)
 }
 
-/// Expected answers and prompts take two thirds of the memory.
+/// Load whose expected answers and prompts take two thirds of the memory.
 fn moderate_load() {
     let outcome = simulate(50);
     assert!(outcome.requested > 700, "{}", outcome.requested);
@@ -203,7 +205,7 @@
     );
 }
 
-/// Half as many again: memory may run out on one engine in a hundred.
+/// Load half as high again: an engine's memory may run out for at most 1% of the time.
 fn heavy_load() {
     let outcome = simulate(33);
     let share = outcome.beyond_memory * 100 / (ENGINES * LOAD_MILLIS);
--- a/fireflycroft/tests/failover.rs
+++ b/fireflycroft/tests/failover.rs
@@ -46,18 +46,18 @@
     calls_of_a_silent_store_do_not_grow_with_the_fleet => calls_stay_few();
 }
 
-fn asking(expected_tokens: u64, coming: ArrivalKind) -> AdmissionRequest {
+fn asking(expected_tokens: u64, arrival: ArrivalKind) -> AdmissionRequest {
     AdmissionRequest {
         expected_tokens,
         value_density: 0.0,
-        coming,
+        arrival,
         rank: 1,
     }
 }
 
-fn admits(expected_tokens: u64, coming: ArrivalKind, engine: f64, service: f64) -> bool {
+fn admits(expected_tokens: u64, arrival: ArrivalKind, engine: f64, service: f64) -> bool {
     is_admitted(
-        &asking(expected_tokens, coming),
+        &asking(expected_tokens, arrival),
         &MemoryUsage { engine, service },
     )
 }
@@ -205,7 +205,7 @@
             cold_for: Duration::ZERO,
             revision: i as u64 + 1,
         };
-        pool.learn(at(0), record);
+        pool.upsert(at(0), record);
     }
     pool.set_memory(&Name::from("models"), Some(10_000));
     pool
@@ -233,7 +233,7 @@
         ..Need::default()
     };
     pool.place(at(0), source, &need);
-    assert!(pool.fill_of(at(0), "models") > MAX_SERVICE_FILL_FOR_BACKUP);
+    assert!(pool.service_memory_share(at(0), "models") > MAX_SERVICE_FILL_FOR_BACKUP);
     let holder = pick_backup_holder(&pool, at(0), &Name::from("models"), &copy(), source);
     assert_eq!(holder, None);
 }
--- a/fireflycroft/tests/long_on_fast.rs
+++ b/fireflycroft/tests/long_on_fast.rs
@@ -62,7 +62,7 @@
     fn new(speeds: &[f64]) -> Self {
         let mut pool = Pool::new(Name::from("dc"));
         for i in 0..ENGINES {
-            pool.learn(at(0), record(&format!("e{i}"), 1 + i as u64));
+            pool.upsert(at(0), record(&format!("e{i}"), 1 + i as u64));
         }
         pool.set_memory(&Name::from("models"), Some(MEMORY));
         let speeds = speeds.iter().cycle().take(ENGINES);
@@ -86,7 +86,7 @@
         let ended: Vec<Run> = ended;
         for run in ended {
             let span = answer_takes(self.speed(run.engine));
-            self.pool.note_pace(run.engine, ANSWER.into(), span);
+            self.pool.record_pace(run.engine, ANSWER.into(), span);
             self.pool.release(run.engine, &run.need);
         }
     }
@@ -110,8 +110,9 @@
     }
 
     fn fullest(&self, now: Time) -> f64 {
-        let all = self.pool.known().into_iter();
-        all.map(|ix| self.pool.fill(now, ix)).fold(0.0, f64::max)
+        let all = self.pool.indices().into_iter();
+        all.map(|ix| self.pool.memory_share(now, ix))
+            .fold(0.0, f64::max)
     }
 }
 
--- a/fireflycroft/tests/pool.rs
+++ b/fireflycroft/tests/pool.rs
@@ -1,4 +1,4 @@
-//! The table of upstreams a direct entry drives, and its choice among them.
+//! The pool of upstreams that a direct entry drives, and its choice among them.
 
 #[macro_use]
 #[path = "support/cases.rs"]
@@ -17,27 +17,27 @@
 cases! {
     emptier_memory_is_chosen => chooses_emptier_memory();
     what_others_placed_counts => counts_others();
-    what_others_told_long_ago_does_not => forgets_others();
-    changes_leave_the_rest_of_what_was_told => keeps_the_rest();
+    old_announcements_of_others_do_not_count => forgets_others();
+    changes_keep_the_rest_of_an_announcement => keeps_the_rest();
     unread_prompts_are_avoided => avoids_unread();
-    prompts_that_would_hold_up_the_first_event_are_avoided => avoids_late_first();
-    those_that_are_gone_take_no_place_in_a_choice => gone_take_no_place();
+    prompts_that_delay_the_first_event_are_avoided => avoids_late_first();
+    removed_upstreams_are_not_sampled => removed_are_not_sampled();
     long_generation_goes_to_a_fast_engine => long_goes_to_fast();
-    pace_that_others_saw_counts => others_pace_counts();
+    pace_observed_by_others_counts => others_pace_counts();
     short_generation_leaves_the_fast_engine_alone => short_ignores_pace();
-    few_entries_views_of_a_pace_are_kept => few_views_kept();
+    few_entries_observations_of_a_pace_are_kept => few_observations_kept();
     read_prompts_no_longer_count => read_no_longer_counts();
     leaving_upstream_is_not_chosen => leaving_is_not_chosen();
     avoided_upstream_is_the_last_resort => avoided_is_last();
-    failing_upstream_is_left_for_a_sound_one => failing_is_left();
+    failing_upstream_is_left_for_a_healthy_one => failing_is_left();
     older_record_changes_nothing => older_changes_nothing();
     removed_upstream_does_not_come_back_by_an_old_record => removed_stays_away();
     upstream_that_came_back_serves => came_back_serves();
-    list_of_a_sure_peer_removes_at_once => sure_list_removes();
-    told_changes_lead_to_the_same_list => told_changes_converge();
-    outgrown_run_counts_for_more => outgrown_counts();
+    list_of_a_confirmed_peer_removes_at_once => confirmed_list_removes();
+    announced_changes_lead_to_the_same_list => announced_changes_converge();
+    run_beyond_its_estimate_counts_for_more => grown_run_counts();
     other_service_is_never_chosen => other_service();
-    copy_stays_in_its_data_centre => copy_stays_near();
+    backup_stays_in_its_data_centre => backup_stays_near();
 }
 
 fn chooses_emptier_memory() {
@@ -74,15 +74,15 @@
     assert_eq!(chosen(&pool, at(0), &long), "b");
 }
 
-fn gone_take_no_place() {
+fn removed_are_not_sampled() {
     let mut pool = Pool::new(Name::from("dc"));
     for i in 0..400 {
         let instance = format!("gone{i}");
-        pool.learn(at(0), record(&instance, 1 + i));
-        pool.forget(at(0), &instance, 1_000 + i);
+        pool.upsert(at(0), record(&instance, 1 + i));
+        pool.remove(at(0), &instance, 1_000 + i);
     }
     for (i, instance) in ["a", "b", "c"].iter().enumerate() {
-        pool.learn(at(0), record(instance, 2_000 + i as u64));
+        pool.upsert(at(0), record(instance, 2_000 + i as u64));
     }
     pool.set_memory(&Name::from("models"), Some(MEMORY));
     for full in ["a", "b"] {
@@ -113,12 +113,12 @@
     }
 }
 
-/// Two engines of which the slow one is a little emptier.
+/// Returns a pool of two engines of which the slow one is a little less loaded.
 fn slow_and_fast() -> Pool {
     let mut pool = pool(&["slow", "fast"]);
     for (instance, pace) in [("slow", SLOW), ("fast", FAST)] {
         let ix = ix(&pool, instance);
-        pool.note_pace(ix, pace.tokens, Duration::from_micros(pace.micros));
+        pool.record_pace(ix, pace.tokens, Duration::from_micros(pace.micros));
     }
     let fast = ix(&pool, "fast");
     pool.place(at(0), fast, &need(500));
@@ -135,12 +135,12 @@
     assert_eq!(chosen(&slow_and_fast(), at(0), &answer(20)), "slow");
 }
 
-/// Of hundreds of entries only those count that have seen most of an engine.
-fn few_views_kept() {
+/// Of hundreds of entries only those count that have observed most of an engine.
+fn few_observations_kept() {
     let mut pool = pool(&["slow", "fast"]);
     let fast = ix(&pool, "fast");
-    pool.note_pace(fast, FAST.tokens, Duration::from_micros(FAST.micros));
-    let mut tell = |entry: usize, pace| {
+    pool.record_pace(fast, FAST.tokens, Duration::from_micros(FAST.micros));
+    let mut announce = |entry: usize, pace| {
         let of_slow = PlacedAt {
             pace,
             ..announced_work("slow", 0)
@@ -152,8 +152,8 @@
         tokens: 10,
         micros: 90_000,
     };
-    let few = (0..16).map(|e| tell(e, SLOW)).last();
-    let many = (16..400).map(|e| tell(e, seen_little)).last();
+    let few = (0..16).map(|e| announce(e, SLOW)).last();
+    let many = (16..400).map(|e| announce(e, seen_little)).last();
     assert_eq!(few, many);
     assert!(many.unwrap() > 1.3, "{many:?}");
 }
@@ -161,7 +161,7 @@
 fn others_pace_counts() {
     let mut pool = pool(&["slow", "fast"]);
     let fast = ix(&pool, "fast");
-    pool.note_pace(fast, FAST.tokens, Duration::from_micros(FAST.micros));
+    pool.record_pace(fast, FAST.tokens, Duration::from_micros(FAST.micros));
     pool.place(at(0), fast, &need(500));
     assert_eq!(chosen(&pool, at(0), &answer(800)), "slow");
     let of_slow = PlacedAt {
@@ -233,7 +233,7 @@
     let mut unread = unread_need();
     pool.place(at(0), a, &unread);
     pool.place(at(0), b, &need(6_000));
-    pool.note_read(a, &mut unread);
+    pool.record_prompt_read(a, &mut unread);
     assert_eq!(chosen(&pool, at(0), &need(100)), "a");
     pool.release(a, &unread);
     assert_eq!(pool.view(at(0), a).placed, Placed::default());
@@ -241,11 +241,11 @@
 
 fn leaving_is_not_chosen() {
     let mut pool = pool(&["a", "b"]);
-    let change = pool.learn(at(7), leaving("a", 9));
+    let change = pool.upsert(at(7), leaving("a", 9));
     assert_eq!(change, Some(PoolChange::Leaves(ix(&pool, "a"))));
     assert_eq!(pool.left_at(ix(&pool, "a")), Some(at(7)));
     assert_eq!(chosen(&pool, at(8), &need(1)), "b");
-    pool.forget(at(9), "b", 10);
+    pool.remove(at(9), "b", 10);
     assert_eq!(pool.choose(at(10), "models", &need(1), &[]), None);
 }
 
@@ -262,7 +262,7 @@
     let mut pool = pool(&["a", "b"]);
     let a = ix(&pool, "a");
     for _ in 0..10 {
-        pool.note_outcome(a, true);
+        pool.record_outcome(a, true);
     }
     let b = ix(&pool, "b");
     pool.place(at(0), b, &need(5_000));
@@ -271,48 +271,48 @@
 
 fn older_changes_nothing() {
     let mut pool = pool(&["a"]);
-    pool.learn(at(1), leaving("a", 5));
-    assert_eq!(pool.learn(at(2), record("a", 4)), None);
+    pool.upsert(at(1), leaving("a", 5));
+    assert_eq!(pool.upsert(at(2), record("a", 4)), None);
     assert!(!pool.is_serving(ix(&pool, "a")));
 }
 
 fn removed_stays_away() {
     let mut pool = pool(&["a"]);
-    pool.forget(at(1), "a", 6);
-    assert_eq!(pool.learn(at(2), record("a", 1)), None);
+    pool.remove(at(1), "a", 6);
+    assert_eq!(pool.upsert(at(2), record("a", 1)), None);
     assert_eq!(pool.count("models"), 0);
 }
 
 fn came_back_serves() {
     let mut pool = pool(&["a"]);
-    pool.forget(at(1), "a", 6);
-    let change = pool.learn(at(2), record("a", 7));
-    assert_eq!(change, Some(PoolChange::Came(ix(&pool, "a"))));
+    pool.remove(at(1), "a", 6);
+    let change = pool.upsert(at(2), record("a", 7));
+    assert_eq!(change, Some(PoolChange::Available(ix(&pool, "a"))));
     assert_eq!(pool.count("models"), 1);
 }
 
-fn sure_list_removes() {
+fn confirmed_list_removes() {
     let mut pool = pool(&["a", "b"]);
-    let gone = pool.forget_others(at(1), &[record("b", 2)], 8);
+    let gone = pool.remove_unlisted(at(1), &[record("b", 2)], 8);
     assert_eq!(gone, vec![PoolChange::Leaves(ix(&pool, "a"))]);
 }
 
-fn told_changes_converge() {
+fn announced_changes_converge() {
     let mut from = pool(&["a", "b"]);
     let mut to = pool(&["a", "b"]);
-    from.learn(at(1), leaving("a", 5));
-    from.forget(at(2), "b", 6);
-    from.learn(at(3), record("c", 7));
+    from.upsert(at(1), leaving("a", 5));
+    from.remove(at(2), "b", 6);
+    from.upsert(at(3), record("c", 7));
     assert_ne!(from.digest(), to.digest());
     for change in from.list_changes(at(4)) {
-        to.take_change(at(5), change);
+        to.apply_change(at(5), change);
     }
     assert_eq!(from.digest(), to.digest());
     assert_eq!(from.revision(), to.revision());
     assert!(from.list_changes(at(9_000)).is_empty());
 }
 
-fn outgrown_counts() {
+fn grown_run_counts() {
     let mut pool = pool(&["a"]);
     let a = ix(&pool, "a");
     let mut run = need(1_000);
@@ -328,22 +328,22 @@
     assert_eq!(pool.choose(at(0), "records", &need(0), &[]), None);
 }
 
-fn copy_stays_near() {
+fn backup_stays_near() {
     let mut pool = pool(&["a", "b"]);
     let far = UpstreamRecord {
         data_centre: Name::from("far"),
         ..record("c", 9)
     };
-    pool.learn(at(0), far);
+    pool.upsert(at(0), far);
     pool.set_memory(&Name::from("models"), Some(MEMORY));
     let b = ix(&pool, "b");
     pool.place(at(0), b, &need(200));
-    let copy = Need {
+    let backup = Need {
         copied_from: pool.find("a"),
         ..need(10)
     };
-    let keeper = pool.choose(at(0), "models", &copy, &[ix(&pool, "a")]);
-    assert_eq!(keeper, Some(b));
+    let holder = pool.choose(at(0), "models", &backup, &[ix(&pool, "a")]);
+    assert_eq!(holder, Some(b));
 }
 
 fn change() -> impl Strategy<Value = ListChange> {
@@ -361,12 +361,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever order changes come in, and however often, the newest of each upstream holds.
+    /// The newest change of each upstream holds, whatever order changes are received in.
     #[test]
     fn order_of_changes_does_not_matter(
         changes in prop::collection::vec(change(), 1..30).prop_shuffle(),
     ) {
-        // One revision is one change, as in the store.
+        // Each revision belongs to one change, as in the store.
         let mut seen = std::collections::HashSet::new();
         let revision_of = |c: &ListChange| match c {
             ListChange::Listed(r) => r.revision,
@@ -378,17 +378,17 @@
         let build = |changes: &[ListChange]| {
             let mut pool = pool(&["a", "b", "c", "d"].map(|_| "x")[..1]);
             for name in ["a", "b", "c", "d"] {
-                pool.learn(at(0), record(name, 0));
+                pool.upsert(at(0), record(name, 0));
             }
             for change in changes {
-                pool.take_change(at(1), change.clone());
+                pool.apply_change(at(1), change.clone());
             }
             pool.digest()
         };
         prop_assert_eq!(build(&once), build(&sorted));
     }
 
-    /// Placing and releasing in any order leaves nothing behind.
+    /// Releasing all placed requests leaves no work in the pool.
     #[test]
     fn placements_balance(tokens in prop::collection::vec(1_u64..5_000, 1..40)) {
         let mut pool = pool(&["a", "b", "c"]);
--- a/fireflydirect/src/call.rs
+++ b/fireflydirect/src/call.rs
@@ -141,7 +141,7 @@
 /// only if a new caller would be refused.
 async fn check_capacity(job: &Job, ix: UpstreamIx, need: &Need) -> Option<Duration> {
     job.engine?;
-    if !job.node.policy.uses(Mechanism::Door) || has_capacity(job, ix, need) {
+    if !job.node.policy.uses(Mechanism::AdmissionLimits) || has_capacity(job, ix, need) {
         return None;
     }
     if returning_callers::query_owners(job).await && has_capacity(job, ix, need) {
@@ -150,7 +150,7 @@
     job.node.record_refusal(job.content);
     let pool = job.node.pool.borrow();
     Some(capacity_expected_after(
-        pool.runs_fill_of(job.now(), &job.service),
+        pool.service_run_memory_share(job.now(), &job.service),
     ))
 }
 
@@ -158,13 +158,13 @@
     let pool = job.node.pool.borrow();
     let now = job.now();
     let fill = MemoryUsage {
-        engine: pool.fill_with(now, ix, need),
-        service: pool.runs_fill_of(now, &job.service),
+        engine: pool.memory_share_with(now, ix, need),
+        service: pool.service_run_memory_share(now, &job.service),
     };
     let asking = AdmissionRequest {
         expected_tokens: job.expected_tokens(),
         value_density: job.value_density,
-        coming: returning_callers::arrival_kind(job),
+        arrival: returning_callers::arrival_kind(job),
         rank: job.rank,
     };
     is_admitted(&asking, &fill)
@@ -178,7 +178,7 @@
 ) -> Reply {
     let pool = job.node.pool.borrow();
     let view = pool.view(job.now(), ix);
-    let of_service = pool.runs_fill_of(job.now(), &job.service);
+    let of_service = pool.service_run_memory_share(job.now(), &job.service);
     log::warn!(
         event = "no_room", req = &*job.request_id, route = &*job.route.name,
         expected = job.expected_tokens(), yields = format!("{:.2}", job.value_density),
@@ -247,7 +247,7 @@
 fn log_choice(job: &Job, ix: UpstreamIx) {
     let pool = job.node.pool.borrow();
     let view = pool.view(job.now(), ix);
-    let of_service = pool.fill_of(job.now(), &job.service);
+    let of_service = pool.service_memory_share(job.now(), &job.service);
     log::info!(
         event = "sent", req = &*job.request_id, route = &*job.route.name,
         instance = &*pool.record(ix).instance, running = view.placed.running,
@@ -269,7 +269,7 @@
 pub fn assign_backup(job: &Job, at: UpstreamIx, need: Need) -> Option<AssignmentGuard> {
     let can_back_up_stream =
         job.engine.is_some_and(|e| e.can_back_up) && job.route.kind.is_stream();
-    let is_enabled = can_back_up_stream && job.node.policy.uses(Mechanism::Copies);
+    let is_enabled = can_back_up_stream && job.node.policy.uses(Mechanism::Backups);
     if !is_enabled || job.expected_tokens() < MIN_BACKUP_TOKENS {
         return None;
     }
@@ -352,7 +352,7 @@
         .inc();
     let mut pool = job.node.pool.borrow_mut();
     if result.outcome != AttemptOutcome::Withheld {
-        pool.note_outcome(ix, result.outcome != AttemptOutcome::Answered);
+        pool.record_outcome(ix, result.outcome != AttemptOutcome::Answered);
     }
     match result.outcome {
         AttemptOutcome::NeverSent | AttemptOutcome::Lost => pool.avoid(now, ix, AVOID_UNREACHABLE),
--- a/fireflydirect/src/conditions.rs
+++ b/fireflydirect/src/conditions.rs
@@ -4,7 +4,7 @@
 use crate::log_value::or_empty;
 use crate::node::Node;
 use fireflycroft::{
-    Life, RateChange, RateLimit, ResponseHead, RunClaim, Time, ToldRate, UpstreamIx,
+    RateChange, RateLimit, ResponseHead, RunClaim, Time, ToldRate, UpstreamIncarnation, UpstreamIx,
 };
 use hyper::StatusCode;
 use std::time::Duration;
@@ -58,7 +58,7 @@
 }
 
 /// Applies leave notices that another entry received from the upstreams themselves.
-pub fn apply_announced_leaving(node: &Node, incarnations: &[Life]) {
+pub fn apply_announced_leaving(node: &Node, incarnations: &[UpstreamIncarnation]) {
     for incarnation in incarnations {
         let change = node
             .pool
--- a/fireflydirect/src/exchange.rs
+++ b/fireflydirect/src/exchange.rs
@@ -93,7 +93,7 @@
     };
     let links = &job.node.links;
     let mut link = links
-        .get(&record.life(), record.addr, max_idle)
+        .get(&record.upstream_incarnation(), record.addr, max_idle)
         .await
         .map_err(|e| SendError::NeverSent(e.to_string()))?;
     link.sender
@@ -198,6 +198,6 @@
     if head.closes || head.claim != RunClaim::MayHaveRun {
         return;
     }
-    let incarnation = job.node.pool.borrow().record(ix).life();
+    let incarnation = job.node.pool.borrow().record(ix).upstream_incarnation();
     job.node.links.put_back(&incarnation, link, head.keep_alive);
 }
--- a/fireflydirect/src/feed.rs
+++ b/fireflydirect/src/feed.rs
@@ -250,7 +250,7 @@
     /// calls to a lost store; a call with a single attempt for evacuations or if hedging is
     /// disabled.
     fn hedged_call(&self) -> HedgedCall {
-        if self.kind == Kind::Evacuations || !self.node.policy.uses(Mechanism::Overlap) {
+        if self.kind == Kind::Evacuations || !self.node.policy.uses(Mechanism::Hedging) {
             return HedgedCall::single(NO_PROGRESS_TIMEOUT);
         }
         HedgedCall::new(HEDGE_DELAY, self.node.watcher_role.borrow().max_pause())
@@ -330,7 +330,7 @@
                     let any_events = !read.events.is_empty();
                     self.ingest.apply_events(read.events, revision);
                     if self.kind == Kind::Upstreams {
-                        self.node.pool.borrow_mut().note_complete(revision);
+                        self.node.pool.borrow_mut().record_complete(revision);
                     }
                     if any_events && self.kind == Kind::Upstreams {
                         self.delay_batch().await;
--- a/fireflydirect/src/generation.rs
+++ b/fireflydirect/src/generation.rs
@@ -238,7 +238,7 @@
         let tokens = produced - since.produced;
         if tokens >= PACE_WINDOW_TOKENS {
             let mut pool = self.job.node.pool.borrow_mut();
-            pool.note_pace(self.assignment.ix, tokens, now.since(since.since));
+            pool.record_pace(self.assignment.ix, tokens, now.since(since.since));
             self.pace_window = None;
         }
     }
@@ -252,7 +252,7 @@
             .node
             .pool
             .borrow_mut()
-            .note_outcome(self.assignment.ix, false);
+            .record_outcome(self.assignment.ix, false);
         self.record_length();
         self.record_end("whole");
         self.log_event("stream_ended", "");
--- a/fireflydirect/src/ingest.rs
+++ b/fireflydirect/src/ingest.rs
@@ -64,7 +64,7 @@
                 .node
                 .pool
                 .borrow_mut()
-                .take_list(now, records, revision);
+                .apply_list(now, records, revision);
             self.node.apply_pool_changes(changes, "store");
             self.node.upstreams_listed.set(true);
             self.node.has_complete_list.set(true);
@@ -74,7 +74,7 @@
     fn apply_record(&mut self, object: &StoreObject) {
         let record = self.read_record(object);
         let now = self.node.now();
-        let change = record.and_then(|r| self.node.pool.borrow_mut().learn(now, r));
+        let change = record.and_then(|r| self.node.pool.borrow_mut().upsert(now, r));
         self.node.apply_pool_changes(change, "store");
     }
 
@@ -145,10 +145,13 @@
         let now = node.now();
         log::info!(
             event = "upstream_removed", instance = &**instance, revision = revision,
-            contact_ms = or_empty(node.contact_ms()), sure = node.pool.borrow().contact().confirms_removals(now);
+            contact_ms = or_empty(node.contact_ms()), sure = node.pool.borrow().store_connectivity().confirms_removals(now);
             ""
         );
-        let change = node.pool.borrow_mut().remove(now, instance, revision);
+        let change = node
+            .pool
+            .borrow_mut()
+            .apply_removal(now, instance, revision);
         node.apply_pool_changes(change, "store");
     }
 }
@@ -165,12 +168,12 @@
         let removed =
             removed.map(|(instance, revision)| ListChange::Removed { instance, revision });
         for change in records.chain(removed) {
-            let pool_changes = node.pool.borrow_mut().take_change(now, change);
+            let pool_changes = node.pool.borrow_mut().apply_change(now, change);
             node.apply_pool_changes(pool_changes, "peer");
         }
         for (instance, revision) in state.leaving {
             let mut pool = node.pool.borrow_mut();
-            let change = pool.learn_leaving(now, &instance, revision);
+            let change = pool.mark_leaving(now, &instance, revision);
             drop(pool);
             node.apply_pool_changes(change, "peer");
         }
@@ -178,12 +181,12 @@
     }
     if state.confirmed {
         let mut pool = node.pool.borrow_mut();
-        let changes = pool.forget_others(now, &state.upstreams, state.revision);
+        let changes = pool.remove_unlisted(now, &state.upstreams, state.revision);
         drop(pool);
         node.apply_pool_changes(changes, "peer");
     }
     for record in state.upstreams {
-        let change = node.pool.borrow_mut().learn(now, record);
+        let change = node.pool.borrow_mut().upsert(now, record);
         node.apply_pool_changes(change, "peer");
     }
     node.has_complete_list.set(true);
--- a/fireflydirect/src/links.rs
+++ b/fireflydirect/src/links.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::Clock;
 use bytes::Bytes;
-use fireflycroft::{Life, Time};
+use fireflycroft::{Time, UpstreamIncarnation};
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::{HeaderMap, Request};
@@ -76,7 +76,7 @@
 /// Idle connections by incarnation of the upstream.
 pub struct Links {
     clock: Clock,
-    idle: RefCell<HashMap<Life, Vec<Idle>>>,
+    idle: RefCell<HashMap<UpstreamIncarnation, Vec<Idle>>>,
 }
 
 impl Links {
@@ -96,7 +96,7 @@
     /// If none could be opened within [`CONNECT_TIMEOUT`].
     pub async fn get(
         &self,
-        incarnation: &Life,
+        incarnation: &UpstreamIncarnation,
         addr: SocketAddr,
         max_idle: Duration,
     ) -> io::Result<Link> {
@@ -107,7 +107,12 @@
     }
 
     /// Returns a connection for reuse.
-    pub fn put_back(&self, incarnation: &Life, mut link: Link, keep_alive: Option<Duration>) {
+    pub fn put_back(
+        &self,
+        incarnation: &UpstreamIncarnation,
+        mut link: Link,
+        keep_alive: Option<Duration>,
+    ) {
         if link.sender.is_closed() {
             return;
         }
@@ -131,11 +136,11 @@
     }
 
     /// Closes the idle connections to an incarnation that has ended.
-    pub fn close_idle(&self, incarnation: &Life) {
+    pub fn close_idle(&self, incarnation: &UpstreamIncarnation) {
         self.idle.borrow_mut().remove(incarnation);
     }
 
-    fn take_idle(&self, incarnation: &Life, max_idle: Duration) -> Option<Link> {
+    fn take_idle(&self, incarnation: &UpstreamIncarnation, max_idle: Duration) -> Option<Link> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(incarnation)?;
--- a/fireflydirect/src/loads.rs
+++ b/fireflydirect/src/loads.rs
@@ -2,7 +2,9 @@
 
 use crate::node::Node;
 use crate::owner_queries;
-use fireflycroft::{Life, Mechanism, Name, Need, OwnedKey, OwnerQueryBody, UpstreamIx};
+use fireflycroft::{
+    Mechanism, Name, Need, OwnedKey, OwnerQueryBody, UpstreamIncarnation, UpstreamIx,
+};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 
@@ -29,14 +31,14 @@
     service: &Name,
     need: &Need,
     tried: &[UpstreamIx],
-) -> HashMap<Ipv4Addr, Vec<Life>> {
+) -> HashMap<Ipv4Addr, Vec<UpstreamIncarnation>> {
     let now = node.now();
     let max_count = node.query_budget.borrow_mut().candidate_count(now);
     let pool = node.pool.borrow();
     let peers = node.peers.borrow();
-    let mut queries: HashMap<Ipv4Addr, Vec<Life>> = HashMap::new();
+    let mut queries: HashMap<Ipv4Addr, Vec<UpstreamIncarnation>> = HashMap::new();
     for ix in pool.upstreams_to_query(now, service, need, tried, max_count) {
-        let incarnation = pool.record(ix).life();
+        let incarnation = pool.record(ix).upstream_incarnation();
         let key = OwnedKey::of_upstream(&incarnation.instance);
         for owner in peers.other_owners(now, key) {
             queries.entry(owner).or_default().push(incarnation.clone());
--- a/fireflydirect/src/metrics.rs
+++ b/fireflydirect/src/metrics.rs
@@ -212,7 +212,7 @@
     fn read_upstream_gauges(&self, pool: &Pool, now: Time) {
         let evacuated = pool.evacuations().data_centres.len();
         self.evacuated.set(to_i64(evacuated));
-        let known = pool.known();
+        let known = pool.indices();
         let cold = known
             .iter()
             .filter(|ix| !pool.cold_for(now, **ix).is_zero());
@@ -237,7 +237,7 @@
         for service in catalog.iter().flat_map(|c| c.services()) {
             let name = &service.name;
             let pool = node.pool.borrow();
-            let fill = pool.fill_of(now, name);
+            let fill = pool.service_memory_share(now, name);
             self.memory.with_label_values(&[name]).set(fill);
             #[allow(clippy::cast_precision_loss)]
             let count = pool.count(name) as f64;
--- a/fireflydirect/src/migration.rs
+++ b/fireflydirect/src/migration.rs
@@ -61,7 +61,7 @@
     let backup_holder = run.backup.get();
     let has_copy = backup_holder.is_some_and(|k| node.pool.borrow().is_serving(k));
     let needs_migration = departure_action(has_copy) == DepartureAction::Migrate;
-    let can_migrate = run.can_migrate && node.policy.uses(Mechanism::Moves);
+    let can_migrate = run.can_migrate && node.policy.uses(Mechanism::Migrations);
     if !needs_migration || !can_migrate || run.migrating.replace(true) {
         return;
     }
@@ -225,14 +225,15 @@
     let (path, body) = migration_call(&run.request_id, target, stop);
     let mut link = node
         .links
-        .get(&source.life(), source.addr, COPY_TIMEOUT)
+        .get(&source.upstream_incarnation(), source.addr, COPY_TIMEOUT)
         .await?;
     let req = Request::post(path)
         .header(HOST, source.addr.to_string())
         .header(CONTENT_TYPE, HeaderValue::from_static("application/json"))
         .body(Full::new(Bytes::from(body)))?;
     let response = call(&mut link, req).await?;
-    node.links.put_back(&source.life(), link, None);
+    node.links
+        .put_back(&source.upstream_incarnation(), link, None);
     Ok(read_migration(source.addr, response.status, &response.body))
 }
 
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -11,9 +11,9 @@
 use crate::peers::Peers;
 use crate::runs::Runs;
 use fireflycroft::{
-    Catalog, Digest, Evacuations, FULL_VIEW_AFTER, FleetView, LengthEstimator, Life, Policy, Pool,
+    Catalog, Digest, Evacuations, FULL_VIEW_AFTER, FleetView, LengthEstimator, Policy, Pool,
     PoolChange, Quarantine, QueryBudget, Refusal, Regions, ReturningCallers, SharedRetryBudget,
-    Time, UpstreamIx, ValueDensities, WatcherRole,
+    Time, UpstreamIncarnation, UpstreamIx, ValueDensities, WatcherRole,
 };
 use fireflycroft_platform::{PlatformSettings, StoreObject};
 use std::cell::{Cell, RefCell};
@@ -110,7 +110,7 @@
     /// Refusals of callers since the last report.
     pub unreported_refusals: RefCell<Vec<Refusal>>,
     /// Upstreams found unreachable since the last report.
-    pub unreported_unreachable: RefCell<Vec<Life>>,
+    pub unreported_unreachable: RefCell<Vec<UpstreamIncarnation>>,
     /// Upstreams found to be departing, for the task that migrates their runs.
     pub departing: RefCell<Vec<UpstreamIx>>,
     /// Notified when an upstream is found to be departing.
@@ -304,12 +304,12 @@
     pub fn apply_pool_changes(&self, changes: impl IntoIterator<Item = PoolChange>, source: &str) {
         for change in changes {
             let (ix, event) = match change {
-                PoolChange::Came(ix) => (ix, "upstream_came"),
+                PoolChange::Available(ix) => (ix, "upstream_came"),
                 PoolChange::Leaves(ix) => (ix, "upstream_leaves"),
                 PoolChange::Restarted { begun, .. } => (begun, "upstream_restarted"),
                 PoolChange::Unreadable(ix) => (ix, "upstream_set_aside"),
                 PoolChange::Missing(ix) => (ix, "upstream_missing"),
-                PoolChange::Back { ix, missing_for } => {
+                PoolChange::Relisted { ix, missing_for } => {
                     self.log_recovered(ix, missing_for, source);
                     continue;
                 }
@@ -331,10 +331,10 @@
                     self.end_incarnation(ended);
                     self.announce_now.notify_one();
                 }
-                PoolChange::Came(_)
+                PoolChange::Available(_)
                 | PoolChange::Unreadable(_)
                 | PoolChange::Missing(_)
-                | PoolChange::Back { .. } => {}
+                | PoolChange::Relisted { .. } => {}
             }
         }
         self.routing_changed.notify_waiters();
@@ -354,7 +354,7 @@
     /// Ends an incarnation of an upstream: closes its idle connections, has its runs migrated if
     /// it is not serving, and wakes those that wait for its responses.
     fn end_incarnation(&self, ix: UpstreamIx) {
-        let incarnation = self.pool.borrow().record(ix).life();
+        let incarnation = self.pool.borrow().record(ix).upstream_incarnation();
         self.links.close_idle(&incarnation);
         self.migrate_if_departing(ix);
         self.incarnation_ended.notify_waiters();
@@ -402,7 +402,7 @@
     /// Records that an upstream is unreachable, here and for its owners.
     pub fn record_unreachable(&self, ix: UpstreamIx) {
         let mut pool = self.pool.borrow_mut();
-        let incarnation = pool.record(ix).life();
+        let incarnation = pool.record(ix).upstream_incarnation();
         pool.record_unreachable(self.now(), &self.place.vm, &incarnation);
         self.unreported_unreachable.borrow_mut().push(incarnation);
         self.report_due.notify_one();
--- a/fireflydirect/src/process.rs
+++ b/fireflydirect/src/process.rs
@@ -91,7 +91,7 @@
         tokio::time::sleep_until(node.clock.instant(next_maintenance(&node))).await;
         node.links.close_expired();
         let now = node.now();
-        let changes = node.pool.borrow_mut().drop_missing(now);
+        let changes = node.pool.borrow_mut().remove_missing(now);
         node.apply_pool_changes(changes, "missing");
         node.quarantine.borrow_mut().expire(now);
         node.configs.borrow_mut().remove_expired(now);
@@ -102,7 +102,7 @@
 /// which removals are unconfirmed, since a departed upstream may get work until then.
 fn next_maintenance(node: &Node) -> Time {
     let now = node.now();
-    let settles_at = node.pool.borrow().contact().settles_at();
+    let settles_at = node.pool.borrow().store_connectivity().settles_at();
     let settles_at = settles_at.filter(|at| *at > now);
     let due = now + MAINTENANCE_INTERVAL;
     settles_at.map_or(due, |at| at.min(due))
--- a/fireflydirect/src/receive.rs
+++ b/fireflydirect/src/receive.rs
@@ -90,7 +90,7 @@
         node.record_store_contact(now - age, "peer");
     }
     for change in announcement.list_changes.iter().cloned() {
-        let pool_changes = node.pool.borrow_mut().take_change(now, change);
+        let pool_changes = node.pool.borrow_mut().apply_change(now, change);
         node.apply_pool_changes(pool_changes, "peer");
     }
     if announcement.evacuations.revision > 0 {
@@ -118,7 +118,7 @@
     let mut peers = node.peers.borrow_mut();
     let is_same = pool.digest() == announcement.upstreams_digest;
     if is_same {
-        pool.note_complete(announcement.upstreams_complete);
+        pool.record_complete(announcement.upstreams_complete);
     }
     if announcement.watches && is_same {
         peers.record_list_current();
@@ -270,7 +270,7 @@
     let (revision, digest, complete_to) = (state.revision, state.digest, state.complete_to);
     apply_peer_state(node, state);
     let mut pool = node.pool.borrow_mut();
-    pool.note_complete(complete_to);
+    pool.record_complete(complete_to);
     // If the digests differ at a revision up to which all changes are known, only the complete
     // list helps.
     let differs = pool.revision() == revision && pool.digest() != digest;
--- a/fireflydirect/src/reports.rs
+++ b/fireflydirect/src/reports.rs
@@ -4,7 +4,7 @@
 //! datagram may be lost and an owner may be new.
 
 use crate::node::Node;
-use fireflycroft::{EntryMessage, Life, OwnedKey, OwnerReport, PlacedAt, Refusal};
+use fireflycroft::{EntryMessage, OwnedKey, OwnerReport, PlacedAt, Refusal, UpstreamIncarnation};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -60,7 +60,7 @@
 struct ReportItems {
     placed: Vec<PlacedAt>,
     refused: Vec<Refusal>,
-    unreachable: Vec<Life>,
+    unreachable: Vec<UpstreamIncarnation>,
 }
 
 async fn report(node: &Node, items: ReportItems, is_whole: bool) {
--- a/fireflydirect/src/returning_callers.rs
+++ b/fireflydirect/src/returning_callers.rs
@@ -36,5 +36,5 @@
 }
 
 fn is_enabled(job: &Job) -> bool {
-    job.node.policy.uses(Mechanism::Returns)
+    job.node.policy.uses(Mechanism::ReturningCallers)
 }
--- a/fireflydirect/src/serve.rs
+++ b/fireflydirect/src/serve.rs
@@ -176,7 +176,7 @@
     let Some(size) = &job.head.size else {
         return 0.0;
     };
-    if !job.node.policy.uses(Mechanism::Yields) {
+    if !job.node.policy.uses(Mechanism::ValueDensities) {
         return 0.0;
     }
     let prompt = u64::from(size.prompt_tokens);
--- a/fireflydirect/src/state_page.rs
+++ b/fireflydirect/src/state_page.rs
@@ -118,7 +118,7 @@
 
 fn peer_state(node: &Node, query: &StateQuery) -> PeerState {
     let pool = node.pool.borrow();
-    let changes = pool.since(query.upstreams);
+    let changes = pool.changes_since(query.upstreams);
     let newer = node.config_version() > query.config;
     let configs = node.configs.borrow();
     let config = configs.payload_since(query.config_revision, query.whole_config);
--- a/fireflydirect/src/store_connectivity.rs
+++ b/fireflydirect/src/store_connectivity.rs
@@ -52,7 +52,7 @@
 
     /// Records that the store answered this or another entry at a given time.
     pub fn record_store_contact(&self, at: Time, source: &str) {
-        if self.pool.borrow_mut().note_contact(at) {
+        if self.pool.borrow_mut().record_store_answer(at) {
             let for_ms = SETTLE_TIME.as_millis();
             log::info!(event = "removals_doubted", source = source, for_ms = for_ms; "");
         }
@@ -74,7 +74,7 @@
         self.store_era.set(Some(era));
         if let Some(was) = was {
             log::warn!(event = "store_restored", era = era, was = was, source = source; "");
-            self.pool.borrow_mut().note_restored(self.now());
+            self.pool.borrow_mut().record_store_restored(self.now());
         }
     }
 
@@ -82,7 +82,7 @@
     pub fn record_store_failure(&self) {
         self.store_responding.set(false);
         self.any_store_failure.set(true);
-        self.pool.borrow_mut().note_no_contact();
+        self.pool.borrow_mut().record_store_failure();
     }
 
     /// Returns the milliseconds of unbroken connectivity since the first response after the last
@@ -90,7 +90,7 @@
     #[must_use]
     pub fn contact_ms(&self) -> Option<u128> {
         let pool = self.pool.borrow();
-        let unbroken = pool.contact().connected_for(self.now());
+        let unbroken = pool.store_connectivity().connected_for(self.now());
         unbroken.map(|span| span.as_millis())
     }
 
