--- a/fireflyd/src/agent.rs
+++ b/fireflyd/src/agent.rs
@@ -13,13 +13,13 @@
 
 use crate::admin::Readiness;
 use crate::config_feed::ConfigFeed;
-use crate::fleet::{Fleet, News};
+use crate::fleet::{Fleet, FleetChanges};
 use crate::node::{Node, TICK};
 use crate::runner::Runner;
 use crate::status::Status;
 
 /// Events taken in one turn before messages go out.
-const TURN: usize = 256;
+const MAX_EVENTS_PER_TURN: usize = 256;
 
 /// What reaches the loop from beside peers.
 #[derive(Debug)]
@@ -88,7 +88,7 @@
                 Some(input) = inputs.recv() => self.on_input(input),
                 _ = tick.tick() => self.on_tick(),
             }
-            for _ in 0..TURN {
+            for _ in 0..MAX_EVENTS_PER_TURN {
                 if let Ok(buf) = mail.try_recv() {
                     self.on_mail(&buf);
                 } else if let Ok(input) = inputs.try_recv() {
@@ -110,11 +110,11 @@
             return;
         };
         let now = self.node.now();
-        let news = self
+        let changes = self
             .node
             .fleet
-            .on_heard(now, &header.from, &mut self.node.outbox);
-        self.learn(&news);
+            .on_received(now, &header.from, &mut self.node.outbox);
+        self.apply_fleet_changes(&changes);
         for message in messages {
             self.on_message(Envelope {
                 from: header.from.clone(),
@@ -129,13 +129,13 @@
         let now = self.node.now();
         self.config.observe_version(envelope.config);
         match &envelope.body {
-            message if Fleet::is_own(message) => {
+            message if Fleet::is_membership_message(message) => {
                 let message = message.clone();
-                let news =
+                let changes =
                     self.node
                         .fleet
                         .on_message(now, &envelope.from, message, &mut self.node.outbox);
-                self.learn(&news);
+                self.apply_fleet_changes(&changes);
                 self.drive(AgentEvent::Message(Box::new(envelope)));
             }
             Message::ConfigPull { .. } | Message::ConfigPart { .. } => {
@@ -165,57 +165,59 @@
                 self.config.adopt(config);
                 let have = self.config.version();
                 self.drive(AgentEvent::Config(have));
-                self.show();
+                self.publish_state();
                 if have > before {
                     let message = Message::ConfigPull { have, part: 0 };
-                    self.node.fleet.tell_some(&message, &mut self.node.outbox);
+                    self.node
+                        .fleet
+                        .announce_to_some(&message, &mut self.node.outbox);
                 }
             }
             AgentInput::Vms(vms) => {
                 let now = self.node.now();
-                let news = self.node.fleet.on_vms(now, vms, &mut self.node.outbox);
-                self.learn(&news);
+                let changes = self.node.fleet.on_vms(now, vms, &mut self.node.outbox);
+                self.apply_fleet_changes(&changes);
             }
             AgentInput::Leave => {
                 self.node.grace.begin();
                 let now = self.node.now();
                 self.node.fleet.leave(now, &mut self.node.outbox);
                 self.drive(AgentEvent::Leave);
-                self.show();
+                self.publish_state();
             }
         }
     }
 
     fn on_tick(&mut self) {
         let now = self.node.now();
-        let news = self.node.fleet.on_tick(now, &mut self.node.outbox);
-        self.learn(&news);
+        let changes = self.node.fleet.on_tick(now, &mut self.node.outbox);
+        self.apply_fleet_changes(&changes);
         self.drive(AgentEvent::Tick);
         self.node
             .fleet
             .set_serves(now, self.core.serves(), &mut self.node.outbox);
-        self.tell_state();
+        self.update_readiness();
         if self.node.begin_upkeep(now) {
-            self.keep_up();
+            self.run_maintenance();
         }
     }
 
     /// Does what goes over all members, less often than each tick.
-    fn keep_up(&mut self) {
+    fn run_maintenance(&mut self) {
         self.feed.set_watching(self.node.fleet.is_watcher());
         self.node.count_members();
         self.status.set(self.status_json());
     }
 
     /// Shows the state at once; readiness goes before the status.
-    fn show(&self) {
-        self.tell_state();
+    fn publish_state(&self) {
+        self.update_readiness();
         self.status.set(self.status_json());
     }
 
     /// An agent minds only whether it is to leave itself.
-    fn learn(&mut self, news: &News) {
-        if news.leave {
+    fn apply_fleet_changes(&mut self, changes: &FleetChanges) {
+        if changes.leave {
             self.on_input(AgentInput::Leave);
         }
     }
@@ -225,11 +227,11 @@
         let now = self.node.now();
         self.core.on_event(now, event, &mut out);
         for action in out {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(&mut self, action: AgentAction) {
+    fn execute(&mut self, action: AgentAction) {
         match action {
             AgentAction::Send(to, message) => self.node.outbox.push(to, message),
             AgentAction::Broadcast(message) => {
@@ -266,7 +268,7 @@
             AgentAction::Order(order) => {
                 let runner = self.runner.clone();
                 let tx = self.tx.clone();
-                tokio::spawn(async move { runner.carry_out(&order, &tx).await });
+                tokio::spawn(async move { runner.execute_order(&order, &tx).await });
             }
             AgentAction::PullConfig(from) => self.feed.pull(from, &mut self.node.outbox),
             AgentAction::LogEvent(note) => self.node.note(&note),
@@ -283,7 +285,7 @@
         );
     }
 
-    fn tell_state(&self) {
+    fn update_readiness(&self) {
         let reason = if self.core.is_leaving() {
             Some("leaving")
         } else if !self.upstream_up {
--- a/fireflyd/src/config_feed.rs
+++ b/fireflyd/src/config_feed.rs
@@ -25,14 +25,14 @@
 
 /// Longest wait of one watch. A platform restored to an older state counts
 /// its revisions from there, so that a watch from a later one hears nothing.
-const WATCH_WAIT: Duration = Duration::from_secs(3);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 /// Wait after a failed call, doubled up to the longest.
-const RETRY_MIN: Duration = Duration::from_millis(250);
-const RETRY_MAX: Duration = Duration::from_secs(4);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(4);
 /// Time between two looks of a member that does not watch.
-const LOOK_EVERY: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_secs(30);
 /// Time between two checks whether this member watches.
-const ROLE_CHECK: Duration = Duration::from_millis(500);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Source of configurations; cloning shares it.
 #[derive(Clone)]
@@ -48,8 +48,8 @@
     #[must_use]
     pub fn new() -> (Self, watch::Receiver<Option<Arc<Config>>>) {
         let (tx, rx) = watch::channel(None);
-        let (to_compile, carried) = channel();
-        std::thread::spawn(move || compile_all(&carried, &tx));
+        let (to_compile, queue) = channel();
+        std::thread::spawn(move || compile_all(&queue, &tx));
         let feed = Self {
             transfer: Arc::default(),
             compiled: rx.clone(),
@@ -97,28 +97,28 @@
                 digest,
                 data,
             } => {
-                let piece = ReceivedPart {
+                let received = ReceivedPart {
                     version: *version,
                     part: *part,
                     parts: *parts,
                     digest: *digest,
                     data: data.clone(),
                 };
-                self.on_part(from, &piece, out);
+                self.on_part(from, &received, out);
             }
             _ => {}
         }
     }
 
-    fn on_part(&self, from: SocketAddr, piece: &ReceivedPart, out: &mut Outbox) {
+    fn on_part(&self, from: SocketAddr, received: &ReceivedPart, out: &mut Outbox) {
         let mut transfer = self.transfer();
         let have = transfer.version();
-        match transfer.on_part(piece) {
+        match transfer.on_part(received) {
             Progress::Next(part) => out.push(from, Message::ConfigPull { have, part }),
-            Progress::Complete(whole) => {
+            Progress::Complete(complete) => {
                 drop(transfer);
-                log::info!(event = "config_pulled", version = whole.version().0, peer:% = from; "");
-                self.hand_out(*whole);
+                log::info!(event = "config_pulled", version = complete.version().0, peer:% = from; "");
+                self.submit(*complete);
             }
             Progress::Ignored => {}
             Progress::Invalid(e) => {
@@ -130,22 +130,22 @@
 
     /// Follows the platform for ever.
     pub async fn follow(self, platform: PlatformClient) {
-        let mut wait = RETRY_MIN;
-        let mut seen = None;
+        let mut delay = MIN_RETRY_DELAY;
+        let mut last_revision = None;
         loop {
-            match self.look(&platform).await {
+            match self.poll(&platform).await {
                 Ok(revision) => {
-                    wait = RETRY_MIN;
-                    if seen.replace(revision) == Some(revision) {
+                    delay = MIN_RETRY_DELAY;
+                    if last_revision.replace(revision) == Some(revision) {
                         // A stale read: a watch from there would end at once.
-                        tokio::time::sleep(RETRY_MIN).await;
+                        tokio::time::sleep(MIN_RETRY_DELAY).await;
                     }
-                    self.rest(&platform, revision).await;
+                    self.wait_for_next_poll(&platform, revision).await;
                 }
                 Err(e) => {
                     log::warn!(event = "config_read_failed", cause:% = e; "");
-                    tokio::time::sleep(wait).await;
-                    wait = (wait * 2).min(RETRY_MAX);
+                    tokio::time::sleep(delay).await;
+                    delay = (delay * 2).min(MAX_RETRY_DELAY);
                 }
             }
         }
@@ -153,23 +153,23 @@
 
     /// Waits for the next look: by a watch, or by the clock for those that
     /// hear from peers.
-    async fn rest(&self, platform: &PlatformClient, revision: u64) {
+    async fn wait_for_next_poll(&self, platform: &PlatformClient, revision: u64) {
         if self.watching.load(Ordering::Relaxed) {
-            if let Err(e) = platform.watch(HEAD_KIND, revision, WATCH_WAIT).await {
+            if let Err(e) = platform.watch(HEAD_KIND, revision, WATCH_TIMEOUT).await {
                 log::warn!(event = "config_watch_failed", cause:% = e; "");
-                tokio::time::sleep(RETRY_MIN).await;
+                tokio::time::sleep(MIN_RETRY_DELAY).await;
             }
             return;
         }
-        let mut rested = Duration::ZERO;
-        while rested < LOOK_EVERY && !self.watching.load(Ordering::Relaxed) {
-            tokio::time::sleep(ROLE_CHECK).await;
-            rested += ROLE_CHECK;
+        let mut waited = Duration::ZERO;
+        while waited < POLL_INTERVAL && !self.watching.load(Ordering::Relaxed) {
+            tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
+            waited += ROLE_CHECK_INTERVAL;
         }
     }
 
     /// Reads the head and what it lists; gives the revision to watch from.
-    async fn look(&self, platform: &PlatformClient) -> Result<u64, PlatformError> {
+    async fn poll(&self, platform: &PlatformClient) -> Result<u64, PlatformError> {
         let object = match platform.get(HEAD_KIND, HEAD_NAME).await {
             Ok(object) => object,
             Err(PlatformError::NotFound) => return Ok(0),
@@ -186,8 +186,8 @@
     async fn fetch(&self, platform: &PlatformClient, head: Head) -> Result<(), PlatformError> {
         let mut parts = Vec::with_capacity(head.parts.len());
         for name in &head.parts {
-            let known = self.transfer().part(name).cloned();
-            if let Some(part) = known {
+            let cached = self.transfer().part(name).cloned();
+            if let Some(part) = cached {
                 parts.push(part);
                 continue;
             }
@@ -196,17 +196,17 @@
                 .map_err(|e| PlatformError::Invalid(format!("configuration part: {e}")))?;
             parts.push(part);
         }
-        let taken = self.transfer().install(head, parts);
-        match taken {
-            Ok(Some(whole)) => self.hand_out(whole),
+        let installed = self.transfer().install(head, parts);
+        match installed {
+            Ok(Some(complete)) => self.submit(complete),
             Ok(None) => {}
             Err(e) => return Err(PlatformError::Invalid(format!("configuration: {e}"))),
         }
         Ok(())
     }
 
-    fn hand_out(&self, carried: CompleteConfig) {
-        if self.to_compile.send(carried).is_err() {
+    fn submit(&self, complete: CompleteConfig) {
+        if self.to_compile.send(complete).is_err() {
             log::error!(event = "config_compiler_gone"; "");
         }
     }
@@ -235,16 +235,16 @@
 }
 
 /// Compiles what arrives and gives it to `tx`, until the feed is gone.
-fn compile_all(carried: &Receiver<CompleteConfig>, tx: &watch::Sender<Option<Arc<Config>>>) {
-    while let Ok(next) = carried.recv() {
+fn compile_all(queue: &Receiver<CompleteConfig>, tx: &watch::Sender<Option<Arc<Config>>>) {
+    while let Ok(next) = queue.recv() {
         match next.compile() {
-            Ok(config) => offer(tx, config),
-            Err(faults) => tell_faults(&next, &faults),
+            Ok(config) => publish(tx, config),
+            Err(faults) => log_faults(&next, &faults),
         }
     }
 }
 
-fn offer(tx: &watch::Sender<Option<Arc<Config>>>, config: Config) {
+fn publish(tx: &watch::Sender<Option<Arc<Config>>>, config: Config) {
     tx.send_if_modified(|held| {
         let older = held.as_ref().is_some_and(|h| h.version >= config.version);
         if !older {
@@ -254,8 +254,8 @@
     });
 }
 
-fn tell_faults(carried: &CompleteConfig, faults: &[ConfigFault]) {
+fn log_faults(complete: &CompleteConfig, faults: &[ConfigFault]) {
     let first = faults.first().map(|f| format!("{}: {}", f.field, f.text));
     let first = first.unwrap_or_default();
-    log::error!(event = "config_faulty", version = carried.version().0, cause = first; "");
+    log::error!(event = "config_faulty", version = complete.version().0, cause = first; "");
 }
--- a/fireflyd/src/engine_messages.rs
+++ b/fireflyd/src/engine_messages.rs
@@ -53,7 +53,7 @@
     /// The stream ended before the generation; the last event.
     Broken {
         /// What happened, for the log.
-        why: String,
+        cause: String,
     },
 }
 
@@ -142,14 +142,14 @@
         }
         self.sse.push(chunk);
         let mut tokens = Vec::new();
-        let last = self.take_all(&mut tokens);
+        let last = self.decode_available(&mut tokens);
         self.ended = last.is_some();
         let tokens = (!tokens.is_empty()).then_some(EngineEvent::Tokens(tokens));
         tokens.into_iter().chain(last).collect()
     }
 
     /// The last event, when the connection ended; `None` when it was given out before.
-    pub fn end(&mut self, why: impl Into<String>) -> Option<EngineEvent> {
+    pub fn end(&mut self, cause: impl Into<String>) -> Option<EngineEvent> {
         if self.ended {
             return None;
         }
@@ -157,7 +157,9 @@
         match self.reason.take() {
             // All tokens are there; only the closing event is missing.
             Some(reason) => Some(self.finished(reason)),
-            None => Some(EngineEvent::Broken { why: why.into() }),
+            None => Some(EngineEvent::Broken {
+                cause: cause.into(),
+            }),
         }
     }
 
@@ -169,22 +171,22 @@
     }
 
     /// Takes the whole events at hand; gives the last event of the stream if it is among them.
-    fn take_all(&mut self, tokens: &mut Vec<Token>) -> Option<EngineEvent> {
+    fn decode_available(&mut self, tokens: &mut Vec<Token>) -> Option<EngineEvent> {
         loop {
-            let taken = match self.sse.next_event() {
-                Ok(Some(event)) => self.take(&event, tokens),
+            let decoded = match self.sse.next_event() {
+                Ok(Some(event)) => self.decode_event(&event, tokens),
                 Ok(None) => return None,
                 Err(e) => Err(e.to_string()),
             };
-            match taken {
+            match decoded {
                 Ok(None) => {}
                 Ok(last) => return last,
-                Err(why) => return Some(EngineEvent::Broken { why }),
+                Err(cause) => return Some(EngineEvent::Broken { cause }),
             }
         }
     }
 
-    fn take(
+    fn decode_event(
         &mut self,
         event: &SseEvent,
         tokens: &mut Vec<Token>,
@@ -306,7 +308,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// The engine took it.
-    Taken,
+    Accepted,
     /// The engine refused it, having seen a greater fencing number.
     Fenced {
         /// The greatest number it has seen.
--- a/fireflyd/src/entry.rs
+++ b/fireflyd/src/entry.rs
@@ -14,7 +14,7 @@
 use crate::admin::Readiness;
 use crate::claims;
 use crate::config_feed::ConfigFeed;
-use crate::fleet::{Fleet, News};
+use crate::fleet::{Fleet, FleetChanges};
 use crate::front::FrontEvent;
 use crate::leader::Leader;
 use crate::leases;
@@ -133,7 +133,7 @@
         let news = self
             .node
             .fleet
-            .on_heard(now, &header.from, &mut self.node.outbox);
+            .on_received(now, &header.from, &mut self.node.outbox);
         self.learn(news);
         for message in messages {
             self.on_message(Envelope {
@@ -148,7 +148,7 @@
     fn on_message(&mut self, envelope: Envelope) {
         let now = self.node.now();
         match &envelope.body {
-            message if Fleet::is_own(message) => {
+            message if Fleet::is_membership_message(message) => {
                 let message = message.clone();
                 let news =
                     self.node
@@ -245,7 +245,9 @@
         let have = self.core.config_version();
         if have > before {
             let message = Message::ConfigPull { have, part: 0 };
-            self.node.fleet.tell_some(&message, &mut self.node.outbox);
+            self.node
+                .fleet
+                .announce_to_some(&message, &mut self.node.outbox);
         }
     }
 
@@ -260,7 +262,7 @@
             let platform = self.platform.clone();
             let tx = self.tx.clone();
             tokio::spawn(async move {
-                let answer = leases::ask(&platform, op).await;
+                let answer = leases::execute(&platform, op).await;
                 let _ = tx.send(EntryInput::Lease(call, answer)).await;
             });
         }
@@ -273,7 +275,7 @@
         }
     }
 
-    fn learn(&mut self, news: News) {
+    fn learn(&mut self, news: FleetChanges) {
         if news.leave {
             self.on_input(EntryInput::Leave);
         }
--- a/fireflyd/src/fleet.rs
+++ b/fireflyd/src/fleet.rs
@@ -13,11 +13,11 @@
 /// Members that watch the platform's configuration.
 const WATCHERS: usize = 3;
 /// Members that are told at once of a new configuration.
-const TOLD: usize = 3;
+const ANNOUNCE_FANOUT: usize = 3;
 
 /// What came of an event.
 #[derive(Debug, Default)]
-pub struct News {
+pub struct FleetChanges {
     /// Records of other members that changed.
     pub changed: Vec<MemberRecord>,
     /// Whether the fleet says that this process is to leave.
@@ -29,7 +29,7 @@
     members: Members,
     entries: u32,
     serves: Vec<Name>,
-    turn: usize,
+    last_recipient: usize,
 }
 
 impl Fleet {
@@ -40,13 +40,13 @@
             serves: setup.serves.clone(),
             members: Members::new(setup),
             entries: 1,
-            turn: 0,
+            last_recipient: 0,
         }
     }
 
     /// Whether a message is membership's own.
     #[must_use]
-    pub const fn is_own(message: &Message) -> bool {
+    pub const fn is_membership_message(message: &Message) -> bool {
         matches!(
             message,
             Message::Ping { .. }
@@ -65,22 +65,22 @@
         from: &Peer,
         message: Message,
         out: &mut Outbox,
-    ) -> News {
+    ) -> FleetChanges {
         self.drive(now, MemberEvent::Message(from.clone(), message), out)
     }
 
     /// Some other message came from that process.
-    pub fn on_heard(&mut self, now: Time, from: &Peer, out: &mut Outbox) -> News {
+    pub fn on_received(&mut self, now: Time, from: &Peer, out: &mut Outbox) -> FleetChanges {
         self.drive(now, MemberEvent::Received(from.clone()), out)
     }
 
     /// The VM list was read.
-    pub fn on_vms(&mut self, now: Time, vms: Vec<Vm>, out: &mut Outbox) -> News {
+    pub fn on_vms(&mut self, now: Time, vms: Vec<Vm>, out: &mut Outbox) -> FleetChanges {
         self.drive(now, MemberEvent::Vms(vms), out)
     }
 
     /// Pings and ages members.
-    pub fn on_tick(&mut self, now: Time, out: &mut Outbox) -> News {
+    pub fn on_tick(&mut self, now: Time, out: &mut Outbox) -> FleetChanges {
         self.drive(now, MemberEvent::Tick, out)
     }
 
@@ -100,7 +100,7 @@
     /// Mailboxes of all other members that may be alive.
     #[must_use]
     pub fn addrs(&self) -> Vec<SocketAddr> {
-        self.others().map(|r| r.peer.addr).collect()
+        self.other_members().map(|r| r.peer.addr).collect()
     }
 
     /// Number of members in each state.
@@ -130,45 +130,48 @@
 
     /// Tells a few members, others each time, by a message that carries the
     /// version in force.
-    pub fn tell_some(&mut self, message: &Message, out: &mut Outbox) {
+    pub fn announce_to_some(&mut self, message: &Message, out: &mut Outbox) {
         let addrs = self.addrs();
-        for _ in 0..TOLD.min(addrs.len()) {
-            self.turn = self.turn.wrapping_add(1);
-            out.push(addrs[self.turn % addrs.len()], message.clone());
+        for _ in 0..ANNOUNCE_FANOUT.min(addrs.len()) {
+            self.last_recipient = self.last_recipient.wrapping_add(1);
+            out.push(addrs[self.last_recipient % addrs.len()], message.clone());
         }
     }
 
-    fn rank_among(&self, purpose: &[u8], counts: impl Fn(&MemberRecord) -> bool) -> usize {
+    fn rank_among(&self, purpose: &[u8], is_eligible: impl Fn(&MemberRecord) -> bool) -> usize {
         let weight = |name: &Name| Digest::of(&[purpose, name.as_bytes()]);
         let own = weight(&self.members.own().peer.name);
         let alive = |r: &&MemberRecord| r.state == MemberState::Alive;
-        let counted = self.others().filter(alive).filter(|r| counts(r));
-        counted.filter(|r| weight(&r.peer.name) > own).count()
+        let eligible = self
+            .other_members()
+            .filter(alive)
+            .filter(|r| is_eligible(r));
+        eligible.filter(|r| weight(&r.peer.name) > own).count()
     }
 
-    fn others(&self) -> impl Iterator<Item = &MemberRecord> {
+    fn other_members(&self) -> impl Iterator<Item = &MemberRecord> {
         let own = &self.members.own().peer.name;
         let other = move |r: &&MemberRecord| r.peer.name != *own && r.state != MemberState::Dead;
         self.members.records().filter(other)
     }
 
-    fn drive(&mut self, now: Time, event: MemberEvent, out: &mut Outbox) -> News {
+    fn drive(&mut self, now: Time, event: MemberEvent, out: &mut Outbox) -> FleetChanges {
         let mut actions = Vec::new();
         self.members.on_event(now, event, &mut actions);
         let own = self.members.own().peer.name.clone();
-        let mut news = News::default();
+        let mut changes = FleetChanges::default();
         for action in actions {
             match action {
                 MemberAction::Send(to, message) => out.push(to, message),
-                MemberAction::Changed(record) if record.peer.name == own => news.leave = true,
-                MemberAction::Changed(record) => news.changed.push(record),
+                MemberAction::Changed(record) if record.peer.name == own => changes.leave = true,
+                MemberAction::Changed(record) => changes.changed.push(record),
                 MemberAction::Entries(entries) => self.entries = entries.max(1),
-                MemberAction::LogEvent(note) => {
-                    let peer = note.peer.as_deref().unwrap_or("-");
-                    log::info!(event = note.event, peer = peer, count = note.count; "");
+                MemberAction::LogEvent(log_event) => {
+                    let peer = log_event.peer.as_deref().unwrap_or("-");
+                    log::info!(event = log_event.event, peer = peer, count = log_event.count; "");
                 }
             }
         }
-        news
+        changes
     }
 }
--- a/fireflyd/src/leader.rs
+++ b/fireflyd/src/leader.rs
@@ -56,15 +56,15 @@
         now: Time,
         candidate: bool,
     ) -> (Option<(LeaseCall, LeaseOp)>, Option<LogEvent>) {
-        let asked = self.lease.on_tick(now, candidate);
+        let call = self.lease.on_tick(now, candidate);
         let held = self.lease.held(now);
         let before = std::mem::replace(&mut self.held, held);
-        let note = match (before, held) {
+        let log_event = match (before, held) {
             (None, Some(fence)) => Some(LogEvent::new("lease_taken").count(fence)),
             (Some(fence), None) => Some(LogEvent::new("lease_lost").count(fence)),
             _ => None,
         };
-        (asked, note)
+        (call, log_event)
     }
 
     /// Orders what is due, if the lease is held.
--- a/fireflyd/src/leases.rs
+++ b/fireflyd/src/leases.rs
@@ -20,7 +20,7 @@
 }
 
 /// Asks the platform and says what it answered.
-pub async fn ask(platform: &PlatformClient, op: LeaseOp) -> LeaseAnswer {
+pub async fn execute(platform: &PlatformClient, op: LeaseOp) -> LeaseAnswer {
     match op {
         LeaseOp::Read => read(platform).await,
         LeaseOp::Create(record) => write(platform, &record, Condition::Absent).await,
@@ -41,9 +41,13 @@
     }
 }
 
-async fn write(platform: &PlatformClient, record: &LeaseRecord, on: Condition) -> LeaseAnswer {
+async fn write(
+    platform: &PlatformClient,
+    record: &LeaseRecord,
+    condition: Condition,
+) -> LeaseAnswer {
     match platform
-        .put(LEASE_KIND, PLACER, &to_value(record), on)
+        .put(LEASE_KIND, PLACER, &to_value(record), condition)
         .await
     {
         Ok(version) => LeaseAnswer::Written(version),
--- a/fireflyd/src/main.rs
+++ b/fireflyd/src/main.rs
@@ -8,7 +8,7 @@
 fn main() -> ExitCode {
     let settings = match Settings::parse(std::env::args_os(), std::env::vars()) {
         Ok(settings) => settings,
-        Err(faults) => return tell(&faults),
+        Err(faults) => return print_faults(&faults),
     };
     if settings.check_config {
         println!("settings ok");
@@ -32,9 +32,9 @@
     runtime.block_on(process::run(settings))
 }
 
-fn tell(faults: &SettingsFaults) -> ExitCode {
+fn print_faults(faults: &SettingsFaults) -> ExitCode {
     match faults {
-        SettingsFaults::Shown(text) => print!("{text}"),
+        SettingsFaults::HelpOrVersion(text) => print!("{text}"),
         _ => eprintln!("{faults}"),
     }
     ExitCode::from(u8::try_from(faults.exit_status()).unwrap_or(1))
--- a/fireflyd/src/plain_client.rs
+++ b/fireflyd/src/plain_client.rs
@@ -6,7 +6,9 @@
 use reqwest::header::{CONTENT_TYPE, HeaderName, HeaderValue};
 use reqwest::{Method, Response, Url};
 
-use crate::upstream::{HOP_BY_HOP, Result, base_url, body, broken, http_client, never_sent};
+use crate::upstream::{
+    HOP_BY_HOP, Result, base_url, http_client, never_sent, read_body, transport_error,
+};
 
 /// Answer of a plain service, whatever its status.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -70,7 +72,7 @@
                 call = call.header(name, value);
             }
         }
-        self.answer(call.send().await.map_err(|e| broken(&e))?)
+        self.answer(call.send().await.map_err(|e| transport_error(&e))?)
             .await
     }
 
@@ -95,7 +97,7 @@
         Ok(PlainAnswer {
             status: res.status().as_u16(),
             content_type,
-            body: body(res, self.max_answer).await?.into(),
+            body: read_body(res, self.max_answer).await?.into(),
         })
     }
 }
--- a/fireflyd/src/platform.rs
+++ b/fireflyd/src/platform.rs
@@ -21,7 +21,7 @@
 /// What a watch may take beyond the wait it asks for.
 const WATCH_MARGIN: Duration = Duration::from_secs(2);
 /// Largest value of an object in bytes.
-pub const MAX_VALUE: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// Why a call gave no answer of the wanted kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
                 retry_after: Some(wait),
             } => write!(f, "unavailable for {} s", wait.as_secs()),
             Self::OutcomeUnknown => f.write_str("outcome unknown"),
-            Self::Invalid(why) => write!(f, "invalid: {why}"),
+            Self::Invalid(reason) => write!(f, "invalid: {reason}"),
         }
     }
 }
@@ -238,9 +238,9 @@
         condition: Condition,
     ) -> Result<u64> {
         let body = serde_json::to_vec(value).map_err(|e| PlatformError::Invalid(e.to_string()))?;
-        if body.len() > MAX_VALUE {
-            let why = format!("value of {} bytes, at most {MAX_VALUE}", body.len());
-            return Err(PlatformError::Invalid(why));
+        if body.len() > MAX_VALUE_BYTES {
+            let reason = format!("value of {} bytes, at most {MAX_VALUE_BYTES}", body.len());
+            return Err(PlatformError::Invalid(reason));
         }
         let req = self
             .request(Method::PUT, self.object_url(kind, name)?)
@@ -309,8 +309,8 @@
 
     fn url(&self, segments: &[&str]) -> Result<Url> {
         // A URL drops such segments or climbs by them.
-        if let Some(wrong) = segments.iter().find(|s| matches!(**s, "" | "." | "..")) {
-            return Err(PlatformError::Invalid(format!("path segment {wrong:?}")));
+        if let Some(invalid) = segments.iter().find(|s| matches!(**s, "" | "." | "..")) {
+            return Err(PlatformError::Invalid(format!("path segment {invalid:?}")));
         }
         let mut url = self.base.clone();
         match url.path_segments_mut() {
@@ -335,7 +335,7 @@
         effect: Effect,
         req: RequestBuilder,
     ) -> Result<T> {
-        let res = answer(effect, req).await;
+        let res = send_and_parse(effect, req).await;
         let label = res.as_ref().err().map_or("ok", PlatformError::label);
         self.metrics
             .platform_calls
@@ -353,12 +353,12 @@
     }
 }
 
-async fn answer<T: DeserializeOwned>(effect: Effect, req: RequestBuilder) -> Result<T> {
-    let res = req.send().await.map_err(|e| broken(effect, &e))?;
+async fn send_and_parse<T: DeserializeOwned>(effect: Effect, req: RequestBuilder) -> Result<T> {
+    let res = req.send().await.map_err(|e| transport_error(effect, &e))?;
     if !res.status().is_success() {
-        return Err(refusal(effect, res).await);
+        return Err(status_error(effect, res).await);
     }
-    let body = res.bytes().await.map_err(|e| broken(effect, &e))?;
+    let body = res.bytes().await.map_err(|e| transport_error(effect, &e))?;
     serde_json::from_slice(&body).map_err(|e| match effect {
         Effect::Read => PlatformError::Invalid(e.to_string()),
         // It took effect, but without its version the caller has to read back.
@@ -367,17 +367,17 @@
 }
 
 /// What a call without an answer means.
-fn broken(effect: Effect, e: &reqwest::Error) -> PlatformError {
+fn transport_error(effect: Effect, e: &reqwest::Error) -> PlatformError {
     if e.is_builder() {
         PlatformError::Invalid(e.to_string())
     } else if e.is_connect() {
         PlatformError::UNAVAILABLE
     } else {
-        lost(effect)
+        missing_response(effect)
     }
 }
 
-fn lost(effect: Effect) -> PlatformError {
+fn missing_response(effect: Effect) -> PlatformError {
     match effect {
         Effect::Read => PlatformError::UNAVAILABLE,
         Effect::Write => PlatformError::OutcomeUnknown,
@@ -385,7 +385,7 @@
 }
 
 /// What an answer other than success means.
-async fn refusal(effect: Effect, res: Response) -> PlatformError {
+async fn status_error(effect: Effect, res: Response) -> PlatformError {
     match res.status() {
         StatusCode::NOT_FOUND => PlatformError::NotFound,
         StatusCode::CONFLICT | StatusCode::PRECONDITION_FAILED => conflict(res).await,
@@ -394,9 +394,9 @@
                 retry_after: retry_after(res.headers()),
             }
         }
-        StatusCode::REQUEST_TIMEOUT => lost(effect),
+        StatusCode::REQUEST_TIMEOUT => missing_response(effect),
         status if status.is_client_error() => PlatformError::Invalid(status.to_string()),
-        _ => lost(effect),
+        _ => missing_response(effect),
     }
 }
 
--- a/fireflyd/src/port_file.rs
+++ b/fireflyd/src/port_file.rs
@@ -19,7 +19,7 @@
     for (key, addr) in bound {
         writeln!(text, "{key}={addr}")?;
     }
-    let part = path.with_extension("part");
-    std::fs::write(&part, text).with_context(|| part.display().to_string())?;
-    std::fs::rename(&part, path).with_context(|| path.display().to_string())
+    let temporary = path.with_extension("part");
+    std::fs::write(&temporary, text).with_context(|| temporary.display().to_string())?;
+    std::fs::rename(&temporary, path).with_context(|| path.display().to_string())
 }
--- a/fireflyd/src/process.rs
+++ b/fireflyd/src/process.rs
@@ -35,29 +35,29 @@
 use crate::upstream::{EngineClient, PlainClient};
 
 /// Calls and inputs that wait for a loop.
-const QUEUE: usize = 16 * 1024;
+const QUEUE_CAPACITY: usize = 16 * 1024;
 /// Time between two looks at the file of fleet keys.
-const KEY_CHECK: Duration = Duration::from_secs(1);
+const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Largest answer of a plain service in bytes.
-const MAX_PLAIN_ANSWER: usize = 8 * 1024 * 1024;
+const MAX_PLAIN_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 /// Size of an engine that neither settings nor the engine tell.
-const DEFAULT_CAPACITY: u64 = 65_536;
-const DEFAULT_BATCH: u64 = 64;
+const DEFAULT_CAPACITY_TOKENS: u64 = 65_536;
+const DEFAULT_MAX_BATCH: u64 = 64;
 /// Most requests that wait at one agent.
 const MAX_QUEUE: usize = 256;
 /// Time between two looks at the VM list; at 1,000 VMs a look reads 95 KB.
-const VMS_EVERY: Duration = Duration::from_secs(20);
+const VMS_POLL_INTERVAL: Duration = Duration::from_secs(20);
 /// Wait before the platform is asked again for the fencing number.
-const FENCE_RETRY: Duration = Duration::from_secs(1);
+const FENCE_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Longest wait for callers to read the last of their answers.
-const LAST_WRITES: Duration = Duration::from_mins(10);
+const RESPONSE_FLUSH_TIMEOUT: Duration = Duration::from_mins(10);
 /// Time for peers to tell a new process the version in force.
-const SETTLE: Duration = Duration::from_millis(500);
+const FIRST_CONFIG_DELAY: Duration = Duration::from_millis(500);
 /// Time to let the last messages of a planned stop go out.
-const LINGER: Duration = Duration::from_millis(300);
+const FINAL_SEND_DELAY: Duration = Duration::from_millis(300);
 
 /// What both roles are put together from.
-struct Parts {
+struct Components {
     node: Node,
     mail: mpsc::Receiver<Vec<u8>>,
     platform: PlatformClient,
@@ -73,19 +73,19 @@
 ///
 /// When an address cannot be bound or a file not be read.
 pub async fn run(settings: Settings) -> anyhow::Result<()> {
-    let parts = put_together(&settings)?;
+    let components = build_components(&settings)?;
     match settings.role.clone() {
-        RoleSettings::Entry(entry) => run_entry(&settings, entry, parts).await,
-        RoleSettings::Agent(agent) => run_agent(&settings, agent, parts).await,
+        RoleSettings::Entry(entry) => run_entry(&settings, entry, components).await,
+        RoleSettings::Agent(agent) => run_agent(&settings, agent, components).await,
     }
 }
 
-fn put_together(settings: &Settings) -> anyhow::Result<Parts> {
+fn build_components(settings: &Settings) -> anyhow::Result<Components> {
     let keys = SharedKeyRing::new(read_key_file(&settings.fleet_keys_file)?);
     tokio::spawn(watch_key_file(
         settings.fleet_keys_file.clone(),
         keys.clone(),
-        KEY_CHECK,
+        KEY_CHECK_INTERVAL,
     ));
     let metrics = Metrics::new()?;
     let (mailbox, mail) = Mailbox::open(
@@ -104,7 +104,7 @@
     let journal = Journal::new(settings.name.clone());
     let grace = Grace::new(settings.timeouts.drain_grace);
     let node = Node::new(identity(settings), mailbox, metrics, journal, grace);
-    Ok(Parts {
+    Ok(Components {
         node,
         mail,
         platform,
@@ -118,7 +118,7 @@
 fn identity(settings: &Settings) -> Identity {
     let (role, serves) = match &settings.role {
         RoleSettings::Entry(_) => (Role::Entry, Vec::new()),
-        RoleSettings::Agent(agent) => (Role::Agent, served_by(agent)),
+        RoleSettings::Agent(agent) => (Role::Agent, initial_targets(agent)),
     };
     Identity {
         name: settings.name.clone(),
@@ -129,35 +129,43 @@
     }
 }
 
-fn served_by(agent: &AgentSettings) -> Vec<Name> {
+fn initial_targets(agent: &AgentSettings) -> Vec<Name> {
     match agent.kind {
         UpstreamKind::Engine => agent.models.clone(),
         UpstreamKind::Plain => agent.service.iter().cloned().collect(),
     }
 }
 
-async fn run_entry(settings: &Settings, entry: EntrySettings, parts: Parts) -> anyhow::Result<()> {
-    let (calls_tx, calls) = mpsc::channel(QUEUE);
-    let (tx, inputs) = mpsc::channel(QUEUE);
-    let front = Front::new(calls_tx, parts.node.metrics.clone());
+async fn run_entry(
+    settings: &Settings,
+    entry: EntrySettings,
+    components: Components,
+) -> anyhow::Result<()> {
+    let (calls_tx, calls) = mpsc::channel(QUEUE_CAPACITY);
+    let (tx, inputs) = mpsc::channel(QUEUE_CAPACITY);
+    let front = Front::new(calls_tx, components.node.metrics.clone());
     let (stop, stopped) = oneshot::channel();
     let tls = read_tls(&entry)?;
     let (callers, server) = front.bind(entry.listen, tls, stopped).await?;
     let server = tokio::spawn(server);
-    let admin = serve_admin(settings, &parts, {
+    let admin = serve_admin(settings, &components, {
         let tx = tx.clone();
         move || drop(tx.try_send(EntryInput::Leave))
     })
     .await?;
-    tell_ports(settings, &parts, admin, Some(callers))?;
+    report_addresses(settings, &components, admin, Some(callers))?;
     tokio::spawn(leave_on_signal({
         let tx = tx.clone();
         move || drop(tx.try_send(EntryInput::Leave))
     }));
-    tokio::spawn(forward(parts.configs, tx.clone(), EntryInput::Config));
-    tokio::spawn(follow_vms(
-        parts.platform.clone(),
-        parts.feed.clone(),
+    tokio::spawn(forward_configs(
+        components.configs,
+        tx.clone(),
+        EntryInput::Config,
+    ));
+    tokio::spawn(poll_vms(
+        components.platform.clone(),
+        components.feed.clone(),
         tx.clone(),
         EntryInput::Vms,
     ));
@@ -175,53 +183,61 @@
     };
     let entry_loop = EntryLoop::new(
         setup,
-        parts.node,
-        parts.platform,
-        parts.feed,
-        parts.ready,
-        parts.status,
+        components.node,
+        components.platform,
+        components.feed,
+        components.ready,
+        components.status,
         tx,
     );
-    entry_loop.run(parts.mail, calls, inputs).await;
+    entry_loop.run(components.mail, calls, inputs).await;
     // The front writes on what the loop gave it, until each caller has it.
     let _ = stop.send(());
-    let _ = tokio::time::timeout(LAST_WRITES, server).await;
-    tokio::time::sleep(LINGER).await;
+    let _ = tokio::time::timeout(RESPONSE_FLUSH_TIMEOUT, server).await;
+    tokio::time::sleep(FINAL_SEND_DELAY).await;
     Ok(())
 }
 
-async fn run_agent(settings: &Settings, agent: AgentSettings, parts: Parts) -> anyhow::Result<()> {
-    let (tx, inputs) = mpsc::channel(QUEUE);
-    let admin = serve_admin(settings, &parts, {
+async fn run_agent(
+    settings: &Settings,
+    agent: AgentSettings,
+    components: Components,
+) -> anyhow::Result<()> {
+    let (tx, inputs) = mpsc::channel(QUEUE_CAPACITY);
+    let admin = serve_admin(settings, &components, {
         let tx = tx.clone();
         move || drop(tx.try_send(AgentInput::Leave))
     })
     .await?;
-    tell_ports(settings, &parts, admin, None)?;
+    report_addresses(settings, &components, admin, None)?;
     tokio::spawn(leave_on_signal({
         let tx = tx.clone();
         move || drop(tx.try_send(AgentInput::Leave))
     }));
-    tokio::spawn(forward(parts.configs, tx.clone(), AgentInput::Config));
-    tokio::spawn(follow_vms(
-        parts.platform.clone(),
-        parts.feed.clone(),
+    tokio::spawn(forward_configs(
+        components.configs,
+        tx.clone(),
+        AgentInput::Config,
+    ));
+    tokio::spawn(poll_vms(
+        components.platform.clone(),
+        components.feed.clone(),
         tx.clone(),
         AgentInput::Vms,
     ));
     let runner = open_runner(settings, &agent)?;
-    let capacity = find_capacity(&agent, &runner).await;
+    let capacity = determine_capacity(&agent, &runner).await;
     tokio::spawn(runner.clone().watch_health(tx.clone()));
     tokio::spawn(runner.clone().watch_models(tx.clone()));
-    tokio::spawn(learn_fence(parts.platform.clone(), tx.clone()));
+    tokio::spawn(fetch_fence(components.platform.clone(), tx.clone()));
     let policy = admit_policy(&settings.policy);
     if policy == AdmitPolicy::PassThrough {
         // The upstream queues, so only it knows its load.
         tokio::spawn(runner.clone().watch_load(tx.clone()));
     }
     let setup = AgentSetup {
-        me: parts.node.me.clone(),
-        serves: served_by(&agent),
+        me: components.node.me.clone(),
+        serves: initial_targets(&agent),
         policy,
         capacity,
         limits: AgentLimits {
@@ -231,15 +247,15 @@
     };
     let agent_loop = AgentLoop::new(
         setup,
-        parts.node,
+        components.node,
         runner,
-        parts.feed,
-        parts.ready,
-        parts.status,
+        components.feed,
+        components.ready,
+        components.status,
         tx,
     );
-    agent_loop.run(parts.mail, inputs).await;
-    tokio::time::sleep(LINGER).await;
+    agent_loop.run(components.mail, inputs).await;
+    tokio::time::sleep(FINAL_SEND_DELAY).await;
     Ok(())
 }
 
@@ -252,24 +268,24 @@
         UpstreamKind::Plain => Runner::Plain(PlainClient::new(
             &agent.upstream,
             timeouts.plain_call,
-            MAX_PLAIN_ANSWER,
+            MAX_PLAIN_RESPONSE_BYTES,
         )?),
     })
 }
 
 /// Size of the upstream: from the settings, else as the engine tells it.
-async fn find_capacity(agent: &AgentSettings, runner: &Runner) -> Capacity {
-    let told = match runner {
+async fn determine_capacity(agent: &AgentSettings, runner: &Runner) -> Capacity {
+    let reported = match runner {
         Runner::Engine(engine) => engine.load().await.ok(),
         Runner::Plain(_) => None,
     };
     let tokens = agent
         .capacity_tokens
-        .or(told.as_ref().map(|l| l.capacity_tokens));
-    let batch = agent.max_batch.or(told.as_ref().map(|l| l.max_batch));
+        .or(reported.as_ref().map(|l| l.capacity_tokens));
+    let batch = agent.max_batch.or(reported.as_ref().map(|l| l.max_batch));
     Capacity {
-        tokens: tokens.unwrap_or(DEFAULT_CAPACITY),
-        max_batch: u32::try_from(batch.unwrap_or(DEFAULT_BATCH)).unwrap_or(u32::MAX),
+        tokens: tokens.unwrap_or(DEFAULT_CAPACITY_TOKENS),
+        max_batch: u32::try_from(batch.unwrap_or(DEFAULT_MAX_BATCH)).unwrap_or(u32::MAX),
         max_queue: MAX_QUEUE,
     }
 }
@@ -302,29 +318,32 @@
 }
 
 /// The status of the loop, with what it doesn't know of itself.
-fn status_of(settings: &Settings, parts: &Parts) -> Arc<dyn Fn() -> Value + Send + Sync> {
-    let (status, feed) = (parts.status.clone(), parts.feed.clone());
+fn status_source(
+    settings: &Settings,
+    components: &Components,
+) -> Arc<dyn Fn() -> Value + Send + Sync> {
+    let (status, feed) = (components.status.clone(), components.feed.clone());
     let data_centre = settings.data_centre.clone();
     Arc::new(move || {
-        let mut shown = status.get();
-        shown["data_centre"] = json!(data_centre);
-        shown["config_digest"] = json!(feed.digest().map(|digest| digest.to_string()));
-        shown
+        let mut current = status.get();
+        current["data_centre"] = json!(data_centre);
+        current["config_digest"] = json!(feed.digest().map(|digest| digest.to_string()));
+        current
     })
 }
 
 /// Serves the operators' interface; gives its bound address.
 async fn serve_admin(
     settings: &Settings,
-    parts: &Parts,
+    components: &Components,
     drain: impl Fn() + Send + Sync + 'static,
 ) -> anyhow::Result<SocketAddr> {
-    let journal = parts.node.journal.clone();
-    let feed = parts.feed.clone();
+    let journal = components.node.journal.clone();
+    let feed = components.feed.clone();
     let admin = Admin {
-        metrics: parts.node.metrics.clone(),
-        readiness: parts.ready.clone(),
-        status: status_of(settings, parts),
+        metrics: components.node.metrics.clone(),
+        readiness: components.ready.clone(),
+        status: status_source(settings, components),
         config: Arc::new(move || feed.bundle()),
         explain: Arc::new(move |id| journal.explain(id)),
         drain: Arc::new(drain),
@@ -337,13 +356,13 @@
     Ok(bound)
 }
 
-fn tell_ports(
+fn report_addresses(
     settings: &Settings,
-    parts: &Parts,
+    components: &Components,
     admin: SocketAddr,
     callers: Option<SocketAddr>,
 ) -> anyhow::Result<()> {
-    let mailbox = parts.node.mailbox.local_addr();
+    let mailbox = components.node.mailbox.local_addr();
     log::info!(event = "listening", mailbox:% = mailbox, admin:% = admin; "");
     let Some(path) = &settings.port_file else {
         return Ok(());
@@ -371,14 +390,14 @@
 }
 
 /// Reads the VM list for ever, where this member is one of the few that look.
-async fn follow_vms<T>(
+async fn poll_vms<T>(
     platform: PlatformClient,
     feed: ConfigFeed,
     tx: mpsc::Sender<T>,
     wrap: impl Fn(Vec<Vm>) -> T,
 ) {
     loop {
-        tokio::time::sleep(VMS_EVERY).await;
+        tokio::time::sleep(VMS_POLL_INTERVAL).await;
         if !feed.is_watching() {
             continue;
         }
@@ -401,13 +420,13 @@
 
 /// Learns the fencing number in force, without which the agent takes no
 /// order.
-async fn learn_fence(platform: PlatformClient, tx: mpsc::Sender<AgentInput>) {
+async fn fetch_fence(platform: PlatformClient, tx: mpsc::Sender<AgentInput>) {
     loop {
-        let fence = match leases::ask(&platform, LeaseOp::Read).await {
+        let fence = match leases::execute(&platform, LeaseOp::Read).await {
             LeaseAnswer::Found(record, _) => record.fence,
             LeaseAnswer::Absent => 0,
             _ => {
-                tokio::time::sleep(FENCE_RETRY).await;
+                tokio::time::sleep(FENCE_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -420,12 +439,12 @@
 ///
 /// The first is held back until peers had time to tell a higher one: what the
 /// platform gave may be stale, or of an older state that it was restored to.
-async fn forward<T>(
+async fn forward_configs<T>(
     mut configs: watch::Receiver<Option<Arc<Config>>>,
     tx: mpsc::Sender<T>,
     wrap: impl Fn(Arc<Config>) -> T,
 ) {
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(FIRST_CONFIG_DELAY).await;
     while configs.changed().await.is_ok() {
         let config = configs.borrow_and_update().clone();
         let Some(config) = config else {
--- a/fireflyd/src/runner.rs
+++ b/fireflyd/src/runner.rs
@@ -17,22 +17,22 @@
 };
 
 /// Bytes of a plain answer that count as one token.
-const PART_BYTES: usize = 32 * 1024;
+const BYTES_PER_TOKEN: usize = 32 * 1024;
 /// Time between two looks at the upstream's health.
-const HEALTH_EVERY: Duration = Duration::from_millis(500);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two looks at the upstream's load.
-const LOAD_EVERY: Duration = Duration::from_millis(100);
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Looks that must fail before the upstream counts as down.
 const HEALTH_FAILURES: u32 = 3;
 /// Wait before a broken stream is taken up again.
-const RESUME_WAIT: Duration = Duration::from_millis(50);
-const NOT_FOUND: u16 = 404;
+const RESUME_DELAY: Duration = Duration::from_millis(50);
+const STATUS_NOT_FOUND: u16 = 404;
 /// Time between two looks at the engine's models.
-const MODELS_EVERY: Duration = Duration::from_secs(2);
+const MODELS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between two looks whether an order took effect.
-const EFFECT_LOOK: Duration = Duration::from_millis(250);
+const EFFECT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Looks before an order counts as failed; two minutes in all.
-const MAX_EFFECT_LOOKS: u32 = 480;
+const MAX_EFFECT_CHECKS: u32 = 480;
 
 /// The upstream behind one agent; cloning shares its connections.
 #[derive(Clone, Debug)]
@@ -76,14 +76,17 @@
                     ("content-type", &*content_type),
                     ("x-request-id", &request.to_string()),
                 ];
-                let kept = if content_type.is_empty() {
+                let sent_headers = if content_type.is_empty() {
                     &headers[1..]
                 } else {
                     &headers[..]
                 };
-                match plain.call(&method, &path, kept, body.to_vec()).await {
+                match plain
+                    .call(&method, &path, sent_headers, body.to_vec())
+                    .await
+                {
                     Ok(answer) => {
-                        give_whole(generation, answer, tx).await;
+                        send_plain_response(generation, answer, tx).await;
                         return;
                     }
                     Err(e) => not_started(generation, &e),
@@ -103,12 +106,13 @@
             send(tx, AgentEvent::Lost { generation }).await;
             return;
         };
-        tokio::time::sleep(RESUME_WAIT).await;
+        tokio::time::sleep(RESUME_DELAY).await;
         match engine.resume(&generation.to_string(), from).await {
             Ok(stream) => relay(generation, stream, tx).await,
             Err(UpstreamError::NeverSent(_)) => send(tx, AgentEvent::UpstreamDown).await,
             Err(UpstreamError::Answered {
-                status: NOT_FOUND, ..
+                status: STATUS_NOT_FOUND,
+                ..
             }) => {
                 // The engine answers but has forgotten what ran: it was started anew.
                 send(tx, AgentEvent::UpstreamDown).await;
@@ -130,13 +134,13 @@
     }
 
     /// Carries out an order and waits until the upstream has done so.
-    pub async fn carry_out(&self, order: &Order, tx: &mpsc::Sender<AgentInput>) {
+    pub async fn execute_order(&self, order: &Order, tx: &mpsc::Sender<AgentInput>) {
         let code = match self {
-            Self::Engine(engine) => pass_on(engine, order).await,
+            Self::Engine(engine) => forward_order(engine, order).await,
             Self::Plain(_) => Code::OrderFailed,
         };
         if let Self::Engine(engine) = self {
-            tell_models(engine, tx).await;
+            report_models(engine, tx).await;
         }
         send(tx, AgentEvent::OrderSettled(code)).await;
     }
@@ -147,8 +151,8 @@
             return;
         };
         loop {
-            tell_models(&engine, &tx).await;
-            tokio::time::sleep(MODELS_EVERY).await;
+            report_models(&engine, &tx).await;
+            tokio::time::sleep(MODELS_POLL_INTERVAL).await;
         }
     }
 
@@ -169,7 +173,7 @@
                     send(&tx, AgentEvent::UpstreamDown).await;
                 }
             }
-            tokio::time::sleep(HEALTH_EVERY).await;
+            tokio::time::sleep(HEALTH_CHECK_INTERVAL).await;
         }
     }
 
@@ -187,7 +191,7 @@
                 };
                 send(&tx, AgentEvent::Report(report)).await;
             }
-            tokio::time::sleep(LOAD_EVERY).await;
+            tokio::time::sleep(LOAD_POLL_INTERVAL).await;
         }
     }
 
@@ -205,7 +209,7 @@
     }
 }
 
-async fn pass_on(engine: &EngineClient, order: &Order) -> Code {
+async fn forward_order(engine: &EngineClient, order: &Order) -> Code {
     let model = order.model.clone();
     let fenced = FencedOrder {
         fence: order.fence,
@@ -215,7 +219,7 @@
         },
     };
     match engine.order(&fenced).await {
-        Ok(OrderOutcome::Taken) => wait_for_effect(engine, order).await,
+        Ok(OrderOutcome::Accepted) => wait_for_effect(engine, order).await,
         Ok(OrderOutcome::Fenced { .. }) => Code::OrderFenced,
         Err(e) => {
             log::warn!(event = "order_failed", req:% = order.id, cause:% = e; "");
@@ -226,20 +230,20 @@
 
 /// Waits until the engine holds the model, or holds it no more.
 async fn wait_for_effect(engine: &EngineClient, order: &Order) -> Code {
-    let wanted = order.kind == OrderKind::Load;
-    for _ in 0..MAX_EFFECT_LOOKS {
+    let should_be_loaded = order.kind == OrderKind::Load;
+    for _ in 0..MAX_EFFECT_CHECKS {
         if let Ok(list) = engine.models().await {
             let is_loaded = |m: &Model| m.name == order.model && m.state == ModelState::Loaded;
-            if list.models.iter().any(is_loaded) == wanted {
+            if list.models.iter().any(is_loaded) == should_be_loaded {
                 return Code::OrderDone;
             }
         }
-        tokio::time::sleep(EFFECT_LOOK).await;
+        tokio::time::sleep(EFFECT_CHECK_INTERVAL).await;
     }
     Code::OrderFailed
 }
 
-async fn tell_models(engine: &EngineClient, tx: &mpsc::Sender<AgentInput>) {
+async fn report_models(engine: &EngineClient, tx: &mpsc::Sender<AgentInput>) {
     let Ok(list) = engine.models().await else {
         return;
     };
@@ -307,7 +311,7 @@
                 finish: Finish {
                     total: 0,
                     code: Code::Ok,
-                    reason: reason_word(&reason),
+                    reason: reason_name(&reason),
                     status: 0,
                     content_type: Name::from(""),
                     prompt_tokens: u32::try_from(usage.prompt_tokens).unwrap_or(u32::MAX),
@@ -315,8 +319,8 @@
                     crashes: 0,
                 },
             },
-            EngineEvent::Broken { why } => {
-                log::warn!(event = "upstream_stream_broken", generation:% = generation, cause = why; "");
+            EngineEvent::Broken { cause } => {
+                log::warn!(event = "upstream_stream_broken", generation:% = generation, cause = cause; "");
                 AgentEvent::Broken { generation }
             }
         };
@@ -324,17 +328,25 @@
     }
 }
 
-fn reason_word(reason: &FinishReason) -> Name {
+fn reason_name(reason: &FinishReason) -> Name {
     match reason {
         FinishReason::Stop => Name::from("stop"),
         FinishReason::Length => Name::from("length"),
         FinishReason::Cancelled => Name::from("cancelled"),
-        FinishReason::Other(word) => word.clone(),
+        FinishReason::Other(name) => name.clone(),
     }
 }
 
-async fn give_whole(generation: GenerationId, answer: PlainAnswer, tx: &mpsc::Sender<AgentInput>) {
-    let tokens: Vec<Vec<u8>> = answer.body.chunks(PART_BYTES).map(<[u8]>::to_vec).collect();
+async fn send_plain_response(
+    generation: GenerationId,
+    answer: PlainAnswer,
+    tx: &mpsc::Sender<AgentInput>,
+) {
+    let tokens: Vec<Vec<u8>> = answer
+        .body
+        .chunks(BYTES_PER_TOKEN)
+        .map(<[u8]>::to_vec)
+        .collect();
     if !tokens.is_empty() {
         send(tx, AgentEvent::Tokens { generation, tokens }).await;
     }
--- a/fireflyd/src/setting_check.rs
+++ b/fireflyd/src/setting_check.rs
@@ -11,7 +11,7 @@
 
 use crate::flags::{AGENT_ONLY, CHECK_CONFIG, ENTRY_ONLY, FLAGS, Flag, env_name};
 use crate::settings::{
-    AgentSettings, EntrySettings, Fault, Role, RoleSettings, Settings, Timeouts, TlsFiles,
+    AgentSettings, EntrySettings, Role, RoleSettings, SettingFault, Settings, Timeouts, TlsFiles,
     UpstreamKind,
 };
 
@@ -24,9 +24,9 @@
 pub(crate) fn check(
     matches: &ArgMatches,
     env: &HashMap<String, String>,
-) -> Result<Settings, Vec<Fault>> {
-    let mut check = Check {
-        texts: texts(matches, env),
+) -> Result<Settings, Vec<SettingFault>> {
+    let mut check = Checker {
+        raw_values: raw_values(matches, env),
         faults: Vec::new(),
     };
     let settings = check.settings(matches);
@@ -39,15 +39,18 @@
 }
 
 /// Text of each flag that has one: as a flag, else as a variable, else by default.
-fn texts(matches: &ArgMatches, env: &HashMap<String, String>) -> HashMap<&'static str, Text> {
+fn raw_values(
+    matches: &ArgMatches,
+    env: &HashMap<String, String>,
+) -> HashMap<&'static str, RawValue> {
     let text = |flag: &Flag| {
         let given = (flag.name != CHECK_CONFIG)
             .then(|| matches.get_one::<String>(flag.name).cloned())
             .flatten()
             .or_else(|| env.get(&env_name(flag.name)).cloned());
         let text = match given {
-            Some(text) => Text { text, given: true },
-            None => Text {
+            Some(text) => RawValue { text, given: true },
+            None => RawValue {
                 text: flag.default?.to_owned(),
                 given: false,
             },
@@ -58,19 +61,19 @@
 }
 
 /// Text of a setting.
-struct Text {
+struct RawValue {
     text: String,
     /// Whether it was given, by flag or variable.
     given: bool,
 }
 
 /// Checks the texts and gathers the faults.
-struct Check {
-    texts: HashMap<&'static str, Text>,
-    faults: Vec<Fault>,
+struct Checker {
+    raw_values: HashMap<&'static str, RawValue>,
+    faults: Vec<SettingFault>,
 }
 
-impl Check {
+impl Checker {
     /// The settings; when there is a fault, it is gathered and what comes back doesn't count.
     fn settings(&mut self, matches: &ArgMatches) -> Option<Settings> {
         let role = self.role();
@@ -224,13 +227,13 @@
 
     /// The text of a setting; an empty one counts as not given.
     fn text(&self, flag: &'static str) -> Option<String> {
-        let text = &self.texts.get(flag)?.text;
+        let text = &self.raw_values.get(flag)?.text;
         (!text.is_empty()).then(|| text.clone())
     }
 
     fn fault<T>(&mut self, flag: &'static str, allowed: impl Into<String>) -> Option<T> {
-        let given = self.texts.get(flag).map(|text| text.text.clone());
-        self.faults.push(Fault {
+        let given = self.raw_values.get(flag).map(|text| text.text.clone());
+        self.faults.push(SettingFault {
             flag: flag.to_owned(),
             given,
             allowed: allowed.into(),
@@ -240,7 +243,7 @@
 
     fn forbid(&mut self, flags: &[&'static str], allowed: &str) {
         for &flag in flags {
-            if self.texts.get(flag).is_some_and(|text| text.given) {
+            if self.raw_values.get(flag).is_some_and(|text| text.given) {
                 self.fault::<()>(flag, allowed);
             }
         }
@@ -276,8 +279,8 @@
     fn name(&mut self, flag: &'static str) -> Option<Arc<str>> {
         let allowed = format!("1 to {MAX_NAME} letters, digits, '-', '_' or '.'");
         let text = self.required(flag, &allowed)?;
-        let wanted = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-        if text.len() <= MAX_NAME && text.bytes().all(wanted) {
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+        if text.len() <= MAX_NAME && text.bytes().all(is_allowed) {
             Some(text.into())
         } else {
             self.fault(flag, allowed)
@@ -309,10 +312,10 @@
         }
     }
 
-    fn millis(&mut self, flag: &'static str, least: u64) -> Option<Duration> {
-        let allowed = format!("{least} to {MAX_MS} milliseconds");
+    fn millis(&mut self, flag: &'static str, min: u64) -> Option<Duration> {
+        let allowed = format!("{min} to {MAX_MS} milliseconds");
         let millis = self.parsed(flag, &allowed)?;
-        if (least..=MAX_MS).contains(&millis) {
+        if (min..=MAX_MS).contains(&millis) {
             Some(Duration::from_millis(millis))
         } else {
             self.fault(flag, allowed)
--- a/fireflyd/src/settings.rs
+++ b/fireflyd/src/settings.rs
@@ -137,7 +137,7 @@
 
 /// One setting at fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct SettingFault {
     /// Its flag, without dashes.
     pub flag: String,
     /// What was given; `None` when nothing was.
@@ -146,7 +146,7 @@
     pub allowed: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.given {
             Some(given) => write!(
@@ -163,11 +163,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsFaults {
     /// Help or version was asked for; the text to print.
-    Shown(String),
+    HelpOrVersion(String),
     /// The flags themselves can't be told apart; the text to print.
     Usage(String),
     /// All settings at fault, in the order of the help.
-    Faults(Vec<Fault>),
+    Faults(Vec<SettingFault>),
 }
 
 impl SettingsFaults {
@@ -175,7 +175,7 @@
     #[must_use]
     pub fn exit_status(&self) -> i32 {
         match self {
-            Self::Shown(_) => 0,
+            Self::HelpOrVersion(_) => 0,
             Self::Usage(_) | Self::Faults(_) => EXIT_BAD_SETTINGS,
         }
     }
@@ -184,7 +184,7 @@
 impl fmt::Display for SettingsFaults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Shown(text) => f.write_str(text),
+            Self::HelpOrVersion(text) => f.write_str(text),
             Self::Usage(text) => write!(f, "code={CODE_BAD_SETTINGS} {text}"),
             Self::Faults(faults) => {
                 write!(f, "code={CODE_BAD_SETTINGS} settings at fault:")?;
@@ -211,7 +211,7 @@
             if e.use_stderr() {
                 SettingsFaults::Usage(text)
             } else {
-                SettingsFaults::Shown(text)
+                SettingsFaults::HelpOrVersion(text)
             }
         })?;
         check(&matches, &env.into_iter().collect()).map_err(SettingsFaults::Faults)
--- a/fireflyd/src/upstream.rs
+++ b/fireflyd/src/upstream.rs
@@ -21,9 +21,9 @@
 /// Timeout of a short call when the settings name none.
 pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Bytes kept of the body of a refusal.
-const MAX_REFUSAL: usize = 4096;
+const MAX_ERROR_BODY_BYTES: usize = 4096;
 /// Largest answer of a short call to an engine in bytes.
-const MAX_REPORT: usize = 8 << 20;
+const MAX_REPORT_BYTES: usize = 8 << 20;
 /// What a wait for events may take beyond the time it asks for.
 const EVENTS_MARGIN: Duration = Duration::from_secs(2);
 /// Header that names the request across systems.
@@ -64,10 +64,10 @@
 impl fmt::Display for UpstreamError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NeverSent(why) => write!(f, "never sent: {why}"),
+            Self::NeverSent(reason) => write!(f, "never sent: {reason}"),
             Self::Answered { status, .. } => write!(f, "answered with status {status}"),
-            Self::Broken(why) => write!(f, "broken after sending: {why}"),
-            Self::Unusable(why) => write!(f, "unusable answer: {why}"),
+            Self::Broken(reason) => write!(f, "broken after sending: {reason}"),
+            Self::Unusable(reason) => write!(f, "unusable answer: {reason}"),
         }
     }
 }
@@ -141,7 +141,7 @@
     /// [`UpstreamError`]; status 404 when the engine doesn't know the stream.
     pub async fn cancel(&self, stream_id: &str) -> Result<()> {
         let url = self.url(&["v1", "streams", stream_id, "cancel"])?;
-        send(self.short(self.http.post(url))).await.map(drop)
+        send(self.with_timeout(self.http.post(url))).await.map(drop)
     }
 
     /// What the engine reports of its load.
@@ -164,7 +164,7 @@
             .append_pair("since", &since.to_string())
             .append_pair("timeout_ms", &wait.as_millis().to_string());
         let call = self.http.get(url).timeout(wait + EVENTS_MARGIN);
-        parse(&body(send(call).await?, MAX_REPORT).await?)
+        parse(&read_body(send(call).await?, MAX_REPORT_BYTES).await?)
     }
 
     /// Gives an order.
@@ -174,8 +174,8 @@
     /// [`UpstreamError`]; an order refused for its fencing number is an outcome, not an error.
     pub async fn order(&self, order: &FencedOrder) -> Result<OrderOutcome> {
         let call = self.http.post(self.url(&["v1", "orders"])?).json(order);
-        match send(self.short(call)).await {
-            Ok(_) => Ok(OrderOutcome::Taken),
+        match send(self.with_timeout(call)).await {
+            Ok(_) => Ok(OrderOutcome::Accepted),
             Err(UpstreamError::Answered {
                 status: 409, body, ..
             }) => {
@@ -203,12 +203,14 @@
     /// [`UpstreamError`] when it doesn't, or not with success.
     pub async fn health(&self) -> Result<()> {
         let url = self.url(&["health"])?;
-        send(self.short(self.http.get(url))).await.map(drop)
+        send(self.with_timeout(self.http.get(url))).await.map(drop)
     }
 
     fn url(&self, segments: &[&str]) -> Result<Url> {
-        if let Some(wrong) = segments.iter().find(|s| matches!(**s, "" | "." | "..")) {
-            return Err(UpstreamError::NeverSent(format!("path segment {wrong:?}")));
+        if let Some(invalid) = segments.iter().find(|s| matches!(**s, "" | "." | "..")) {
+            return Err(UpstreamError::NeverSent(format!(
+                "path segment {invalid:?}"
+            )));
         }
         let mut url = self.base.clone();
         if let Ok(mut path) = url.path_segments_mut() {
@@ -217,12 +219,12 @@
         Ok(url)
     }
 
-    fn short(&self, call: RequestBuilder) -> RequestBuilder {
+    fn with_timeout(&self, call: RequestBuilder) -> RequestBuilder {
         call.timeout(self.timeout)
     }
 
     async fn report<T: DeserializeOwned>(&self, call: RequestBuilder) -> Result<T> {
-        parse(&body(send(self.short(call)).await?, MAX_REPORT).await?)
+        parse(&read_body(send(self.with_timeout(call)).await?, MAX_REPORT_BYTES).await?)
     }
 }
 
@@ -249,7 +251,7 @@
 }
 
 /// What a call without an answer means.
-pub(crate) fn broken(e: &reqwest::Error) -> UpstreamError {
+pub(crate) fn transport_error(e: &reqwest::Error) -> UpstreamError {
     if e.is_connect() || e.is_builder() {
         never_sent(e)
     } else {
@@ -259,7 +261,7 @@
 
 /// Sends a call and takes any status but success for an error.
 pub(crate) async fn send(call: RequestBuilder) -> Result<Response> {
-    let res = call.send().await.map_err(|e| broken(&e))?;
+    let res = call.send().await.map_err(|e| transport_error(&e))?;
     if res.status().is_success() {
         return Ok(res);
     }
@@ -269,7 +271,7 @@
         .get(RETRY_AFTER)
         .and_then(|value| value.to_str().ok()?.parse().ok())
         .map(Duration::from_secs);
-    let body = start_of_body(res).await;
+    let body = read_body_prefix(res).await;
     Err(UpstreamError::Answered {
         status,
         body,
@@ -278,23 +280,23 @@
 }
 
 /// The start of a refusal's body, as far as it comes.
-async fn start_of_body(mut res: Response) -> String {
+async fn read_body_prefix(mut res: Response) -> String {
     let mut buf = Vec::new();
-    while buf.len() < MAX_REFUSAL {
+    while buf.len() < MAX_ERROR_BODY_BYTES {
         let Ok(Some(chunk)) = res.chunk().await else {
             break;
         };
         buf.extend_from_slice(&chunk);
     }
-    buf.truncate(MAX_REFUSAL);
+    buf.truncate(MAX_ERROR_BODY_BYTES);
     String::from_utf8_lossy(&buf).into_owned()
 }
 
-pub(crate) async fn body(mut res: Response, limit: usize) -> Result<Vec<u8>> {
+pub(crate) async fn read_body(mut res: Response, limit: usize) -> Result<Vec<u8>> {
     let mut buf = Vec::new();
     // The answer has begun, so that nothing from here on was never sent.
-    let lost = |e: reqwest::Error| UpstreamError::Broken(e.to_string());
-    while let Some(chunk) = res.chunk().await.map_err(lost)? {
+    let to_broken = |e: reqwest::Error| UpstreamError::Broken(e.to_string());
+    while let Some(chunk) = res.chunk().await.map_err(to_broken)? {
         if buf.len() + chunk.len() > limit {
             return Err(UpstreamError::Unusable(format!("over {limit} bytes")));
         }
@@ -308,17 +310,17 @@
 }
 
 /// An open stream with what it has given and not yet handed on.
-struct Open {
+struct OpenStream {
     res: Response,
     decoder: Decoder,
-    ready: VecDeque<EngineEvent>,
+    pending: VecDeque<EngineEvent>,
 }
 
 fn events(res: Response) -> EngineStream {
-    let open = Open {
+    let open = OpenStream {
         res,
         decoder: Decoder::default(),
-        ready: VecDeque::new(),
+        pending: VecDeque::new(),
     };
     let events = stream::unfold(open, |mut open| async move {
         let event = open.next().await?;
@@ -327,17 +329,17 @@
     events.boxed()
 }
 
-impl Open {
+impl OpenStream {
     async fn next(&mut self) -> Option<EngineEvent> {
         loop {
-            if let Some(event) = self.ready.pop_front() {
+            if let Some(event) = self.pending.pop_front() {
                 return Some(event);
             }
             if self.decoder.ended {
                 return None;
             }
             match self.res.chunk().await {
-                Ok(Some(chunk)) => self.ready.extend(self.decoder.feed(&chunk)),
+                Ok(Some(chunk)) => self.pending.extend(self.decoder.feed(&chunk)),
                 Ok(None) => return self.decoder.end("closed before the end"),
                 Err(e) => return self.decoder.end(e.to_string()),
             }
--- a/fireflyd/tests/platform_client.rs
+++ b/fireflyd/tests/platform_client.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fireflyd::metrics::Metrics;
-use fireflyd::platform::{Condition, MAX_VALUE, PlatformClient, PlatformError, VmState};
+use fireflyd::platform::{Condition, MAX_VALUE_BYTES, PlatformClient, PlatformError, VmState};
 use poem::listener::TcpAcceptor;
 use poem::{Endpoint, Request, Response, Server};
 use serde_json::json;
@@ -273,7 +273,7 @@
 #[tokio::test]
 async fn a_value_over_the_bound_is_not_sent() {
     let fake = Fake::new([]).await;
-    let value = "x".repeat(MAX_VALUE);
+    let value = "x".repeat(MAX_VALUE_BYTES);
     let put = client(&fake.url, PATIENCE)
         .put("config", "part", &value, Condition::Always)
         .await;
--- a/fireflyd/tests/settings.rs
+++ b/fireflyd/tests/settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fireflyd::settings::{
-    Fault, Role, RoleSettings, Settings, SettingsFaults, UpstreamKind, env_name,
+    Role, RoleSettings, SettingFault, Settings, SettingsFaults, UpstreamKind, env_name,
 };
 
 type Given<'a> = BTreeMap<&'a str, &'a str>;
@@ -55,7 +55,7 @@
     Settings::parse(["fireflyd"], env)
 }
 
-fn faults(res: Result<Settings, SettingsFaults>) -> Vec<Fault> {
+fn faults(res: Result<Settings, SettingsFaults>) -> Vec<SettingFault> {
     match res {
         Err(SettingsFaults::Faults(faults)) => faults,
         other => panic!("no faults: {other:?}"),
--- a/fireflyd/tests/sse.rs
+++ b/fireflyd/tests/sse.rs
@@ -89,7 +89,7 @@
 
 fn broken(why: &str) -> EngineEvent {
     EngineEvent::Broken {
-        why: why.to_owned(),
+        cause: why.to_owned(),
     }
 }
 
@@ -337,7 +337,7 @@
 }
 
 order_cases! {
-    an_order_is_taken: whole("200 OK", "{}") => Ok(OrderOutcome::Taken);
+    an_order_is_taken: whole("200 OK", "{}") => Ok(OrderOutcome::Accepted);
     an_old_order_is_fenced: whole("409 Conflict", "{\"fence\":5}") => Ok(OrderOutcome::Fenced { fence: 5 });
 }
 
