--- a/fireflyd/src/agent.rs
+++ b/fireflyd/src/agent.rs
@@ -1,4 +1,4 @@
-//! The loop of an agent: sockets and timers round its core.
+//! Event loop of an agent: connects its core to sockets and timers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,23 +18,23 @@
 use crate::runner::Runner;
 use crate::status::Status;
 
-/// Events taken in one turn before messages go out.
+/// Maximum number of events handled before queued messages are sent.
 const MAX_EVENTS_PER_TURN: usize = 256;
 
-/// What reaches the loop from beside peers.
+/// Local input of the loop, as opposed to messages from peers.
 #[derive(Debug)]
 pub enum AgentInput {
-    /// For the core.
+    /// Event for the core.
     Core(AgentEvent),
-    /// A configuration was read.
+    /// New configuration.
     Config(Arc<Config>),
-    /// The VM list was read.
+    /// Current VM list.
     Vms(Vec<Vm>),
-    /// The agent is to stop.
+    /// Request to drain and stop.
     Leave,
 }
 
-/// The agent's loop and what it owns.
+/// Event loop of an agent and the state that it owns.
 pub struct AgentLoop {
     core: Agent,
     node: Node,
@@ -49,7 +49,7 @@
 }
 
 impl AgentLoop {
-    /// A loop that will take its own inputs from the other end of `tx`.
+    /// Creates a loop; its tasks report through `tx`, whose receiver goes to [`Self::run`].
     #[must_use]
     pub fn new(
         setup: AgentSetup,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Runs until a planned stop has ended the last generation.
+    /// Runs until the agent has drained after a planned stop.
     pub async fn run(
         mut self,
         mut mail: mpsc::Receiver<Vec<u8>>,
@@ -202,20 +202,20 @@
         }
     }
 
-    /// Does what goes over all members, less often than each tick.
+    /// Runs the work that iterates over all members, less often than each tick.
     fn run_maintenance(&mut self) {
         self.feed.set_watching(self.node.fleet.is_watcher());
         self.node.count_members();
         self.status.set(self.status_json());
     }
 
-    /// Shows the state at once; readiness goes before the status.
+    /// Publishes readiness, then the status, without waiting for the next tick.
     fn publish_state(&self) {
         self.update_readiness();
         self.status.set(self.status_json());
     }
 
-    /// An agent minds only whether it is to leave itself.
+    /// Handles only the request to leave; an agent ignores changes of other members.
     fn apply_fleet_changes(&mut self, changes: &FleetChanges) {
         if changes.leave {
             self.on_input(AgentInput::Leave);
--- a/fireflyd/src/config_feed.rs
+++ b/fireflyd/src/config_feed.rs
@@ -1,12 +1,12 @@
-//! Where a process gets its configuration: the platform, or a peer that has it.
+//! Source of a process's configuration: the platform or a peer.
 //!
-//! A few members watch the platform; the others hear of a version by what
-//! rides on every message and pull it from whoever told them. A version read
-//! is held for peers and handed to the loop; none lower is.
+//! A few members watch the platform. The others learn of a new version from
+//! the header of any message and pull it from the sender. A version read is
+//! kept for peers and passed to the loop; lower versions are ignored.
 //!
-//! Versions are compiled on a thread of their own: that takes tens of
-//! milliseconds for a large inventory, for which no stream should wait, and the
-//! allocator finds the room of the version before again on the same thread.
+//! Versions are compiled on a dedicated thread: compiling a large inventory
+//! takes tens of milliseconds and would delay streams, and on one thread the
+//! allocator reuses the memory of the previous version.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -23,18 +23,18 @@
 use crate::outbox::Outbox;
 use crate::platform::{PlatformClient, PlatformError};
 
-/// Longest wait of one watch. A platform restored to an older state counts
-/// its revisions from there, so that a watch from a later one hears nothing.
+/// Maximum duration of one watch. A platform restored to an older state counts
+/// its revisions from there, so a watch from a later revision sees no changes.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
-/// Wait after a failed call, doubled up to the longest.
+/// Delay after a failed call, doubled up to the maximum.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(4);
-/// Time between two looks of a member that does not watch.
+/// Time between two reads by a member that does not watch.
 const POLL_INTERVAL: Duration = Duration::from_secs(30);
-/// Time between two checks whether this member watches.
+/// Time between two checks whether this member has become a watcher.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Source of configurations; cloning shares it.
+/// Source of configurations; clones share their state.
 #[derive(Clone)]
 pub struct ConfigFeed {
     transfer: Arc<Mutex<ConfigTransfer>>,
@@ -44,7 +44,7 @@
 }
 
 impl ConfigFeed {
-    /// A feed that knows nothing yet, and where its configurations come out.
+    /// Creates a feed without a configuration, and the channel of its compiled configurations.
     #[must_use]
     pub fn new() -> (Self, watch::Receiver<Option<Arc<Config>>>) {
         let (tx, rx) = watch::channel(None);
@@ -59,18 +59,18 @@
         (feed, rx)
     }
 
-    /// Whether this member is one of those that watch the platform.
+    /// Sets whether this member watches the platform.
     pub fn set_watching(&self, watching: bool) {
         self.watching.store(watching, Ordering::Relaxed);
     }
 
-    /// Whether this member watches the platform.
+    /// Returns whether this member watches the platform.
     #[must_use]
     pub fn is_watching(&self) -> bool {
         self.watching.load(Ordering::Relaxed)
     }
 
-    /// Asks a peer for a later version than is held.
+    /// Requests a version later than the current one from a peer.
     pub fn pull(&self, from: SocketAddr, out: &mut Outbox) {
         let transfer = self.transfer();
         out.push(
@@ -82,7 +82,7 @@
         );
     }
 
-    /// Serves a pull, or takes a part that was pulled.
+    /// Answers a pull request or processes a received part.
     pub fn on_message(&self, from: SocketAddr, message: &Message, out: &mut Outbox) {
         match message {
             Message::ConfigPull { have, part } => {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Follows the platform for ever.
+    /// Follows the platform's configuration; never returns.
     pub async fn follow(self, platform: PlatformClient) {
         let mut delay = MIN_RETRY_DELAY;
         let mut last_revision = None;
@@ -137,7 +137,7 @@
                 Ok(revision) => {
                     delay = MIN_RETRY_DELAY;
                     if last_revision.replace(revision) == Some(revision) {
-                        // A stale read: a watch from there would end at once.
+                        // A stale read: a watch from this revision would return at once.
                         tokio::time::sleep(MIN_RETRY_DELAY).await;
                     }
                     self.wait_for_next_poll(&platform, revision).await;
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Waits for the next look: by a watch, or by the clock for those that
-    /// hear from peers.
+    /// Waits for the next read: on a watch if this member is a watcher,
+    /// otherwise for a fixed time.
     async fn wait_for_next_poll(&self, platform: &PlatformClient, revision: u64) {
         if self.watching.load(Ordering::Relaxed) {
             if let Err(e) = platform.watch(HEAD_KIND, revision, WATCH_TIMEOUT).await {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Reads the head and what it lists; gives the revision to watch from.
+    /// Reads the head and any new parts; returns the revision to watch from.
     async fn poll(&self, platform: &PlatformClient) -> Result<u64, PlatformError> {
         let object = match platform.get(HEAD_KIND, HEAD_NAME).await {
             Ok(object) => object,
@@ -215,26 +215,26 @@
         self.transfer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The version held with all its parts, for operators.
+    /// Returns the current version with all its parts, for operators.
     #[must_use]
     pub fn bundle(&self) -> Option<ConfigBundle> {
         self.transfer().bundle()
     }
 
-    /// Digest of the configuration handed out last.
+    /// Returns the digest of the last compiled configuration.
     #[must_use]
     pub fn digest(&self) -> Option<Digest> {
         self.compiled.borrow().as_ref().map(|config| config.digest)
     }
 
-    /// Version held for peers.
+    /// Returns the version available to peers.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
         self.transfer().version()
     }
 }
 
-/// Compiles what arrives and gives it to `tx`, until the feed is gone.
+/// Compiles queued versions and publishes them to `tx` until the feed is dropped.
 fn compile_all(queue: &Receiver<CompleteConfig>, tx: &watch::Sender<Option<Arc<Config>>>) {
     while let Ok(next) = queue.recv() {
         match next.compile() {
--- a/fireflyd/src/engine_messages.rs
+++ b/fireflyd/src/engine_messages.rs
@@ -1,4 +1,4 @@
-//! What a model engine is asked and answers, and reading its streams.
+//! Requests and responses of a model engine, and the decoder of its streams.
 
 use std::sync::Arc;
 
@@ -8,23 +8,23 @@
 
 use crate::sse::{SseEvent, SseReader};
 
-/// Last event of a generation's stream.
+/// Data of the last event of a stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// A generation to run.
+/// Request to run a generation.
 #[derive(Clone, Debug)]
 pub struct GenerateRequest {
-    /// Model to run it on.
+    /// Model to use.
     pub model: Arc<str>,
-    /// The prompt, as the caller sent it.
+    /// Prompt, as the caller sent it.
     pub messages: Value,
-    /// Most tokens to make.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
-    /// Priority; what a greater number means is the engine's setting.
+    /// Priority; the engine's settings define the order of the numbers.
     pub priority: i64,
-    /// Name under which the stream is cancelled or resumed.
+    /// Identifier for cancelling or resuming the stream.
     pub stream_id: Arc<str>,
-    /// Name of the request across systems.
+    /// Identifier of the request across systems.
     pub request_id: Option<Arc<str>>,
 }
 
@@ -38,44 +38,44 @@
     pub(crate) stream: bool,
 }
 
-/// What happens on the stream of a generation.
+/// Event on the stream of a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineEvent {
-    /// The next tokens, as many as arrived together.
+    /// Next tokens that arrived together.
     Tokens(Vec<Token>),
-    /// The generation ended; the last event.
+    /// End of the generation; the last event.
     Finished {
-        /// Why it ended.
+        /// Reason of the end.
         reason: FinishReason,
-        /// What it took.
+        /// Resources used.
         usage: Usage,
     },
-    /// The stream ended before the generation; the last event.
+    /// End of the stream before that of the generation; the last event.
     Broken {
-        /// What happened, for the log.
+        /// Cause, for the log.
         cause: String,
     },
 }
 
-/// One token.
+/// Token of a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// Its text.
+    /// Text of the token.
     pub text: String,
-    /// Its place in the generation, counted from 0, if the engine numbers its tokens.
+    /// Index in the generation from 0, if the engine numbers its tokens.
     pub offset: Option<u64>,
 }
 
-/// Why a generation ended.
+/// Reason for the end of a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinishReason {
-    /// The model stopped by itself.
+    /// The model ended its answer.
     Stop,
-    /// It reached its bound of tokens.
+    /// The maximum number of tokens was reached.
     Length,
-    /// It was cancelled.
+    /// The generation was cancelled.
     Cancelled,
-    /// Another reason, in the engine's words.
+    /// Another reason, as named by the engine.
     Other(Arc<str>),
 }
 
@@ -90,19 +90,19 @@
     }
 }
 
-/// What a generation took.
+/// Resources used by a generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens made.
+    /// Number of generated tokens.
     pub completion_tokens: u64,
-    /// How often it lost its memory and began again.
+    /// Number of times it lost its memory and was recomputed.
     pub preemptions: u64,
 }
 
-/// The events of one generation.
+/// Events of one generation.
 pub type EngineStream = BoxStream<'static, EngineEvent>;
 
 #[derive(Deserialize)]
@@ -125,7 +125,7 @@
     content: Option<String>,
 }
 
-/// Turns the bytes of a generation's stream into events; holds no socket.
+/// Decodes the bytes of a generation's stream into events; performs no I/O.
 #[derive(Debug, Default)]
 pub struct Decoder {
     sse: SseReader,
@@ -135,7 +135,7 @@
 }
 
 impl Decoder {
-    /// The events that `chunk` completes; none after the last one.
+    /// Returns the events that `chunk` completes; none after the last event.
     pub fn feed(&mut self, chunk: &[u8]) -> Vec<EngineEvent> {
         if self.ended {
             return Vec::new();
@@ -148,14 +148,14 @@
         tokens.into_iter().chain(last).collect()
     }
 
-    /// The last event, when the connection ended; `None` when it was given out before.
+    /// Returns the last event when the connection ends; `None` if it was returned before.
     pub fn end(&mut self, cause: impl Into<String>) -> Option<EngineEvent> {
         if self.ended {
             return None;
         }
         self.ended = true;
         match self.reason.take() {
-            // All tokens are there; only the closing event is missing.
+            // All tokens were received; only the closing event is missing.
             Some(reason) => Some(self.finished(reason)),
             None => Some(EngineEvent::Broken {
                 cause: cause.into(),
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Takes the whole events at hand; gives the last event of the stream if it is among them.
+    /// Decodes all complete events; returns the last event of the stream if it is among them.
     fn decode_available(&mut self, tokens: &mut Vec<Token>) -> Option<EngineEvent> {
         loop {
             let decoded = match self.sse.next_event() {
@@ -212,106 +212,106 @@
     }
 }
 
-/// The token of an event: one with text, or a numbered one without.
+/// Returns the token of an event that has text or a number.
 fn token(delta: Delta, event: &SseEvent) -> Option<Token> {
     let offset = event.id.as_deref().and_then(|id| id.parse().ok());
     let text = delta.content.unwrap_or_default();
     (offset.is_some() || !text.is_empty()).then_some(Token { text, offset })
 }
 
-/// What an engine reports of its load; it lags behind.
+/// Load reported by an engine; may be out of date.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct LoadReport {
-    /// Generations in the batch.
+    /// Number of generations in the batch.
     pub running: u64,
-    /// Generations that wait.
+    /// Number of queued generations.
     pub waiting: u64,
-    /// Tokens held in memory.
+    /// Number of tokens in memory.
     pub used_tokens: u64,
-    /// Tokens that fit in memory.
+    /// Memory capacity in tokens.
     pub capacity_tokens: u64,
-    /// Most generations in a batch.
+    /// Maximum number of generations in a batch.
     pub max_batch: u64,
-    /// Preemptions since the start.
+    /// Number of preemptions since the start.
     pub preemptions_total: u64,
-    /// Length of the last step in milliseconds.
+    /// Duration of the last step in milliseconds.
     pub step_ms: f64,
 }
 
-/// A page of cache events.
+/// Page of cache events.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct EventPage {
-    /// Number from which the next page goes on.
+    /// Number from which to request the next page.
     pub seq: u64,
-    /// The events; gaps in their numbers are lost events.
+    /// Events; a gap in their numbers means lost events.
     pub events: Vec<CacheEvent>,
 }
 
-/// What happened to a block of the prefix cache.
+/// Change of a block of the prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event.
+    /// Sequence number.
     pub seq: u64,
-    /// What happened.
+    /// Kind of the change.
     pub kind: CacheChange,
-    /// Digest of the prefix that the block ends.
+    /// Digest of the prefix up to the end of the block.
     pub prefix: Arc<str>,
 }
 
-/// What can happen to a block of the prefix cache.
+/// Kind of change of a block of the prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheChange {
-    /// It was taken in.
+    /// The block was stored.
     Stored,
-    /// It was thrown out.
+    /// The block was evicted.
     Evicted,
-    /// A change this version doesn't know.
+    /// A kind unknown to this version.
     #[serde(other)]
     Unknown,
 }
 
-/// An order with its fencing number.
+/// Order with its fencing number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FencedOrder {
     /// Fencing number of the issuer's lease.
     pub fence: u64,
-    /// What is ordered.
+    /// Order to execute.
     #[serde(flatten)]
     pub order: EngineOrder,
 }
 
-/// What an engine can be ordered to do.
+/// Order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "order", rename_all = "snake_case")]
 pub enum EngineOrder {
     /// Load a model.
     Load {
-        /// Its name.
+        /// Name of the model.
         model: Arc<str>,
     },
     /// Unload a model.
     Unload {
-        /// Its name.
+        /// Name of the model.
         model: Arc<str>,
     },
-    /// Take another role.
+    /// Change the engine's role.
     Role {
-        /// Its name.
+        /// Name of the role.
         role: Arc<str>,
     },
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The engine took it.
+    /// The engine accepted the order.
     Accepted,
-    /// The engine refused it, having seen a greater fencing number.
+    /// The engine refused the order because it has seen a higher fencing number.
     Fenced {
-        /// The greatest number it has seen.
+        /// Highest number the engine has seen.
         fence: u64,
     },
 }
@@ -321,36 +321,36 @@
     pub(crate) fence: u64,
 }
 
-/// The models of an engine.
+/// Models of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct ModelList {
-    /// The models, loaded or on their way.
+    /// Models that are loaded or being loaded.
     pub models: Vec<Model>,
     /// Role of the engine.
     pub role: Arc<str>,
-    /// Greatest fencing number the engine has seen.
+    /// Highest fencing number the engine has seen.
     pub fence: u64,
 }
 
-/// A model of an engine.
+/// Model of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Model {
-    /// Its name.
+    /// Name of the model.
     pub name: Arc<str>,
-    /// Whether it can be used.
+    /// Loading state.
     pub state: ModelState,
 }
 
-/// Whether a model can be used.
+/// Loading state of a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ModelState {
-    /// On its way into memory.
+    /// Being loaded into memory.
     Loading,
-    /// Ready.
+    /// Ready to use.
     Loaded,
-    /// A state this version doesn't know.
+    /// A state unknown to this version.
     #[serde(other)]
     Unknown,
 }
--- a/fireflyd/src/flags.rs
+++ b/fireflyd/src/flags.rs
@@ -1,8 +1,8 @@
-//! Flags of the daemon and the environment variables beside them.
+//! Flags of the daemon and their environment variables.
 
 use clap::{Arg, ArgAction, Command};
 
-/// A flag with its help and its default.
+/// Flag with its help text and default.
 pub(crate) struct Flag {
     pub(crate) name: &'static str,
     pub(crate) help: &'static str,
@@ -25,9 +25,9 @@
     }
 }
 
-/// Flags that only an entry has.
+/// Flags valid only for an entry.
 pub(crate) const ENTRY_ONLY: [&str; 3] = ["listen", "tls-cert-file", "tls-key-file"];
-/// Flags that only an agent has.
+/// Flags valid only for an agent.
 pub(crate) const AGENT_ONLY: [&str; 8] = [
     "upstream",
     "upstream-kind",
@@ -139,7 +139,7 @@
     flag(CHECK_CONFIG, "Check the settings and start nothing"),
 ];
 
-/// Environment variable of a flag.
+/// Returns the environment variable of a flag.
 #[must_use]
 pub fn env_name(flag: &str) -> String {
     format!("FIREFLYD_{}", flag.replace('-', "_").to_uppercase())
@@ -148,7 +148,7 @@
 pub(crate) fn command() -> Command {
     Command::new("fireflyd")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Serves generations of unknown length on crowded engines, as entry or agent")
+        .about("Serves generations of unknown length on overloaded engines, as entry or agent")
         .args(FLAGS.iter().map(arg))
 }
 
@@ -163,7 +163,7 @@
     if flag.name == CHECK_CONFIG {
         arg.action(ArgAction::SetTrue)
     } else {
-        // A value that looks like a flag is a fault of that value.
+        // A value that looks like a flag is reported as an invalid value of this flag.
         arg.action(ArgAction::Set)
             .value_name("VALUE")
             .allow_hyphen_values(true)
--- a/fireflyd/src/fleet.rs
+++ b/fireflyd/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Who is in the fleet, as one process sees it: membership with a shell's
-//! needs round it.
+//! Fleet membership as seen by one process, with the helpers that the event
+//! loops need.
 
 use std::net::SocketAddr;
 
@@ -10,21 +10,21 @@
 
 use crate::outbox::Outbox;
 
-/// Members that watch the platform's configuration.
+/// Number of members that watch the platform's configuration.
 const WATCHERS: usize = 3;
-/// Members that are told at once of a new configuration.
+/// Number of members to which a new configuration is announced at once.
 const ANNOUNCE_FANOUT: usize = 3;
 
-/// What came of an event.
+/// Membership changes caused by an event.
 #[derive(Debug, Default)]
 pub struct FleetChanges {
-    /// Records of other members that changed.
+    /// Changed records of other members.
     pub changed: Vec<MemberRecord>,
-    /// Whether the fleet says that this process is to leave.
+    /// Whether the fleet asks this process to leave.
     pub leave: bool,
 }
 
-/// The fleet as this process knows it.
+/// Fleet as known to this process.
 pub struct Fleet {
     members: Members,
     entries: u32,
@@ -33,7 +33,7 @@
 }
 
 impl Fleet {
-    /// A fleet of which this process and its seeds are known.
+    /// Creates a fleet that contains this process and its seeds.
     #[must_use]
     pub fn new(setup: MemberSetup) -> Self {
         Self {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether a message is membership's own.
+    /// Returns whether a message belongs to the membership protocol.
     #[must_use]
     pub const fn is_membership_message(message: &Message) -> bool {
         matches!(
@@ -58,7 +58,7 @@
         )
     }
 
-    /// Takes a message of membership.
+    /// Handles a message of the membership protocol.
     pub fn on_message(
         &mut self,
         now: Time,
@@ -69,27 +69,27 @@
         self.drive(now, MemberEvent::Message(from.clone(), message), out)
     }
 
-    /// Some other message came from that process.
+    /// Records that any other message was received from a process.
     pub fn on_received(&mut self, now: Time, from: &Peer, out: &mut Outbox) -> FleetChanges {
         self.drive(now, MemberEvent::Received(from.clone()), out)
     }
 
-    /// The VM list was read.
+    /// Applies the platform's VM list.
     pub fn on_vms(&mut self, now: Time, vms: Vec<Vm>, out: &mut Outbox) -> FleetChanges {
         self.drive(now, MemberEvent::Vms(vms), out)
     }
 
-    /// Pings and ages members.
+    /// Pings members and updates their states.
     pub fn on_tick(&mut self, now: Time, out: &mut Outbox) -> FleetChanges {
         self.drive(now, MemberEvent::Tick, out)
     }
 
-    /// Says to all that this process takes no new work.
+    /// Announces to all members that this process accepts no new work.
     pub fn leave(&mut self, now: Time, out: &mut Outbox) {
         self.drive(now, MemberEvent::Leave, out);
     }
 
-    /// Says what the upstream of this process holds now.
+    /// Announces what the upstream of this process serves, if that changed.
     pub fn set_serves(&mut self, now: Time, serves: &[Name], out: &mut Outbox) {
         if self.serves != serves {
             self.serves = serves.to_vec();
@@ -97,39 +97,39 @@
         }
     }
 
-    /// Mailboxes of all other members that may be alive.
+    /// Returns the mailbox addresses of all other members not known to be dead.
     #[must_use]
     pub fn addrs(&self) -> Vec<SocketAddr> {
         self.other_members().map(|r| r.peer.addr).collect()
     }
 
-    /// Number of members in each state.
+    /// Returns the number of members in a state.
     #[must_use]
     pub fn count(&self, state: MemberState) -> usize {
         self.members.records().filter(|r| r.state == state).count()
     }
 
-    /// Entries alive, this process counted.
+    /// Returns the number of live entries, including this process.
     #[must_use]
     pub const fn entries(&self) -> u32 {
         self.entries
     }
 
-    /// Place of this process among the entries alive, by a hash of the names
-    /// that all agree on; the first is 0.
+    /// Returns the rank of this process among the live entries, from 0.
+    /// The order follows a hash of the names, so all members agree on it.
     #[must_use]
     pub fn rank(&self) -> usize {
         self.rank_among(b"lease", |r| r.peer.role == Role::Entry)
     }
 
-    /// Whether this process is one of the few that watch the platform.
+    /// Returns whether this process is one of the members that watch the platform.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
         self.rank_among(b"watch", |_| true) < WATCHERS
     }
 
-    /// Tells a few members, others each time, by a message that carries the
-    /// version in force.
+    /// Sends a message, whose header carries the active version, to a few
+    /// members, rotating through all of them.
     pub fn announce_to_some(&mut self, message: &Message, out: &mut Outbox) {
         let addrs = self.addrs();
         for _ in 0..ANNOUNCE_FANOUT.min(addrs.len()) {
--- a/fireflyd/src/leader.rs
+++ b/fireflyd/src/leader.rs
@@ -1,7 +1,7 @@
-//! Work for the whole fleet, done by whichever entry holds the lease.
+//! Fleet-wide work of the entry that holds the lease.
 //!
-//! The entries of highest rank are candidates, the others ask the platform
-//! nothing. Who holds the lease orders models onto engines, one at a time.
+//! Only the entries of highest rank are candidates; the others send no lease
+//! calls. The holder orders models onto engines, one order at a time.
 
 use fireflycroft::{Code, MemberState};
 use fireflycroft::{
@@ -11,7 +11,7 @@
 
 use crate::outbox::Outbox;
 
-/// The lease and what is done under it.
+/// Lease and the model placement done under it.
 pub struct Leader {
     lease: Lease,
     placer: Placer,
@@ -20,7 +20,7 @@
 }
 
 impl Leader {
-    /// A node of that name that holds no lease.
+    /// Creates the state of a node that holds no lease.
     #[must_use]
     pub fn new(name: Name, seed: [u8; 32], timings: LeaseTimings, limits: PlacementLimits) -> Self {
         let mut ids = IdSource::new(seed);
@@ -32,25 +32,25 @@
         }
     }
 
-    /// Fencing number of the lease, if it is held.
+    /// Returns the fencing number of the lease, if it is held.
     #[must_use]
     pub fn held(&self, now: Time) -> Option<u64> {
         self.lease.held(now)
     }
 
-    /// Takes the platform's answer.
+    /// Applies the platform's response to a lease call.
     pub fn on_answer(&mut self, now: Time, call: LeaseCall, answer: LeaseAnswer) {
         self.lease.on_answer(now, call, answer);
     }
 
-    /// Takes an agent's answer to an order.
+    /// Applies an agent's response to an order.
     pub fn on_order_answer(&mut self, now: Time, id: RequestId, code: Code, fence: u64) {
         self.lease.record_fence(fence);
         self.placer.on_order_done(now, id, code == Code::OrderDone);
     }
 
-    /// Renews or challenges; gives what to ask the platform, and a note when
-    /// the lease changed hands.
+    /// Renews or challenges the lease; returns the next call to the platform,
+    /// and a log event when this node took or lost the lease.
     pub fn on_tick(
         &mut self,
         now: Time,
@@ -67,14 +67,14 @@
         (call, log_event)
     }
 
-    /// Orders what is due, if the lease is held.
+    /// Issues the next order, if the lease is held.
     pub fn place(&mut self, now: Time, config: &Config, router: &Router, out: &mut Outbox) {
         let wanted: Vec<(Name, u32)> = config
             .models()
             .map(|(model, n)| (model.clone(), n))
             .collect();
         let engines = engines(config, router);
-        // Asked anew at the moment of use: a pause may have ended the lease.
+        // Checked again right before use: the lease may have expired during a pause.
         let fence = self.lease.held(now);
         let order = self
             .placer
--- a/fireflyd/src/leases.rs
+++ b/fireflyd/src/leases.rs
@@ -1,4 +1,4 @@
-//! The fleet's lease as an object of the platform.
+//! The fleet's lease, stored as an object of the platform.
 
 use fireflycroft::{LeaseAnswer, LeaseOp, LeaseRecord, Name, RequestId, parse_request_id};
 use serde::{Deserialize, Serialize};
@@ -6,9 +6,9 @@
 
 use crate::platform::{Condition, PlatformClient, PlatformError};
 
-/// Kind of the objects that hold leases.
+/// Kind of lease objects.
 pub const LEASE_KIND: &str = "lease";
-/// Name of the lease under which models are placed.
+/// Name of the lease for model placement.
 pub const PLACER: &str = "placer";
 
 #[derive(Serialize, Deserialize)]
@@ -19,7 +19,7 @@
     renewal: u64,
 }
 
-/// Asks the platform and says what it answered.
+/// Executes a lease operation on the platform and returns its result.
 pub async fn execute(platform: &PlatformClient, op: LeaseOp) -> LeaseAnswer {
     match op {
         LeaseOp::Read => read(platform).await,
--- a/fireflyd/src/lib.rs
+++ b/fireflyd/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon of the fleet: sockets, files and timers round the core, one file for each job.
+//! The fleet daemon: connects the core to sockets, files and timers, one module per task.
 
 mod acceptor;
 pub mod admin;
--- a/fireflyd/src/main.rs
+++ b/fireflyd/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: reads its settings and runs one process of the fleet.
+//! Entry point of the daemon: reads the settings and runs one process of the fleet.
 
 use std::process::ExitCode;
 
--- a/fireflyd/src/platform.rs
+++ b/fireflyd/src/platform.rs
@@ -1,7 +1,7 @@
 //! Client of the platform: versioned objects, watches and the VM list.
 //!
-//! The errors tell a write that surely had no effect from one whose outcome is unknown; after the
-//! latter the caller reads back and compares. Nothing is retried here.
+//! Errors distinguish a write that had no effect from one whose outcome is unknown; after the
+//! latter the caller reads the object back and compares. The client never retries.
 
 use std::fmt;
 use std::sync::Arc;
@@ -16,31 +16,31 @@
 
 use crate::metrics::Metrics;
 
-/// Timeout of a call when the settings name none.
+/// Default timeout of a call.
 pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
-/// What a watch may take beyond the wait it asks for.
+/// Extra time for a watch call beyond its requested wait.
 const WATCH_MARGIN: Duration = Duration::from_secs(2);
-/// Largest value of an object in bytes.
+/// Maximum size of an object's value in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Why a call gave no answer of the wanted kind.
+/// Error of a platform call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformError {
-    /// The condition of a write didn't hold; no effect.
+    /// The condition of a write was not met; no effect.
     Conflict {
-        /// Version the object has; 0 when it is absent.
+        /// Current version of the object; 0 when it is absent or unknown.
         version: u64,
     },
-    /// There is no such object; no effect.
+    /// The object does not exist; no effect.
     NotFound,
-    /// The platform can't be reached, is down or limits the rate; no effect.
+    /// The platform is unreachable, down or limiting the rate; no effect.
     Unavailable {
-        /// When to come back, if the platform said so.
+        /// Delay before the next attempt, if the platform gave one.
         retry_after: Option<Duration>,
     },
-    /// The write was sent and its answer lost: it may or may not have taken effect.
+    /// The write was sent but its response was lost: it may or may not have taken effect.
     OutcomeUnknown,
-    /// The call or its answer makes no sense, or the value is too large; no effect.
+    /// The call or its response is invalid, or the value is too large; no effect.
     Invalid(String),
 }
 
@@ -64,7 +64,7 @@
 impl PlatformError {
     const UNAVAILABLE: Self = Self::Unavailable { retry_after: None };
 
-    /// Value of the metrics' `result` label.
+    /// Returns the value of the metrics' `result` label.
     fn label(&self) -> &'static str {
         match self {
             Self::Conflict { .. } => "conflict",
@@ -76,91 +76,91 @@
     }
 }
 
-/// Result of a call of the platform.
+/// Result of a platform call.
 pub type Result<T> = std::result::Result<T, PlatformError>;
 
-/// When a write takes effect.
+/// Condition under which a write takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
     /// The object is absent.
     Absent,
     /// The object has this version.
     Version(u64),
-    /// Whatever the object is.
+    /// No condition.
     Always,
 }
 
-/// An object as the platform holds it.
+/// Object as stored by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Object {
     /// Kind of the object.
     pub kind: Arc<str>,
     /// Name, unique within its kind.
     pub name: Arc<str>,
-    /// Version, which grows with each write.
+    /// Version, increased by each write.
     pub version: u64,
-    /// The value written last.
+    /// Last written value.
     pub value: Value,
 }
 
-/// A page of a list, ordered by name.
+/// Page of a list of objects, ordered by name.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Page {
-    /// Revision of the store from which a watch goes on.
+    /// Store revision from which to watch.
     #[serde(default)]
     pub revision: u64,
-    /// The objects; fewer than the limit on the last page.
+    /// Objects; fewer than the limit on the last page.
     pub objects: Vec<Object>,
 }
 
-/// What a watch saw.
+/// Result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Changes {
-    /// Revision from which the next watch goes on.
+    /// Revision from which to start the next watch.
     pub revision: u64,
-    /// The changes; none when the wait ended first.
+    /// Changes; empty if the wait timed out.
     pub changes: Vec<Change>,
 }
 
-/// One change of an object.
+/// Change of an object.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Change {
     /// Name of the object.
     pub name: Arc<str>,
-    /// Version that the change gave it.
+    /// Version after the change.
     pub version: u64,
     /// Whether the object was deleted.
     #[serde(default)]
     pub deleted: bool,
-    /// Its value, unless deleted.
+    /// New value, unless deleted.
     #[serde(default)]
     pub value: Option<Value>,
 }
 
-/// A VM as the platform lists it, which may lag behind.
+/// VM as listed by the platform; the list may be out of date.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Vm {
     /// Name of the VM.
     pub name: Arc<str>,
     /// Address of the process on it.
     pub address: Arc<str>,
-    /// Data centre it runs in.
+    /// Data centre of the VM.
     pub data_centre: Arc<str>,
-    /// What it is for.
+    /// Role of the VM.
     pub role: Arc<str>,
-    /// Whether it stays.
+    /// State of the VM.
     pub state: VmState,
 }
 
-/// Whether a VM stays.
+/// State of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It runs.
+    /// Running.
     Live,
-    /// It is about to be taken away.
+    /// About to be removed.
     Leaving,
-    /// A state this version doesn't know.
+    /// A state unknown to this version.
     #[serde(other)]
     Unknown,
 }
@@ -182,7 +182,7 @@
     Write,
 }
 
-/// Client of one platform; cloning shares its connections.
+/// Client of the platform; clones share its connections.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     http: reqwest::Client,
@@ -192,11 +192,11 @@
 }
 
 impl PlatformClient {
-    /// Client of the platform at `base`, each call bounded by `timeout`.
+    /// Creates a client of the platform at `base` whose calls take at most `timeout`.
     ///
     /// # Errors
     ///
-    /// An error when `base` is no HTTP URL.
+    /// Returns an error if `base` is not an HTTP URL.
     pub fn new(base: &str, timeout: Duration, metrics: Metrics) -> anyhow::Result<Self> {
         let base = Url::parse(base).with_context(|| format!("platform URL {base}"))?;
         anyhow::ensure!(!base.cannot_be_a_base(), "platform URL {base} has no path");
@@ -204,7 +204,7 @@
             .no_proxy()
             .redirect(reqwest::redirect::Policy::none())
             .retry(reqwest::retry::never())
-            // Half of the whole, so that a connection never made isn't taken for a lost answer.
+            // Half of the timeout, so that a failed connection isn't mistaken for a lost response.
             .connect_timeout(timeout / 2)
             .build()?;
         Ok(Self {
@@ -225,11 +225,11 @@
         self.read("get", req).await
     }
 
-    /// Writes an object under a condition and gives its new version.
+    /// Writes an object under a condition and returns its new version.
     ///
     /// # Errors
     ///
-    /// Any but `NotFound`.
+    /// Any [`PlatformError`] except `NotFound`.
     pub async fn put(
         &self,
         kind: &str,
@@ -249,17 +249,17 @@
         self.write("put", conditional(req, condition)).await
     }
 
-    /// Deletes an object under a condition and gives the version of the deletion.
+    /// Deletes an object under a condition and returns the version of the deletion.
     ///
     /// # Errors
     ///
-    /// Any of [`PlatformError`].
+    /// Any [`PlatformError`].
     pub async fn delete(&self, kind: &str, name: &str, condition: Condition) -> Result<u64> {
         let req = self.request(Method::DELETE, self.object_url(kind, name)?);
         self.write("delete", conditional(req, condition)).await
     }
 
-    /// Lists at most `limit` objects of a kind whose names follow `after`.
+    /// Lists up to `limit` objects of a kind whose names come after `after`.
     ///
     /// # Errors
     ///
@@ -272,7 +272,7 @@
         self.read("list", self.request(Method::GET, url)).await
     }
 
-    /// Waits at most `wait` for changes of a kind after revision `since`.
+    /// Waits up to `wait` for changes of a kind after revision `since`.
     ///
     /// # Errors
     ///
@@ -286,7 +286,7 @@
         self.read("watch", req).await
     }
 
-    /// The VM list.
+    /// Reads the VM list.
     ///
     /// # Errors
     ///
@@ -300,7 +300,7 @@
         self.http.request(method, url).timeout(self.timeout)
     }
 
-    /// URL of an object; the name may have several segments.
+    /// Returns the URL of an object, whose name may have several segments.
     fn object_url(&self, kind: &str, name: &str) -> Result<Url> {
         let mut segments = vec!["objects", kind];
         segments.extend(name.split('/'));
@@ -308,7 +308,7 @@
     }
 
     fn url(&self, segments: &[&str]) -> Result<Url> {
-        // A URL drops such segments or climbs by them.
+        // URL normalisation would drop these segments or move up the path.
         if let Some(invalid) = segments.iter().find(|s| matches!(**s, "" | "." | "..")) {
             return Err(PlatformError::Invalid(format!("path segment {invalid:?}")));
         }
@@ -361,12 +361,12 @@
     let body = res.bytes().await.map_err(|e| transport_error(effect, &e))?;
     serde_json::from_slice(&body).map_err(|e| match effect {
         Effect::Read => PlatformError::Invalid(e.to_string()),
-        // It took effect, but without its version the caller has to read back.
+        // The write took effect, but the caller must read the object back for its version.
         Effect::Write => PlatformError::OutcomeUnknown,
     })
 }
 
-/// What a call without an answer means.
+/// Returns the error of a call without a response.
 fn transport_error(effect: Effect, e: &reqwest::Error) -> PlatformError {
     if e.is_builder() {
         PlatformError::Invalid(e.to_string())
@@ -384,7 +384,7 @@
     }
 }
 
-/// What an answer other than success means.
+/// Returns the error of an unsuccessful response.
 async fn status_error(effect: Effect, res: Response) -> PlatformError {
     match res.status() {
         StatusCode::NOT_FOUND => PlatformError::NotFound,
@@ -403,7 +403,7 @@
 async fn conflict(res: Response) -> PlatformError {
     match res.json::<Version>().await {
         Ok(Version { version }) => PlatformError::Conflict { version },
-        // The refusal itself is certain; the caller reads the object before it goes on.
+        // The refusal is certain; the caller reads the object before it continues.
         Err(_) => PlatformError::Conflict { version: 0 },
     }
 }
--- a/fireflyd/src/port_file.rs
+++ b/fireflyd/src/port_file.rs
@@ -1,4 +1,4 @@
-//! The file that tells which addresses a process is bound to.
+//! File that lists the bound addresses of a process.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -6,11 +6,11 @@
 
 use anyhow::Context;
 
-/// Writes `key=address` lines to `path`; a reader sees all of them or no file.
+/// Writes `key=address` lines to `path` atomically: a reader sees all lines or no file.
 ///
 /// # Errors
 ///
-/// An error that names the file when it can't be written.
+/// Returns an error that names the file if it can't be written.
 pub fn write_port_file<'a>(
     path: &Path,
     bound: impl IntoIterator<Item = (&'a str, SocketAddr)>,
--- a/fireflyd/src/process.rs
+++ b/fireflyd/src/process.rs
@@ -1,4 +1,4 @@
-//! Puts one process together from its settings and runs it to its planned end.
+//! Builds a process from its settings and runs it until a planned stop.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -34,29 +34,29 @@
 use crate::status::Status;
 use crate::upstream::{EngineClient, PlainClient};
 
-/// Calls and inputs that wait for a loop.
+/// Capacity of the queues of calls and inputs of an event loop.
 const QUEUE_CAPACITY: usize = 16 * 1024;
-/// Time between two looks at the file of fleet keys.
+/// Time between two checks of the fleet key file.
 const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Largest answer of a plain service in bytes.
+/// Maximum size of a plain service's response in bytes.
 const MAX_PLAIN_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
-/// Size of an engine that neither settings nor the engine tell.
+/// Capacity of an engine when neither the settings nor the engine report it.
 const DEFAULT_CAPACITY_TOKENS: u64 = 65_536;
 const DEFAULT_MAX_BATCH: u64 = 64;
-/// Most requests that wait at one agent.
+/// Maximum number of queued requests at one agent.
 const MAX_QUEUE: usize = 256;
-/// Time between two looks at the VM list; at 1,000 VMs a look reads 95 KB.
+/// Time between two reads of the VM list; with 1,000 VMs a read transfers 95 KB.
 const VMS_POLL_INTERVAL: Duration = Duration::from_secs(20);
-/// Wait before the platform is asked again for the fencing number.
+/// Delay before retrying to read the fencing number from the platform.
 const FENCE_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Longest wait for callers to read the last of their answers.
+/// Maximum wait for callers to read the rest of their responses.
 const RESPONSE_FLUSH_TIMEOUT: Duration = Duration::from_mins(10);
-/// Time for peers to tell a new process the version in force.
+/// Delay of the first configuration, so that peers can announce the active version.
 const FIRST_CONFIG_DELAY: Duration = Duration::from_millis(500);
-/// Time to let the last messages of a planned stop go out.
+/// Time for sending the last messages of a planned stop.
 const FINAL_SEND_DELAY: Duration = Duration::from_millis(300);
 
-/// What both roles are put together from.
+/// Components used by both roles.
 struct Components {
     node: Node,
     mail: mpsc::Receiver<Vec<u8>>,
@@ -71,7 +71,7 @@
 ///
 /// # Errors
 ///
-/// When an address cannot be bound or a file not be read.
+/// Returns an error if an address can't be bound or a file can't be read.
 pub async fn run(settings: Settings) -> anyhow::Result<()> {
     let components = build_components(&settings)?;
     match settings.role.clone() {
@@ -191,7 +191,7 @@
         tx,
     );
     entry_loop.run(components.mail, calls, inputs).await;
-    // The front writes on what the loop gave it, until each caller has it.
+    // The front keeps writing until each caller has received its response.
     let _ = stop.send(());
     let _ = tokio::time::timeout(RESPONSE_FLUSH_TIMEOUT, server).await;
     tokio::time::sleep(FINAL_SEND_DELAY).await;
@@ -232,7 +232,7 @@
     tokio::spawn(fetch_fence(components.platform.clone(), tx.clone()));
     let policy = admit_policy(&settings.policy);
     if policy == AdmitPolicy::PassThrough {
-        // The upstream queues, so only it knows its load.
+        // The upstream queues requests itself, so only it knows its load.
         tokio::spawn(runner.clone().watch_load(tx.clone()));
     }
     let setup = AgentSetup {
@@ -273,7 +273,7 @@
     })
 }
 
-/// Size of the upstream: from the settings, else as the engine tells it.
+/// Returns the upstream's capacity: from the settings, else as reported by the engine.
 async fn determine_capacity(agent: &AgentSettings, runner: &Runner) -> Capacity {
     let reported = match runner {
         Runner::Engine(engine) => engine.load().await.ok(),
@@ -317,7 +317,7 @@
     }))
 }
 
-/// The status of the loop, with what it doesn't know of itself.
+/// Returns a source of the loop's status, extended by the data centre and configuration digest.
 fn status_source(
     settings: &Settings,
     components: &Components,
@@ -332,7 +332,7 @@
     })
 }
 
-/// Serves the operators' interface; gives its bound address.
+/// Serves the operators' interface; returns its bound address.
 async fn serve_admin(
     settings: &Settings,
     components: &Components,
@@ -372,8 +372,8 @@
     write_port_file(path, all)
 }
 
-/// Calls `leave` when the process is asked to stop; a second signal changes
-/// nothing, since a planned stop cuts off no request.
+/// Calls `leave` on each stop signal; a second signal has no further effect,
+/// since a planned stop interrupts no request.
 async fn leave_on_signal(leave: impl Fn()) {
     let (Ok(mut term), Ok(mut int)) = (
         signal(SignalKind::terminate()),
@@ -389,7 +389,7 @@
     }
 }
 
-/// Reads the VM list for ever, where this member is one of the few that look.
+/// Reads the VM list periodically while this member is a watcher.
 async fn poll_vms<T>(
     platform: PlatformClient,
     feed: ConfigFeed,
@@ -418,8 +418,8 @@
     })
 }
 
-/// Learns the fencing number in force, without which the agent takes no
-/// order.
+/// Reads the current fencing number, without which the agent accepts no
+/// orders.
 async fn fetch_fence(platform: PlatformClient, tx: mpsc::Sender<AgentInput>) {
     loop {
         let fence = match leases::execute(&platform, LeaseOp::Read).await {
@@ -435,10 +435,11 @@
     }
 }
 
-/// Gives each new configuration to a loop; none is lost to a full queue.
+/// Forwards new configurations to a loop; waits while its queue is full.
 ///
-/// The first is held back until peers had time to tell a higher one: what the
-/// platform gave may be stale, or of an older state that it was restored to.
+/// The first one is delayed so that peers can announce a higher version: the
+/// platform's read may be stale, or the platform may have been restored to an
+/// older state.
 async fn forward_configs<T>(
     mut configs: watch::Receiver<Option<Arc<Config>>>,
     tx: mpsc::Sender<T>,
--- a/fireflyd/src/runner.rs
+++ b/fireflyd/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runs work on the upstream and tells the agent's loop what it does.
+//! Runs work on the upstream and reports its progress to the agent's loop.
 
 use std::time::Duration;
 
@@ -16,35 +16,35 @@
     GenerateRequest, Model, ModelState, OrderOutcome, PlainAnswer, PlainClient, UpstreamError,
 };
 
-/// Bytes of a plain answer that count as one token.
+/// Bytes of a plain service's response sent as one token.
 const BYTES_PER_TOKEN: usize = 32 * 1024;
-/// Time between two looks at the upstream's health.
+/// Time between two health checks of the upstream.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two looks at the upstream's load.
+/// Time between two reads of the upstream's load.
 const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Looks that must fail before the upstream counts as down.
+/// Number of consecutive failed checks after which the upstream counts as down.
 const HEALTH_FAILURES: u32 = 3;
-/// Wait before a broken stream is taken up again.
+/// Delay before resuming a broken stream.
 const RESUME_DELAY: Duration = Duration::from_millis(50);
 const STATUS_NOT_FOUND: u16 = 404;
-/// Time between two looks at the engine's models.
+/// Time between two reads of the engine's models.
 const MODELS_POLL_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two looks whether an order took effect.
+/// Time between two checks whether an order took effect.
 const EFFECT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Looks before an order counts as failed; two minutes in all.
+/// Number of checks after which an order counts as failed; two minutes in total.
 const MAX_EFFECT_CHECKS: u32 = 480;
 
-/// The upstream behind one agent; cloning shares its connections.
+/// Upstream behind an agent; clones share its connections.
 #[derive(Clone, Debug)]
 pub enum Runner {
     /// A model engine.
     Engine(EngineClient),
-    /// A plain service, with its health looked at by connecting.
+    /// A plain service, healthy if `/health` gets any response.
     Plain(PlainClient),
 }
 
 impl Runner {
-    /// Runs one generation or call to its end.
+    /// Runs a generation or call to its end.
     pub async fn run(
         &self,
         generation: GenerationId,
@@ -100,7 +100,7 @@
         send(tx, event).await;
     }
 
-    /// Takes up a broken stream, or says that it is lost.
+    /// Resumes a broken stream, or reports that it is lost.
     pub async fn resume(&self, generation: GenerationId, from: u64, tx: &mpsc::Sender<AgentInput>) {
         let Self::Engine(engine) = self else {
             send(tx, AgentEvent::Lost { generation }).await;
@@ -114,7 +114,7 @@
                 status: STATUS_NOT_FOUND,
                 ..
             }) => {
-                // The engine answers but has forgotten what ran: it was started anew.
+                // The engine answers but doesn't know the stream: it has restarted.
                 send(tx, AgentEvent::UpstreamDown).await;
                 send(tx, AgentEvent::UpstreamUp).await;
             }
@@ -125,15 +125,15 @@
         }
     }
 
-    /// Stops a generation.
+    /// Cancels a generation.
     pub async fn cancel(&self, generation: GenerationId) {
         if let Self::Engine(engine) = self {
-            // A generation that cannot be cancelled ends by itself.
+            // If cancelling fails, the generation runs to its end.
             let _ = engine.cancel(&generation.to_string()).await;
         }
     }
 
-    /// Carries out an order and waits until the upstream has done so.
+    /// Executes an order and waits until it has taken effect.
     pub async fn execute_order(&self, order: &Order, tx: &mpsc::Sender<AgentInput>) {
         let code = match self {
             Self::Engine(engine) => forward_order(engine, order).await,
@@ -145,7 +145,7 @@
         send(tx, AgentEvent::OrderSettled(code)).await;
     }
 
-    /// Tells which models the engine holds, for ever.
+    /// Reports the engine's loaded models periodically; never returns for an engine.
     pub async fn watch_models(self, tx: mpsc::Sender<AgentInput>) {
         let Self::Engine(engine) = self else {
             return;
@@ -156,14 +156,14 @@
         }
     }
 
-    /// Looks at the upstream's health for ever.
+    /// Checks the upstream's health periodically; never returns.
     pub async fn watch_health(self, tx: mpsc::Sender<AgentInput>) {
         let mut failures = 0;
         let mut up = false;
         loop {
             if self.is_healthy().await {
                 failures = 0;
-                // Said each time: a failed start may have marked it down.
+                // Sent each time: a failed start may have marked the upstream down.
                 up = true;
                 send(&tx, AgentEvent::UpstreamUp).await;
             } else {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Passes on what the upstream reports of its load, for ever.
+    /// Forwards the engine's load reports periodically; never returns for an engine.
     pub async fn watch_load(self, tx: mpsc::Sender<AgentInput>) {
         let Self::Engine(engine) = self else {
             return;
@@ -228,7 +228,7 @@
     }
 }
 
-/// Waits until the engine holds the model, or holds it no more.
+/// Waits until the engine has loaded or unloaded the model.
 async fn wait_for_effect(engine: &EngineClient, order: &Order) -> Code {
     let should_be_loaded = order.kind == OrderKind::Load;
     for _ in 0..MAX_EFFECT_CHECKS {
@@ -283,7 +283,7 @@
     }
 }
 
-/// What a call says that gave no stream or answer.
+/// Returns the event for a call that produced no stream or response.
 fn not_started(generation: GenerationId, e: &UpstreamError) -> AgentEvent {
     log::warn!(event = "upstream_call_failed", generation:% = generation, cause:% = e; "");
     let code = match e {
@@ -364,6 +364,6 @@
 }
 
 async fn send(tx: &mpsc::Sender<AgentInput>, event: AgentEvent) {
-    // The loop ends only when nothing runs; its end needs no news.
+    // The loop ends only when nothing is running, so a failed send loses nothing.
     let _ = tx.send(AgentInput::Core(event)).await;
 }
--- a/fireflyd/src/setting_check.rs
+++ b/fireflyd/src/setting_check.rs
@@ -1,4 +1,4 @@
-//! Checking the texts of flags and variables one by one.
+//! Validation of the values of flags and environment variables.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,12 +15,12 @@
     UpstreamKind,
 };
 
-/// Longest name in bytes.
+/// Maximum length of a name in bytes.
 const MAX_NAME: usize = 63;
-/// Longest timeout in milliseconds: an hour.
+/// Maximum timeout in milliseconds: an hour.
 const MAX_MS: u64 = 3_600_000;
 
-/// The settings that the flags and variables make, or all faults in the order of the flags.
+/// Returns the settings from flags and variables, or all faults in the order of the flags.
 pub(crate) fn check(
     matches: &ArgMatches,
     env: &HashMap<String, String>,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Text of each flag that has one: as a flag, else as a variable, else by default.
+/// Returns the raw value of each setting: from its flag, else its variable, else its default.
 fn raw_values(
     matches: &ArgMatches,
     env: &HashMap<String, String>,
@@ -60,24 +60,24 @@
     FLAGS.iter().filter_map(text).collect()
 }
 
-/// Text of a setting.
+/// Unparsed value of a setting.
 struct RawValue {
     text: String,
-    /// Whether it was given, by flag or variable.
+    /// Whether the value was given by flag or variable.
     given: bool,
 }
 
-/// Checks the texts and gathers the faults.
+/// Validates the raw values and collects the faults.
 struct Checker {
     raw_values: HashMap<&'static str, RawValue>,
     faults: Vec<SettingFault>,
 }
 
 impl Checker {
-    /// The settings; when there is a fault, it is gathered and what comes back doesn't count.
+    /// Returns the settings; on a fault, the fault is collected and the result must be ignored.
     fn settings(&mut self, matches: &ArgMatches) -> Option<Settings> {
         let role = self.role();
-        // Each part is looked at, whatever is wrong with the ones before it.
+        // Each part is checked, even if earlier ones are invalid.
         let name = self.name("name");
         let data_centre = self.name("data-centre");
         let role = role.and_then(|role| self.role_settings(role));
@@ -136,7 +136,7 @@
         })
     }
 
-    /// Both files; neither of them is no fault.
+    /// Returns both TLS files, or `None` if neither is set; only one of them is a fault.
     fn tls(&mut self) -> Option<TlsFiles> {
         match (self.text("tls-cert-file"), self.text("tls-key-file")) {
             (Some(cert), Some(key)) => Some(TlsFiles {
@@ -174,7 +174,7 @@
         })
     }
 
-    /// The service name, which a plain upstream needs and an engine must not have.
+    /// Returns the service name, required for a plain service and forbidden for an engine.
     fn service(&mut self, kind: Option<UpstreamKind>) -> Option<Arc<str>> {
         match (kind, self.text("service")) {
             (Some(UpstreamKind::Engine), Some(_)) => {
@@ -225,7 +225,7 @@
         self.flag(CHECK_CONFIG)
     }
 
-    /// The text of a setting; an empty one counts as not given.
+    /// Returns the text of a setting; an empty text counts as not given.
     fn text(&self, flag: &'static str) -> Option<String> {
         let text = &self.raw_values.get(flag)?.text;
         (!text.is_empty()).then(|| text.clone())
@@ -331,7 +331,7 @@
         }
     }
 
-    /// A truth value; false when not given.
+    /// Returns a boolean setting; false when not given.
     fn flag(&mut self, flag: &'static str) -> Option<bool> {
         if self.text(flag).is_none() {
             return Some(false);
--- a/fireflyd/src/settings.rs
+++ b/fireflyd/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of the daemon, from flags and environment variables.
 //!
-//! Flags go before variables. `clap` finds the texts; each is then checked, so that all faults come
-//! in one report instead of the first one alone.
+//! Flags take precedence over variables. `clap` only extracts the raw values; they are then
+//! validated separately, so that one report lists all faults instead of the first one.
 
 use std::ffi::OsString;
 use std::fmt;
@@ -14,21 +14,21 @@
 pub use crate::flags::env_name;
 use crate::setting_check::check;
 
-/// Result code of settings at fault.
+/// Result code of invalid settings.
 pub const CODE_BAD_SETTINGS: u32 = 1001;
-/// Exit status of a process whose settings are at fault.
+/// Exit status of a process with invalid settings.
 pub const EXIT_BAD_SETTINGS: i32 = 78;
 
-/// What a process does.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Takes calls from callers.
+    /// Serves callers.
     Entry,
     /// Runs beside an upstream.
     Agent,
 }
 
-/// What an upstream is.
+/// Kind of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamKind {
     /// A model engine.
@@ -37,43 +37,43 @@
     Plain,
 }
 
-/// Settings of one process.
+/// Settings of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Name of the process, unique in the fleet.
     pub name: Arc<str>,
-    /// Data centre it runs in.
+    /// Data centre of the process.
     pub data_centre: Arc<str>,
-    /// What it does, with the settings of that role.
+    /// Role, with its settings.
     pub role: RoleSettings,
-    /// Address of its mailbox.
+    /// Mailbox address.
     pub mailbox: SocketAddr,
     /// Address of metrics, health and status.
     pub admin_listen: SocketAddr,
     /// URL of the platform.
     pub platform: String,
-    /// Mailboxes of some members of the fleet.
+    /// Mailbox addresses of some members of the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// File of the fleet keys.
+    /// Fleet key file.
     pub fleet_keys_file: PathBuf,
-    /// File that gets the bound addresses.
+    /// File for the bound addresses.
     pub port_file: Option<PathBuf>,
     /// Timeouts.
     pub timeouts: Timeouts,
-    /// Least level of the log lines written.
+    /// Minimum log level.
     pub log_level: log::LevelFilter,
     /// Name of the routing policy.
     pub policy: Arc<str>,
-    /// Whether to check the settings and start nothing.
+    /// Whether to only check the settings.
     pub check_config: bool,
 }
 
-/// Settings of one role.
+/// Settings of a role.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RoleSettings {
-    /// Those of an entry.
+    /// Settings of an entry.
     Entry(EntrySettings),
-    /// Those of an agent.
+    /// Settings of an agent.
     Agent(AgentSettings),
 }
 
@@ -100,7 +100,7 @@
 pub struct AgentSettings {
     /// URL of the upstream.
     pub upstream: String,
-    /// What the upstream is.
+    /// Kind of the upstream.
     pub kind: UpstreamKind,
     /// Name of the upstream.
     pub upstream_name: Arc<str>,
@@ -108,9 +108,9 @@
     pub service: Option<Arc<str>>,
     /// Models known to be loaded.
     pub models: Vec<Arc<str>>,
-    /// Tokens that fit in the engine's memory; reported by the engine when absent.
+    /// Memory capacity of the engine in tokens; as reported by the engine when absent.
     pub capacity_tokens: Option<u64>,
-    /// Most generations in the engine's batch; reported by the engine when absent.
+    /// Maximum number of generations in the engine's batch; as reported by the engine when absent.
     pub max_batch: Option<u64>,
     /// Whether the upstream refuses orders with an old fencing number.
     pub checks_fence: bool,
@@ -119,30 +119,30 @@
 /// Timeouts of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// Time between the refusal of new work and the check that all has ended.
+    /// Minimum time between the first refusal of new work and the end of the process.
     pub drain_grace: Duration,
-    /// Bound of a platform call.
+    /// Timeout of a platform call.
     pub platform: Duration,
-    /// Bound of an offer's answer.
+    /// Timeout of the response to an offer.
     pub offer: Duration,
-    /// Silence after which a stream counts as stalled and is attached again.
+    /// Silence after which a stream counts as stalled and is reattached.
     pub stall: Duration,
-    /// Bound of connecting to the upstream and of its short calls.
+    /// Timeout of connecting to the upstream and of its short calls.
     pub upstream: Duration,
-    /// Bound of a whole call of a plain service.
+    /// Timeout of a complete call to a plain service.
     pub plain_call: Duration,
-    /// Time for which the tokens of a stream without a reader are kept.
+    /// Retention time of the tokens of a stream without a reader.
     pub retain: Duration,
 }
 
-/// One setting at fault.
+/// Fault of a setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingFault {
-    /// Its flag, without dashes.
+    /// Flag, without dashes.
     pub flag: String,
-    /// What was given; `None` when nothing was.
+    /// Given value, if any.
     pub given: Option<String>,
-    /// What is allowed.
+    /// Allowed values.
     pub allowed: String,
 }
 
@@ -159,19 +159,19 @@
     }
 }
 
-/// Why no settings came of flags and variables.
+/// Outcome of parsing that yields no settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsFaults {
-    /// Help or version was asked for; the text to print.
+    /// Requested help or version text.
     HelpOrVersion(String),
-    /// The flags themselves can't be told apart; the text to print.
+    /// Usage error of the command line, as text.
     Usage(String),
-    /// All settings at fault, in the order of the help.
+    /// All invalid settings, in the order of the help.
     Faults(Vec<SettingFault>),
 }
 
 impl SettingsFaults {
-    /// Exit status of the process.
+    /// Returns the exit status of the process.
     #[must_use]
     pub fn exit_status(&self) -> i32 {
         match self {
@@ -197,11 +197,11 @@
 impl std::error::Error for SettingsFaults {}
 
 impl Settings {
-    /// Settings of `args` (program name first) and the variables of `env`.
+    /// Parses the settings from `args` (program name first) and the variables in `env`.
     ///
     /// # Errors
     ///
-    /// [`SettingsFaults`] with every setting at fault.
+    /// [`SettingsFaults`] with every invalid setting.
     pub fn parse(
         args: impl IntoIterator<Item = impl Into<OsString> + Clone>,
         env: impl IntoIterator<Item = (String, String)>,
@@ -217,7 +217,7 @@
         check(&matches, &env.into_iter().collect()).map_err(SettingsFaults::Faults)
     }
 
-    /// Which role the process has.
+    /// Returns the role of the process.
     #[must_use]
     pub fn role(&self) -> Role {
         match self.role {
--- a/fireflyd/src/upstream.rs
+++ b/fireflyd/src/upstream.rs
@@ -1,8 +1,8 @@
 //! Clients of the upstream beside an agent: a model engine or a plain service.
 //!
-//! The errors tell a call that was never sent, and so surely did not run, from one that was
-//! answered and from one that broke after it was sent, whose outcome is unknown. Nothing is
-//! retried and no redirect is followed.
+//! Errors distinguish a call that was never sent, and therefore did not run, from one that was
+//! answered and from one that broke after it was sent, whose outcome is unknown. The clients
+//! neither retry nor follow redirects.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -18,17 +18,17 @@
 pub use crate::engine_messages::*;
 pub use crate::plain_client::*;
 
-/// Timeout of a short call when the settings name none.
+/// Default timeout of a short call.
 pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes kept of the body of a refusal.
+/// Maximum number of bytes kept of an error response's body.
 const MAX_ERROR_BODY_BYTES: usize = 4096;
-/// Largest answer of a short call to an engine in bytes.
+/// Maximum size of an engine's response to a short call in bytes.
 const MAX_REPORT_BYTES: usize = 8 << 20;
-/// What a wait for events may take beyond the time it asks for.
+/// Extra time for an events call beyond its requested wait.
 const EVENTS_MARGIN: Duration = Duration::from_secs(2);
-/// Header that names the request across systems.
+/// Header with the identifier of the request across systems.
 pub(crate) const REQUEST_ID: &str = "x-request-id";
-/// Headers of a caller that concern its own connection only.
+/// Caller headers that apply only to the caller's own connection.
 pub(crate) const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "content-length",
@@ -41,23 +41,23 @@
     "upgrade",
 ];
 
-/// Why a call gave no answer of the wanted kind.
+/// Error of an upstream call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpstreamError {
-    /// Not sent, because no connection was made or the call makes no sense: surely not run.
+    /// Not sent, because the connection failed or the call is invalid: did not run.
     NeverSent(String),
-    /// Answered with a status other than success.
+    /// Answered with an error status.
     Answered {
         /// HTTP status.
         status: u16,
-        /// The start of the body.
+        /// Start of the body.
         body: String,
-        /// When to come back, if the upstream said so.
+        /// Delay before the next attempt, if the upstream gave one.
         retry_after: Option<Duration>,
     },
-    /// Sent, but no whole answer came back: may have run.
+    /// Sent, but no complete response was received: may have run.
     Broken(String),
-    /// Run and answered, but with more bytes than allowed or a body that makes no sense.
+    /// Run and answered, but the body is too large or invalid.
     Unusable(String),
 }
 
@@ -74,10 +74,10 @@
 
 impl std::error::Error for UpstreamError {}
 
-/// Result of a call of an upstream.
+/// Result of an upstream call.
 pub type Result<T> = std::result::Result<T, UpstreamError>;
 
-/// Client of one model engine; cloning shares its connections.
+/// Client of a model engine; clones share its connections.
 #[derive(Clone, Debug)]
 pub struct EngineClient {
     http: reqwest::Client,
@@ -86,11 +86,12 @@
 }
 
 impl EngineClient {
-    /// Client of the engine at `base`; `timeout` bounds connecting and short calls, no stream.
+    /// Creates a client of the engine at `base`; `timeout` limits connecting and short calls,
+    /// not streams.
     ///
     /// # Errors
     ///
-    /// An error when `base` is no HTTP URL.
+    /// Returns an error if `base` is not an HTTP URL.
     pub fn new(base: &str, timeout: Duration) -> anyhow::Result<Self> {
         Ok(Self {
             http: http_client(timeout)?,
@@ -99,11 +100,11 @@
         })
     }
 
-    /// Starts a generation and gives its events; the wait for the answer's head is not bounded.
+    /// Starts a generation and returns its events; the wait for the response head has no timeout.
     ///
     /// # Errors
     ///
-    /// [`UpstreamError`] when no stream began.
+    /// [`UpstreamError`] if no stream started.
     pub async fn generate(&self, req: &GenerateRequest) -> Result<EngineStream> {
         let body = ChatRequest {
             model: &req.model,
@@ -123,7 +124,7 @@
         Ok(events(send(call).await?))
     }
 
-    /// Takes up the stream of a generation at token `from`.
+    /// Resumes the stream of a generation at token `from`.
     ///
     /// # Errors
     ///
@@ -144,7 +145,7 @@
         send(self.with_timeout(self.http.post(url))).await.map(drop)
     }
 
-    /// What the engine reports of its load.
+    /// Reads the engine's load report.
     ///
     /// # Errors
     ///
@@ -153,7 +154,7 @@
         self.report(self.http.get(self.url(&["v1", "load"])?)).await
     }
 
-    /// Cache events after number `since`, after a wait of at most `wait` for the first.
+    /// Reads the cache events after number `since`, waiting up to `wait` for the first.
     ///
     /// # Errors
     ///
@@ -167,11 +168,11 @@
         parse(&read_body(send(call).await?, MAX_REPORT_BYTES).await?)
     }
 
-    /// Gives an order.
+    /// Sends an order.
     ///
     /// # Errors
     ///
-    /// [`UpstreamError`]; an order refused for its fencing number is an outcome, not an error.
+    /// [`UpstreamError`]; a refusal because of the fencing number is an outcome, not an error.
     pub async fn order(&self, order: &FencedOrder) -> Result<OrderOutcome> {
         let call = self.http.post(self.url(&["v1", "orders"])?).json(order);
         match send(self.with_timeout(call)).await {
@@ -186,7 +187,7 @@
         }
     }
 
-    /// The models of the engine.
+    /// Reads the engine's models.
     ///
     /// # Errors
     ///
@@ -196,11 +197,11 @@
         self.report(self.http.get(url)).await
     }
 
-    /// Whether the engine answers.
+    /// Checks the engine's health.
     ///
     /// # Errors
     ///
-    /// [`UpstreamError`] when it doesn't, or not with success.
+    /// [`UpstreamError`] if the engine gives no response or an error status.
     pub async fn health(&self) -> Result<()> {
         let url = self.url(&["health"])?;
         send(self.with_timeout(self.http.get(url))).await.map(drop)
@@ -233,7 +234,7 @@
         .no_proxy()
         .redirect(reqwest::redirect::Policy::none())
         .retry(reqwest::retry::never())
-        // Half of the whole, so that a connection never made isn't taken for a lost answer.
+        // Half of the timeout, so that a failed connection isn't mistaken for a lost response.
         .connect_timeout(timeout / 2)
         .tcp_nodelay(true)
         .build()?;
@@ -250,7 +251,7 @@
     UpstreamError::NeverSent(e.to_string())
 }
 
-/// What a call without an answer means.
+/// Returns the error of a call without a response.
 pub(crate) fn transport_error(e: &reqwest::Error) -> UpstreamError {
     if e.is_connect() || e.is_builder() {
         never_sent(e)
@@ -259,7 +260,7 @@
     }
 }
 
-/// Sends a call and takes any status but success for an error.
+/// Sends a call and returns an error for any unsuccessful status.
 pub(crate) async fn send(call: RequestBuilder) -> Result<Response> {
     let res = call.send().await.map_err(|e| transport_error(&e))?;
     if res.status().is_success() {
@@ -279,7 +280,7 @@
     })
 }
 
-/// The start of a refusal's body, as far as it comes.
+/// Reads the start of an error response's body, as far as it is received.
 async fn read_body_prefix(mut res: Response) -> String {
     let mut buf = Vec::new();
     while buf.len() < MAX_ERROR_BODY_BYTES {
@@ -294,7 +295,7 @@
 
 pub(crate) async fn read_body(mut res: Response, limit: usize) -> Result<Vec<u8>> {
     let mut buf = Vec::new();
-    // The answer has begun, so that nothing from here on was never sent.
+    // The response has started, so an error can no longer mean that the call was never sent.
     let to_broken = |e: reqwest::Error| UpstreamError::Broken(e.to_string());
     while let Some(chunk) = res.chunk().await.map_err(to_broken)? {
         if buf.len() + chunk.len() > limit {
@@ -309,7 +310,7 @@
     serde_json::from_slice(body).map_err(|e| UpstreamError::Unusable(e.to_string()))
 }
 
-/// An open stream with what it has given and not yet handed on.
+/// Open stream with its decoded events that have not been returned yet.
 struct OpenStream {
     res: Response,
     decoder: Decoder,
