--- a/fireflyd/examples/mailbox_latency.rs
+++ b/fireflyd/examples/mailbox_latency.rs
@@ -8,10 +8,10 @@
 use fireflyd::metrics::Metrics;
 use tokio::sync::mpsc::Receiver;
 
-const PAYLOAD: usize = 200;
-const ROUNDS: usize = 20_000;
-const ONE_WAY: usize = 200_000;
-const QUIET: Duration = Duration::from_secs(1);
+const PAYLOAD_BYTES: usize = 200;
+const ROUND_TRIPS: usize = 20_000;
+const ONE_WAY_MESSAGES: usize = 200_000;
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn open(keys: &SharedKeyRing) -> anyhow::Result<(Mailbox, Receiver<Vec<u8>>)> {
     let local = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -31,10 +31,10 @@
             b.send(to_a, msg);
         }
     });
-    let mut micros = Vec::with_capacity(ROUNDS);
-    for _ in 0..ROUNDS {
+    let mut micros = Vec::with_capacity(ROUND_TRIPS);
+    for _ in 0..ROUND_TRIPS {
         let start = Instant::now();
-        a.send(to_b, vec![7; PAYLOAD]);
+        a.send(to_b, vec![7; PAYLOAD_BYTES]);
         if a_rx.recv().await.is_none() {
             break;
         }
@@ -55,16 +55,16 @@
 async fn one_way(a: &Mailbox, keys: &SharedKeyRing, window: usize) -> anyhow::Result<()> {
     let (b, mut b_rx) = open(keys)?;
     let to = b.local_addr();
-    a.send(to, vec![7; PAYLOAD]);
+    a.send(to, vec![7; PAYLOAD_BYTES]);
     b_rx.recv().await;
     let start = Instant::now();
     let (mut sent, mut got) = (0, 0);
-    while got < ONE_WAY {
-        while sent < ONE_WAY && sent - got < window {
-            a.send(to, vec![7; PAYLOAD]);
+    while got < ONE_WAY_MESSAGES {
+        while sent < ONE_WAY_MESSAGES && sent - got < window {
+            a.send(to, vec![7; PAYLOAD_BYTES]);
             sent += 1;
         }
-        match tokio::time::timeout(QUIET, b_rx.recv()).await {
+        match tokio::time::timeout(RECEIVE_TIMEOUT, b_rx.recv()).await {
             Ok(Some(_)) => got += 1,
             _ => break,
         }
@@ -72,7 +72,9 @@
     let seconds = start.elapsed().as_secs_f64();
     #[allow(clippy::cast_precision_loss)]
     let rate = got as f64 / seconds;
-    println!("one_way window={window} got={got} of={ONE_WAY} messages_per_second={rate:.0}");
+    println!(
+        "one_way window={window} got={got} of={ONE_WAY_MESSAGES} messages_per_second={rate:.0}"
+    );
     Ok(())
 }
 
--- a/fireflyd/tests/platform_client.rs
+++ b/fireflyd/tests/platform_client.rs
@@ -14,32 +14,32 @@
 use tokio::net::TcpListener;
 
 /// Timeout of calls that are to end in an answer.
-const PATIENCE: Duration = Duration::from_secs(30);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout of calls that are to end in a timeout.
-const BRIEF: Duration = Duration::from_millis(200);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// What the fake platform was asked: method, path with query, condition header.
-type Asked = (String, String, Option<String>);
+type RecordedRequest = (String, String, Option<String>);
 
 /// A platform that gives the answers it was told, in order.
-struct Fake {
+struct FakePlatform {
     url: String,
-    asked: Arc<Mutex<Vec<Asked>>>,
+    requests: Arc<Mutex<Vec<RecordedRequest>>>,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Drop for Fake {
+impl Drop for FakePlatform {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-struct Script {
-    asked: Arc<Mutex<Vec<Asked>>>,
+struct ScriptedEndpoint {
+    requests: Arc<Mutex<Vec<RecordedRequest>>>,
     answers: Mutex<VecDeque<Response>>,
 }
 
-impl Endpoint for Script {
+impl Endpoint for ScriptedEndpoint {
     type Output = Response;
 
     async fn call(&self, req: Request) -> poem::Result<Response> {
@@ -48,24 +48,24 @@
             Some(format!("{name}: {value}"))
         };
         let condition = header("if-match").or_else(|| header("if-none-match"));
-        let asked = (req.method().to_string(), req.uri().to_string(), condition);
-        self.asked.lock().unwrap().push(asked);
-        let answer = self.answers.lock().unwrap().pop_front();
-        match answer {
+        let request = (req.method().to_string(), req.uri().to_string(), condition);
+        self.requests.lock().unwrap().push(request);
+        let response = self.answers.lock().unwrap().pop_front();
+        match response {
             Some(res) => Ok(res),
             None => std::future::pending().await,
         }
     }
 }
 
-impl Fake {
+impl FakePlatform {
     /// Gives `answers`, then none any more.
     async fn new(answers: impl IntoIterator<Item = Response>) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
         let url = format!("http://{}", listener.local_addr().unwrap());
-        let asked = Arc::default();
-        let script = Script {
-            asked: Arc::clone(&asked),
+        let requests = Arc::default();
+        let script = ScriptedEndpoint {
+            requests: Arc::clone(&requests),
             answers: Mutex::new(answers.into_iter().collect()),
         };
         let acceptor = TcpAcceptor::from_tokio(listener).unwrap();
@@ -75,11 +75,15 @@
                 .await
                 .unwrap();
         });
-        Self { url, asked, task }
+        Self {
+            url,
+            requests,
+            task,
+        }
     }
 
-    fn asked(&self) -> Vec<Asked> {
-        self.asked.lock().unwrap().clone()
+    fn requests(&self) -> Vec<RecordedRequest> {
+        self.requests.lock().unwrap().clone()
     }
 }
 
@@ -87,13 +91,13 @@
     PlatformClient::new(url, timeout, Metrics::new().unwrap()).unwrap()
 }
 
-fn answer(status: u16, body: &serde_json::Value) -> Response {
+fn response(status: u16, body: &serde_json::Value) -> Response {
     let status = poem::http::StatusCode::from_u16(status).unwrap();
     Response::builder().status(status).body(body.to_string())
 }
 
-fn limited(seconds: &str) -> Response {
-    let mut res = answer(429, &json!({}));
+fn rate_limited(seconds: &str) -> Response {
+    let mut res = response(429, &json!({}));
     let value = poem::http::HeaderValue::from_str(seconds).unwrap();
     res.headers_mut().insert("retry-after", value);
     res
@@ -106,64 +110,64 @@
 }
 
 macro_rules! put_cases {
-    ($($name:ident: $answer:expr => $want:expr;)*) => {$(
+    ($($name:ident: $response:expr => $want:expr;)*) => {$(
         #[tokio::test]
         async fn $name() {
-            let fake = Fake::new([$answer]).await;
-            let client = client(&fake.url, PATIENCE);
+            let fake = FakePlatform::new([$response]).await;
+            let client = client(&fake.url, RESPONSE_TIMEOUT);
             let got = client.put("config", "head", &json!(1), Condition::Absent).await;
             assert_eq!(got, $want);
-            let asked = ("PUT", "/v1/objects/config/head", "if-none-match: *");
-            let seen = fake.asked();
+            let want_request = ("PUT", "/v1/objects/config/head", "if-none-match: *");
+            let seen = fake.requests();
             let (method, uri, condition) = &seen[0];
-            assert_eq!((&method[..], &uri[..], condition.as_deref().unwrap()), asked);
+            assert_eq!((&method[..], &uri[..], condition.as_deref().unwrap()), want_request);
             assert_eq!(seen.len(), 1);
         }
     )*};
 }
 
 put_cases! {
-    put_gives_the_version: answer(200, &json!({"version": 7})) => Ok(7);
-    put_tells_a_conflict: answer(409, &json!({"version": 9})) => Err(PlatformError::Conflict { version: 9 });
-    put_in_an_outage_has_no_effect: answer(503, &json!({})) => Err(unavailable(None));
-    put_over_the_rate_has_no_effect: limited("3") => Err(unavailable(Some(3)));
-    put_over_the_rate_with_an_odd_wait: limited("soon") => Err(unavailable(None));
-    put_answered_by_504_is_unknown: answer(504, &json!({})) => Err(PlatformError::OutcomeUnknown);
-    put_answered_by_500_is_unknown: answer(500, &json!({})) => Err(PlatformError::OutcomeUnknown);
-    put_answered_by_408_is_unknown: answer(408, &json!({})) => Err(PlatformError::OutcomeUnknown);
-    put_answered_by_nonsense_is_unknown: answer(200, &json!("?")) => Err(PlatformError::OutcomeUnknown);
-    put_too_large_is_invalid: answer(413, &json!({})) => Err(PlatformError::Invalid("413 Payload Too Large".to_owned()));
+    put_gives_the_version: response(200, &json!({"version": 7})) => Ok(7);
+    put_tells_a_conflict: response(409, &json!({"version": 9})) => Err(PlatformError::Conflict { version: 9 });
+    put_in_an_outage_has_no_effect: response(503, &json!({})) => Err(unavailable(None));
+    put_over_the_rate_has_no_effect: rate_limited("3") => Err(unavailable(Some(3)));
+    put_over_the_rate_with_an_odd_wait: rate_limited("soon") => Err(unavailable(None));
+    put_answered_by_504_is_unknown: response(504, &json!({})) => Err(PlatformError::OutcomeUnknown);
+    put_answered_by_500_is_unknown: response(500, &json!({})) => Err(PlatformError::OutcomeUnknown);
+    put_answered_by_408_is_unknown: response(408, &json!({})) => Err(PlatformError::OutcomeUnknown);
+    put_answered_by_nonsense_is_unknown: response(200, &json!("?")) => Err(PlatformError::OutcomeUnknown);
+    put_too_large_is_invalid: response(413, &json!({})) => Err(PlatformError::Invalid("413 Payload Too Large".to_owned()));
 }
 
 macro_rules! get_cases {
-    ($($name:ident: $answer:expr => $want:expr;)*) => {$(
+    ($($name:ident: $response:expr => $want:expr;)*) => {$(
         #[tokio::test]
         async fn $name() {
-            let fake = Fake::new([$answer]).await;
-            let got = client(&fake.url, PATIENCE).get("config", "head").await;
+            let fake = FakePlatform::new([$response]).await;
+            let got = client(&fake.url, RESPONSE_TIMEOUT).get("config", "head").await;
             assert_eq!(got.map(|object| object.version), $want);
         }
     )*};
 }
 
 get_cases! {
-    get_gives_the_object: answer(200, &json!({"kind": "config", "name": "head", "version": 3, "value": {}})) => Ok(3);
-    get_tells_the_absent: answer(404, &json!({})) => Err(PlatformError::NotFound);
-    get_in_an_outage: answer(503, &json!({})) => Err(unavailable(None));
-    get_answered_by_504_has_no_effect: answer(504, &json!({})) => Err(unavailable(None));
+    get_gives_the_object: response(200, &json!({"kind": "config", "name": "head", "version": 3, "value": {}})) => Ok(3);
+    get_tells_the_absent: response(404, &json!({})) => Err(PlatformError::NotFound);
+    get_in_an_outage: response(503, &json!({})) => Err(unavailable(None));
+    get_answered_by_504_has_no_effect: response(504, &json!({})) => Err(unavailable(None));
 }
 
 #[tokio::test]
 async fn a_write_without_an_answer_in_time_is_unknown() {
-    let fake = Fake::new([]).await;
-    let client = client(&fake.url, BRIEF);
+    let fake = FakePlatform::new([]).await;
+    let client = client(&fake.url, SHORT_TIMEOUT);
     let put = client.put("claim", "a", &1, Condition::Absent).await;
     assert_eq!(put, Err(PlatformError::OutcomeUnknown));
     let delete = client.delete("claim", "a", Condition::Version(4)).await;
     assert_eq!(delete, Err(PlatformError::OutcomeUnknown));
     let get = client.get("claim", "a").await;
     assert_eq!(get, Err(unavailable(None)));
-    assert_eq!(fake.asked()[1].2.as_deref(), Some("if-match: 4"));
+    assert_eq!(fake.requests()[1].2.as_deref(), Some("if-match: 4"));
 }
 
 #[tokio::test]
@@ -171,14 +175,14 @@
     let bound = tokio::net::TcpSocket::new_v4().unwrap();
     bound.bind((Ipv4Addr::LOCALHOST, 0).into()).unwrap();
     let url = format!("http://{}", bound.local_addr().unwrap());
-    let put = client(&url, PATIENCE)
+    let put = client(&url, RESPONSE_TIMEOUT)
         .put("claim", "a", &1, Condition::Absent)
         .await;
     assert_eq!(put, Err(unavailable(None)));
 }
 
 macro_rules! cut_cases {
-    ($($name:ident: $answer:expr;)*) => {$(
+    ($($name:ident: $response:expr;)*) => {$(
         /// The connection ends after the write was read.
         #[tokio::test]
         async fn $name() {
@@ -188,10 +192,10 @@
                 let (mut socket, _) = listener.accept().await.unwrap();
                 let mut buf = [0; 4096];
                 let len = socket.read(&mut buf).await.unwrap();
-                socket.write_all($answer).await.unwrap();
+                socket.write_all($response).await.unwrap();
                 len
             });
-            let put = client(&url, PATIENCE).put("claim", "a", &1, Condition::Absent).await;
+            let put = client(&url, RESPONSE_TIMEOUT).put("claim", "a", &1, Condition::Absent).await;
             assert_eq!(put, Err(PlatformError::OutcomeUnknown));
             assert!(served.await.unwrap() > 0);
         }
@@ -208,18 +212,18 @@
 async fn list_watch_and_vms_are_asked_for_and_parsed() {
     let object = json!({"kind": "part", "name": "b", "version": 2, "value": [1]});
     let vm = |state: &str| json!({"name": "vm1", "address": "127.0.0.1:1", "data_centre": "a", "role": "entry", "state": state});
-    let fake = Fake::new([
-        answer(200, &json!({"revision": 8, "objects": [object]})),
-        answer(
+    let fake = FakePlatform::new([
+        response(200, &json!({"revision": 8, "objects": [object]})),
+        response(
             200,
             &json!({"revision": 9, "changes": [
                 {"name": "b", "version": 9, "deleted": true, "value": null}
             ]}),
         ),
-        answer(200, &json!({"vms": [vm("live"), vm("leaving"), vm("odd")]})),
+        response(200, &json!({"vms": [vm("live"), vm("leaving"), vm("odd")]})),
     ])
     .await;
-    let client = client(&fake.url, PATIENCE);
+    let client = client(&fake.url, RESPONSE_TIMEOUT);
     let page = client.list("part", "a b", 10).await.unwrap();
     assert_eq!(
         (page.revision, page.objects[0].value.clone()),
@@ -238,7 +242,7 @@
         .map(|vm| vm.state)
         .collect();
     assert_eq!(states, [VmState::Live, VmState::Leaving, VmState::Unknown]);
-    let uris: Vec<String> = fake.asked().into_iter().map(|(_, uri, _)| uri).collect();
+    let uris: Vec<String> = fake.requests().into_iter().map(|(_, uri, _)| uri).collect();
     assert_eq!(
         uris,
         [
@@ -253,9 +257,9 @@
     ($($name:ident: $object:expr => $uri:expr;)*) => {$(
         #[tokio::test]
         async fn $name() {
-            let fake = Fake::new([answer(404, &json!({}))]).await;
-            let got = client(&fake.url, PATIENCE).get("config", $object).await;
-            let uris: Vec<String> = fake.asked().into_iter().map(|(_, uri, _)| uri).collect();
+            let fake = FakePlatform::new([response(404, &json!({}))]).await;
+            let got = client(&fake.url, RESPONSE_TIMEOUT).get("config", $object).await;
+            let uris: Vec<String> = fake.requests().into_iter().map(|(_, uri, _)| uri).collect();
             let want: Option<&str> = $uri;
             assert_eq!(uris.first().map(|uri| &uri[..]), want);
             assert_eq!(matches!(got, Err(PlatformError::Invalid(_))), want.is_none());
@@ -272,25 +276,25 @@
 
 #[tokio::test]
 async fn a_value_over_the_bound_is_not_sent() {
-    let fake = Fake::new([]).await;
+    let fake = FakePlatform::new([]).await;
     let value = "x".repeat(MAX_VALUE_BYTES);
-    let put = client(&fake.url, PATIENCE)
+    let put = client(&fake.url, RESPONSE_TIMEOUT)
         .put("config", "part", &value, Condition::Always)
         .await;
     assert!(matches!(put, Err(PlatformError::Invalid(_))));
-    assert!(fake.asked().is_empty());
+    assert!(fake.requests().is_empty());
 }
 
 #[tokio::test]
 async fn calls_are_counted_by_kind_and_result() {
-    let fake = Fake::new([
-        answer(200, &json!({"version": 1})),
-        answer(404, &json!({})),
-        answer(404, &json!({})),
+    let fake = FakePlatform::new([
+        response(200, &json!({"version": 1})),
+        response(404, &json!({})),
+        response(404, &json!({})),
     ])
     .await;
     let metrics = Metrics::new().unwrap();
-    let client = PlatformClient::new(&fake.url, PATIENCE, metrics.clone()).unwrap();
+    let client = PlatformClient::new(&fake.url, RESPONSE_TIMEOUT, metrics.clone()).unwrap();
     client.put("a", "b", &1, Condition::Always).await.unwrap();
     for _ in 0..2 {
         client.get("a", "b").await.unwrap_err();
--- a/fireflyd/tests/processes_claims.rs
+++ b/fireflyd/tests/processes_claims.rs
@@ -8,7 +8,7 @@
 use reqwest::Response;
 use serde_json::{Value, json};
 use standins::caller::{Caller, End, Got, Request};
-use support::{COUNTER, DOSSIERS, Fleet, GRADES, PATIENCE, Spec, until, within};
+use support::{COUNTER, DOSSIERS, Fleet, GRADES, Spec, WAIT_TIMEOUT, until, within};
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
 
@@ -115,14 +115,14 @@
     let code = error_code(res).await;
     assert_eq!(code / 1_000, 2, "{code}");
     for agent in &mut fleet.agents {
-        agent.process.thaw();
+        agent.process.resume();
     }
     fleet.await_ready().await;
     let next = fleet
         .call(Request::whole("next", DOSSIERS, "model-b", 9), 0)
         .await;
     assert!(next.is_whole(), "{next:?}");
-    fleet.assert_kept(&[next]);
+    fleet.assert_guarantees(&[next]);
     assert_eq!(fleet.runs().count("m"), 0);
 }
 
@@ -135,9 +135,9 @@
     fleet.agents[agent].process.freeze();
     sleep(Duration::from_secs(3)).await;
     fleet.platform_faults(json!({"hang_ms": 0})).await;
-    fleet.agents[agent].process.thaw();
+    fleet.agents[agent].process.resume();
     let got = call.await.unwrap();
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.is_whole(), "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
@@ -152,7 +152,7 @@
     fleet.entries[0].process.kill();
     fleet.platform_faults(json!({"hang_ms": 0})).await;
     let got = call.await.unwrap();
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.is_whole(), "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
@@ -168,13 +168,13 @@
     sleep(Duration::from_secs(3)).await;
     fleet.platform_faults(json!({"hang_ms": 0})).await;
     let second = begin(&caller, grade("m"), 1).await.unwrap();
-    fleet.entries[0].process.thaw();
+    fleet.entries[0].process.resume();
     let first = first.await.unwrap();
     assert!(
         first.is_whole() && second.is_whole(),
         "{first:?} {second:?}"
     );
-    fleet.assert_kept(&[first, second]);
+    fleet.assert_guarantees(&[first, second]);
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
@@ -188,7 +188,7 @@
     first.abort();
     fleet.platform_faults(json!({"hang_ms": 0})).await;
     let got = caller.run(grade("m"), 1).await;
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.is_whole(), "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
@@ -205,7 +205,7 @@
             calls.spawn(async move { caller.run(request, entry).await });
         }
         let all = calls.join_all().await;
-        fleet.assert_kept(&all);
+        fleet.assert_guarantees(&all);
         assert!(all.iter().all(Got::is_whole), "{all:#?}");
         assert_eq!(fleet.runs().count(&mark), 1);
     }
@@ -218,7 +218,7 @@
     for entry in 0..4 {
         all.push(fleet.call(request("m"), entry).await);
     }
-    fleet.assert_kept(&all);
+    fleet.assert_guarantees(&all);
     assert!(all.iter().all(Got::is_whole), "{all:#?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
@@ -232,7 +232,7 @@
     let second = fleet.call(other, 1).await;
     assert!(first.is_whole(), "{first:?}");
     assert_eq!(second.code(), Some(2_008), "{second:?}");
-    fleet.assert_kept(&[first, second]);
+    fleet.assert_guarantees(&[first, second]);
     assert_eq!(fleet.runs().count("other"), 0);
 }
 
@@ -251,7 +251,7 @@
     .await;
     fleet.entries[0].process.kill();
     let got = call.await.unwrap();
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.is_whole(), "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
@@ -265,7 +265,7 @@
     fleet.entries[0].process.kill();
     fleet.slow_engines(1).await;
     let got = call.await.unwrap();
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.is_whole() && got.attempts.len() == 2, "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
@@ -283,7 +283,7 @@
         matches!(second.end(), End::Code(3_002 | 4_002)),
         "{second:?}"
     );
-    fleet.assert_kept(&[first, second]);
+    fleet.assert_guarantees(&[first, second]);
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
@@ -308,7 +308,7 @@
     fleet.platform_faults(mended).await;
     let got = fleet.call(filing("m"), 0).await;
     assert!(got.is_whole(), "{got:?}");
-    fleet.assert_kept(&[open, got]);
+    fleet.assert_guarantees(&[open, got]);
 }
 
 /// The write of the claim takes effect and its answer is lost.
@@ -326,7 +326,7 @@
     for call in calls {
         all.push(call.await.unwrap());
     }
-    fleet.assert_kept(&all);
+    fleet.assert_guarantees(&all);
     assert!(all.iter().all(Got::is_whole), "{all:#?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
@@ -368,7 +368,7 @@
         })
         .await;
     }
-    fleet.assert_kept(&all);
+    fleet.assert_guarantees(&all);
     assert_eq!(
         (fleet.runs().count("m0"), fleet.runs().count("m1")),
         (runs, runs)
@@ -383,10 +383,10 @@
     let call = begin(&caller, grade("m"), 0);
     let engine = fleet.engine_of("m").await;
     fleet.engines[engine].process.kill();
-    let first = within(PATIENCE, "the end", call).await.unwrap();
+    let first = within(WAIT_TIMEOUT, "the end", call).await.unwrap();
     let second = caller.run(grade("m"), 1).await;
     assert_eq!(first.code(), Some(3_001), "{first:?}");
     assert!(second.code().is_some(), "{second:?}");
-    fleet.assert_kept(&[first, second]);
+    fleet.assert_guarantees(&[first, second]);
     assert_eq!(fleet.runs().count("m"), 1);
 }
--- a/fireflyd/tests/processes_config.rs
+++ b/fireflyd/tests/processes_config.rs
@@ -15,11 +15,11 @@
 use tokio::time::sleep;
 
 /// Bound of the promise.
-const IN_FORCE: Duration = Duration::from_secs(5);
+const ACTIVATION_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time between two looks at a version.
-const LOOK_EVERY: Duration = Duration::from_millis(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(30);
 /// Key of the workspace that the tests remove.
-const REMOVED: &str = "demo-key-3";
+const REMOVED_KEY: &str = "demo-key-3";
 const REMOVED_WORKSPACE: &str = "harbour-archive";
 /// Exit statuses of `fireflyctl`.
 const DONE: i32 = 0;
@@ -28,11 +28,11 @@
 const CONFLICT: i32 = 75;
 
 crate::cases! {
-    in_force_within_5_s => in_force(json!({}));
-    in_force_within_5_s_with_stale_reads => in_force(json!({"stale_read_ms": 1_500}));
-    in_force_within_5_s_with_late_watches => in_force(json!({"watch_lag_ms": 2_000}));
+    in_force_within_5_s => becomes_active(json!({}));
+    in_force_within_5_s_with_stale_reads => becomes_active(json!({"stale_read_ms": 1_500}));
+    in_force_within_5_s_with_late_watches => becomes_active(json!({"watch_lag_ms": 2_000}));
     many_changes_never_lower => many_changes();
-    removed_key_runs_nothing_at_a_thawed_entry => thawed_entry();
+    removed_key_runs_nothing_at_a_thawed_entry => resumed_entry();
     removed_key_runs_nothing_at_a_restarted_entry => restarted_entry_stale_read();
     removed_workspace_keeps_its_stream => removed_workspace_keeps_its_stream();
     entry_restarted_in_an_outage => restarted_in_outage(true);
@@ -50,7 +50,7 @@
     let mut inventory: Value = serde_json::from_str(&fs::read_to_string(path).unwrap()).unwrap();
     let all = inventory["workspaces"].as_array_mut().unwrap();
     all.retain(|w| w["name"] != workspace);
-    write(fleet, "inventory", &inventory)
+    write_json(fleet, "inventory", &inventory)
 }
 
 /// Sample rules with another wait of interactive requests.
@@ -60,28 +60,28 @@
     let quotas = rules["quotas"].as_array_mut().unwrap();
     quotas.retain(|q| q["workspace"] != REMOVED_WORKSPACE);
     rules["interactive_wait_ms"] = ms.into();
-    write(fleet, &format!("rules-{ms}"), &rules)
+    write_json(fleet, &format!("rules-{ms}"), &rules)
 }
 
-fn write(fleet: &Fleet, name: &str, value: &Value) -> String {
+fn write_json(fleet: &Fleet, name: &str, value: &Value) -> String {
     let path = fleet.path(&format!("{name}.json"));
     fs::write(&path, value.to_string()).unwrap();
     path
 }
 
 /// Applies rules that do not name the workspace to be removed.
-fn free_workspace(fleet: &Fleet) {
+fn remove_workspace_quotas(fleet: &Fleet) {
     let rules = rules_with_wait(fleet, 1_900);
     let (status, text) = fleet.ctl(&["rules", "apply", &rules, "--wait", "5"]);
     assert_eq!(status, DONE, "{text}");
 }
 
-async fn highest(fleet: &Fleet) -> u64 {
-    let mut highest = 0;
+async fn highest_version(fleet: &Fleet) -> u64 {
+    let mut highest_version = 0;
     for node in fleet.nodes() {
-        highest = highest.max(fleet.version(node).await);
+        highest_version = highest_version.max(fleet.version(node).await);
     }
-    highest
+    highest_version
 }
 
 /// Waits until each process that runs has at least that version in force.
@@ -101,40 +101,40 @@
         "model": "model-a",
         "messages": [{"role": "user", "content": "[[mark=removed]][[len=3]]"}],
     });
-    let req = fleet.http.post(url).bearer_auth(REMOVED).json(&body);
+    let req = fleet.http.post(url).bearer_auth(REMOVED_KEY).json(&body);
     req.send().await.is_ok_and(|res| res.status() == 401)
 }
 
 /// Watches that a ready process never shows a lower version than before.
-struct Watch {
+struct VersionMonitor {
     stop: Arc<AtomicBool>,
     task: JoinHandle<Vec<String>>,
 }
 
-impl Watch {
-    fn begin(fleet: &Fleet) -> Self {
+impl VersionMonitor {
+    fn start(fleet: &Fleet) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let nodes = fleet.nodes().map(|n| (n.name.clone(), n.admin)).collect();
-        let task = tokio::spawn(watch(fleet.http.clone(), nodes, stop.clone()));
+        let task = tokio::spawn(monitor(fleet.http.clone(), nodes, stop.clone()));
         Self { stop, task }
     }
 
     async fn assert_never_lower(self) {
         self.stop.store(true, Ordering::Relaxed);
-        let faults = self.task.await.unwrap();
-        assert!(faults.is_empty(), "{faults:#?}");
+        let violations = self.task.await.unwrap();
+        assert!(violations.is_empty(), "{violations:#?}");
     }
 }
 
-async fn watch(
+async fn monitor(
     http: reqwest::Client,
     nodes: Vec<(String, std::net::SocketAddr)>,
     stop: Arc<AtomicBool>,
 ) -> Vec<String> {
-    let mut seen = vec![0; nodes.len()];
-    let mut faults = Vec::new();
+    let mut highest_seen = vec![0; nodes.len()];
+    let mut violations = Vec::new();
     while !stop.load(Ordering::Relaxed) {
-        for ((name, admin), seen) in nodes.iter().zip(&mut seen) {
+        for ((name, admin), highest_seen) in nodes.iter().zip(&mut highest_seen) {
             let get = |path: &str| http.get(format!("http://{admin}{path}")).send();
             if !get("/health/ready")
                 .await
@@ -147,24 +147,24 @@
             };
             let status: Value = res.json().await.unwrap_or_default();
             let version = status["config_version"].as_u64().unwrap_or(0);
-            if version < *seen {
-                faults.push(format!("{name}: {version} after {seen}"));
+            if version < *highest_seen {
+                violations.push(format!("{name}: {version} after {highest_seen}"));
             }
-            *seen = version.max(*seen);
+            *highest_seen = version.max(*highest_seen);
         }
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
-    faults
+    violations
 }
 
 /// Accepted, then in force on each process in time, and seen by callers.
-async fn in_force(fault: Value) {
+async fn becomes_active(fault: Value) {
     let fleet = Fleet::start(Spec::default()).await;
-    free_workspace(&fleet);
-    let watch = Watch::begin(&fleet);
+    remove_workspace_quotas(&fleet);
+    let monitor = VersionMonitor::start(&fleet);
     fleet.platform_faults(fault).await;
     let file = inventory_without(&fleet, REMOVED_WORKSPACE);
-    let before = highest(&fleet).await;
+    let before = highest_version(&fleet).await;
     until("the change is accepted", || {
         // An operator who reads what is stale is told of a conflict.
         let (status, text) = fleet.ctl(&["inventory", "apply", &file]);
@@ -172,19 +172,24 @@
         std::future::ready(status == DONE)
     })
     .await;
-    within(IN_FORCE, "it in force", await_version(&fleet, before + 1)).await;
+    within(
+        ACTIVATION_TIMEOUT,
+        "it in force",
+        await_version(&fleet, before + 1),
+    )
+    .await;
     for entry in &fleet.entries {
         assert!(is_removed_at(&fleet, entry).await);
     }
     assert_eq!(fleet.runs().count("removed"), 0);
-    watch.assert_never_lower().await;
+    monitor.assert_never_lower().await;
 }
 
 /// Changes on the heels of each other.
 async fn many_changes() {
     let fleet = Fleet::start(Spec::default()).await;
-    let watch = Watch::begin(&fleet);
-    let mut version = highest(&fleet).await;
+    let monitor = VersionMonitor::start(&fleet);
+    let mut version = highest_version(&fleet).await;
     for ms in 0..8 {
         let rules = rules_with_wait(&fleet, 1_000 + ms);
         let (status, text) = fleet.ctl(&["rules", "apply", &rules]);
@@ -192,21 +197,21 @@
         version += 1;
     }
     within(
-        IN_FORCE,
+        ACTIVATION_TIMEOUT,
         "the last in force",
         await_version(&fleet, version),
     )
     .await;
-    watch.assert_never_lower().await;
+    monitor.assert_never_lower().await;
 }
 
 /// An entry that slept through a change runs nothing by the old one.
-async fn thawed_entry() {
+async fn resumed_entry() {
     let mut fleet = Fleet::start(Spec::default()).await;
-    free_workspace(&fleet);
+    remove_workspace_quotas(&fleet);
     fleet.entries[1].process.freeze();
     let file = inventory_without(&fleet, REMOVED_WORKSPACE);
-    let before = highest(&fleet).await;
+    let before = highest_version(&fleet).await;
     let (status, text) = fleet.ctl(&["inventory", "apply", &file, "--timeout-ms", "300"]);
     assert_eq!(status, DONE, "{text}");
     for node in fleet.nodes().filter(|n| n.name != "entry-2") {
@@ -217,26 +222,26 @@
     }
     // The platform tells the sleeper nothing: its peers must.
     fleet.platform_faults(json!({"outage": true})).await;
-    let early: Vec<_> = (0..8)
+    let early_requests: Vec<_> = (0..8)
         .map(|_| {
             let url = format!("{}/v1/chat/completions", fleet.entries[1].url());
             let body = json!({
                 "model": "model-a",
                 "messages": [{"role": "user", "content": "[[mark=removed]][[len=3]]"}],
             });
-            let req = fleet.http.post(url).bearer_auth(REMOVED).json(&body);
+            let req = fleet.http.post(url).bearer_auth(REMOVED_KEY).json(&body);
             tokio::spawn(req.send())
         })
         .collect();
     sleep(Duration::from_millis(200)).await;
-    fleet.entries[1].process.thaw();
-    for call in early {
+    fleet.entries[1].process.resume();
+    for call in early_requests {
         let res = call.await.unwrap().unwrap();
         assert!(!res.status().is_success(), "{}", res.status());
     }
-    within(IN_FORCE, "it in force", async {
+    within(ACTIVATION_TIMEOUT, "it in force", async {
         while !is_removed_at(&fleet, &fleet.entries[1]).await {
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     })
     .await;
@@ -246,8 +251,8 @@
 /// An entry that starts on a stale read runs nothing by it.
 async fn restarted_entry_stale_read() {
     let mut fleet = Fleet::start(Spec::default()).await;
-    free_workspace(&fleet);
-    let watch = Watch::begin(&fleet);
+    remove_workspace_quotas(&fleet);
+    let monitor = VersionMonitor::start(&fleet);
     let file = inventory_without(&fleet, REMOVED_WORKSPACE);
     let (status, text) = fleet.ctl(&["inventory", "apply", &file, "--wait", "5"]);
     assert_eq!(status, DONE, "{text}");
@@ -255,21 +260,21 @@
         .platform_faults(json!({"stale_read_ms": 20_000}))
         .await;
     fleet.entries[1].restart();
-    within(IN_FORCE, "it in force", async {
+    within(ACTIVATION_TIMEOUT, "it in force", async {
         while !is_removed_at(&fleet, &fleet.entries[1]).await {
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     })
     .await;
     assert_eq!(fleet.runs().count("removed"), 0);
-    watch.assert_never_lower().await;
+    monitor.assert_never_lower().await;
 }
 
 /// What runs is not cut by a change.
 async fn removed_workspace_keeps_its_stream() {
     let fleet = Fleet::start(Spec::default()).await;
-    free_workspace(&fleet);
-    let request = Request::stream("m", REMOVED, "model-a", 1_500);
+    remove_workspace_quotas(&fleet);
+    let request = Request::stream("m", REMOVED_KEY, "model-a", 1_500);
     let mut session = fleet.caller().begin(request, 0);
     assert!(session.until_tokens(3).await);
     let file = inventory_without(&fleet, REMOVED_WORKSPACE);
@@ -278,33 +283,38 @@
     assert!(is_removed_at(&fleet, &fleet.entries[0]).await);
     let got = session.finish().await;
     assert!(got.is_whole(), "{got:?}");
-    fleet.assert_kept(&[got]);
+    fleet.assert_guarantees(&[got]);
 }
 
 /// Peers carry the configuration on; the process serves.
 async fn restarted_in_outage(entry: bool) {
     let mut fleet = Fleet::start(Spec::default()).await;
-    let version = highest(&fleet).await;
-    let watch = Watch::begin(&fleet);
+    let version = highest_version(&fleet).await;
+    let monitor = VersionMonitor::start(&fleet);
     fleet.platform_faults(json!({"outage": true})).await;
     if entry {
         fleet.entries[0].restart();
     } else {
         fleet.agents[0].restart();
     }
-    within(IN_FORCE, "it in force", await_version(&fleet, version)).await;
+    within(
+        ACTIVATION_TIMEOUT,
+        "it in force",
+        await_version(&fleet, version),
+    )
+    .await;
     fleet.await_ready().await;
     let got = fleet
         .call(Request::stream("m", DOSSIERS, "model-a", 30), 0)
         .await;
     assert!(got.is_whole(), "{got:?}");
-    fleet.assert_kept(&[got]);
-    watch.assert_never_lower().await;
+    fleet.assert_guarantees(&[got]);
+    monitor.assert_never_lower().await;
 }
 
 /// Applies a change and restores the platform to what it held before.
 async fn restore(fleet: &Fleet) -> u64 {
-    free_workspace(fleet);
+    remove_workspace_quotas(fleet);
     let head = format!("{}/v1/objects/config?limit=100", fleet.platform.url());
     let list: Value = fleet
         .http
@@ -319,7 +329,7 @@
     let file = inventory_without(fleet, REMOVED_WORKSPACE);
     let (status, text) = fleet.ctl(&["inventory", "apply", &file, "--wait", "5"]);
     assert_eq!(status, DONE, "{text}");
-    let version = highest(fleet).await;
+    let version = highest_version(fleet).await;
     fleet
         .platform_faults(json!({"restore_to_revision": revision}))
         .await;
@@ -327,11 +337,11 @@
 }
 
 /// Waits until every process has read the platform's head again.
-async fn await_look(fleet: &Fleet) {
-    let looks = 2 * u64::try_from(fleet.nodes().count()).unwrap();
-    let enough = fleet.platform_reads().await + looks;
+async fn await_reread(fleet: &Fleet) {
+    let reads = 2 * u64::try_from(fleet.nodes().count()).unwrap();
+    let wanted_reads = fleet.platform_reads().await + reads;
     until("all have looked", || async {
-        fleet.platform_reads().await >= enough
+        fleet.platform_reads().await >= wanted_reads
     })
     .await;
 }
@@ -339,13 +349,13 @@
 /// No process follows it back, nor one that starts then.
 async fn platform_restored() {
     let mut fleet = Fleet::start(Spec::default()).await;
-    let watch = Watch::begin(&fleet);
+    let monitor = VersionMonitor::start(&fleet);
     let version = restore(&fleet).await;
     fleet.entries[0].restart();
     fleet.agents[0].restart();
-    await_look(&fleet).await;
+    await_reread(&fleet).await;
     within(
-        IN_FORCE,
+        ACTIVATION_TIMEOUT,
         "the higher version",
         await_version(&fleet, version),
     )
@@ -354,28 +364,33 @@
         until("the key stays removed", || is_removed_at(&fleet, entry)).await;
     }
     assert_eq!(fleet.runs().count("removed"), 0);
-    watch.assert_never_lower().await;
+    monitor.assert_never_lower().await;
 }
 
 /// The next change goes above what is in force, and comes into force.
 async fn change_after_restore() {
     let fleet = Fleet::start(Spec::default()).await;
-    let watch = Watch::begin(&fleet);
+    let monitor = VersionMonitor::start(&fleet);
     let version = restore(&fleet).await;
     let rules = rules_with_wait(&fleet, 1_234);
     let (status, text) = fleet.ctl(&["rules", "apply", &rules]);
     assert_eq!(status, DONE, "{text}");
-    within(IN_FORCE, "it in force", await_version(&fleet, version + 1)).await;
+    within(
+        ACTIVATION_TIMEOUT,
+        "it in force",
+        await_version(&fleet, version + 1),
+    )
+    .await;
     for entry in &fleet.entries {
         assert!(is_removed_at(&fleet, entry).await);
     }
-    watch.assert_never_lower().await;
+    monitor.assert_never_lower().await;
 }
 
 /// One is accepted, the others are told of the conflict.
 async fn operators_race() {
     let fleet = Arc::new(Fleet::start(Spec::default()).await);
-    let version = highest(&fleet).await;
+    let version = highest_version(&fleet).await;
     let operators: Vec<_> = (0..4)
         .map(|n| {
             let fleet = fleet.clone();
@@ -394,14 +409,19 @@
         done += u32::from(status == DONE);
     }
     assert_eq!(done, 1);
-    within(IN_FORCE, "it in force", await_version(&fleet, version + 1)).await;
-    assert_eq!(highest(&fleet).await, version + 1);
+    within(
+        ACTIVATION_TIMEOUT,
+        "it in force",
+        await_version(&fleet, version + 1),
+    )
+    .await;
+    assert_eq!(highest_version(&fleet).await, version + 1);
 }
 
 /// Refused clearly, and nothing is changed.
 async fn operator_in_outage() {
     let fleet = Fleet::start(Spec::default()).await;
-    let version = highest(&fleet).await;
+    let version = highest_version(&fleet).await;
     fleet.platform_faults(json!({"outage": true})).await;
     let rules = rules_with_wait(&fleet, 1_600);
     let (status, text) = fleet.ctl(&["rules", "apply", &rules]);
@@ -410,13 +430,13 @@
     fleet.platform_faults(json!({"outage": false})).await;
     let (status, text) = fleet.ctl(&["rules", "apply", &rules, "--wait", "5"]);
     assert_eq!(status, DONE, "{text}");
-    assert_eq!(highest(&fleet).await, version + 1);
+    assert_eq!(highest_version(&fleet).await, version + 1);
 }
 
 /// Said to be done only if it is.
 async fn operator_answer_lost() {
     let fleet = Fleet::start(Spec::default()).await;
-    let version = highest(&fleet).await;
+    let version = highest_version(&fleet).await;
     for writes in 1..4 {
         fleet
             .platform_faults(json!({"lose_write_answers": writes}))
@@ -429,7 +449,7 @@
             .await;
         if status == DONE {
             within(
-                IN_FORCE,
+                ACTIVATION_TIMEOUT,
                 "it in force",
                 await_version(&fleet, version + writes),
             )
--- a/fireflyd/tests/processes_hostile.rs
+++ b/fireflyd/tests/processes_hostile.rs
@@ -9,7 +9,7 @@
 use reqwest::{RequestBuilder, Response};
 use serde_json::{Value, json};
 use standins::caller::{Got, Request};
-use support::{COUNTER, DOSSIERS, Fleet, GRADES, LOGS, PATIENCE, Spec, run, until, within};
+use support::{COUNTER, DOSSIERS, Fleet, GRADES, LOGS, Spec, WAIT_TIMEOUT, run, until, within};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
@@ -103,7 +103,7 @@
         .call(Request::stream("after", DOSSIERS, "model-a", 5), 0)
         .await;
     assert!(got.is_whole(), "{got:?}");
-    fleet.assert_kept(&[got]);
+    fleet.assert_guarantees(&[got]);
 }
 
 /// Its number and status come, nothing runs, and the next caller is served.
@@ -201,7 +201,7 @@
         let request = crashing(Request::stream, "[[crash]][[crash_after=10]]");
         all.push(caller.run(request, entry).await);
     }
-    fleet.assert_kept(&all);
+    fleet.assert_guarantees(&all);
     assert!(fleet.runs().crashes.len() <= CRASH_BOUND);
     assert_eq!(all[3].code(), Some(2_014), "{all:#?}");
     assert_serves(&fleet).await;
@@ -227,7 +227,7 @@
     let poison = caller.run(crashing(Request::stream, "[[crash]]"), 0).await;
     assert!(poison.code().is_some(), "{poison:?}");
     let all = calls.join_all().await;
-    fleet.assert_kept(&all);
+    fleet.assert_guarantees(&all);
     assert!(fleet.runs().crashes.len() <= CRASH_BOUND);
     assert!(all.iter().all(Got::is_whole), "{all:#?}");
 }
@@ -281,7 +281,7 @@
     assert_serves(&fleet).await;
     let got = session.finish().await;
     assert!(got.is_whole(), "{got:?}");
-    fleet.assert_kept(&[got]);
+    fleet.assert_guarantees(&[got]);
 }
 
 /// More header bytes than the library reads.
@@ -305,7 +305,7 @@
             String::from_utf8_lossy(&answer).into_owned()
         });
     }
-    let answers = within(PATIENCE, "the end of the floods", floods.join_all()).await;
+    let answers = within(WAIT_TIMEOUT, "the end of the floods", floods.join_all()).await;
     let refused = |a: &String| a.is_empty() || a.contains(" 431 ");
     assert!(answers.iter().all(refused), "{answers:?}");
     assert_serves(&fleet).await;
--- a/fireflyd/tests/processes_leaving.rs
+++ b/fireflyd/tests/processes_leaving.rs
@@ -15,11 +15,11 @@
 use tokio::time::{Instant, sleep};
 
 /// Tokens of a stream that outlives what a test does meanwhile.
-const LONG: u64 = 1_200;
+const LONG_STREAM_TOKENS: u64 = 1_200;
 /// Short requests sent to see where new work goes.
-const PROBES: usize = 12;
+const PROBE_COUNT: usize = 12;
 /// Time after which nothing new may reach an upstream whose agent has died.
-const NO_NEW_WORK: Duration = Duration::from_secs(3);
+const REROUTE_TIMEOUT: Duration = Duration::from_secs(3);
 
 crate::cases! {
     agent_told_to_leave_gets_no_new_work => agent_leaves();
@@ -28,13 +28,13 @@
     engine_killed_gets_no_new_work => engine_killed();
     agent_stop_cuts_no_stream => agent_stops(1);
     agent_stopped_twice_cuts_no_stream => agent_stops(2);
-    agent_stop_keeps_the_end_for_its_caller => agent_stops_while_caller_away();
+    agent_stop_keeps_the_end_for_its_caller => agent_stops_while_caller_disconnected();
     only_agent_stop_says_where_to_go => only_agent_stops();
     entry_stop_cuts_no_stream => entry_stops(1);
     entry_stopped_twice_cuts_no_stream => entry_stops(2);
     entry_stop_keeps_queued_calls => entry_stops_with_queue();
     entry_stop_waits_for_a_slow_reader => entry_stops_with_slow_reader();
-    entry_stop_waits_for_a_slow_reader_of_a_whole => entry_stops_with_slow_whole();
+    entry_stop_waits_for_a_slow_reader_of_a_whole => entry_stops_with_slow_response_reader();
     idle_entry_refuses_before_it_leaves => idle_entry_stops();
     entry_and_agent_stop_together => both_stop();
 }
@@ -44,10 +44,10 @@
 }
 
 /// Begins long streams through both entries and waits until each has tokens.
-async fn begin_long(caller: &Caller, count: usize) -> Vec<Session> {
+async fn start_long_streams(caller: &Caller, count: usize) -> Vec<Session> {
     let mut all = Vec::new();
     for n in 0..count {
-        let mut session = caller.begin(stream(&format!("long{n}"), LONG), n);
+        let mut session = caller.begin(stream(&format!("long{n}"), LONG_STREAM_TOKENS), n);
         assert!(session.until_tokens(3).await);
         all.push(session);
     }
@@ -65,7 +65,7 @@
 /// Sends short requests through all entries at once.
 async fn probe(caller: &Caller, name: &str) -> Vec<Got> {
     let mut calls = JoinSet::new();
-    for n in 0..PROBES {
+    for n in 0..PROBE_COUNT {
         let caller = caller.clone();
         let request = stream(&format!("{name}{n}"), 5);
         calls.spawn(async move { caller.run(request, n).await });
@@ -74,14 +74,14 @@
 }
 
 /// Generations of these requests that began on an engine.
-fn begun_on(fleet: &Fleet, all: &[Got], engine: usize) -> usize {
+fn count_started_on(fleet: &Fleet, all: &[Got], engine: usize) -> usize {
     let runs = fleet.runs();
     let marks = all.iter().flat_map(|g| &g.attempts).map(|a| &a.mark);
     let on = |mark: &&String| runs.logs_of(mark).contains(&engine);
     marks.filter(on).count()
 }
 
-fn assert_whole(all: &[Got]) {
+fn assert_complete(all: &[Got]) {
     assert!(
         all.iter().all(|g| g.is_whole() && g.attempts.len() == 1),
         "{all:#?}"
@@ -121,18 +121,18 @@
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.platform_faults(json!({"vm_lag_ms": 60_000})).await;
     let caller = fleet.caller();
-    let mut long = caller.begin(stream("long", LONG), 0);
+    let mut long = caller.begin(stream("long", LONG_STREAM_TOKENS), 0);
     assert!(long.until_tokens(3).await);
     let engine = fleet.engine_of("long").await;
-    fleet.agents[engine].process.ask_to_stop();
+    fleet.agents[engine].process.terminate();
     await_leaving(&fleet, &fleet.agents[engine]).await;
     let probes = probe(&caller, "probe").await;
-    assert_whole(&probes);
-    assert_eq!(begun_on(&fleet, &probes, engine), 0);
+    assert_complete(&probes);
+    assert_eq!(count_started_on(&fleet, &probes, engine), 0);
     let long = long.finish().await;
     assert!(long.is_whole(), "{long:?}");
-    fleet.assert_kept(&probes);
-    fleet.assert_kept(&[long]);
+    fleet.assert_guarantees(&probes);
+    fleet.assert_guarantees(&[long]);
     assert!(fleet.agents[engine].process.ended().await.success());
 }
 
@@ -140,20 +140,20 @@
 async fn agent_leaves_stale_entry() {
     let mut fleet = Fleet::start(Spec::default()).await;
     let caller = fleet.caller();
-    let mut long = caller.begin(stream("long", LONG), 0);
+    let mut long = caller.begin(stream("long", LONG_STREAM_TOKENS), 0);
     assert!(long.until_tokens(3).await);
     let engine = fleet.engine_of("long").await;
     fleet.entries[1].process.freeze();
-    fleet.agents[engine].process.ask_to_stop();
+    fleet.agents[engine].process.terminate();
     await_leaving(&fleet, &fleet.agents[engine]).await;
-    fleet.entries[1].process.thaw();
+    fleet.entries[1].process.resume();
     let probes = probe(&caller, "probe").await;
-    assert_whole(&probes);
-    assert_eq!(begun_on(&fleet, &probes, engine), 0);
+    assert_complete(&probes);
+    assert_eq!(count_started_on(&fleet, &probes, engine), 0);
     let long = long.finish().await;
     assert!(long.is_whole(), "{long:?}");
-    fleet.assert_kept(&probes);
-    fleet.assert_kept(&[long]);
+    fleet.assert_guarantees(&probes);
+    fleet.assert_guarantees(&[long]);
 }
 
 /// Nothing new reaches its upstream, and nobody waits long for that.
@@ -162,16 +162,16 @@
     fleet.agents[0].process.kill();
     let start = Instant::now();
     let first = probe(&fleet.caller(), "first").await;
-    assert!(start.elapsed() < NO_NEW_WORK, "{:?}", start.elapsed());
+    assert!(start.elapsed() < REROUTE_TIMEOUT, "{:?}", start.elapsed());
     let second = probe(&fleet.caller(), "second").await;
-    assert_whole(&first);
-    assert_whole(&second);
+    assert_complete(&first);
+    assert_complete(&second);
     assert_eq!(
-        begun_on(&fleet, &first, 0) + begun_on(&fleet, &second, 0),
+        count_started_on(&fleet, &first, 0) + count_started_on(&fleet, &second, 0),
         0
     );
-    fleet.assert_kept(&first);
-    fleet.assert_kept(&second);
+    fleet.assert_guarantees(&first);
+    fleet.assert_guarantees(&second);
 }
 
 /// The agent lives and refuses for it.
@@ -179,8 +179,8 @@
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.engines[0].process.kill();
     let first = probe(&fleet.caller(), "first").await;
-    assert_whole(&first);
-    fleet.assert_kept(&first);
+    assert_complete(&first);
+    fleet.assert_guarantees(&first);
 }
 
 /// Streams run to their end; the process ends after them.
@@ -190,19 +190,19 @@
         ..Spec::default()
     })
     .await;
-    let long = begin_long(&fleet.caller(), 4).await;
+    let long = start_long_streams(&fleet.caller(), 4).await;
     for _ in 0..times {
-        fleet.agents[0].process.ask_to_stop();
+        fleet.agents[0].process.terminate();
         await_leaving(&fleet, &fleet.agents[0]).await;
     }
     let all = finish_all(long).await;
-    assert_whole(&all);
-    fleet.assert_kept(&all);
+    assert_complete(&all);
+    fleet.assert_guarantees(&all);
     assert!(fleet.agents[0].process.ended().await.success());
 }
 
 /// The generation ends while its caller is between two connections.
-async fn agent_stops_while_caller_away() {
+async fn agent_stops_while_caller_disconnected() {
     let mut fleet = Fleet::start(Spec {
         engines: 1,
         ..Spec::default()
@@ -211,7 +211,7 @@
     let mut session = fleet.caller().begin(stream("m", 300), 0);
     assert!(session.until_tokens(20).await);
     session.hang_up();
-    fleet.agents[0].process.ask_to_stop();
+    fleet.agents[0].process.terminate();
     until("the generation ends", || {
         let log = std::fs::read_to_string(&fleet.engines[0].run_log).unwrap();
         std::future::ready(log.contains("\"finished\""))
@@ -219,7 +219,7 @@
     .await;
     sleep(Duration::from_secs(1)).await;
     let got = session.finish().await;
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.is_whole(), "{got:?}");
     assert!(fleet.agents[0].process.ended().await.success());
 }
@@ -231,28 +231,28 @@
         ..Spec::default()
     })
     .await;
-    let long = begin_long(&fleet.caller(), 2).await;
-    fleet.agents[0].process.ask_to_stop();
+    let long = start_long_streams(&fleet.caller(), 2).await;
+    fleet.agents[0].process.terminate();
     await_leaving(&fleet, &fleet.agents[0]).await;
     let res = post(&fleet, &fleet.entries[0], "late").await;
     assert_eq!(res.status(), 503);
     assert!(res.headers().contains_key("retry-after"));
     assert_eq!(fleet.runs().count("late"), 0);
     let all = finish_all(long).await;
-    assert_whole(&all);
-    fleet.assert_kept(&all);
+    assert_complete(&all);
+    fleet.assert_guarantees(&all);
 }
 
 /// Streams and whole answers run to their end; new work is told to go.
 async fn entry_stops(times: usize) {
     let mut fleet = Fleet::start(Spec::default()).await;
     let caller = fleet.caller();
-    let mut long = begin_long(&caller, 4).await;
-    let whole = Request::whole("whole", DOSSIERS, "model-a", LONG);
+    let mut long = start_long_streams(&caller, 4).await;
+    let whole = Request::whole("whole", DOSSIERS, "model-a", LONG_STREAM_TOKENS);
     let whole = begin(&caller, whole, 0);
     fleet.engine_of("whole").await;
     for _ in 0..times {
-        fleet.entries[0].process.ask_to_stop();
+        fleet.entries[0].process.terminate();
         await_leaving(&fleet, &fleet.entries[0]).await;
     }
     assert_refuses(&fleet, &fleet.entries[0]).await;
@@ -261,9 +261,9 @@
     }
     let mut all = finish_all(long).await;
     all.push(whole.await.unwrap());
-    assert_whole(&all);
+    assert_complete(&all);
     assert!(all.iter().all(|g| g.last().returns == 0), "{all:#?}");
-    fleet.assert_kept(&all);
+    fleet.assert_guarantees(&all);
     assert!(fleet.entries[0].process.ended().await.success());
 }
 
@@ -289,13 +289,13 @@
         fleet.status(&fleet.entries[0]).await["streams"] == 4
     })
     .await;
-    fleet.entries[0].process.ask_to_stop();
+    fleet.entries[0].process.terminate();
     let mut all = Vec::new();
     for call in calls {
         all.push(call.await.unwrap());
     }
-    assert_whole(&all);
-    fleet.assert_kept(&all);
+    assert_complete(&all);
+    fleet.assert_guarantees(&all);
     assert!(fleet.entries[0].process.ended().await.success());
 }
 
@@ -308,7 +308,7 @@
     .await;
     let mut session = fleet.caller().begin(stream("m", 8_000), 0);
     assert!(session.until_tokens(3).await);
-    fleet.entries[0].process.ask_to_stop();
+    fleet.entries[0].process.terminate();
     sleep(Duration::from_secs(3)).await;
     let got = session.finish().await;
     assert!(
@@ -318,17 +318,17 @@
         got.last().tokens
     );
     assert_eq!(got.last().returns, 0);
-    fleet.assert_kept(&[got]);
+    fleet.assert_guarantees(&[got]);
     assert!(fleet.entries[0].process.ended().await.success());
 }
 
 /// The whole answer is with the entry, and the caller's link takes little of
 /// it at a time.
-async fn entry_stops_with_slow_whole() {
-    const BODY: usize = 700_000;
+async fn entry_stops_with_slow_response_reader() {
+    const BODY_BYTES: usize = 700_000;
     // The echo writes a control character as six bytes: more than the system's
     // own buffers take.
-    const ANSWER: usize = 6 * BODY;
+    const RESPONSE_BYTES: usize = 6 * BODY_BYTES;
     let mut fleet = Fleet::start(Spec {
         plain: true,
         ..Spec::default()
@@ -340,16 +340,20 @@
     let mut caller = socket.connect(entry).await.unwrap();
     let head = format!(
         "POST /services/records/file HTTP/1.1\r\nhost: entry\r\n\
-         authorization: Bearer {COUNTER}\r\ncontent-length: {BODY}\r\n\r\n"
+         authorization: Bearer {COUNTER}\r\ncontent-length: {BODY_BYTES}\r\n\r\n"
     );
     caller.write_all(head.as_bytes()).await.unwrap();
-    caller.write_all(&vec![1; BODY]).await.unwrap();
+    caller.write_all(&vec![1; BODY_BYTES]).await.unwrap();
     let mut answer = vec![0; 64];
     caller.read_exact(&mut answer).await.unwrap();
-    fleet.entries[0].process.ask_to_stop();
+    fleet.entries[0].process.terminate();
     sleep(Duration::from_secs(2)).await;
     caller.read_to_end(&mut answer).await.unwrap();
-    assert!(answer.len() >= ANSWER, "{} bytes came", answer.len());
+    assert!(
+        answer.len() >= RESPONSE_BYTES,
+        "{} bytes came",
+        answer.len()
+    );
     assert!(fleet.entries[0].process.ended().await.success());
 }
 
@@ -361,7 +365,7 @@
     })
     .await;
     let start = Instant::now();
-    fleet.entries[0].process.ask_to_stop();
+    fleet.entries[0].process.terminate();
     await_leaving(&fleet, &fleet.entries[0]).await;
     assert_refuses(&fleet, &fleet.entries[0]).await;
     assert!(fleet.entries[0].process.ended().await.success());
@@ -375,14 +379,14 @@
         ..Spec::default()
     })
     .await;
-    let long = begin_long(&fleet.caller(), 4).await;
-    fleet.agents[0].process.ask_to_stop();
+    let long = start_long_streams(&fleet.caller(), 4).await;
+    fleet.agents[0].process.terminate();
     for entry in &fleet.entries {
-        entry.process.ask_to_stop();
+        entry.process.terminate();
     }
     let all = finish_all(long).await;
-    assert_whole(&all);
-    fleet.assert_kept(&all);
+    assert_complete(&all);
+    fleet.assert_guarantees(&all);
     for node in fleet.entries.iter_mut().chain(&mut fleet.agents) {
         assert!(node.process.ended().await.success());
     }
--- a/fireflyd/tests/processes_streams.rs
+++ b/fireflyd/tests/processes_streams.rs
@@ -46,7 +46,7 @@
     assert!(session.until_tokens(after).await);
     fleet.entries[0].process.kill();
     let got = session.finish().await;
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.is_whole(), "{got:?}");
     assert_eq!((got.attempts.len(), got.last().returns), (1, 1));
     assert_eq!(fleet.runs().count("m"), 1);
@@ -67,7 +67,7 @@
     fleet.engines[engine].process.kill();
     fleet.slow_engines(1).await;
     let got = call.await.unwrap();
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.is_whole() && got.attempts.len() == 1, "{got:?}");
     assert_eq!(fleet.runs().count("m"), 2);
 }
@@ -82,7 +82,7 @@
     sleep(Duration::from_millis(300)).await;
     fleet.engines[engine].process.kill();
     let got = call.await.unwrap();
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.is_whole() && got.attempts.len() == 1, "{got:?}");
     assert_eq!(fleet.runs().count("m"), 2);
 }
@@ -100,7 +100,7 @@
     let engine = fleet.engine_of("m").await;
     fleet.engines[engine].process.kill();
     let got = session.finish().await;
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert_eq!(got.code(), Some(3_001), "{got:?}");
     assert_eq!(got.last().delivered, Some(got.last().tokens));
     assert!(got.last().tokens >= after);
@@ -122,7 +122,7 @@
     assert_eq!(got.code(), Some(3_001), "{got:?}");
     let next = fleet.call(stream("next", 50), 1).await;
     assert!(next.is_whole(), "{next:?}");
-    fleet.assert_kept(&[got, next]);
+    fleet.assert_guarantees(&[got, next]);
 }
 
 /// The engine goes on without its connection; the agent takes it up again.
@@ -140,7 +140,7 @@
     assert!(session.until_tokens(after).await);
     link.cut();
     let got = session.finish().await;
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.is_whole(), "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
@@ -153,9 +153,9 @@
     let engine = fleet.engine_of("m").await;
     fleet.agents[engine].process.freeze();
     sleep(span).await;
-    fleet.agents[engine].process.thaw();
+    fleet.agents[engine].process.resume();
     let got = session.finish().await;
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.is_whole(), "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
@@ -167,9 +167,9 @@
     assert!(session.until_tokens(20).await);
     fleet.entries[0].process.freeze();
     sleep(span).await;
-    fleet.entries[0].process.thaw();
+    fleet.entries[0].process.resume();
     let got = session.finish().await;
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.is_whole(), "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
@@ -188,7 +188,7 @@
     assert!(matches!(got.end(), End::Code(3_001 | 4_001)), "{got:?}");
     let next = fleet.call(stream("next", 50), 1).await;
     assert!(next.is_whole(), "{next:?}");
-    fleet.assert_kept(&[got, next]);
+    fleet.assert_guarantees(&[got, next]);
 }
 
 /// Both ends die: the caller comes back and is told the truth.
@@ -200,7 +200,7 @@
     fleet.agents[engine].process.kill();
     fleet.entries[0].process.kill();
     let got = session.finish().await;
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(matches!(got.end(), End::Code(4_001 | 4_003)), "{got:?}");
 }
 
@@ -214,7 +214,7 @@
         session.turn_to(usize::from(stop % 2 == 0));
     }
     let got = session.finish().await;
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.is_whole(), "{got:?}");
     assert_eq!(got.last().returns, 5);
 }
@@ -239,7 +239,7 @@
         assert!(text.contains("4003") && !text.contains(".m."), "{text}");
     }
     let got = session.finish().await;
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.is_whole(), "{got:?}");
 }
 
@@ -259,6 +259,6 @@
     })
     .await;
     let got = session.finish().await;
-    fleet.assert_kept(std::slice::from_ref(&got));
+    fleet.assert_guarantees(std::slice::from_ref(&got));
     assert!(got.code().is_some(), "{got:?}");
 }
--- a/fireflyd/tests/settings.rs
+++ b/fireflyd/tests/settings.rs
@@ -7,7 +7,7 @@
     Role, RoleSettings, SettingFault, Settings, SettingsFaults, UpstreamKind, env_name,
 };
 
-type Given<'a> = BTreeMap<&'a str, &'a str>;
+type FlagValues<'a> = BTreeMap<&'a str, &'a str>;
 
 const COMMON: [(&str, &str); 6] = [
     ("name", "n1"),
@@ -18,14 +18,14 @@
     ("fleet-keys-file", "keys"),
 ];
 
-fn entry() -> Given<'static> {
-    let mut given = Given::from(COMMON);
+fn entry() -> FlagValues<'static> {
+    let mut given = FlagValues::from(COMMON);
     given.extend([("role", "entry"), ("listen", "127.0.0.1:0")]);
     given
 }
 
-fn agent() -> Given<'static> {
-    let mut given = Given::from(COMMON);
+fn agent() -> FlagValues<'static> {
+    let mut given = FlagValues::from(COMMON);
     given.extend([
         ("role", "agent"),
         ("upstream", "http://127.0.0.1:2"),
@@ -35,20 +35,20 @@
     given
 }
 
-fn plain() -> Given<'static> {
+fn plain() -> FlagValues<'static> {
     let mut given = agent();
     given.extend([("upstream-kind", "plain"), ("service", "records")]);
     given
 }
 
-fn by_flags(given: &Given<'_>) -> Result<Settings, SettingsFaults> {
+fn parse_flags(given: &FlagValues<'_>) -> Result<Settings, SettingsFaults> {
     let flags = given
         .iter()
         .map(|(flag, value)| format!("--{flag}={value}"));
     Settings::parse(["fireflyd".to_owned()].into_iter().chain(flags), [])
 }
 
-fn by_env(given: &Given<'_>) -> Result<Settings, SettingsFaults> {
+fn parse_env(given: &FlagValues<'_>) -> Result<Settings, SettingsFaults> {
     let env = given
         .iter()
         .map(|(flag, value)| (env_name(flag), (*value).to_owned()));
@@ -63,14 +63,14 @@
 }
 
 macro_rules! accepted_cases {
-    ($($name:ident: $base:expr, $more:expr;)*) => {$(
+    ($($name:ident: $base:expr, $extra:expr;)*) => {$(
         #[test]
         fn $name() {
-            let mut given: Given<'_> = $base;
-            let more: &[(&str, &str)] = &$more;
-            given.extend(more.iter().copied());
-            let settings = by_flags(&given).unwrap();
-            assert_eq!(by_env(&given).unwrap(), settings);
+            let mut given: FlagValues<'_> = $base;
+            let extra: &[(&str, &str)] = &$extra;
+            given.extend(extra.iter().copied());
+            let settings = parse_flags(&given).unwrap();
+            assert_eq!(parse_env(&given).unwrap(), settings);
         }
     )*};
 }
@@ -87,13 +87,13 @@
 }
 
 macro_rules! refused_cases {
-    ($($name:ident: $base:expr, $more:expr => $flag:expr, $given:expr;)*) => {$(
+    ($($name:ident: $base:expr, $extra:expr => $flag:expr, $given:expr;)*) => {$(
         #[test]
         fn $name() {
-            let mut given: Given<'_> = $base;
-            given.extend($more);
+            let mut given: FlagValues<'_> = $base;
+            given.extend($extra);
             let given_text: Option<&str> = $given;
-            for res in [by_flags(&given), by_env(&given)] {
+            for res in [parse_flags(&given), parse_env(&given)] {
                 let faults = faults(res);
                 assert_eq!(faults.len(), 1, "{faults:?}");
                 assert_eq!(faults[0].flag, $flag);
@@ -143,7 +143,7 @@
         ("drain-grace-ms", "soon"),
         ("log-level", "z"),
     ]);
-    let error = by_flags(&given).unwrap_err();
+    let error = parse_flags(&given).unwrap_err();
     assert_eq!(error.exit_status(), 78);
     let text = error.to_string();
     assert!(text.starts_with("code=1001 "), "{text}");
@@ -206,7 +206,7 @@
 
 #[test]
 fn defaults_are_in_force() {
-    let settings = by_flags(&agent()).unwrap();
+    let settings = parse_flags(&agent()).unwrap();
     assert_eq!(settings.role(), Role::Agent);
     assert_eq!(&*settings.policy, "firefly");
     assert_eq!(settings.log_level, log::LevelFilter::Info);
@@ -247,7 +247,7 @@
     assert!(Settings::parse(args, []).unwrap().check_config);
     let mut given = entry();
     given.insert("check-config", "true");
-    assert!(by_env(&given).unwrap().check_config);
+    assert!(parse_env(&given).unwrap().check_config);
 }
 
 #[test]
--- a/fireflyd/tests/support/fleet.rs
+++ b/fireflyd/tests/support/fleet.rs
@@ -15,12 +15,12 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 
 use super::process::{Process, run};
-use super::wait::{PATIENCE, until};
+use super::wait::{WAIT_TIMEOUT, until};
 
 /// Fleets at once, so that a busy machine is not crowded further.
-static ROOM: Semaphore = Semaphore::const_new(3);
+static FLEET_SLOTS: Semaphore = Semaphore::const_new(3);
 /// Addresses given to processes, which may bind them later.
-static GIVEN: Mutex<Vec<SocketAddr>> = Mutex::new(Vec::new());
+static ASSIGNED_ADDRS: Mutex<Vec<SocketAddr>> = Mutex::new(Vec::new());
 static NEXT_HOST: AtomicU16 = AtomicU16::new(1);
 
 /// What a fleet is made of.
@@ -100,7 +100,7 @@
     host: IpAddr,
     dir: PathBuf,
     spec: Spec,
-    _room: SemaphorePermit<'static>,
+    _slot: SemaphorePermit<'static>,
 }
 
 impl Fleet {
@@ -114,10 +114,10 @@
 
     /// Starts all processes; the platform holds no configuration.
     pub async fn start_unconfigured(spec: Spec) -> Self {
-        let room = ROOM.acquire().await.unwrap();
+        let slot = FLEET_SLOTS.acquire().await.unwrap();
         let host = next_host();
         let dir = new_dir(host);
-        let key = run("fireflyctl", &texts(&["fleet-key", "new"]));
+        let key = run("fireflyctl", &to_strings(&["fleet-key", "new"]));
         fs::write(dir.join("fleet-keys"), key.1).unwrap();
         let platform = StandIn::start("standin-platform", "platform", &dir, host, &[]);
         let mut fleet = Self {
@@ -131,7 +131,7 @@
             host,
             dir,
             spec,
-            _room: room,
+            _slot: slot,
         };
         fleet.start_upstreams().await;
         fleet.start_daemons();
@@ -163,11 +163,13 @@
     }
 
     fn start_daemons(&mut self) {
-        let mailboxes: Vec<SocketAddr> = (0..self.spec.entries).map(|_| free(self.host)).collect();
+        let mailboxes: Vec<SocketAddr> = (0..self.spec.entries)
+            .map(|_| unused_addr(self.host))
+            .collect();
         let seeds: Vec<String> = mailboxes.iter().map(ToString::to_string).collect();
         self.seeds = seeds.join(",");
         for (n, mailbox) in mailboxes.into_iter().enumerate() {
-            let callers = free(self.host);
+            let callers = unused_addr(self.host);
             let name = format!("entry-{}", n + 1);
             let listen = callers.to_string();
             let flags = ["--role", "entry", "--listen", &listen];
@@ -193,7 +195,7 @@
                 "--service",
                 "records",
             ];
-            let agent = self.node("agent-records", free(self.host), &flags);
+            let agent = self.node("agent-records", unused_addr(self.host), &flags);
             self.agents.push(agent);
         }
     }
@@ -213,12 +215,12 @@
             "--models",
             "model-a,model-b",
         ];
-        self.node(&format!("agent-{}", n + 1), free(self.host), &flags)
+        self.node(&format!("agent-{}", n + 1), unused_addr(self.host), &flags)
     }
 
     /// A daemon of that name that seals with the keys of another file.
     pub fn node_with_keys(&self, name: &str, keys: &str, flags: &[&str]) -> Node {
-        self.start_node(name, free(self.host), keys, flags)
+        self.start_node(name, unused_addr(self.host), keys, flags)
     }
 
     fn node(&self, name: &str, mailbox: SocketAddr, flags: &[&str]) -> Node {
@@ -226,15 +228,15 @@
     }
 
     fn start_node(&self, name: &str, mailbox: SocketAddr, keys: &str, flags: &[&str]) -> Node {
-        let admin = free(self.host);
-        let mut args = texts(&["--name", name, "--data-centre", "dc1"]);
-        args.extend(texts(&["--platform", &self.platform.url()]));
-        args.extend(texts(&["--mailbox", &mailbox.to_string()]));
-        args.extend(texts(&["--admin-listen", &admin.to_string()]));
-        args.extend(texts(&["--seeds", &self.seeds]));
-        args.extend(texts(&["--fleet-keys-file", &self.path(keys)]));
-        args.extend(texts(flags));
-        args.extend(texts(&self.spec.daemon_flags));
+        let admin = unused_addr(self.host);
+        let mut args = to_strings(&["--name", name, "--data-centre", "dc1"]);
+        args.extend(to_strings(&["--platform", &self.platform.url()]));
+        args.extend(to_strings(&["--mailbox", &mailbox.to_string()]));
+        args.extend(to_strings(&["--admin-listen", &admin.to_string()]));
+        args.extend(to_strings(&["--seeds", &self.seeds]));
+        args.extend(to_strings(&["--fleet-keys-file", &self.path(keys)]));
+        args.extend(to_strings(flags));
+        args.extend(to_strings(&self.spec.daemon_flags));
         let log = self.dir.join(format!("{name}.log"));
         Node {
             process: Process::start("fireflyd", &args, &log),
@@ -254,24 +256,24 @@
 
     /// A free address of this fleet.
     pub fn free_addr(&self) -> SocketAddr {
-        free(self.host)
+        unused_addr(self.host)
     }
 
     /// Runs `fireflyctl` against this fleet; gives its status and output.
     pub fn ctl(&self, args: &[&str]) -> (i32, String) {
         let nodes: Vec<String> = self.nodes().map(|n| n.admin.to_string()).collect();
-        let mut all = texts(args);
-        all.extend(texts(&["--platform", &self.platform.url()]));
-        all.extend(texts(&["--nodes", &nodes.join(",")]));
+        let mut all = to_strings(args);
+        all.extend(to_strings(&["--platform", &self.platform.url()]));
+        all.extend(to_strings(&["--nodes", &nodes.join(",")]));
         run("fireflyctl", &all)
     }
 
     /// Puts the sample inventory and rules in force.
     pub fn apply_examples(&mut self) {
         let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples");
-        for half in ["inventory", "rules"] {
-            let file = examples.join(format!("{half}.json"));
-            let (status, text) = self.ctl(&[half, "apply", &file.display().to_string()]);
+        for section in ["inventory", "rules"] {
+            let file = examples.join(format!("{section}.json"));
+            let (status, text) = self.ctl(&[section, "apply", &file.display().to_string()]);
             assert_eq!(status, 0, "{text}");
         }
     }
@@ -337,10 +339,10 @@
             .text()
             .await
             .unwrap();
-        let own = |line: &&str| line.split(['{', ' ']).next() == Some(name);
+        let has_name = |line: &&str| line.split(['{', ' ']).next() == Some(name);
         let values = text
             .lines()
-            .filter(own)
+            .filter(has_name)
             .filter_map(|l| l.rsplit(' ').next());
         values.filter_map(|v| v.parse::<f64>().ok()).sum()
     }
@@ -384,7 +386,7 @@
     /// Callers of all entries.
     pub fn caller(&self) -> Caller {
         let callers = self.entries.iter().filter_map(|e| e.callers);
-        Caller::new(callers.map(|a| format!("http://{a}")), PATIENCE).unwrap()
+        Caller::new(callers.map(|a| format!("http://{a}")), WAIT_TIMEOUT).unwrap()
     }
 
     /// Sees one request to its end, from the entry of that index on.
@@ -410,17 +412,17 @@
     }
 
     /// Fails the test when a promise was broken to one of these callers.
-    pub fn assert_kept(&self, all: &[Got]) {
+    pub fn assert_guarantees(&self, all: &[Got]) {
         let breaches: Vec<Breach> = judge(&self.runs(), all);
         assert!(
             breaches.is_empty(),
             "{breaches:#?}\n{all:#?}\nlogs: {}",
-            self.keep()
+            self.kept_dir()
         );
     }
 
     /// Keeps the directory for whoever looks into a failure.
-    fn keep(&self) -> String {
+    fn kept_dir(&self) -> String {
         self.dir.display().to_string()
     }
 }
@@ -435,13 +437,13 @@
 
 impl StandIn {
     fn start(program: &'static str, name: &str, dir: &Path, host: IpAddr, flags: &[&str]) -> Self {
-        let addr = free(host);
+        let addr = unused_addr(host);
         let run_log = dir.join(format!("{name}.runs"));
         fs::write(&run_log, "").unwrap();
         let log = dir.join(format!("{name}.log"));
-        let mut args = texts(&["--listen", &addr.to_string()]);
-        args.extend(texts(&["--run-log", &run_log.display().to_string()]));
-        args.extend(texts(flags));
+        let mut args = to_strings(&["--listen", &addr.to_string()]);
+        args.extend(to_strings(&["--run-log", &run_log.display().to_string()]));
+        args.extend(to_strings(flags));
         Self {
             process: Process::start(program, &args, &log),
             addr,
@@ -522,20 +524,20 @@
 ///
 /// Its socket never listens: a copy of it in a process that is just being started would keep others
 /// from listening there.
-fn free(host: IpAddr) -> SocketAddr {
-    let mut given = GIVEN.lock().unwrap();
+fn unused_addr(host: IpAddr) -> SocketAddr {
+    let mut assigned = ASSIGNED_ADDRS.lock().unwrap();
     loop {
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_reuseaddr(true).unwrap();
         socket.bind(SocketAddr::from((host, 0))).unwrap();
         let addr = socket.local_addr().unwrap();
-        if !given.contains(&addr) {
-            given.push(addr);
+        if !assigned.contains(&addr) {
+            assigned.push(addr);
             return addr;
         }
     }
 }
 
-fn texts(args: &[&str]) -> Vec<String> {
+fn to_strings(args: &[&str]) -> Vec<String> {
     args.iter().map(|a| (*a).to_owned()).collect()
 }
--- a/fireflyd/tests/support/mod.rs
+++ b/fireflyd/tests/support/mod.rs
@@ -16,7 +16,7 @@
 pub use fleet::{Fleet, Node, Spec, StandIn};
 pub use link::Link;
 pub use process::{Process, run};
-pub use wait::{PATIENCE, until, within};
+pub use wait::{WAIT_TIMEOUT, until, within};
 
 /// Keys of the sample inventory.
 pub const COUNTER: &str = "demo-key-1";
--- a/fireflyd/tests/support/process.rs
+++ b/fireflyd/tests/support/process.rs
@@ -48,13 +48,13 @@
     }
 
     /// Lets it go on.
-    pub fn thaw(&mut self) {
+    pub fn resume(&mut self) {
         self.signal("CONT");
         self.frozen = false;
     }
 
     /// Asks it to stop, as an operator or the VM's owner does.
-    pub fn ask_to_stop(&self) {
+    pub fn terminate(&self) {
         self.signal("TERM");
     }
 
