--- a/fireflyd/examples/mailbox_latency.rs
+++ b/fireflyd/examples/mailbox_latency.rs
@@ -1,4 +1,4 @@
-//! Round trips and one-way rate between two mailboxes of one process.
+//! Measures round-trip times and the one-way rate between two mailboxes of one process.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -51,7 +51,7 @@
     );
 }
 
-/// Sends with at most `window` messages on the way, so that nothing meets a bound.
+/// Sends with at most `window` messages in flight, so that no queue limit is reached.
 async fn one_way(a: &Mailbox, keys: &SharedKeyRing, window: usize) -> anyhow::Result<()> {
     let (b, mut b_rx) = open(keys)?;
     let to = b.local_addr();
--- a/fireflyd/tests/platform_client.rs
+++ b/fireflyd/tests/platform_client.rs
@@ -1,4 +1,4 @@
-//! The platform client against a scripted platform: what each answer and each fault comes to.
+//! Platform client against a fake platform with scripted responses: results and errors of calls.
 
 use std::collections::VecDeque;
 use std::net::Ipv4Addr;
@@ -13,15 +13,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Timeout of calls that are to end in an answer.
+/// Timeout of calls that should get a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Timeout of calls that are to end in a timeout.
+/// Timeout of calls that should time out.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the fake platform was asked: method, path with query, condition header.
+/// Request to the fake platform: method, path with query, condition header.
 type RecordedRequest = (String, String, Option<String>);
 
-/// A platform that gives the answers it was told, in order.
+/// Fake platform that returns the given responses in order.
 struct FakePlatform {
     url: String,
     requests: Arc<Mutex<Vec<RecordedRequest>>>,
@@ -59,7 +59,7 @@
 }
 
 impl FakePlatform {
-    /// Gives `answers`, then none any more.
+    /// Returns `answers` in order, then leaves requests unanswered.
     async fn new(answers: impl IntoIterator<Item = Response>) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
         let url = format!("http://{}", listener.local_addr().unwrap());
@@ -183,7 +183,7 @@
 
 macro_rules! cut_cases {
     ($($name:ident: $response:expr;)*) => {$(
-        /// The connection ends after the write was read.
+        /// The connection is closed after the server has read the write.
         #[tokio::test]
         async fn $name() {
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
--- a/fireflyd/tests/processes_config.rs
+++ b/fireflyd/tests/processes_config.rs
@@ -1,5 +1,5 @@
-//! Point 7 on separate processes: an accepted configuration is in force
-//! everywhere within seconds and never lower again.
+//! Guarantee 7 on separate processes: an accepted configuration becomes active
+//! everywhere within seconds, and the active version never decreases.
 
 mod support;
 
@@ -14,11 +14,11 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Bound of the promise.
+/// Guaranteed time until a configuration is active everywhere.
 const ACTIVATION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time between two looks at a version.
+/// Time between two reads of a version.
 const POLL_INTERVAL: Duration = Duration::from_millis(30);
-/// Key of the workspace that the tests remove.
+/// API key of the workspace that the tests remove.
 const REMOVED_KEY: &str = "demo-key-3";
 const REMOVED_WORKSPACE: &str = "harbour-archive";
 /// Exit statuses of `fireflyctl`.
@@ -44,7 +44,7 @@
     operator_whose_answer_is_lost => operator_answer_lost();
 }
 
-/// Sample inventory without one workspace.
+/// Writes the sample inventory without one workspace; returns the file's path.
 fn inventory_without(fleet: &Fleet, workspace: &str) -> String {
     let path = format!("{}/../examples/inventory.json", env!("CARGO_MANIFEST_DIR"));
     let mut inventory: Value = serde_json::from_str(&fs::read_to_string(path).unwrap()).unwrap();
@@ -53,7 +53,8 @@
     write_json(fleet, "inventory", &inventory)
 }
 
-/// Sample rules with another wait of interactive requests.
+/// Writes the sample rules with another wait of interactive requests and without quotas of the
+/// removed workspace; returns the file's path.
 fn rules_with_wait(fleet: &Fleet, ms: u64) -> String {
     let path = format!("{}/../examples/rules.json", env!("CARGO_MANIFEST_DIR"));
     let mut rules: Value = serde_json::from_str(&fs::read_to_string(path).unwrap()).unwrap();
@@ -69,7 +70,7 @@
     path
 }
 
-/// Applies rules that do not name the workspace to be removed.
+/// Applies rules that don't refer to the workspace to be removed.
 fn remove_workspace_quotas(fleet: &Fleet) {
     let rules = rules_with_wait(fleet, 1_900);
     let (status, text) = fleet.ctl(&["rules", "apply", &rules, "--wait", "5"]);
@@ -84,7 +85,7 @@
     highest_version
 }
 
-/// Waits until each process that runs has at least that version in force.
+/// Waits until at least that version is active on every process.
 async fn await_version(fleet: &Fleet, version: u64) {
     for node in fleet.nodes() {
         until(&format!("version {version} at {}", node.name), || async {
@@ -94,7 +95,7 @@
     }
 }
 
-/// Sends a request with the removed key; true when it is refused for that.
+/// Sends a request with the removed key; returns whether it was refused with 401.
 async fn is_removed_at(fleet: &Fleet, entry: &Node) -> bool {
     let url = format!("{}/v1/chat/completions", entry.url());
     let body = json!({
@@ -105,7 +106,7 @@
     req.send().await.is_ok_and(|res| res.status() == 401)
 }
 
-/// Watches that a ready process never shows a lower version than before.
+/// Checks that the version reported by a ready process never decreases.
 struct VersionMonitor {
     stop: Arc<AtomicBool>,
     task: JoinHandle<Vec<String>>,
@@ -157,7 +158,7 @@
     violations
 }
 
-/// Accepted, then in force on each process in time, and seen by callers.
+/// An accepted change becomes active on each process in time and applies to callers.
 async fn becomes_active(fault: Value) {
     let fleet = Fleet::start(Spec::default()).await;
     remove_workspace_quotas(&fleet);
@@ -166,7 +167,7 @@
     let file = inventory_without(&fleet, REMOVED_WORKSPACE);
     let before = highest_version(&fleet).await;
     until("the change is accepted", || {
-        // An operator who reads what is stale is told of a conflict.
+        // A stale read by the operator is answered with a conflict.
         let (status, text) = fleet.ctl(&["inventory", "apply", &file]);
         assert!(matches!(status, DONE | CONFLICT), "{status}: {text}");
         std::future::ready(status == DONE)
@@ -185,7 +186,7 @@
     monitor.assert_never_lower().await;
 }
 
-/// Changes on the heels of each other.
+/// Changes in quick succession never lower a version.
 async fn many_changes() {
     let fleet = Fleet::start(Spec::default()).await;
     let monitor = VersionMonitor::start(&fleet);
@@ -205,7 +206,7 @@
     monitor.assert_never_lower().await;
 }
 
-/// An entry that slept through a change runs nothing by the old one.
+/// An entry frozen during a change runs nothing under the old configuration.
 async fn resumed_entry() {
     let mut fleet = Fleet::start(Spec::default()).await;
     remove_workspace_quotas(&fleet);
@@ -220,7 +221,7 @@
         })
         .await;
     }
-    // The platform tells the sleeper nothing: its peers must.
+    // With the platform down, the resumed entry can learn of the change only from peers.
     fleet.platform_faults(json!({"outage": true})).await;
     let early_requests: Vec<_> = (0..8)
         .map(|_| {
@@ -248,7 +249,7 @@
     assert_eq!(fleet.runs().count("removed"), 0);
 }
 
-/// An entry that starts on a stale read runs nothing by it.
+/// An entry that starts with a stale read runs nothing under the stale configuration.
 async fn restarted_entry_stale_read() {
     let mut fleet = Fleet::start(Spec::default()).await;
     remove_workspace_quotas(&fleet);
@@ -270,7 +271,7 @@
     monitor.assert_never_lower().await;
 }
 
-/// What runs is not cut by a change.
+/// A change doesn't interrupt a running stream.
 async fn removed_workspace_keeps_its_stream() {
     let fleet = Fleet::start(Spec::default()).await;
     remove_workspace_quotas(&fleet);
@@ -286,7 +287,7 @@
     fleet.assert_guarantees(&[got]);
 }
 
-/// Peers carry the configuration on; the process serves.
+/// A process restarted during an outage gets the configuration from peers and serves.
 async fn restarted_in_outage(entry: bool) {
     let mut fleet = Fleet::start(Spec::default()).await;
     let version = highest_version(&fleet).await;
@@ -312,7 +313,8 @@
     monitor.assert_never_lower().await;
 }
 
-/// Applies a change and restores the platform to what it held before.
+/// Applies a change, then restores the platform to its state before; returns the version after the
+/// change.
 async fn restore(fleet: &Fleet) -> u64 {
     remove_workspace_quotas(fleet);
     let head = format!("{}/v1/objects/config?limit=100", fleet.platform.url());
@@ -336,17 +338,17 @@
     version
 }
 
-/// Waits until every process has read the platform's head again.
+/// Waits for enough platform reads that every process should have read the head again.
 async fn await_reread(fleet: &Fleet) {
     let reads = 2 * u64::try_from(fleet.nodes().count()).unwrap();
     let wanted_reads = fleet.platform_reads().await + reads;
-    until("all have looked", || async {
+    until("all processes have read the head", || async {
         fleet.platform_reads().await >= wanted_reads
     })
     .await;
 }
 
-/// No process follows it back, nor one that starts then.
+/// No process returns to the older version, including processes restarted afterwards.
 async fn platform_restored() {
     let mut fleet = Fleet::start(Spec::default()).await;
     let monitor = VersionMonitor::start(&fleet);
@@ -367,7 +369,7 @@
     monitor.assert_never_lower().await;
 }
 
-/// The next change goes above what is in force, and comes into force.
+/// The next change gets a version above the active one and becomes active.
 async fn change_after_restore() {
     let fleet = Fleet::start(Spec::default()).await;
     let monitor = VersionMonitor::start(&fleet);
@@ -387,7 +389,7 @@
     monitor.assert_never_lower().await;
 }
 
-/// One is accepted, the others are told of the conflict.
+/// One of several concurrent changes is accepted; the others get a conflict.
 async fn operators_race() {
     let fleet = Arc::new(Fleet::start(Spec::default()).await);
     let version = highest_version(&fleet).await;
@@ -418,7 +420,7 @@
     assert_eq!(highest_version(&fleet).await, version + 1);
 }
 
-/// Refused clearly, and nothing is changed.
+/// A change during an outage is refused with its code and has no effect.
 async fn operator_in_outage() {
     let fleet = Fleet::start(Spec::default()).await;
     let version = highest_version(&fleet).await;
@@ -433,7 +435,7 @@
     assert_eq!(highest_version(&fleet).await, version + 1);
 }
 
-/// Said to be done only if it is.
+/// A change whose response is lost is reported as done only if it took effect.
 async fn operator_answer_lost() {
     let fleet = Fleet::start(Spec::default()).await;
     let version = highest_version(&fleet).await;
--- a/fireflyd/tests/processes_leaving.rs
+++ b/fireflyd/tests/processes_leaving.rs
@@ -1,5 +1,5 @@
-//! Points 5 and 6 on separate processes: what leaves gets no new work, and a
-//! planned stop cuts off nothing.
+//! Guarantees 5 and 6 on separate processes: a leaving process gets no new
+//! work, and a planned stop interrupts no request.
 
 mod support;
 
@@ -14,11 +14,11 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{Instant, sleep};
 
-/// Tokens of a stream that outlives what a test does meanwhile.
+/// Length of a stream that lasts until the end of a test's other steps.
 const LONG_STREAM_TOKENS: u64 = 1_200;
-/// Short requests sent to see where new work goes.
+/// Number of short requests sent to see where new work is placed.
 const PROBE_COUNT: usize = 12;
-/// Time after which nothing new may reach an upstream whose agent has died.
+/// Time within which all new work must avoid an upstream whose agent has died.
 const REROUTE_TIMEOUT: Duration = Duration::from_secs(3);
 
 crate::cases! {
@@ -43,7 +43,7 @@
     Request::stream(mark, DOSSIERS, "model-a", tokens)
 }
 
-/// Begins long streams through both entries and waits until each has tokens.
+/// Starts long streams through both entries and waits until each has tokens.
 async fn start_long_streams(caller: &Caller, count: usize) -> Vec<Session> {
     let mut all = Vec::new();
     for n in 0..count {
@@ -62,7 +62,7 @@
     calls.join_all().await
 }
 
-/// Sends short requests through all entries at once.
+/// Sends short requests through all entries concurrently.
 async fn probe(caller: &Caller, name: &str) -> Vec<Got> {
     let mut calls = JoinSet::new();
     for n in 0..PROBE_COUNT {
@@ -73,7 +73,7 @@
     calls.join_all().await
 }
 
-/// Generations of these requests that began on an engine.
+/// Counts the generations of these requests that started on an engine.
 fn count_started_on(fleet: &Fleet, all: &[Got], engine: usize) -> usize {
     let runs = fleet.runs();
     let marks = all.iter().flat_map(|g| &g.attempts).map(|a| &a.mark);
@@ -98,7 +98,7 @@
     req.send().await.unwrap()
 }
 
-/// Fails unless `entry` says that it is stopping, and when to come back.
+/// Fails unless `entry` refuses a request as stopping, with `retry-after`.
 async fn assert_refuses(fleet: &Fleet, entry: &Node) {
     let res = post(fleet, entry, "late").await;
     assert_eq!(res.status(), 503);
@@ -116,7 +116,7 @@
     .await;
 }
 
-/// From the first sign on, whatever the entries believe and the VM list says.
+/// A leaving agent gets no new work from its leave notice on, even if the VM list is out of date.
 async fn agent_leaves() {
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.platform_faults(json!({"vm_lag_ms": 60_000})).await;
@@ -136,7 +136,7 @@
     assert!(fleet.agents[engine].process.ended().await.success());
 }
 
-/// An entry that was paused meanwhile believes the agent alive, and asks it.
+/// An entry frozen meanwhile still considers the agent alive and sends it an offer.
 async fn agent_leaves_stale_entry() {
     let mut fleet = Fleet::start(Spec::default()).await;
     let caller = fleet.caller();
@@ -156,7 +156,7 @@
     fleet.assert_guarantees(&[long]);
 }
 
-/// Nothing new reaches its upstream, and nobody waits long for that.
+/// No new work reaches the upstream of a killed agent, and requests aren't delayed for long.
 async fn agent_killed() {
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.agents[0].process.kill();
@@ -174,7 +174,7 @@
     fleet.assert_guarantees(&second);
 }
 
-/// The agent lives and refuses for it.
+/// The agent of a killed engine is alive and refuses its work.
 async fn engine_killed() {
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.engines[0].process.kill();
@@ -183,7 +183,7 @@
     fleet.assert_guarantees(&first);
 }
 
-/// Streams run to their end; the process ends after them.
+/// Streams run to their end before the stopping agent exits.
 async fn agent_stops(times: usize) {
     let mut fleet = Fleet::start(Spec {
         engines: 1,
@@ -201,7 +201,7 @@
     assert!(fleet.agents[0].process.ended().await.success());
 }
 
-/// The generation ends while its caller is between two connections.
+/// The generation ends while its caller is disconnected; the caller then gets the rest.
 async fn agent_stops_while_caller_disconnected() {
     let mut fleet = Fleet::start(Spec {
         engines: 1,
@@ -224,7 +224,7 @@
     assert!(fleet.agents[0].process.ended().await.success());
 }
 
-/// With nobody else to go to, callers are told when to come back.
+/// Without another agent, requests are refused with `retry-after`.
 async fn only_agent_stops() {
     let fleet = Fleet::start(Spec {
         engines: 1,
@@ -243,7 +243,7 @@
     fleet.assert_guarantees(&all);
 }
 
-/// Streams and whole answers run to their end; new work is told to go.
+/// Streams and complete responses run to their end; new work is refused.
 async fn entry_stops(times: usize) {
     let mut fleet = Fleet::start(Spec::default()).await;
     let caller = fleet.caller();
@@ -272,7 +272,7 @@
     tokio::spawn(async move { caller.run(request, entry).await })
 }
 
-/// A call that waits in an agent's queue is in progress, too.
+/// A call queued at an agent counts as in progress and completes.
 async fn entry_stops_with_queue() {
     let mut fleet = Fleet::start(Spec {
         engines: 1,
@@ -299,7 +299,7 @@
     assert!(fleet.entries[0].process.ended().await.success());
 }
 
-/// The generation ends long before its caller has read it.
+/// The generation ends long before its slow caller has read the stream.
 async fn entry_stops_with_slow_reader() {
     let mut fleet = Fleet::start(Spec {
         engine_flags: vec!["--time-scale", "200"],
@@ -322,12 +322,12 @@
     assert!(fleet.entries[0].process.ended().await.success());
 }
 
-/// The whole answer is with the entry, and the caller's link takes little of
-/// it at a time.
+/// The entry holds a complete response that its caller reads slowly through a
+/// small receive buffer.
 async fn entry_stops_with_slow_response_reader() {
     const BODY_BYTES: usize = 700_000;
-    // The echo writes a control character as six bytes: more than the system's
-    // own buffers take.
+    // The echo writes a control character as six bytes, so that the response
+    // exceeds the system's socket buffers.
     const RESPONSE_BYTES: usize = 6 * BODY_BYTES;
     let mut fleet = Fleet::start(Spec {
         plain: true,
@@ -357,7 +357,7 @@
     assert!(fleet.entries[0].process.ended().await.success());
 }
 
-/// The balancer needs time to see that it is not ready any more.
+/// An idle entry refuses work for the grace period, so that the load balancer notices.
 async fn idle_entry_stops() {
     let mut fleet = Fleet::start(Spec {
         daemon_flags: vec!["--drain-grace-ms", "2000"],
@@ -372,7 +372,7 @@
     assert!(start.elapsed() >= Duration::from_secs(2));
 }
 
-/// The two ends of a stream are asked to stop in the same moment.
+/// Agent and entries of running streams are stopped at the same time.
 async fn both_stop() {
     let mut fleet = Fleet::start(Spec {
         engines: 1,
--- a/fireflyd/tests/settings.rs
+++ b/fireflyd/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: flags, variables, defaults, and all faults in one report.
+//! Settings from flags, variables and defaults; all faults are reported together.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/fireflyd/tests/support/fleet.rs
+++ b/fireflyd/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Platform, upstreams, agents and entries as separate processes.
+//! Fleet of a platform, upstreams, agents and entries as separate processes.
 
 use std::fs;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -17,26 +17,26 @@
 use super::process::{Process, run};
 use super::wait::{WAIT_TIMEOUT, until};
 
-/// Fleets at once, so that a busy machine is not crowded further.
+/// Limits the number of concurrent fleets, to avoid overloading a busy machine.
 static FLEET_SLOTS: Semaphore = Semaphore::const_new(3);
-/// Addresses given to processes, which may bind them later.
+/// Addresses assigned to processes, which may bind them later.
 static ASSIGNED_ADDRS: Mutex<Vec<SocketAddr>> = Mutex::new(Vec::new());
 static NEXT_HOST: AtomicU16 = AtomicU16::new(1);
 
-/// What a fleet is made of.
+/// Composition of a fleet.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// Engines, with an agent each.
+    /// Number of engines, each with an agent.
     pub engines: usize,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Whether there is a plain service, with its agent.
+    /// Whether to start a plain service with its agent.
     pub plain: bool,
-    /// More flags of each engine.
+    /// Additional flags of each engine.
     pub engine_flags: Vec<&'static str>,
-    /// More flags of the plain service.
+    /// Additional flags of the plain service.
     pub plain_flags: Vec<&'static str>,
-    /// More flags of each daemon.
+    /// Additional flags of each daemon.
     pub daemon_flags: Vec<&'static str>,
 }
 
@@ -53,48 +53,48 @@
     }
 }
 
-/// A stand-in as a process.
+/// Stand-in process.
 pub struct StandIn {
     /// The process.
     pub process: Process,
-    /// Its address.
+    /// Listen address.
     pub addr: SocketAddr,
-    /// What it really ran.
+    /// Log of the runs that it executed.
     pub run_log: PathBuf,
     program: &'static str,
     args: Vec<String>,
     log: PathBuf,
 }
 
-/// A daemon as a process.
+/// Daemon process.
 pub struct Node {
     /// The process.
     pub process: Process,
-    /// Its name.
+    /// Name of the daemon.
     pub name: String,
-    /// Its mailbox.
+    /// Mailbox address.
     pub mailbox: SocketAddr,
     /// Address of metrics, health and status.
     pub admin: SocketAddr,
-    /// Callers' address, of an entry.
+    /// Callers' address; only for an entry.
     pub callers: Option<SocketAddr>,
     args: Vec<String>,
     log: PathBuf,
 }
 
-/// All processes; dropping it kills them.
+/// All processes of a fleet; killed on drop.
 pub struct Fleet {
-    /// The platform.
+    /// Platform.
     pub platform: StandIn,
-    /// The engines.
+    /// Engines.
     pub engines: Vec<StandIn>,
-    /// The plain service.
+    /// Plain service.
     pub plain: Option<StandIn>,
     /// Agents of the engines in order, then that of the plain service.
     pub agents: Vec<Node>,
-    /// The entries.
+    /// Entries.
     pub entries: Vec<Node>,
-    /// Client for all but callers' requests.
+    /// HTTP client for all requests except callers'.
     pub http: Client,
     seeds: String,
     host: IpAddr,
@@ -104,7 +104,7 @@
 }
 
 impl Fleet {
-    /// Starts all processes with the sample configuration in force.
+    /// Starts all processes and activates the sample configuration.
     pub async fn start(spec: Spec) -> Self {
         let mut fleet = Self::start_unconfigured(spec).await;
         fleet.apply_examples();
@@ -200,7 +200,7 @@
         }
     }
 
-    /// An agent beside the engine of that index, which it reaches at `url`.
+    /// Starts the agent of the engine with index `n`, which it reaches at `url`.
     pub fn start_engine_agent(&self, n: usize, url: &str) -> Node {
         let upstream = format!("engine-{}", n + 1);
         let flags = [
@@ -218,7 +218,7 @@
         self.node(&format!("agent-{}", n + 1), unused_addr(self.host), &flags)
     }
 
-    /// A daemon of that name that seals with the keys of another file.
+    /// Starts a daemon that uses another fleet key file.
     pub fn node_with_keys(&self, name: &str, keys: &str, flags: &[&str]) -> Node {
         self.start_node(name, unused_addr(self.host), keys, flags)
     }
@@ -249,17 +249,17 @@
         }
     }
 
-    /// Path of a file in the fleet's directory.
+    /// Returns the path of a file in the fleet's directory.
     pub fn path(&self, name: &str) -> String {
         self.dir.join(name).display().to_string()
     }
 
-    /// A free address of this fleet.
+    /// Returns an unused address of this fleet.
     pub fn free_addr(&self) -> SocketAddr {
         unused_addr(self.host)
     }
 
-    /// Runs `fireflyctl` against this fleet; gives its status and output.
+    /// Runs `fireflyctl` against this fleet; returns its exit status and output.
     pub fn ctl(&self, args: &[&str]) -> (i32, String) {
         let nodes: Vec<String> = self.nodes().map(|n| n.admin.to_string()).collect();
         let mut all = to_strings(args);
@@ -268,7 +268,7 @@
         run("fireflyctl", &all)
     }
 
-    /// Puts the sample inventory and rules in force.
+    /// Applies the sample inventory and rules.
     pub fn apply_examples(&mut self) {
         let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples");
         for section in ["inventory", "rules"] {
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Waits until every entry serves and knows every agent.
+    /// Waits until all daemons are ready and every entry knows every agent.
     pub async fn await_ready(&self) {
         for node in self.nodes() {
             until(&format!("{} ready", node.name), || self.is_ready(node)).await;
@@ -288,7 +288,7 @@
         }
     }
 
-    /// Waits until an entry knows that many agents that take work.
+    /// Waits until an entry knows exactly `count` agents that accept work.
     pub async fn await_agents(&self, entry: &Node, count: usize) {
         until(&format!("{} knows {count} agents", entry.name), || async {
             let status = self.status(entry).await;
@@ -299,19 +299,19 @@
         .await;
     }
 
-    /// All daemons.
+    /// Returns all daemons.
     pub fn nodes(&self) -> impl Iterator<Item = &Node> {
         self.entries.iter().chain(&self.agents)
     }
 
-    /// Whether a daemon says that it is ready.
+    /// Returns whether a daemon reports readiness.
     pub async fn is_ready(&self, node: &Node) -> bool {
         let url = format!("http://{}/health/ready", node.admin);
         let res = self.http.get(url).send().await;
         res.is_ok_and(|r| r.status().is_success())
     }
 
-    /// Status of a daemon; null when it gives none.
+    /// Returns the status of a daemon; null if it doesn't respond.
     pub async fn status(&self, node: &Node) -> Value {
         let url = format!("http://{}/status", node.admin);
         match self.http.get(url).send().await {
@@ -320,14 +320,14 @@
         }
     }
 
-    /// Version of the configuration in force on a daemon.
+    /// Returns the active configuration version of a daemon.
     pub async fn version(&self, node: &Node) -> u64 {
         self.status(node).await["config_version"]
             .as_u64()
             .unwrap_or(0)
     }
 
-    /// Value of a metric of a daemon, summed over its labels.
+    /// Returns the value of a daemon's metric, summed over its labels.
     pub async fn metric(&self, node: &Node, name: &str) -> f64 {
         let url = format!("http://{}/metrics", node.admin);
         let text = self
@@ -347,12 +347,12 @@
         values.filter_map(|v| v.parse::<f64>().ok()).sum()
     }
 
-    /// Sets faults of the platform.
+    /// Sets the injected faults of the platform.
     pub async fn platform_faults(&self, faults: Value) {
         self.post(&self.platform, "/standin/faults", faults).await;
     }
 
-    /// Makes the steps of all engines that run so many times longer.
+    /// Multiplies the step time of all running engines by `factor`.
     pub async fn slow_engines(&mut self, factor: u32) {
         for engine in 0..self.engines.len() {
             if self.engines[engine].process.is_alive() {
@@ -363,7 +363,7 @@
         }
     }
 
-    /// Reads that the platform has answered.
+    /// Returns the number of reads that the platform has answered.
     pub async fn platform_reads(&self) -> u64 {
         let url = format!("{}/standin/calls", self.platform.url());
         let res = self.http.get(url).send().await.unwrap();
@@ -383,26 +383,26 @@
         assert!(res.status().is_success(), "{path}: {}", res.status());
     }
 
-    /// Callers of all entries.
+    /// Returns a caller that knows all entries.
     pub fn caller(&self) -> Caller {
         let callers = self.entries.iter().filter_map(|e| e.callers);
         Caller::new(callers.map(|a| format!("http://{a}")), WAIT_TIMEOUT).unwrap()
     }
 
-    /// Sees one request to its end, from the entry of that index on.
+    /// Runs a request to its end, starting at the entry with index `entry`.
     pub async fn call(&self, request: Request, entry: usize) -> Got {
         self.caller().run(request, entry).await
     }
 
-    /// What the stand-ins really ran; the logs are those of the engines in
-    /// order, then that of the plain service.
+    /// Returns what the stand-ins executed: the logs of the engines in order,
+    /// then that of the plain service.
     pub fn runs(&self) -> Runs {
         let stand_ins = self.engines.iter().chain(&self.plain);
         Runs::read(stand_ins.map(|s| &s.run_log)).unwrap()
     }
 
-    /// Index of the engine on which the latest generation with that mark
-    /// began; waits for it.
+    /// Waits for a generation with that mark; returns the index of the engine on
+    /// which the latest one started.
     pub async fn engine_of(&self, mark: &str) -> usize {
         until(&format!("{mark} began"), || {
             std::future::ready(!self.runs().logs_of(mark).is_empty())
@@ -411,7 +411,7 @@
         self.runs().logs_of(mark)[0]
     }
 
-    /// Fails the test when a promise was broken to one of these callers.
+    /// Fails the test if a guarantee was violated for one of these callers.
     pub fn assert_guarantees(&self, all: &[Got]) {
         let breaches: Vec<Breach> = judge(&self.runs(), all);
         assert!(
@@ -421,7 +421,7 @@
         );
     }
 
-    /// Keeps the directory for whoever looks into a failure.
+    /// Returns the directory, which is kept when a test fails.
     fn kept_dir(&self) -> String {
         self.dir.display().to_string()
     }
@@ -454,14 +454,14 @@
         }
     }
 
-    /// Kills it and starts it anew at the same address.
+    /// Kills the stand-in and restarts it at the same address.
     pub async fn restart(&mut self) {
         self.process.kill();
         self.process = Process::start(self.program, &self.args, &self.log);
         self.await_listening().await;
     }
 
-    /// Its base URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         format!("http://{}", self.addr)
     }
@@ -475,18 +475,18 @@
 }
 
 impl Node {
-    /// Kills it and starts it anew with the same name and addresses.
+    /// Kills the daemon and restarts it with the same name and addresses.
     pub fn restart(&mut self) {
         self.process.kill();
         self.start_again();
     }
 
-    /// Starts it anew after its end.
+    /// Starts the daemon again after its exit.
     pub fn start_again(&mut self) {
         self.process = Process::start("fireflyd", &self.args, &self.log);
     }
 
-    /// Callers' base URL, of an entry.
+    /// Returns the callers' base URL of an entry; empty for an agent.
     pub fn url(&self) -> String {
         self.callers
             .map(|a| format!("http://{a}"))
@@ -499,7 +499,7 @@
     client.build().unwrap()
 }
 
-/// A loopback address of its own for each fleet, so that ports don't clash.
+/// Returns a separate loopback address for each fleet, to avoid port conflicts.
 fn next_host() -> IpAddr {
     let fleet = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
     let [high, low] = u16::try_from(std::process::id() % 62_000)
@@ -520,10 +520,10 @@
     dir
 }
 
-/// An address that is free and was not given before.
+/// Returns an unused address that was not assigned before.
 ///
-/// Its socket never listens: a copy of it in a process that is just being started would keep others
-/// from listening there.
+/// Its socket never listens: a process being started could inherit a listening socket and keep the
+/// address in use.
 fn unused_addr(host: IpAddr) -> SocketAddr {
     let mut assigned = ASSIGNED_ADDRS.lock().unwrap();
     loop {
--- a/fireflyd/tests/support/mod.rs
+++ b/fireflyd/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of separate processes on loopback, for tests that kill, freeze and
-//! cut them.
+//! A fleet of separate processes on loopback, for tests that kill them, freeze
+//! them or cut their connections.
 
 #![allow(
     dead_code,
@@ -24,7 +24,7 @@
 pub const LOGS: &str = "demo-key-4";
 pub const GRADES: &str = "demo-key-5";
 
-/// Names each case and gives it the call that proves it.
+/// Defines a test for each case name, which awaits the given check.
 #[macro_export]
 macro_rules! cases {
     ($($name:ident => $check:ident($($arg:expr),* $(,)?);)*) => {
--- a/fireflyd/tests/support/process.rs
+++ b/fireflyd/tests/support/process.rs
@@ -1,4 +1,4 @@
-//! One process that a test started, and signals to it by its id.
+//! Process started by a test, with signals sent to it by its id.
 
 use std::ffi::OsStr;
 use std::fs::File;
@@ -7,14 +7,14 @@
 
 use super::wait::until;
 
-/// A process; dropping it kills it.
+/// Child process; killed on drop.
 pub struct Process {
     child: Child,
     frozen: bool,
 }
 
 impl Process {
-    /// Starts `program` of this build, with its output in the file `log`.
+    /// Starts `program` of this build and appends its output to the file `log`.
     pub fn start(
         program: &str,
         args: impl IntoIterator<Item = impl AsRef<OsStr>>,
@@ -34,36 +34,36 @@
         }
     }
 
-    /// Kills it without warning and waits for its end.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Stops its execution until [`Process::thaw`].
+    /// Suspends the process until [`Process::resume`].
     pub fn freeze(&mut self) {
         self.signal("STOP");
         self.frozen = true;
     }
 
-    /// Lets it go on.
+    /// Resumes the suspended process.
     pub fn resume(&mut self) {
         self.signal("CONT");
         self.frozen = false;
     }
 
-    /// Asks it to stop, as an operator or the VM's owner does.
+    /// Sends SIGTERM, as an operator or the VM's owner does.
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Whether it runs.
+    /// Returns whether the process is running.
     pub fn is_alive(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
 
-    /// Waits for its own end.
+    /// Waits until the process exits by itself.
     pub async fn ended(&mut self) -> ExitStatus {
         let mut status = None;
         until("the process's own end", || {
@@ -91,12 +91,12 @@
     }
 }
 
-/// Program of this build, beside the daemon.
+/// Returns the path of a program of this build, next to the daemon.
 fn program_path(program: &str) -> PathBuf {
     Path::new(env!("CARGO_BIN_EXE_fireflyd")).with_file_name(program)
 }
 
-/// Runs a program of this build to its end; gives its status and output.
+/// Runs a program of this build; returns its exit status and output.
 pub fn run(program: &str, args: &[String]) -> (i32, String) {
     let output = Command::new(program_path(program))
         .args(args)
