--- a/fireflyd/src/config_feed.rs
+++ b/fireflyd/src/config_feed.rs
@@ -1,12 +1,12 @@
-//! Where a process gets its configuration: the platform, or a peer that has it.
+//! Source of a process's configuration: the platform or a peer.
 //!
-//! A few members watch the platform; the others hear of a version by what
-//! rides on every message and pull it from whoever told them. A version read
-//! is held for peers and handed to the loop; none lower is.
+//! A few members watch the platform. The others learn of a new version from
+//! the header of any message and pull it from the sender. A version read is
+//! kept for peers and passed to the loop; lower versions are ignored.
 //!
-//! Versions are compiled on a thread of their own: that takes tens of
-//! milliseconds for a large inventory, for which no stream should wait, and the
-//! allocator finds the room of the version before again on the same thread.
+//! Versions are compiled on a dedicated thread: compiling a large inventory
+//! takes tens of milliseconds and would delay streams, and on one thread the
+//! allocator reuses the memory of the previous version.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -23,18 +23,18 @@
 use crate::outbox::Outbox;
 use crate::platform::{PlatformClient, PlatformError};
 
-/// Longest wait of one watch. A platform restored to an older state counts
-/// its revisions from there, so that a watch from a later one hears nothing.
-const WATCH_WAIT: Duration = Duration::from_secs(3);
-/// Wait after a failed call, doubled up to the longest.
-const RETRY_MIN: Duration = Duration::from_millis(250);
-const RETRY_MAX: Duration = Duration::from_secs(4);
-/// Time between two looks of a member that does not watch.
-const LOOK_EVERY: Duration = Duration::from_secs(30);
-/// Time between two checks whether this member watches.
-const ROLE_CHECK: Duration = Duration::from_millis(500);
+/// Maximum duration of one watch. A platform restored to an older state counts
+/// its revisions from there, so a watch from a later revision sees no changes.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
+/// Delay after a failed call, doubled up to the maximum.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(4);
+/// Time between two reads by a member that does not watch.
+const POLL_INTERVAL: Duration = Duration::from_secs(30);
+/// Time between two checks whether this member has become a watcher.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Source of configurations; cloning shares it.
+/// Source of configurations; clones share their state.
 #[derive(Clone)]
 pub struct ConfigFeed {
     transfer: Arc<Mutex<ConfigTransfer>>,
@@ -44,12 +44,12 @@
 }
 
 impl ConfigFeed {
-    /// A feed that knows nothing yet, and where its configurations come out.
+    /// Creates a feed without a configuration, and the channel of its compiled configurations.
     #[must_use]
     pub fn new() -> (Self, watch::Receiver<Option<Arc<Config>>>) {
         let (tx, rx) = watch::channel(None);
-        let (to_compile, carried) = channel();
-        std::thread::spawn(move || compile_all(&carried, &tx));
+        let (to_compile, queue) = channel();
+        std::thread::spawn(move || compile_all(&queue, &tx));
         let feed = Self {
             transfer: Arc::default(),
             compiled: rx.clone(),
@@ -59,18 +59,18 @@
         (feed, rx)
     }
 
-    /// Whether this member is one of those that watch the platform.
+    /// Sets whether this member watches the platform.
     pub fn set_watching(&self, watching: bool) {
         self.watching.store(watching, Ordering::Relaxed);
     }
 
-    /// Whether this member watches the platform.
+    /// Returns whether this member watches the platform.
     #[must_use]
     pub fn is_watching(&self) -> bool {
         self.watching.load(Ordering::Relaxed)
     }
 
-    /// Asks a peer for a later version than is held.
+    /// Requests a version later than the current one from a peer.
     pub fn pull(&self, from: SocketAddr, out: &mut Outbox) {
         let transfer = self.transfer();
         out.push(
@@ -82,7 +82,7 @@
         );
     }
 
-    /// Serves a pull, or takes a part that was pulled.
+    /// Answers a pull request or processes a received part.
     pub fn on_message(&self, from: SocketAddr, message: &Message, out: &mut Outbox) {
         match message {
             Message::ConfigPull { have, part } => {
@@ -97,28 +97,28 @@
                 digest,
                 data,
             } => {
-                let piece = ReceivedPart {
+                let received = ReceivedPart {
                     version: *version,
                     part: *part,
                     parts: *parts,
                     digest: *digest,
                     data: data.clone(),
                 };
-                self.on_part(from, &piece, out);
+                self.on_part(from, &received, out);
             }
             _ => {}
         }
     }
 
-    fn on_part(&self, from: SocketAddr, piece: &ReceivedPart, out: &mut Outbox) {
+    fn on_part(&self, from: SocketAddr, received: &ReceivedPart, out: &mut Outbox) {
         let mut transfer = self.transfer();
         let have = transfer.version();
-        match transfer.on_part(piece) {
+        match transfer.on_part(received) {
             Progress::Next(part) => out.push(from, Message::ConfigPull { have, part }),
-            Progress::Complete(whole) => {
+            Progress::Complete(complete) => {
                 drop(transfer);
-                log::info!(event = "config_pulled", version = whole.version().0, peer:% = from; "");
-                self.hand_out(*whole);
+                log::info!(event = "config_pulled", version = complete.version().0, peer:% = from; "");
+                self.submit(*complete);
             }
             Progress::Ignored => {}
             Progress::Invalid(e) => {
@@ -128,48 +128,48 @@
         }
     }
 
-    /// Follows the platform for ever.
+    /// Follows the platform's configuration; never returns.
     pub async fn follow(self, platform: PlatformClient) {
-        let mut wait = RETRY_MIN;
-        let mut seen = None;
+        let mut delay = MIN_RETRY_DELAY;
+        let mut last_revision = None;
         loop {
-            match self.look(&platform).await {
+            match self.poll(&platform).await {
                 Ok(revision) => {
-                    wait = RETRY_MIN;
-                    if seen.replace(revision) == Some(revision) {
-                        // A stale read: a watch from there would end at once.
-                        tokio::time::sleep(RETRY_MIN).await;
+                    delay = MIN_RETRY_DELAY;
+                    if last_revision.replace(revision) == Some(revision) {
+                        // A stale read: a watch from this revision would return at once.
+                        tokio::time::sleep(MIN_RETRY_DELAY).await;
                     }
-                    self.rest(&platform, revision).await;
+                    self.wait_for_next_poll(&platform, revision).await;
                 }
                 Err(e) => {
                     log::warn!(event = "config_read_failed", cause:% = e; "");
-                    tokio::time::sleep(wait).await;
-                    wait = (wait * 2).min(RETRY_MAX);
+                    tokio::time::sleep(delay).await;
+                    delay = (delay * 2).min(MAX_RETRY_DELAY);
                 }
             }
         }
     }
 
-    /// Waits for the next look: by a watch, or by the clock for those that
-    /// hear from peers.
-    async fn rest(&self, platform: &PlatformClient, revision: u64) {
+    /// Waits for the next read: on a watch if this member is a watcher,
+    /// otherwise for a fixed time.
+    async fn wait_for_next_poll(&self, platform: &PlatformClient, revision: u64) {
         if self.watching.load(Ordering::Relaxed) {
-            if let Err(e) = platform.watch(HEAD_KIND, revision, WATCH_WAIT).await {
+            if let Err(e) = platform.watch(HEAD_KIND, revision, WATCH_TIMEOUT).await {
                 log::warn!(event = "config_watch_failed", cause:% = e; "");
-                tokio::time::sleep(RETRY_MIN).await;
+                tokio::time::sleep(MIN_RETRY_DELAY).await;
             }
             return;
         }
-        let mut rested = Duration::ZERO;
-        while rested < LOOK_EVERY && !self.watching.load(Ordering::Relaxed) {
-            tokio::time::sleep(ROLE_CHECK).await;
-            rested += ROLE_CHECK;
+        let mut waited = Duration::ZERO;
+        while waited < POLL_INTERVAL && !self.watching.load(Ordering::Relaxed) {
+            tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
+            waited += ROLE_CHECK_INTERVAL;
         }
     }
 
-    /// Reads the head and what it lists; gives the revision to watch from.
-    async fn look(&self, platform: &PlatformClient) -> Result<u64, PlatformError> {
+    /// Reads the head and any new parts; returns the revision to watch from.
+    async fn poll(&self, platform: &PlatformClient) -> Result<u64, PlatformError> {
         let object = match platform.get(HEAD_KIND, HEAD_NAME).await {
             Ok(object) => object,
             Err(PlatformError::NotFound) => return Ok(0),
@@ -186,8 +186,8 @@
     async fn fetch(&self, platform: &PlatformClient, head: Head) -> Result<(), PlatformError> {
         let mut parts = Vec::with_capacity(head.parts.len());
         for name in &head.parts {
-            let known = self.transfer().part(name).cloned();
-            if let Some(part) = known {
+            let cached = self.transfer().part(name).cloned();
+            if let Some(part) = cached {
                 parts.push(part);
                 continue;
             }
@@ -196,17 +196,17 @@
                 .map_err(|e| PlatformError::Invalid(format!("configuration part: {e}")))?;
             parts.push(part);
         }
-        let taken = self.transfer().install(head, parts);
-        match taken {
-            Ok(Some(whole)) => self.hand_out(whole),
+        let installed = self.transfer().install(head, parts);
+        match installed {
+            Ok(Some(complete)) => self.submit(complete),
             Ok(None) => {}
             Err(e) => return Err(PlatformError::Invalid(format!("configuration: {e}"))),
         }
         Ok(())
     }
 
-    fn hand_out(&self, carried: CompleteConfig) {
-        if self.to_compile.send(carried).is_err() {
+    fn submit(&self, complete: CompleteConfig) {
+        if self.to_compile.send(complete).is_err() {
             log::error!(event = "config_compiler_gone"; "");
         }
     }
@@ -215,36 +215,36 @@
         self.transfer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The version held with all its parts, for operators.
+    /// Returns the current version with all its parts, for operators.
     #[must_use]
     pub fn bundle(&self) -> Option<ConfigBundle> {
         self.transfer().bundle()
     }
 
-    /// Digest of the configuration handed out last.
+    /// Returns the digest of the last compiled configuration.
     #[must_use]
     pub fn digest(&self) -> Option<Digest> {
         self.compiled.borrow().as_ref().map(|config| config.digest)
     }
 
-    /// Version held for peers.
+    /// Returns the version available to peers.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
         self.transfer().version()
     }
 }
 
-/// Compiles what arrives and gives it to `tx`, until the feed is gone.
-fn compile_all(carried: &Receiver<CompleteConfig>, tx: &watch::Sender<Option<Arc<Config>>>) {
-    while let Ok(next) = carried.recv() {
+/// Compiles queued versions and publishes them to `tx` until the feed is dropped.
+fn compile_all(queue: &Receiver<CompleteConfig>, tx: &watch::Sender<Option<Arc<Config>>>) {
+    while let Ok(next) = queue.recv() {
         match next.compile() {
-            Ok(config) => offer(tx, config),
-            Err(faults) => tell_faults(&next, &faults),
+            Ok(config) => publish(tx, config),
+            Err(faults) => log_faults(&next, &faults),
         }
     }
 }
 
-fn offer(tx: &watch::Sender<Option<Arc<Config>>>, config: Config) {
+fn publish(tx: &watch::Sender<Option<Arc<Config>>>, config: Config) {
     tx.send_if_modified(|held| {
         let older = held.as_ref().is_some_and(|h| h.version >= config.version);
         if !older {
@@ -254,8 +254,8 @@
     });
 }
 
-fn tell_faults(carried: &CompleteConfig, faults: &[ConfigFault]) {
+fn log_faults(complete: &CompleteConfig, faults: &[ConfigFault]) {
     let first = faults.first().map(|f| format!("{}: {}", f.field, f.text));
     let first = first.unwrap_or_default();
-    log::error!(event = "config_faulty", version = carried.version().0, cause = first; "");
+    log::error!(event = "config_faulty", version = complete.version().0, cause = first; "");
 }
