--- a/fireflyd/src/admin.rs
+++ b/fireflyd/src/admin.rs
@@ -30,7 +30,7 @@
 impl Readiness {
     /// Not ready, for `reason`.
     #[must_use]
-    pub fn not_yet(reason: impl Into<Arc<str>>) -> Self {
+    pub fn not_ready(reason: impl Into<Arc<str>>) -> Self {
         Self {
             reason: Arc::new(RwLock::new(Some(reason.into()))),
         }
--- a/fireflyd/src/answer.rs
+++ b/fireflyd/src/answer.rs
@@ -14,7 +14,7 @@
 }
 
 /// Word for a class, in errors.
-const fn class_word(class: Class) -> &'static str {
+const fn class_name(class: Class) -> &'static str {
     match class {
         Class::Operator => "operator",
         Class::NotRun => "not_run",
@@ -55,16 +55,16 @@
         };
         json!({"error": {
             "code": self.code.number(),
-            "class": class_word(self.code.class()),
+            "class": class_name(self.code.class()),
             "message": message,
             "delivered": self.delivered,
-            "retry_after": self.retry_after.map(whole_seconds_up),
+            "retry_after": self.retry_after.map(ceil_seconds),
         }})
     }
 }
 
 /// Whole seconds, rounded up, as `Retry-After` counts.
-fn whole_seconds_up(span: Duration) -> u64 {
+fn ceil_seconds(span: Duration) -> u64 {
     span.as_secs() + u64::from(span.subsec_nanos() > 0)
 }
 
@@ -78,7 +78,7 @@
         .content_type("application/json")
         .header("x-firefly-code", failure.code.number().to_string());
     if let Some(wait) = failure.retry_after {
-        builder = builder.header("retry-after", whole_seconds_up(wait).to_string());
+        builder = builder.header("retry-after", ceil_seconds(wait).to_string());
     }
     builder.body(failure.to_json().to_string())
 }
@@ -113,7 +113,7 @@
 
 /// Events that end a whole stream.
 #[must_use]
-pub fn end_events(point: &ResumePoint, model: &Name, finish: &Finish) -> Bytes {
+pub fn finish_events(point: &ResumePoint, model: &Name, finish: &Finish) -> Bytes {
     let data = json!({
         "id": completion_id(point.request),
         "object": "chat.completion.chunk",
@@ -138,7 +138,7 @@
 
 /// Whole answer to a chat completion.
 #[must_use]
-pub fn whole_response(
+pub fn completion_response(
     point: &ResumePoint,
     model: &Name,
     chunk: &Chunk,
--- a/fireflyd/src/claims.rs
+++ b/fireflyd/src/claims.rs
@@ -24,7 +24,7 @@
 }
 
 /// Asks the platform and says what it answered.
-pub async fn ask(platform: &PlatformClient, key: Digest, op: ClaimOp) -> ClaimAnswer {
+pub async fn execute(platform: &PlatformClient, key: Digest, op: ClaimOp) -> ClaimAnswer {
     let name = key.to_string();
     match op {
         ClaimOp::Create(record) => write(platform, &name, &record, Condition::Absent).await,
@@ -39,12 +39,12 @@
     platform: &PlatformClient,
     name: &str,
     record: &ClaimRecord,
-    on: Condition,
+    condition: Condition,
 ) -> ClaimAnswer {
     let value = to_value(record);
-    match platform.put(CLAIM_KIND, name, &value, on).await {
+    match platform.put(CLAIM_KIND, name, &value, condition).await {
         Ok(_) => ClaimAnswer::Written,
-        Err(e) => answer_of(&e),
+        Err(e) => answer_for_error(&e),
     }
 }
 
@@ -55,11 +55,11 @@
             None => ClaimAnswer::Unavailable,
         },
         Err(PlatformError::NotFound) => ClaimAnswer::Absent,
-        Err(e) => answer_of(&e),
+        Err(e) => answer_for_error(&e),
     }
 }
 
-fn answer_of(e: &PlatformError) -> ClaimAnswer {
+fn answer_for_error(e: &PlatformError) -> ClaimAnswer {
     match e {
         PlatformError::Conflict { .. } => ClaimAnswer::Conflict,
         PlatformError::OutcomeUnknown => ClaimAnswer::Lost,
--- a/fireflyd/src/entry.rs
+++ b/fireflyd/src/entry.rs
@@ -15,7 +15,7 @@
 use crate::claims;
 use crate::config_feed::ConfigFeed;
 use crate::fleet::{Fleet, News};
-use crate::front::FrontEvent;
+use crate::frontend::FrontendEvent;
 use crate::leader::Leader;
 use crate::leases;
 use crate::metrics::Metrics;
@@ -96,7 +96,7 @@
     pub async fn run(
         mut self,
         mut mail: mpsc::Receiver<Vec<u8>>,
-        mut calls: mpsc::Receiver<FrontEvent>,
+        mut calls: mpsc::Receiver<FrontendEvent>,
         mut inputs: mpsc::Receiver<EntryInput>,
     ) {
         let mut tick = tokio::time::interval(TICK);
@@ -169,12 +169,12 @@
         }
     }
 
-    fn on_call(&mut self, event: FrontEvent) {
+    fn on_call(&mut self, event: FrontendEvent) {
         match event {
-            FrontEvent::Open(id, tx) => {
+            FrontendEvent::Open(id, tx) => {
                 self.replies.insert(id, tx);
             }
-            FrontEvent::Event(event) => {
+            FrontendEvent::Event(event) => {
                 if let EntryEvent::CallerGone(id) = &event {
                     self.replies.remove(id);
                 }
@@ -305,7 +305,7 @@
                 let platform = self.platform.clone();
                 let tx = self.tx.clone();
                 tokio::spawn(async move {
-                    let answer = claims::ask(&platform, key, op).await;
+                    let answer = claims::execute(&platform, key, op).await;
                     let _ = tx
                         .send(EntryInput::Core(EntryEvent::Claim(id, answer)))
                         .await;
--- a/fireflyd/src/front.rs
+++ b/fireflyd/src/frontend.rs
@@ -23,17 +23,19 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::acceptor::PromptAcceptor;
+use crate::acceptor::NoDelayAcceptor;
 use crate::answer::{self, Failure};
 use crate::metrics::Metrics;
-use crate::request::{BadRequest, MAX_BODY, Parsed, check_headers, parse_call, parse_chat};
+use crate::request::{
+    BadRequest, MAX_BODY_BYTES, ParsedRequest, check_headers, parse_call, parse_chat,
+};
 
 /// Tokens that a caller takes between two notices to the entry.
-const TAKEN_STEP: u64 = 128;
+const CONSUMED_STEP_TOKENS: u64 = 128;
 
 /// What the front gives to the entry's loop.
 #[derive(Debug)]
-pub enum FrontEvent {
+pub enum FrontendEvent {
     /// A new call, and where its replies go.
     Open(CallId, mpsc::UnboundedSender<Reply>),
     /// An event of a call.
@@ -42,8 +44,8 @@
 
 /// The callers' side of one entry; cloning shares it.
 #[derive(Clone, Debug)]
-pub struct Front {
-    tx: mpsc::Sender<FrontEvent>,
+pub struct Frontend {
+    tx: mpsc::Sender<FrontendEvent>,
     next_call: Arc<AtomicU64>,
     metrics: Metrics,
 }
@@ -60,15 +62,15 @@
 /// A call that the entry knows of; dropping it says that the caller is gone.
 struct OpenCall {
     id: CallId,
-    tx: mpsc::Sender<FrontEvent>,
+    tx: mpsc::Sender<FrontendEvent>,
     rx: mpsc::UnboundedReceiver<Reply>,
     done: bool,
 }
 
-impl Front {
+impl Frontend {
     /// Front that gives its calls to `tx`.
     #[must_use]
-    pub fn new(tx: mpsc::Sender<FrontEvent>, metrics: Metrics) -> Self {
+    pub fn new(tx: mpsc::Sender<FrontendEvent>, metrics: Metrics) -> Self {
         Self {
             tx,
             next_call: Arc::new(AtomicU64::new(1)),
@@ -93,12 +95,12 @@
         let listener = TcpListener::bind(listen).await;
         let listener = TcpAcceptor::from_tokio(listener.context("callers' address")?)?;
         let acceptor = match tls {
-            None => PromptAcceptor(listener).boxed(),
+            None => NoDelayAcceptor(listener).boxed(),
             Some(tls) => {
                 let cert = RustlsCertificate::new().cert(tls.cert).key(tls.key);
                 let config = RustlsConfig::new().fallback(cert);
                 let configs = config.into_stream().context("TLS")?;
-                PromptAcceptor(listener).rustls(configs).boxed()
+                NoDelayAcceptor(listener).rustls(configs).boxed()
             }
         };
         let bound = acceptor
@@ -124,11 +126,11 @@
         let (tx, rx) = mpsc::unbounded_channel();
         let stopped = |_| Failure::of(Code::Leaving);
         self.tx
-            .send(FrontEvent::Open(id, tx))
+            .send(FrontendEvent::Open(id, tx))
             .await
             .map_err(stopped)?;
         self.tx
-            .send(FrontEvent::Event(event(id)))
+            .send(FrontendEvent::Event(event(id)))
             .await
             .map_err(stopped)?;
         Ok(OpenCall {
@@ -148,16 +150,16 @@
         reply
     }
 
-    fn tell_taken(&self, next: u64) {
+    fn report_consumed(&self, next: u64) {
         // A full queue loses no more than the pace: the next notice says more.
         let event = EntryEvent::Consumed(self.id, next);
-        let _ = self.tx.try_send(FrontEvent::Event(event));
+        let _ = self.tx.try_send(FrontendEvent::Event(event));
     }
 }
 
 /// A whole answer, as a call came to its good end.
 struct WholeAnswer {
-    point: Option<ResumePoint>,
+    resume_point: Option<ResumePoint>,
     chunk: Chunk,
     finish: Finish,
 }
@@ -165,15 +167,15 @@
 impl OpenCall {
     /// Waits for the whole answer, or for why there is none.
     async fn collect(&mut self) -> Result<WholeAnswer, Failure> {
-        let mut point = None;
+        let mut resume_point = None;
         let mut chunk = Chunk::default();
         loop {
             match self.next().await {
-                Some(Reply::Begin(begun)) => point = Some(begun),
+                Some(Reply::Begin(begun)) => resume_point = Some(begun),
                 Some(Reply::Tokens(next)) => append(&mut chunk, &next),
                 Some(Reply::End(finish)) => {
                     return Ok(WholeAnswer {
-                        point,
+                        resume_point,
                         chunk,
                         finish,
                     });
@@ -201,7 +203,7 @@
         if self.done {
             return;
         }
-        let event = FrontEvent::Event(EntryEvent::CallerGone(self.id));
+        let event = FrontendEvent::Event(EntryEvent::CallerGone(self.id));
         if let Err(mpsc::error::TrySendError::Full(event)) = self.tx.try_send(event) {
             let tx = self.tx.clone();
             tokio::spawn(async move { tx.send(event).await });
@@ -210,14 +212,14 @@
 }
 
 #[handler]
-async fn serve_chat(req: &Request, body: Body, front: Data<&Front>) -> Response {
+async fn serve_chat(req: &Request, body: Body, frontend: Data<&Frontend>) -> Response {
     let parsed = match read_body(req, body).await {
         Ok(buf) => parse_chat(req.headers(), buf),
         Err(bad) => Err(bad),
     };
     match parsed {
-        Ok(parsed) => front.serve_chat(parsed).await,
-        Err(bad) => refuse(front.0, bad),
+        Ok(parsed) => frontend.serve_chat(parsed).await,
+        Err(bad) => refuse(frontend.0, bad),
     }
 }
 
@@ -226,7 +228,7 @@
     req: &Request,
     body: Body,
     Path((service, path)): Path<(String, String)>,
-    front: Data<&Front>,
+    frontend: Data<&Frontend>,
 ) -> Response {
     let path = match req.uri().query() {
         Some(query) => format!("/{path}?{query}"),
@@ -237,14 +239,14 @@
         Err(bad) => Err(bad),
     };
     match parsed {
-        Ok(parsed) => front.serve_call(parsed).await,
-        Err(bad) => refuse(front.0, bad),
+        Ok(parsed) => frontend.serve_call(parsed).await,
+        Err(bad) => refuse(frontend.0, bad),
     }
 }
 
 async fn read_body(req: &Request, body: Body) -> Result<Vec<u8>, BadRequest> {
     check_headers(req.headers())?;
-    body.into_bytes_limit(MAX_BODY)
+    body.into_bytes_limit(MAX_BODY_BYTES)
         .await
         .map(Vec::from)
         .map_err(|e| BadRequest {
@@ -256,8 +258,8 @@
         })
 }
 
-fn refuse(front: &Front, bad: BadRequest) -> Response {
-    front.count_unreadable(bad.code);
+fn refuse(frontend: &Frontend, bad: BadRequest) -> Response {
+    frontend.count_unreadable(bad.code);
     log::info!(event = "request_unreadable", code = bad.code.number(), detail:% = bad.detail; "");
     answer::error_response(&Failure {
         detail: Some(bad.detail),
@@ -265,7 +267,7 @@
     })
 }
 
-impl Front {
+impl Frontend {
     /// Counts a request that the core never saw.
     fn count_unreadable(&self, code: Code) {
         let code = code.number().to_string();
@@ -275,9 +277,9 @@
             .inc();
     }
 
-    async fn serve_chat(&self, parsed: Parsed) -> Response {
-        let class = class_of(&parsed);
-        let Parsed { submission, target } = parsed;
+    async fn serve_chat(&self, parsed: ParsedRequest) -> Response {
+        let class_label = class_label(&parsed);
+        let ParsedRequest { submission, target } = parsed;
         let delivery = submission.delivery;
         let received = Instant::now();
         let opened = self
@@ -288,14 +290,14 @@
             Err(failure) => return answer::error_response(&failure),
         };
         let relay = Relay {
-            front: self.clone(),
+            frontend: self.clone(),
             call,
             model: target,
-            class,
-            point: None,
+            class_label,
+            resume_point: None,
             received,
-            last: None,
-            taken: 0,
+            last_chunk_at: None,
+            consumed: 0,
         };
         match delivery {
             Delivery::Stream => relay.stream().await,
@@ -303,8 +305,8 @@
         }
     }
 
-    async fn serve_call(&self, parsed: Parsed) -> Response {
-        let Parsed { submission, .. } = parsed;
+    async fn serve_call(&self, parsed: ParsedRequest) -> Response {
+        let ParsedRequest { submission, .. } = parsed;
         let opened = self
             .open(|id| EntryEvent::Submit(id, Box::new(submission)))
             .await;
@@ -313,7 +315,9 @@
             Err(failure) => return answer::error_response(&failure),
         };
         match call.collect().await {
-            Ok(whole) => answer::call_response(whole.point.as_ref(), whole.chunk, &whole.finish),
+            Ok(whole) => {
+                answer::call_response(whole.resume_point.as_ref(), whole.chunk, &whole.finish)
+            }
             Err(failure) => answer::error_response(&failure),
         }
     }
@@ -325,7 +329,7 @@
     }
 }
 
-fn class_of(parsed: &Parsed) -> &'static str {
+fn class_label(parsed: &ParsedRequest) -> &'static str {
     match parsed.submission.priority {
         Some(fireflycroft::Priority::Interactive) => "interactive",
         Some(fireflycroft::Priority::Batch) => "batch",
@@ -335,14 +339,14 @@
 
 /// One call on its way from the entry's replies to the caller.
 struct Relay {
-    front: Front,
+    frontend: Frontend,
     call: OpenCall,
     model: Name,
-    class: &'static str,
-    point: Option<ResumePoint>,
+    class_label: &'static str,
+    resume_point: Option<ResumePoint>,
     received: Instant,
-    last: Option<Instant>,
-    taken: u64,
+    last_chunk_at: Option<Instant>,
+    consumed: u64,
 }
 
 impl Relay {
@@ -355,7 +359,7 @@
             Ok(events) => events,
             Err(failure) => return answer::error_response(&failure),
         };
-        let request = self.point.as_ref().map(|p| p.request.to_string());
+        let request = self.resume_point.as_ref().map(|p| p.request.to_string());
         let body = Body::from_bytes_stream(self.into_stream(first));
         Response::builder()
             .content_type("text/event-stream")
@@ -388,15 +392,19 @@
                 return None;
             }
             match self.call.next().await {
-                Some(Reply::Begin(point)) => self.point = Some(point),
+                Some(Reply::Begin(resume_point)) => self.resume_point = Some(resume_point),
                 Some(Reply::Tokens(chunk)) => {
                     self.observe(&chunk);
-                    let point = self.point.as_ref()?;
-                    return Some(Ok(answer::token_events(point, &self.model, &chunk)));
+                    let resume_point = self.resume_point.as_ref()?;
+                    return Some(Ok(answer::token_events(resume_point, &self.model, &chunk)));
                 }
                 Some(Reply::End(finish)) => {
-                    let point = self.point.as_ref()?;
-                    return Some(Ok(answer::end_events(point, &self.model, &finish)));
+                    let resume_point = self.resume_point.as_ref()?;
+                    return Some(Ok(answer::finish_events(
+                        resume_point,
+                        &self.model,
+                        &finish,
+                    )));
                 }
                 Some(Reply::Fail {
                     code,
@@ -417,26 +425,26 @@
 
     fn observe(&mut self, chunk: &Chunk) {
         let now = Instant::now();
-        let metrics = &self.front.metrics;
-        match self.last.replace(now) {
+        let metrics = &self.frontend.metrics;
+        match self.last_chunk_at.replace(now) {
             None => {
                 let wait = now.duration_since(self.received).as_secs_f64();
                 metrics
                     .first_token_seconds
-                    .with_label_values(&[self.class])
+                    .with_label_values(&[self.class_label])
                     .observe(wait);
             }
-            Some(last) => {
-                let gap = now.duration_since(last).as_secs_f64();
+            Some(last_chunk_at) => {
+                let gap = now.duration_since(last_chunk_at).as_secs_f64();
                 metrics
                     .between_token_seconds
-                    .with_label_values(&[self.class])
+                    .with_label_values(&[self.class_label])
                     .observe(gap);
             }
         }
-        if chunk.end() >= self.taken + TAKEN_STEP {
-            self.taken = chunk.end();
-            self.call.tell_taken(self.taken);
+        if chunk.end() >= self.consumed + CONSUMED_STEP_TOKENS {
+            self.consumed = chunk.end();
+            self.call.report_consumed(self.consumed);
         }
     }
 
@@ -446,8 +454,10 @@
             Ok(whole) => whole,
             Err(failure) => return answer::error_response(&failure),
         };
-        match &whole.point {
-            Some(point) => answer::whole_response(point, &self.model, &whole.chunk, &whole.finish),
+        match &whole.resume_point {
+            Some(resume_point) => {
+                answer::completion_response(resume_point, &self.model, &whole.chunk, &whole.finish)
+            }
             None => answer::error_response(&Failure::of(Code::OutcomeUnknown)),
         }
     }
--- a/fireflyd/src/lib.rs
+++ b/fireflyd/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod entry;
 mod flags;
 pub mod fleet;
-pub mod front;
+pub mod frontend;
 pub mod grace;
 pub mod journal;
 pub mod keyring;
--- a/fireflyd/src/process.rs
+++ b/fireflyd/src/process.rs
@@ -19,7 +19,7 @@
 use crate::agent::{AgentInput, AgentLoop};
 use crate::config_feed::ConfigFeed;
 use crate::entry::{EntryInput, EntryLoop};
-use crate::front::{Front, Tls};
+use crate::frontend::{Frontend, Tls};
 use crate::grace::Grace;
 use crate::journal::Journal;
 use crate::keyring::{SharedKeyRing, read_key_file, watch_key_file};
@@ -110,7 +110,7 @@
         platform,
         feed,
         configs,
-        ready: Readiness::not_yet("starting"),
+        ready: Readiness::not_ready("starting"),
         status: Status::default(),
     })
 }
@@ -139,10 +139,10 @@
 async fn run_entry(settings: &Settings, entry: EntrySettings, parts: Parts) -> anyhow::Result<()> {
     let (calls_tx, calls) = mpsc::channel(QUEUE);
     let (tx, inputs) = mpsc::channel(QUEUE);
-    let front = Front::new(calls_tx, parts.node.metrics.clone());
+    let frontend = Frontend::new(calls_tx, parts.node.metrics.clone());
     let (stop, stopped) = oneshot::channel();
     let tls = read_tls(&entry)?;
-    let (callers, server) = front.bind(entry.listen, tls, stopped).await?;
+    let (callers, server) = frontend.bind(entry.listen, tls, stopped).await?;
     let server = tokio::spawn(server);
     let admin = serve_admin(settings, &parts, {
         let tx = tx.clone();
--- a/fireflyd/src/request.rs
+++ b/fireflyd/src/request.rs
@@ -10,13 +10,13 @@
 use serde::Deserialize;
 
 /// Largest body of a request in bytes; it must fit one message.
-pub const MAX_BODY: usize = 768 * 1024;
+pub const MAX_BODY_BYTES: usize = 768 * 1024;
 /// Most headers of a request.
 pub const MAX_HEADERS: usize = 64;
 /// Most bytes of all headers.
 pub const MAX_HEADER_BYTES: usize = 16 * 1024;
 /// Longest `Idempotency-Key`.
-pub const MAX_IDEMPOTENCY_KEY: usize = 255;
+pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 /// Most tokens of an answer when the caller names none.
 const DEFAULT_MAX_TOKENS: u32 = 32_768;
 /// Bytes of the prompt whose digest decides on prefix affinity.
@@ -44,7 +44,7 @@
 
 /// What the core is given, and what the answer's form needs.
 #[derive(Debug)]
-pub struct Parsed {
+pub struct ParsedRequest {
     /// For the core.
     pub submission: Submission,
     /// Model or plain service, for the answer.
@@ -90,8 +90,8 @@
 /// # Errors
 ///
 /// `BadRequest` or `KeyRefused`, with what is wrong.
-pub fn parse_chat(headers: &HeaderMap, body: Vec<u8>) -> Result<Parsed, BadRequest> {
-    let key_digest = scan_key(headers)?;
+pub fn parse_chat(headers: &HeaderMap, body: Vec<u8>) -> Result<ParsedRequest, BadRequest> {
+    let key_digest = parse_key(headers)?;
     let chat: ChatRequest = serde_json::from_slice(&body)
         .map_err(|e| BadRequest::new(Code::BadRequest, e.to_string()))?;
     if chat.messages.is_empty() {
@@ -112,14 +112,14 @@
         } else {
             Delivery::Whole
         },
-        idempotency_key: scan_idempotency_key(headers)?,
+        idempotency_key: parse_idempotency_key(headers)?,
         never_retry: false,
-        resume: scan_resume(headers)?,
+        resume: parse_resume_point(headers)?,
         work: Work::Generate {
             body: Arc::from(body),
         },
     };
-    Ok(Parsed { submission, target })
+    Ok(ParsedRequest { submission, target })
 }
 
 /// Reads a call to a plain service.
@@ -133,13 +133,13 @@
     service: &str,
     path: &str,
     body: Vec<u8>,
-) -> Result<Parsed, BadRequest> {
+) -> Result<ParsedRequest, BadRequest> {
     let target = Name::from(service);
     let method = Name::from(method);
     let path = Name::from(path);
-    let content_type = Name::from(scan_header(headers, "content-type").unwrap_or_default());
+    let content_type = Name::from(header_str(headers, "content-type").unwrap_or_default());
     let submission = Submission {
-        key_digest: scan_key(headers)?,
+        key_digest: parse_key(headers)?,
         target: target.clone(),
         method: method.clone(),
         path: path.clone(),
@@ -148,7 +148,7 @@
         max_tokens: 1,
         prefix: Digest::of(&[]),
         delivery: Delivery::Whole,
-        idempotency_key: scan_idempotency_key(headers)?,
+        idempotency_key: parse_idempotency_key(headers)?,
         never_retry: !is_idempotent(&method),
         resume: None,
         work: Work::Call {
@@ -158,7 +158,7 @@
             body: Arc::from(body),
         },
     };
-    Ok(Parsed { submission, target })
+    Ok(ParsedRequest { submission, target })
 }
 
 /// Whether HTTP lets a method be repeated.
@@ -166,12 +166,12 @@
     matches!(method, "GET" | "HEAD" | "PUT" | "DELETE" | "OPTIONS")
 }
 
-fn scan_header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_str<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn scan_key(headers: &HeaderMap) -> Result<[u8; 32], BadRequest> {
-    let value = scan_header(headers, "authorization");
+fn parse_key(headers: &HeaderMap) -> Result<[u8; 32], BadRequest> {
+    let value = header_str(headers, "authorization");
     let key = value.and_then(|v| v.strip_prefix("Bearer "));
     match key.map(str::trim) {
         Some(key) if !key.is_empty() => Ok(digest_key(key)),
@@ -179,12 +179,12 @@
     }
 }
 
-fn scan_idempotency_key(headers: &HeaderMap) -> Result<Option<Name>, BadRequest> {
+fn parse_idempotency_key(headers: &HeaderMap) -> Result<Option<Name>, BadRequest> {
     let Some(value) = headers.get("idempotency-key") else {
         return Ok(None);
     };
     let key = value.to_str().unwrap_or_default().trim();
-    if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY {
+    if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES {
         return Err(BadRequest::new(
             Code::BadRequest,
             "Idempotency-Key is empty, too long or not ASCII",
@@ -193,7 +193,7 @@
     Ok(Some(Name::from(key)))
 }
 
-fn scan_resume(headers: &HeaderMap) -> Result<Option<ResumePoint>, BadRequest> {
+fn parse_resume_point(headers: &HeaderMap) -> Result<Option<ResumePoint>, BadRequest> {
     let Some(value) = headers.get("last-event-id") else {
         return Ok(None);
     };
@@ -214,10 +214,10 @@
 }
 
 fn digest_prefix(chat: &ChatRequest) -> Digest {
-    let mut head = Vec::with_capacity(PREFIX_BYTES);
+    let mut prefix_bytes = Vec::with_capacity(PREFIX_BYTES);
     for message in &chat.messages {
-        let room = PREFIX_BYTES - head.len();
-        head.extend(message.content.bytes().take(room));
+        let remaining = PREFIX_BYTES - prefix_bytes.len();
+        prefix_bytes.extend(message.content.bytes().take(remaining));
     }
-    Digest::of(&[chat.model.as_bytes(), &head])
+    Digest::of(&[chat.model.as_bytes(), &prefix_bytes])
 }
--- a/fireflyd/tests/admin.rs
+++ b/fireflyd/tests/admin.rs
@@ -27,7 +27,7 @@
     let counted = Arc::clone(&drains);
     let admin = Admin {
         metrics: Metrics::new().unwrap(),
-        readiness: Readiness::not_yet("no configuration yet"),
+        readiness: Readiness::not_ready("no configuration yet"),
         status: Arc::new(|| json!({"role": "entry"})),
         explain: Arc::new(|id| json!([{"event": "seen", "request": id.to_string()}])),
         config: Arc::new(|| None),
