--- a/fireflyd/src/grace.rs
+++ b/fireflyd/src/grace_period.rs
@@ -7,16 +7,19 @@
 
 /// Grace of a planned stop.
 #[derive(Clone, Copy, Debug)]
-pub struct Grace {
-    span: Duration,
+pub struct GracePeriod {
+    duration: Duration,
     since: Option<Instant>,
 }
 
-impl Grace {
+impl GracePeriod {
     /// Grace of that length, not begun yet.
     #[must_use]
-    pub const fn new(span: Duration) -> Self {
-        Self { span, since: None }
+    pub const fn new(duration: Duration) -> Self {
+        Self {
+            duration,
+            since: None,
+        }
     }
 
     /// Begins it; a second call changes nothing.
@@ -27,6 +30,6 @@
     /// Whether it was begun and has passed.
     #[must_use]
     pub fn is_over(&self) -> bool {
-        self.since.is_some_and(|t| t.elapsed() >= self.span)
+        self.since.is_some_and(|t| t.elapsed() >= self.duration)
     }
 }
--- a/fireflyd/src/journal.rs
+++ b/fireflyd/src/journal.rs
@@ -8,13 +8,13 @@
 use serde_json::{Value, json};
 
 /// Notes kept at once; the oldest goes when more come.
-pub const MAX_NOTES: usize = 8_192;
+pub const MAX_EVENTS: usize = 8_192;
 
 /// Notes of one process; cloning shares them.
 #[derive(Clone, Debug)]
 pub struct Journal {
     node: Name,
-    notes: Arc<Mutex<VecDeque<(u64, LogEvent)>>>,
+    events: Arc<Mutex<VecDeque<(u64, LogEvent)>>>,
 }
 
 impl Journal {
@@ -23,44 +23,44 @@
     pub fn new(node: Name) -> Self {
         Self {
             node,
-            notes: Arc::default(),
+            events: Arc::default(),
         }
     }
 
     /// Keeps a note that concerns a request.
-    pub fn add(&self, note: &LogEvent) {
-        if note.request.is_none() {
+    pub fn add(&self, log_event: &LogEvent) {
+        if log_event.request.is_none() {
             return;
         }
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let at = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
-        let mut notes = self.notes.lock().unwrap_or_else(PoisonError::into_inner);
-        if notes.len() >= MAX_NOTES {
-            notes.pop_front();
+        let mut events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
+        if events.len() >= MAX_EVENTS {
+            events.pop_front();
         }
-        notes.push_back((at, note.clone()));
+        events.push_back((at, log_event.clone()));
     }
 
     /// What happened to a request, in order, as JSON.
     #[must_use]
     pub fn explain(&self, request: RequestId) -> Value {
-        let notes = self.notes.lock().unwrap_or_else(PoisonError::into_inner);
-        let of_request = notes.iter().filter(|(_, n)| n.request == Some(request));
-        let rows = of_request.map(|(at, note)| self.row(*at, note));
+        let events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
+        let of_request = events.iter().filter(|(_, n)| n.request == Some(request));
+        let rows = of_request.map(|(at, log_event)| self.row(*at, log_event));
         Value::Array(rows.collect())
     }
 
-    fn row(&self, at: u64, note: &LogEvent) -> Value {
+    fn row(&self, at: u64, log_event: &LogEvent) -> Value {
         json!({
             "at_ms": at,
             "node": self.node,
-            "event": note.event,
-            "peer": note.peer,
-            "code": note.code.map(fireflycroft::Code::number),
-            "phrase": note.code.map(fireflycroft::Code::phrase),
-            "count": note.count,
+            "event": log_event.event,
+            "peer": log_event.peer,
+            "code": log_event.code.map(fireflycroft::Code::number),
+            "phrase": log_event.code.map(fireflycroft::Code::phrase),
+            "count": log_event.count,
         })
     }
 }
--- a/fireflyd/src/keyring.rs
+++ b/fireflyd/src/keyring.rs
@@ -51,7 +51,7 @@
     /// The line is not `id:64-hex`.
     Malformed(usize),
     /// The line repeats the id of an earlier one.
-    RepeatedId(usize),
+    DuplicateId(usize),
 }
 
 impl fmt::Display for KeyFileError {
@@ -59,7 +59,7 @@
         match self {
             Self::Empty => f.write_str("no key in the file"),
             Self::Malformed(line) => write!(f, "line {line}: not id:64-hex"),
-            Self::RepeatedId(line) => write!(f, "line {line}: id given twice"),
+            Self::DuplicateId(line) => write!(f, "line {line}: id given twice"),
         }
     }
 }
@@ -141,7 +141,7 @@
             .find(|key| key.id == id)
             .ok_or(SealError::UnknownKey(id))?;
         let expected = blake3::keyed_hash(&key.secret, signed);
-        if widen(&expected.as_bytes()[..TAG_LEN]) == widen(tag) {
+        if padded_hash(&expected.as_bytes()[..TAG_LEN]) == padded_hash(tag) {
             Ok(&msg[..payload_len])
         } else {
             Err(SealError::BadTag)
@@ -150,7 +150,7 @@
 
     fn add(&mut self, line: usize, id: u8, secret: [u8; KEY_LEN]) -> Result<(), KeyFileError> {
         if self.keys.iter().any(|key| key.id == id) {
-            return Err(KeyFileError::RepeatedId(line));
+            return Err(KeyFileError::DuplicateId(line));
         }
         self.keys.push(Key { id, secret });
         Ok(())
@@ -166,7 +166,7 @@
 }
 
 /// Tag as a [`blake3::Hash`], whose comparison takes the same time whatever differs.
-fn widen(tag: &[u8]) -> blake3::Hash {
+fn padded_hash(tag: &[u8]) -> blake3::Hash {
     let mut wide = [0; blake3::OUT_LEN];
     wide[..TAG_LEN].copy_from_slice(tag);
     blake3::Hash::from_bytes(wide)
@@ -224,33 +224,37 @@
 /// each different fault.
 pub async fn watch_key_file(path: impl Into<PathBuf>, shared: SharedKeyRing, period: Duration) {
     let path = path.into();
-    let mut seen = String::new();
-    let mut fault = String::new();
+    let mut loaded_text = String::new();
+    let mut last_error = String::new();
     let mut ticks = tokio::time::interval(period);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        match reload(&path, &mut seen, &shared).await {
-            Ok(()) => fault.clear(),
+        match reload(&path, &mut loaded_text, &shared).await {
+            Ok(()) => last_error.clear(),
             Err(e) => {
                 let text = e.to_string();
-                if text != fault {
+                if text != last_error {
                     log::warn!(event = "key_file_refused", cause = text.as_str(); "");
-                    fault = text;
+                    last_error = text;
                 }
             }
         }
     }
 }
 
-async fn reload(path: &Path, seen: &mut String, shared: &SharedKeyRing) -> anyhow::Result<()> {
+async fn reload(
+    path: &Path,
+    loaded_text: &mut String,
+    shared: &SharedKeyRing,
+) -> anyhow::Result<()> {
     let text = tokio::fs::read_to_string(path).await?;
-    if text == *seen {
+    if text == *loaded_text {
         return Ok(());
     }
     let ring = KeyRing::parse(&text)?;
     log::info!(event = "key_ring_read", keys = ring.keys.len(); "");
     shared.replace(ring);
-    *seen = text;
+    *loaded_text = text;
     Ok(())
 }
--- a/fireflyd/src/lib.rs
+++ b/fireflyd/src/lib.rs
@@ -11,7 +11,7 @@
 mod flags;
 pub mod fleet;
 pub mod frontend;
-pub mod grace;
+pub mod grace_period;
 pub mod journal;
 pub mod keyring;
 pub mod leader;
--- a/fireflyd/src/link.rs
+++ b/fireflyd/src/link.rs
@@ -33,10 +33,10 @@
 /// Longest wait before a refused connection is dialled again.
 const RECONNECT_MAX: Duration = Duration::from_secs(1);
 /// Wait before a connection that ended is replaced.
-const RELINK_WAIT: Duration = Duration::from_millis(50);
+const REPLACE_DELAY: Duration = Duration::from_millis(50);
 
 /// A link taken out of use, for the janitor.
-pub(crate) struct Lost {
+pub(crate) struct RetiredLink {
     peer: Weak<Peer>,
     link: Option<Link>,
 }
@@ -46,12 +46,12 @@
     to: SocketAddr,
     limits: Limits,
     metrics: MailboxMetrics,
-    lost: Sender<Lost>,
+    retired: Sender<RetiredLink>,
     state: Mutex<State>,
 }
 
 struct State {
-    frames: VecDeque<Waiting>,
+    frames: VecDeque<QueuedFrame>,
     /// Length of all waiting frames.
     bytes: usize,
     /// Length of the frame in the hands of `nng`, if there is one.
@@ -61,22 +61,22 @@
     /// Number of the newest link.
     serial: u64,
     /// Whether the janitor is to look for a new link.
-    relinking: bool,
+    reconnecting: bool,
 }
 
-struct Waiting {
-    since: Instant,
+struct QueuedFrame {
+    queued_at: Instant,
     frame: Vec<u8>,
 }
 
 impl State {
-    fn pop(&mut self) -> Option<Waiting> {
+    fn pop(&mut self) -> Option<QueuedFrame> {
         let next = self.frames.pop_front()?;
         self.bytes -= next.frame.len();
         Some(next)
     }
 
-    fn holds(&self, serial: u64) -> bool {
+    fn is_current(&self, serial: u64) -> bool {
         self.link.as_ref().is_some_and(|link| link.serial == serial)
     }
 }
@@ -86,14 +86,14 @@
         to: SocketAddr,
         limits: Limits,
         metrics: MailboxMetrics,
-        lost: Sender<Lost>,
+        retired: Sender<RetiredLink>,
     ) -> Self {
         metrics.peers.inc();
         Self {
             to,
             limits,
             metrics,
-            lost,
+            retired,
             state: Mutex::new(State {
                 frames: VecDeque::new(),
                 bytes: 0,
@@ -101,7 +101,7 @@
                 last_push: Instant::now(),
                 link: None,
                 serial: 0,
-                relinking: false,
+                reconnecting: false,
             }),
         }
     }
@@ -109,8 +109,8 @@
     /// Queues a frame, or drops it when the queue is full.
     pub(crate) fn push(self: &Arc<Self>, frame: Vec<u8>) {
         let mut state = self.state();
-        let since = Instant::now();
-        state.last_push = since;
+        let queued_at = Instant::now();
+        state.last_push = queued_at;
         let full = state.frames.len() >= self.limits.peer_messages
             || state.bytes + frame.len() > self.limits.peer_bytes;
         if full {
@@ -118,15 +118,15 @@
             return;
         }
         state.bytes += frame.len();
-        state.frames.push_back(Waiting { since, frame });
+        state.frames.push_back(QueuedFrame { queued_at, frame });
         self.advance(&mut state);
     }
 
     /// Whether nothing was queued for the idle time.
     pub(crate) fn is_idle(&self, now: Instant) -> bool {
         let state = self.state();
-        let rests = state.in_flight.is_none() && state.frames.is_empty();
-        rests && now.duration_since(state.last_push) >= self.limits.idle
+        let is_drained = state.in_flight.is_none() && state.frames.is_empty();
+        is_drained && now.duration_since(state.last_push) >= self.limits.idle
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -138,9 +138,9 @@
     }
 
     /// Looks for a new link when frames wait for one.
-    fn relink(self: &Arc<Self>) {
+    fn reconnect(self: &Arc<Self>) {
         let mut state = self.state();
-        state.relinking = false;
+        state.reconnecting = false;
         if !state.frames.is_empty() {
             self.advance(&mut state);
         }
@@ -148,7 +148,7 @@
 
     /// Hands over the next frame, over a new link if there is none.
     fn advance(self: &Arc<Self>, state: &mut State) {
-        if state.relinking {
+        if state.reconnecting {
             return;
         }
         if state.link.is_none() {
@@ -157,30 +157,30 @@
                 Ok(link) => state.link = Some(link),
                 Err(e) => {
                     log::warn!(event = "mailbox_dial_failed", peer:% = self.to, cause:% = e; "");
-                    let link = self.take_link(state);
+                    let link = self.retire_link(state);
                     self.dispose(link);
                     return;
                 }
             }
         }
-        self.hand_over(state);
+        self.send_next(state);
     }
 
     /// Gives the next frame that is young enough to the link.
-    fn hand_over(&self, state: &mut State) {
+    fn send_next(&self, state: &mut State) {
         while state.in_flight.is_none() {
             let Some(next) = state.pop() else {
                 return;
             };
-            let left = self.limits.max_age.saturating_sub(next.since.elapsed());
-            if left.is_zero() {
+            let remaining = self.limits.max_age.saturating_sub(next.queued_at.elapsed());
+            if remaining.is_zero() {
                 self.count_drop("too_old");
                 continue;
             }
             let sent = state
                 .link
                 .as_ref()
-                .is_some_and(|link| link.start_send(&next.frame, left).is_ok());
+                .is_some_and(|link| link.start_send(&next.frame, remaining).is_ok());
             if sent {
                 state.in_flight = Some(next.frame.len());
             } else {
@@ -192,7 +192,7 @@
     /// The frame in the hands of link `serial` has gone its way.
     fn on_sent(&self, serial: u64, res: &AioResult) {
         let mut state = self.state();
-        if !state.holds(serial) {
+        if !state.is_current(serial) {
             return;
         }
         let len = state.in_flight.take().unwrap_or_default();
@@ -204,17 +204,17 @@
             AioResult::Send(Err((_, nng::Error::TimedOut))) => self.count_drop("too_old"),
             _ => self.count_drop("link"),
         }
-        self.hand_over(&mut state);
+        self.send_next(&mut state);
     }
 
     /// The connection of link `serial` has ended and is about to be freed.
-    fn on_end(self: &Arc<Self>, serial: u64, pipe: Pipe) {
+    fn on_pipe_removed(self: &Arc<Self>, serial: u64, pipe: Pipe) {
         let mut state = self.state();
-        if !state.holds(serial) {
+        if !state.is_current(serial) {
             // The socket is being closed, and its dialer with it.
             return;
         }
-        let link = self.take_link(&mut state);
+        let link = self.retire_link(&mut state);
         // Closing a dialer takes a lock of the socket that callbacks hold while they wait for ours.
         drop(state);
         if let Some(dialer) = pipe.dialer() {
@@ -224,17 +224,17 @@
     }
 
     /// Takes the link out of use until the janitor has been.
-    fn take_link(&self, state: &mut State) -> Option<Link> {
+    fn retire_link(&self, state: &mut State) -> Option<Link> {
         if state.in_flight.take().is_some() {
             self.count_drop("link");
         }
-        state.relinking = true;
+        state.reconnecting = true;
         state.link.take()
     }
 
     fn dispose(self: &Arc<Self>, link: Option<Link>) {
         let peer = Arc::downgrade(self);
-        hand_to_janitor(&self.lost, Lost { peer, link });
+        send_to_janitor(&self.retired, RetiredLink { peer, link });
     }
 }
 
@@ -243,12 +243,12 @@
         self.metrics.peers.dec();
         let link = self.state().link.take();
         let peer = Weak::new();
-        hand_to_janitor(&self.lost, Lost { peer, link });
+        send_to_janitor(&self.retired, RetiredLink { peer, link });
     }
 }
 
-fn hand_to_janitor(lost: &Sender<Lost>, link: Lost) {
-    if let Err(refused) = lost.send(link) {
+fn send_to_janitor(retired: &Sender<RetiredLink>, link: RetiredLink) {
+    if let Err(refused) = retired.send(link) {
         // The janitor is gone; this may be a callback, which must not close a socket.
         std::thread::spawn(move || drop(refused));
     }
@@ -284,9 +284,9 @@
         Ok(link)
     }
 
-    fn start_send(&self, frame: &[u8], left: Duration) -> nng::Result<()> {
+    fn start_send(&self, frame: &[u8], remaining: Duration) -> nng::Result<()> {
         let aio = self.aio.as_ref().ok_or(nng::Error::Closed)?;
-        aio.set_timeout(Some(left))?;
+        aio.set_timeout(Some(remaining))?;
         self.socket.send_async(aio, frame).map_err(|(_, e)| e)
     }
 }
@@ -304,7 +304,7 @@
         return;
     }
     if let Some(peer) = peer.upgrade() {
-        peer.on_end(serial, pipe);
+        peer.on_pipe_removed(serial, pipe);
     }
 }
 
@@ -322,28 +322,28 @@
 /// Closes lost links, has their peers look for new ones, and calls `sweep` once every `period`.
 ///
 /// Runs until every sender of `rx` is gone.
-pub(crate) fn run_janitor(rx: &Receiver<Lost>, period: Duration, sweep: impl Fn()) {
-    let mut relinks: VecDeque<(Instant, Weak<Peer>)> = VecDeque::new();
+pub(crate) fn run_janitor(rx: &Receiver<RetiredLink>, period: Duration, sweep: impl Fn()) {
+    let mut reconnects: VecDeque<(Instant, Weak<Peer>)> = VecDeque::new();
     let mut next_sweep = Instant::now() + period;
     loop {
         let now = Instant::now();
-        while relinks.front().is_some_and(|(at, _)| *at <= now) {
-            let due = relinks.pop_front();
+        while reconnects.front().is_some_and(|(at, _)| *at <= now) {
+            let due = reconnects.pop_front();
             if let Some(peer) = due.and_then(|(_, peer)| peer.upgrade()) {
-                peer.relink();
+                peer.reconnect();
             }
         }
         if next_sweep <= now {
             sweep();
             next_sweep = now + period;
         }
-        let wake = relinks
+        let wake = reconnects
             .front()
             .map_or(next_sweep, |(at, _)| next_sweep.min(*at));
         match rx.recv_timeout(wake.saturating_duration_since(Instant::now())) {
-            Ok(Lost { peer, link }) => {
+            Ok(RetiredLink { peer, link }) => {
                 drop(link);
-                relinks.push_back((Instant::now() + RELINK_WAIT, peer));
+                reconnects.push_back((Instant::now() + REPLACE_DELAY, peer));
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
--- a/fireflyd/src/mailbox.rs
+++ b/fireflyd/src/mailbox.rs
@@ -18,18 +18,18 @@
 use tokio::sync::mpsc;
 
 use crate::keyring::{SEAL_LEN, SharedKeyRing};
-use crate::link::{Lost, Peer, run_janitor, stop};
+use crate::link::{Peer, RetiredLink, run_janitor, stop};
 use crate::metrics::MailboxMetrics;
 
 /// Largest payload of a message in bytes.
-pub const MAX_MESSAGE: usize = 1 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 /// Largest sealed message in bytes; a longer one is dropped and counted.
-pub const MAX_FRAME: usize = MAX_MESSAGE + SEAL_LEN;
+pub const MAX_FRAME_BYTES: usize = MAX_MESSAGE_BYTES + SEAL_LEN;
 /// Length in bytes from which `nng` cuts the connection instead of reading on.
 ///
 /// It lies above [`MAX_FRAME`], so that a slightly longer frame is counted and costs its sender
 /// no connection.
-const CUT_FRAME: usize = 2 * MAX_FRAME;
+const DISCONNECT_FRAME_BYTES: usize = 2 * MAX_FRAME_BYTES;
 /// Bounds of a mailbox.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
@@ -72,7 +72,7 @@
     limits: Limits,
     metrics: MailboxMetrics,
     peers: RwLock<HashMap<SocketAddr, Arc<Peer>>>,
-    lost: Sender<Lost>,
+    retired: Sender<RetiredLink>,
     _inbox: Inbox,
 }
 
@@ -96,20 +96,20 @@
         };
         let inbox = Inbox::listen(listen, reader).with_context(|| format!("mailbox {listen}"))?;
         let port = inbox.listener.get_opt::<BoundPort>()?;
-        let (lost, lost_rx) = std::sync::mpsc::channel();
+        let (retired, retired_rx) = std::sync::mpsc::channel();
         let shared = Arc::new(Shared {
             local: SocketAddr::new(listen.ip(), port),
             keys,
             limits,
             metrics,
             peers: RwLock::default(),
-            lost,
+            retired,
             _inbox: inbox,
         });
         let weak = Arc::downgrade(&shared);
         std::thread::Builder::new()
             .name("mailbox-janitor".to_owned())
-            .spawn(move || run_janitor(&lost_rx, sweep_period(limits), || close_idle(&weak)))?;
+            .spawn(move || run_janitor(&retired_rx, sweep_period(limits), || close_idle(&weak)))?;
         Ok((Self { shared }, rx))
     }
 
@@ -123,7 +123,7 @@
     ///
     /// Drops and counts it when a bound is met.
     pub fn send(&self, to: SocketAddr, mut payload: Vec<u8>) {
-        if payload.len() > MAX_MESSAGE {
+        if payload.len() > MAX_MESSAGE_BYTES {
             self.shared.count_drop("too_long");
             return;
         }
@@ -158,7 +158,7 @@
     }
 
     fn new_peer(&self, to: SocketAddr) -> Peer {
-        Peer::new(to, self.limits, self.metrics.clone(), self.lost.clone())
+        Peer::new(to, self.limits, self.metrics.clone(), self.retired.clone())
     }
 
     /// Takes out the peers without a send for the idle time.
@@ -186,8 +186,8 @@
 }
 
 impl Reader {
-    fn take(&self, frame: &[u8]) {
-        if frame.len() > MAX_FRAME {
+    fn on_frame(&self, frame: &[u8]) {
+        if frame.len() > MAX_FRAME_BYTES {
             self.metrics.dropped.with_label_values(&["too_long"]).inc();
             return;
         }
@@ -229,21 +229,21 @@
         }
     }
 
-    fn shut(&self) {
+    fn close(&self) {
         *self.open.lock().unwrap_or_else(PoisonError::into_inner) = false;
     }
 }
 
 /// The listening socket; its drop closes it and waits for the callback.
 struct Inbox {
-    source: Arc<Source>,
+    state: Arc<InboxState>,
     /// Present until the drop.
     aio: Option<Aio>,
     listener: Listener,
 }
 
 /// What the callback of the inbox works on.
-struct Source {
+struct InboxState {
     socket: Socket,
     gate: Gate,
     reader: Reader,
@@ -252,22 +252,22 @@
 impl Inbox {
     fn listen(addr: SocketAddr, reader: Reader) -> nng::Result<Self> {
         let socket = Socket::new(Protocol::Pull0)?;
-        socket.set_opt::<RecvMaxSize>(CUT_FRAME)?;
-        let source = Arc::new(Source {
+        socket.set_opt::<RecvMaxSize>(DISCONNECT_FRAME_BYTES)?;
+        let state = Arc::new(InboxState {
             socket,
             gate: Gate::new(),
             reader,
         });
-        let weak = Arc::downgrade(&source);
+        let weak = Arc::downgrade(&state);
         let aio = Aio::new(move |aio, res| {
-            if let Some(source) = weak.upgrade() {
-                source.on_received(&aio, &res);
+            if let Some(state) = weak.upgrade() {
+                state.on_received(&aio, &res);
             }
         })?;
-        let listener = Listener::new(&source.socket, &url(addr))?;
-        source.receive(&aio)?;
+        let listener = Listener::new(&state.socket, &url(addr))?;
+        state.receive(&aio)?;
         Ok(Self {
-            source,
+            state,
             aio: Some(aio),
             listener,
         })
@@ -276,21 +276,21 @@
 
 impl Drop for Inbox {
     fn drop(&mut self) {
-        self.source.gate.shut();
+        self.state.gate.close();
         if let Some(aio) = self.aio.take() {
-            stop(aio, &self.source.socket);
+            stop(aio, &self.state.socket);
         }
     }
 }
 
-impl Source {
+impl InboxState {
     fn receive(&self, aio: &Aio) -> nng::Result<()> {
         self.gate.begin(|| self.socket.recv_async(aio))
     }
 
     fn on_received(&self, aio: &Aio, res: &AioResult) {
         match res {
-            AioResult::Recv(Ok(msg)) => self.reader.take(msg.as_slice()),
+            AioResult::Recv(Ok(msg)) => self.reader.on_frame(msg.as_slice()),
             AioResult::Recv(Err(nng::Error::Closed | nng::Error::Canceled)) => return,
             AioResult::Recv(Err(e)) => {
                 log::warn!(event = "mailbox_receive_failed", cause:% = e; "");
--- a/fireflyd/src/node.rs
+++ b/fireflyd/src/node.rs
@@ -9,7 +9,7 @@
 use fireflycroft_wire::{Header, decode_all};
 
 use crate::fleet::Fleet;
-use crate::grace::Grace;
+use crate::grace_period::GracePeriod;
 use crate::journal::Journal;
 use crate::mailbox::Mailbox;
 use crate::metrics::Metrics;
@@ -51,7 +51,7 @@
     /// What happened of late, by request.
     pub journal: Journal,
     /// Time between refusing new work and leaving.
-    pub grace: Grace,
+    pub grace: GracePeriod,
     started: Instant,
     upkeep_at: Time,
 }
@@ -64,7 +64,7 @@
         mailbox: Mailbox,
         metrics: Metrics,
         journal: Journal,
-        grace: Grace,
+        grace: GracePeriod,
     ) -> Self {
         let me = Peer {
             name: identity.name,
--- a/fireflyd/src/outbox.rs
+++ b/fireflyd/src/outbox.rs
@@ -45,14 +45,14 @@
 /// Cuts messages into batches; a large one goes alone.
 fn batches(messages: Vec<Message>) -> Vec<Vec<Message>> {
     let mut out: Vec<Vec<Message>> = Vec::new();
-    let mut room = false;
+    let mut can_append = false;
     for message in messages {
         let large = is_large(&message);
         match out.last_mut() {
-            Some(last) if room && !large && last.len() < MAX_BATCH => last.push(message),
+            Some(last) if can_append && !large && last.len() < MAX_BATCH => last.push(message),
             _ => out.push(vec![message]),
         }
-        room = !large;
+        can_append = !large;
     }
     out
 }
--- a/fireflyd/src/process.rs
+++ b/fireflyd/src/process.rs
@@ -20,7 +20,7 @@
 use crate::config_feed::ConfigFeed;
 use crate::entry::{EntryInput, EntryLoop};
 use crate::frontend::{Frontend, Tls};
-use crate::grace::Grace;
+use crate::grace_period::GracePeriod;
 use crate::journal::Journal;
 use crate::keyring::{SharedKeyRing, read_key_file, watch_key_file};
 use crate::leases;
@@ -102,7 +102,7 @@
     let (feed, configs) = ConfigFeed::new();
     tokio::spawn(feed.clone().follow(platform.clone()));
     let journal = Journal::new(settings.name.clone());
-    let grace = Grace::new(settings.timeouts.drain_grace);
+    let grace = GracePeriod::new(settings.timeouts.drain_grace);
     let node = Node::new(identity(settings), mailbox, metrics, journal, grace);
     Ok(Parts {
         node,
--- a/fireflyd/src/sse.rs
+++ b/fireflyd/src/sse.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 /// Largest event in bytes, line ends included.
-pub const MAX_EVENT: usize = 1 << 20;
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One event; fields other than these are skipped.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 
 impl fmt::Display for TooLong {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "event over {MAX_EVENT} bytes")
+        write!(f, "event over {MAX_EVENT_BYTES} bytes")
     }
 }
 
@@ -33,27 +33,27 @@
 ///
 /// An event ends at an empty line; lines end in a line feed, with or without a carriage return.
 #[must_use]
-pub fn scan_event(buf: &[u8]) -> Option<(SseEvent, &[u8])> {
+pub fn parse_event(buf: &[u8]) -> Option<(SseEvent, &[u8])> {
     let mut event = SseEvent::default();
     let mut rest = buf;
     loop {
-        let (line, after) = scan_line(rest)?;
+        let (line, after) = split_line(rest)?;
         rest = after;
         if line.is_empty() {
             return Some((event, rest));
         }
-        take_line(&mut event, line);
+        apply_line(&mut event, line);
     }
 }
 
 /// The first whole line without its end, and what follows it.
-fn scan_line(buf: &[u8]) -> Option<(&[u8], &[u8])> {
+fn split_line(buf: &[u8]) -> Option<(&[u8], &[u8])> {
     let end = buf.iter().position(|byte| *byte == b'\n')?;
     let line = &buf[..end];
     Some((line.strip_suffix(b"\r").unwrap_or(line), &buf[end + 1..]))
 }
 
-fn take_line(event: &mut SseEvent, line: &[u8]) {
+fn apply_line(event: &mut SseEvent, line: &[u8]) {
     let colon = line.iter().position(|byte| *byte == b':');
     let (field, value) = line.split_at(colon.unwrap_or(line.len()));
     let value = value.strip_prefix(b":").unwrap_or(value);
@@ -93,15 +93,15 @@
     /// [`TooLong`] when an event, whole or not, is over the bound.
     pub fn next_event(&mut self) -> Result<Option<SseEvent>, TooLong> {
         let pending = &self.buf[self.start..];
-        let Some((event, rest)) = scan_event(pending) else {
-            return if pending.len() > MAX_EVENT {
+        let Some((event, rest)) = parse_event(pending) else {
+            return if pending.len() > MAX_EVENT_BYTES {
                 Err(TooLong)
             } else {
                 Ok(None)
             };
         };
         let len = pending.len() - rest.len();
-        if len > MAX_EVENT {
+        if len > MAX_EVENT_BYTES {
             return Err(TooLong);
         }
         self.start += len;
--- a/fireflyd/tests/keyring.rs
+++ b/fireflyd/tests/keyring.rs
@@ -43,7 +43,7 @@
     short_key: "1:1122".to_owned() => Some(KeyFileError::Malformed(1));
     not_hex: line(1, "zz") => Some(KeyFileError::Malformed(1));
     id_over_a_byte: format!("256:{}", "11".repeat(KEY_LEN)) => Some(KeyFileError::Malformed(1));
-    repeated_id: format!("{}\n{}", line(1, "11"), line(1, "22")) => Some(KeyFileError::RepeatedId(2));
+    repeated_id: format!("{}\n{}", line(1, "11"), line(1, "22")) => Some(KeyFileError::DuplicateId(2));
 }
 
 macro_rules! open_cases {
--- a/fireflyd/tests/mailbox.rs
+++ b/fireflyd/tests/mailbox.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fireflyd::keyring::{KEY_LEN, KeyRing, SharedKeyRing};
-use fireflyd::mailbox::{Limits, MAX_FRAME, MAX_MESSAGE, Mailbox};
+use fireflyd::mailbox::{Limits, MAX_FRAME_BYTES, MAX_MESSAGE_BYTES, Mailbox};
 use fireflyd::metrics::{MailboxMetrics, Metrics};
 use tokio::sync::mpsc::Receiver;
 
@@ -106,7 +106,7 @@
 delivery_cases! {
     an_empty_message_arrives: 0;
     a_short_message_arrives: 200;
-    the_longest_message_arrives: MAX_MESSAGE;
+    the_longest_message_arrives: MAX_MESSAGE_BYTES;
 }
 
 macro_rules! refused_frame_cases {
@@ -135,9 +135,9 @@
 refused_frame_cases! {
     an_unsealed_frame_is_refused: 100, sealed false => Some(|b| b.metrics.refused_seal.get());
     a_frame_shorter_than_a_seal_is_refused: 3, sealed false => Some(|b| b.metrics.refused_seal.get());
-    a_frame_over_the_bound_is_counted: MAX_MESSAGE + 1, sealed true => Some(|b| b.dropped("too_long"));
+    a_frame_over_the_bound_is_counted: MAX_MESSAGE_BYTES + 1, sealed true => Some(|b| b.dropped("too_long"));
     // nng cuts this connection before the frame is read, so there is nothing to count.
-    a_frame_far_over_the_bound_is_cut: 4 * MAX_FRAME, sealed true => None;
+    a_frame_far_over_the_bound_is_cut: 4 * MAX_FRAME_BYTES, sealed true => None;
 }
 
 #[tokio::test]
@@ -288,7 +288,7 @@
     };
     let a = End::at(any_port(), &[OLD], limits).unwrap();
     let (first, second) = (Nobody::new(), Nobody::new());
-    a.mailbox.send(first.addr, vec![1; MAX_MESSAGE + 1]);
+    a.mailbox.send(first.addr, vec![1; MAX_MESSAGE_BYTES + 1]);
     assert_eq!(a.dropped("too_long"), 1);
     a.mailbox.send(first.addr, vec![1]);
     assert_eq!(a.dropped("too_many_peers"), 0);
--- a/fireflyd/tests/sse.rs
+++ b/fireflyd/tests/sse.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-use fireflyd::sse::{MAX_EVENT, SseEvent, SseReader, TooLong, scan_event};
+use fireflyd::sse::{MAX_EVENT_BYTES, SseEvent, SseReader, TooLong, parse_event};
 use fireflyd::upstream::{
     Decoder, EngineClient, EngineEvent, EngineOrder, FencedOrder, FinishReason, GenerateRequest,
     OrderOutcome, PlainClient, Token, UpstreamError, Usage,
@@ -34,7 +34,7 @@
         fn $name() {
             let want: Option<(SseEvent, &str)> = $want;
             let want = want.map(|(event, rest)| (event, rest.as_bytes()));
-            assert_eq!(scan_event($text.as_bytes()), want);
+            assert_eq!(parse_event($text.as_bytes()), want);
         }
     )*};
 }
@@ -70,10 +70,10 @@
 }
 
 bound_cases! {
-    the_longest_event_passes: MAX_EVENT - 2, closed true => Ok(true);
-    a_longer_event_is_refused: MAX_EVENT - 1, closed true => Err(TooLong);
-    the_longest_open_event_waits: MAX_EVENT, closed false => Ok(false);
-    a_longer_open_event_is_refused: MAX_EVENT + 1, closed false => Err(TooLong);
+    the_longest_event_passes: MAX_EVENT_BYTES - 2, closed true => Ok(true);
+    a_longer_event_is_refused: MAX_EVENT_BYTES - 1, closed true => Err(TooLong);
+    the_longest_open_event_waits: MAX_EVENT_BYTES, closed false => Ok(false);
+    a_longer_open_event_is_refused: MAX_EVENT_BYTES + 1, closed false => Err(TooLong);
 }
 
 fn token(text: &str, offset: Option<u64>) -> Token {
