--- a/fireflyd/src/agent.rs
+++ b/fireflyd/src/agent.rs
@@ -195,7 +195,7 @@
             .fleet
             .set_serves(now, self.core.serves(), &mut self.node.outbox);
         self.tell_state();
-        if self.node.begin_upkeep(now) {
+        if self.node.start_maintenance(now) {
             self.keep_up();
         }
     }
@@ -203,7 +203,7 @@
     /// Does what goes over all members, less often than each tick.
     fn keep_up(&mut self) {
         self.feed.set_watching(self.node.fleet.is_watcher());
-        self.node.count_members();
+        self.node.update_member_counts();
         self.status.set(self.status_json());
     }
 
@@ -269,7 +269,7 @@
                 tokio::spawn(async move { runner.carry_out(&order, &tx).await });
             }
             AgentAction::PullConfig(from) => self.feed.pull(from, &mut self.node.outbox),
-            AgentAction::LogEvent(note) => self.node.note(&note),
+            AgentAction::LogEvent(note) => self.node.record_event(&note),
         }
     }
 
--- a/fireflyd/src/entry.rs
+++ b/fireflyd/src/entry.rs
@@ -26,7 +26,7 @@
 /// Entries that look at the fleet's lease at all.
 const LEASE_CANDIDATES: usize = 2;
 /// Events taken in one turn before messages go out.
-const TURN: usize = 256;
+const MAX_EVENTS_PER_TURN: usize = 256;
 
 /// What reaches the loop from beside callers and peers.
 #[derive(Debug)]
@@ -108,7 +108,7 @@
                 Some(input) = inputs.recv() => self.on_input(input),
                 _ = tick.tick() => self.on_tick(),
             }
-            for _ in 0..TURN {
+            for _ in 0..MAX_EVENTS_PER_TURN {
                 if let Ok(buf) = mail.try_recv() {
                     self.on_mail(&buf);
                 } else if let Ok(event) = calls.try_recv() {
@@ -130,11 +130,11 @@
             return;
         };
         let now = self.node.now();
-        let news = self
+        let changes = self
             .node
             .fleet
             .on_heard(now, &header.from, &mut self.node.outbox);
-        self.learn(news);
+        self.apply_fleet_changes(changes);
         for message in messages {
             self.on_message(Envelope {
                 from: header.from.clone(),
@@ -150,11 +150,11 @@
         match &envelope.body {
             message if Fleet::is_own(message) => {
                 let message = message.clone();
-                let news =
+                let changes =
                     self.node
                         .fleet
                         .on_message(now, &envelope.from, message, &mut self.node.outbox);
-                self.learn(news);
+                self.apply_fleet_changes(changes);
                 // The load and the version ride on these too.
                 self.drive(EntryEvent::Message(Box::new(envelope)));
             }
@@ -189,13 +189,13 @@
             EntryInput::Config(config) => {
                 let before = self.core.config_version();
                 self.drive(EntryEvent::Config(config));
-                self.spread_config(before);
-                self.show();
+                self.announce_config(before);
+                self.publish_status();
             }
             EntryInput::Vms(vms) => {
                 let now = self.node.now();
-                let news = self.node.fleet.on_vms(now, vms, &mut self.node.outbox);
-                self.learn(news);
+                let changes = self.node.fleet.on_vms(now, vms, &mut self.node.outbox);
+                self.apply_fleet_changes(changes);
             }
             EntryInput::Lease(call, answer) => {
                 let now = self.node.now();
@@ -206,42 +206,42 @@
                 let now = self.node.now();
                 self.node.fleet.leave(now, &mut self.node.outbox);
                 self.drive(EntryEvent::Leave);
-                self.show();
+                self.publish_status();
             }
         }
     }
 
     fn on_tick(&mut self) {
         let now = self.node.now();
-        let news = self.node.fleet.on_tick(now, &mut self.node.outbox);
-        self.learn(news);
+        let changes = self.node.fleet.on_tick(now, &mut self.node.outbox);
+        self.apply_fleet_changes(changes);
         let entries = self.node.fleet.entries();
         self.drive(EntryEvent::EntryCount(entries));
         self.drive(EntryEvent::Tick);
-        self.lead(now);
-        self.tell_state();
-        if self.node.begin_upkeep(now) {
-            self.keep_up();
+        self.run_leader(now);
+        self.update_readiness();
+        if self.node.start_maintenance(now) {
+            self.run_maintenance();
         }
     }
 
     /// Does what goes over all members, less often than each tick.
-    fn keep_up(&mut self) {
+    fn run_maintenance(&mut self) {
         self.feed.set_watching(self.node.fleet.is_watcher());
         self.is_candidate = self.node.fleet.rank() < LEASE_CANDIDATES;
-        self.node.count_members();
+        self.node.update_member_counts();
         self.status.set(self.status_json());
     }
 
     /// Shows the state at once; readiness goes before the status.
-    fn show(&self) {
-        self.tell_state();
+    fn publish_status(&self) {
+        self.update_readiness();
         self.status.set(self.status_json());
     }
 
     /// Tells a few members of a version that has just come into force; the
     /// message carries it, and whoever is behind pulls.
-    fn spread_config(&mut self, before: ConfigVersion) {
+    fn announce_config(&mut self, before: ConfigVersion) {
         let have = self.core.config_version();
         if have > before {
             let message = Message::ConfigPull { have, part: 0 };
@@ -250,13 +250,13 @@
     }
 
     /// Does the fleet's work when this entry holds the lease.
-    fn lead(&mut self, now: Time) {
+    fn run_leader(&mut self, now: Time) {
         let candidate = !self.core.is_leaving() && self.is_candidate;
-        let (asked, note) = self.leader.on_tick(now, candidate);
-        if let Some(note) = note {
-            self.node.note(&note);
+        let (request, event) = self.leader.on_tick(now, candidate);
+        if let Some(event) = event {
+            self.node.record_event(&event);
         }
-        if let Some((call, op)) = asked {
+        if let Some((call, op)) = request {
             let platform = self.platform.clone();
             let tx = self.tx.clone();
             tokio::spawn(async move {
@@ -273,11 +273,11 @@
         }
     }
 
-    fn learn(&mut self, news: News) {
-        if news.leave {
+    fn apply_fleet_changes(&mut self, changes: News) {
+        if changes.leave {
             self.on_input(EntryInput::Leave);
         }
-        for record in news.changed {
+        for record in changes.changed {
             log::info!(event = "member_changed", name = &*record.peer.name, state:? = record.state; "");
             self.drive(EntryEvent::Member(record));
         }
@@ -288,11 +288,11 @@
         let now = self.node.now();
         self.core.on_event(now, event, &mut out);
         for action in out {
-            self.act(action);
+            self.apply_action(action);
         }
     }
 
-    fn act(&mut self, action: EntryAction) {
+    fn apply_action(&mut self, action: EntryAction) {
         match action {
             EntryAction::Send(to, message) => self.node.outbox.push(to, message),
             EntryAction::Broadcast(message) => {
@@ -312,8 +312,8 @@
                 });
             }
             EntryAction::PullConfig(from) => self.feed.pull(from, &mut self.node.outbox),
-            EntryAction::Measured(measured) => count(&self.node.metrics, &measured),
-            EntryAction::LogEvent(note) => self.node.note(&note),
+            EntryAction::Measured(measured) => record_request(&self.node.metrics, &measured),
+            EntryAction::LogEvent(event) => self.node.record_event(&event),
         }
     }
 
@@ -322,11 +322,11 @@
             // What the fleet has to know of a failure goes out before it.
             self.failures.push((id, reply));
         } else {
-            self.give(id, reply);
+            self.deliver(id, reply);
         }
     }
 
-    fn give(&mut self, id: CallId, reply: Reply) {
+    fn deliver(&mut self, id: CallId, reply: Reply) {
         let last = matches!(reply, Reply::End(_) | Reply::Fail { .. });
         // A caller that went away has told so; its replies are for nobody.
         if let Some(tx) = self.replies.get(&id) {
@@ -343,11 +343,11 @@
             .outbox
             .flush(&self.node.mailbox, &self.node.me, config, None);
         for (id, reply) in std::mem::take(&mut self.failures) {
-            self.give(id, reply);
+            self.deliver(id, reply);
         }
     }
 
-    fn tell_state(&self) {
+    fn update_readiness(&self) {
         let agents = self
             .core
             .router()
@@ -405,7 +405,7 @@
     }
 }
 
-fn count(metrics: &Metrics, measured: &MeasuredRequest) {
+fn record_request(metrics: &Metrics, measured: &MeasuredRequest) {
     let priority = match measured.priority {
         Priority::Interactive => "interactive",
         Priority::Batch => "batch",
--- a/fireflyd/src/metrics.rs
+++ b/fireflyd/src/metrics.rs
@@ -12,7 +12,7 @@
 };
 
 /// Bucket bounds in seconds, from a millisecond to two minutes.
-const SECONDS: [f64; 16] = [
+const BUCKETS_SECONDS: [f64; 16] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0, 120.0,
 ];
 
@@ -79,43 +79,56 @@
     ///
     /// A prometheus error when two names clash.
     pub fn new() -> anyhow::Result<Self> {
-        let r = Registry::new();
+        let registry = Registry::new();
         Ok(Self {
-            requests: counters(
-                &r,
+            requests: counter_vec(
+                &registry,
                 "requests_total",
                 "Requests ended",
                 &["brand", "priority", "code"],
             )?,
-            objective: counters(
-                &r,
+            objective: counter_vec(
+                &registry,
                 "objective_total",
                 "Requests by objective met",
                 &["brand", "priority", "met"],
             )?,
-            first_token_seconds: seconds(&r, "first_token_seconds", "Arrival to first token")?,
-            between_token_seconds: seconds(&r, "between_token_seconds", "Between two tokens")?,
-            stall_seconds: seconds(&r, "stall_seconds", "Length of each stall")?,
-            streams_running: gauge(&r, "streams_running", "Streams running now")?,
-            offers_sent: counter(&r, "offers_sent_total", "Offers sent to agents")?,
-            offers_refused: counters(&r, "offers_refused_total", "Offers refused", &["code"])?,
-            reattachments: counter(&r, "reattachments_total", "Streams taken up again")?,
-            restarts: counter(&r, "restarts_total", "Generations started afresh")?,
-            mailbox: MailboxMetrics::new(&r)?,
-            platform_calls: counters(
-                &r,
+            first_token_seconds: seconds_histogram(
+                &registry,
+                "first_token_seconds",
+                "Arrival to first token",
+            )?,
+            between_token_seconds: seconds_histogram(
+                &registry,
+                "between_token_seconds",
+                "Between two tokens",
+            )?,
+            stall_seconds: seconds_histogram(&registry, "stall_seconds", "Length of each stall")?,
+            streams_running: gauge(&registry, "streams_running", "Streams running now")?,
+            offers_sent: counter(&registry, "offers_sent_total", "Offers sent to agents")?,
+            offers_refused: counter_vec(
+                &registry,
+                "offers_refused_total",
+                "Offers refused",
+                &["code"],
+            )?,
+            reattachments: counter(&registry, "reattachments_total", "Streams taken up again")?,
+            restarts: counter(&registry, "restarts_total", "Generations started afresh")?,
+            mailbox: MailboxMetrics::new(&registry)?,
+            platform_calls: counter_vec(
+                &registry,
                 "platform_calls_total",
                 "Calls of the platform",
                 &["kind", "result"],
             )?,
             config_version: gauge(
-                &r,
+                &registry,
                 "config_version",
                 "Version of the configuration in force",
             )?,
-            members: gauges(&r, "members", "Known members", &["state"])?,
-            quarantined_digests: gauge(&r, "quarantined_digests", "Digests in quarantine")?,
-            registry: r,
+            members: gauge_vec(&registry, "members", "Known members", &["state"])?,
+            quarantined_digests: gauge(&registry, "quarantined_digests", "Digests in quarantine")?,
+            registry,
         })
     }
 
@@ -132,15 +145,24 @@
 }
 
 impl MailboxMetrics {
-    fn new(r: &Registry) -> anyhow::Result<Self> {
+    fn new(registry: &Registry) -> anyhow::Result<Self> {
         Ok(Self {
-            sent: counter(r, "mailbox_sent_total", "Messages handed to a link")?,
-            sent_bytes: counter(r, "mailbox_sent_bytes_total", "Bytes handed to a link")?,
-            received: counter(r, "mailbox_received_total", "Messages opened")?,
-            received_bytes: counter(r, "mailbox_received_bytes_total", "Bytes opened")?,
-            dropped: counters(r, "mailbox_dropped_total", "Messages dropped", &["cause"])?,
-            refused_seal: counter(r, "mailbox_refused_seal_total", "Wrong seals")?,
-            peers: gauge(r, "mailbox_peers", "Peers with an open link")?,
+            sent: counter(registry, "mailbox_sent_total", "Messages handed to a link")?,
+            sent_bytes: counter(
+                registry,
+                "mailbox_sent_bytes_total",
+                "Bytes handed to a link",
+            )?,
+            received: counter(registry, "mailbox_received_total", "Messages opened")?,
+            received_bytes: counter(registry, "mailbox_received_bytes_total", "Bytes opened")?,
+            dropped: counter_vec(
+                registry,
+                "mailbox_dropped_total",
+                "Messages dropped",
+                &["cause"],
+            )?,
+            refused_seal: counter(registry, "mailbox_refused_seal_total", "Wrong seals")?,
+            peers: gauge(registry, "mailbox_peers", "Peers with an open link")?,
         })
     }
 }
@@ -149,33 +171,38 @@
     Opts::new(format!("firefly_{name}"), help)
 }
 
-fn register<C: Collector + Clone + 'static>(r: &Registry, metric: C) -> anyhow::Result<C> {
-    r.register(Box::new(metric.clone()))?;
+fn register<C: Collector + Clone + 'static>(registry: &Registry, metric: C) -> anyhow::Result<C> {
+    registry.register(Box::new(metric.clone()))?;
     Ok(metric)
 }
 
-fn counter(r: &Registry, name: &str, help: &str) -> anyhow::Result<IntCounter> {
-    register(r, IntCounter::with_opts(opts(name, help))?)
+fn counter(registry: &Registry, name: &str, help: &str) -> anyhow::Result<IntCounter> {
+    register(registry, IntCounter::with_opts(opts(name, help))?)
 }
 
-fn counters(
-    r: &Registry,
+fn counter_vec(
+    registry: &Registry,
     name: &str,
     help: &str,
     labels: &[&str],
 ) -> anyhow::Result<IntCounterVec> {
-    register(r, IntCounterVec::new(opts(name, help), labels)?)
+    register(registry, IntCounterVec::new(opts(name, help), labels)?)
 }
 
-fn gauge(r: &Registry, name: &str, help: &str) -> anyhow::Result<IntGauge> {
-    register(r, IntGauge::with_opts(opts(name, help))?)
+fn gauge(registry: &Registry, name: &str, help: &str) -> anyhow::Result<IntGauge> {
+    register(registry, IntGauge::with_opts(opts(name, help))?)
 }
 
-fn gauges(r: &Registry, name: &str, help: &str, labels: &[&str]) -> anyhow::Result<IntGaugeVec> {
-    register(r, IntGaugeVec::new(opts(name, help), labels)?)
+fn gauge_vec(
+    registry: &Registry,
+    name: &str,
+    help: &str,
+    labels: &[&str],
+) -> anyhow::Result<IntGaugeVec> {
+    register(registry, IntGaugeVec::new(opts(name, help), labels)?)
 }
 
-fn seconds(r: &Registry, name: &str, help: &str) -> anyhow::Result<HistogramVec> {
-    let opts = HistogramOpts::from(opts(name, help)).buckets(SECONDS.to_vec());
-    register(r, HistogramVec::new(opts, &["class"])?)
+fn seconds_histogram(registry: &Registry, name: &str, help: &str) -> anyhow::Result<HistogramVec> {
+    let opts = HistogramOpts::from(opts(name, help)).buckets(BUCKETS_SECONDS.to_vec());
+    register(registry, HistogramVec::new(opts, &["class"])?)
 }
--- a/fireflyd/src/node.rs
+++ b/fireflyd/src/node.rs
@@ -19,7 +19,7 @@
 pub const TICK: Duration = Duration::from_millis(50);
 /// Time between two turns of what costs more with each member and hurries
 /// nobody: ranks, counts, and what operators are shown.
-const UPKEEP_EVERY: Duration = Duration::from_millis(500);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What a process is told of itself.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
     /// Time between refusing new work and leaving.
     pub grace: GracePeriod,
     started: Instant,
-    upkeep_at: Time,
+    next_maintenance: Time,
 }
 
 impl Node {
@@ -69,7 +69,7 @@
         let me = Peer {
             name: identity.name,
             addr: mailbox.local_addr(),
-            incarnation: draw_incarnation(),
+            incarnation: new_incarnation(),
             role: identity.role,
         };
         let setup = MemberSetup {
@@ -88,7 +88,7 @@
             journal,
             grace,
             started: Instant::now(),
-            upkeep_at: Time::default(),
+            next_maintenance: Time::default(),
         }
     }
 
@@ -99,10 +99,10 @@
     }
 
     /// Whether upkeep is due at `now`; if so, the next is due a while later.
-    pub fn begin_upkeep(&mut self, now: Time) -> bool {
-        let due = now >= self.upkeep_at;
+    pub fn start_maintenance(&mut self, now: Time) -> bool {
+        let due = now >= self.next_maintenance;
         if due {
-            self.upkeep_at = now + UPKEEP_EVERY;
+            self.next_maintenance = now + MAINTENANCE_INTERVAL;
         }
         due
     }
@@ -120,7 +120,7 @@
     }
 
     /// Counts the members by state for the metrics.
-    pub fn count_members(&self) {
+    pub fn update_member_counts(&self) {
         let states = [
             ("alive", MemberState::Alive),
             ("suspect", MemberState::Suspect),
@@ -134,34 +134,37 @@
     }
 
     /// Logs a note and counts what it stands for.
-    pub fn note(&self, note: &LogEvent) {
-        count(&self.metrics, note);
-        self.journal.add(note);
-        let code = note.code.map_or(0, fireflycroft::Code::number);
-        let peer = note.peer.as_deref().unwrap_or("-");
-        match note.request {
+    pub fn record_event(&self, log_event: &LogEvent) {
+        update_metrics(&self.metrics, log_event);
+        self.journal.add(log_event);
+        let code = log_event.code.map_or(0, fireflycroft::Code::number);
+        let peer = log_event.peer.as_deref().unwrap_or("-");
+        match log_event.request {
             Some(req) => {
-                log::info!(event = note.event, req:% = req, peer = peer, code = code, count = note.count; "");
+                log::info!(event = log_event.event, req:% = req, peer = peer, code = code, count = log_event.count; "");
             }
             None => {
-                log::info!(event = note.event, peer = peer, code = code, count = note.count; "");
+                log::info!(event = log_event.event, peer = peer, code = code, count = log_event.count; "");
             }
         }
     }
 }
 
-fn count(metrics: &Metrics, note: &LogEvent) {
-    match note.event {
+fn update_metrics(metrics: &Metrics, log_event: &LogEvent) {
+    match log_event.event {
         "offer_sent" => metrics.offers_sent.inc(),
         "restarted" => metrics.restarts.inc(),
         "offer_refused" => {
-            let code = note.code.map_or(0, fireflycroft::Code::number).to_string();
+            let code = log_event
+                .code
+                .map_or(0, fireflycroft::Code::number)
+                .to_string();
             metrics.offers_refused.with_label_values(&[&code]).inc();
         }
         "config_in_force" => {
             metrics
                 .config_version
-                .set(i64::try_from(note.count).unwrap_or(i64::MAX));
+                .set(i64::try_from(log_event.count).unwrap_or(i64::MAX));
         }
         _ => {}
     }
@@ -169,7 +172,7 @@
 
 /// Number of this life: milliseconds of the wall clock above random bits, so
 /// that a later life of the same process has a higher one.
-fn draw_incarnation() -> Incarnation {
+fn new_incarnation() -> Incarnation {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
--- a/fireflyd/src/plain_client.rs
+++ b/fireflyd/src/plain_client.rs
@@ -10,7 +10,7 @@
 
 /// Answer of a plain service, whatever its status.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlainAnswer {
+pub struct PlainResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type, if the service named one.
@@ -25,7 +25,7 @@
     http: reqwest::Client,
     base: Url,
     timeout: Duration,
-    max_answer: usize,
+    max_response_bytes: usize,
 }
 
 impl PlainClient {
@@ -34,12 +34,12 @@
     /// # Errors
     ///
     /// An error when `base` is no HTTP URL.
-    pub fn new(base: &str, timeout: Duration, max_answer: usize) -> anyhow::Result<Self> {
+    pub fn new(base: &str, timeout: Duration, max_response_bytes: usize) -> anyhow::Result<Self> {
         Ok(Self {
             http: http_client(timeout)?,
             base: base_url(base)?,
             timeout,
-            max_answer,
+            max_response_bytes,
         })
     }
 
@@ -56,7 +56,7 @@
         path: &str,
         headers: &[(impl AsRef<str>, impl AsRef<str>)],
         payload: impl Into<Bytes>,
-    ) -> Result<PlainAnswer> {
+    ) -> Result<PlainResponse> {
         let method = Method::from_bytes(method.as_bytes()).map_err(never_sent)?;
         let mut call = self
             .http
@@ -70,7 +70,7 @@
                 call = call.header(name, value);
             }
         }
-        self.answer(call.send().await.map_err(|e| broken(&e))?)
+        self.read_response(call.send().await.map_err(|e| broken(&e))?)
             .await
     }
 
@@ -86,16 +86,16 @@
         url
     }
 
-    async fn answer(&self, res: Response) -> Result<PlainAnswer> {
+    async fn read_response(&self, res: Response) -> Result<PlainResponse> {
         let content_type = res
             .headers()
             .get(CONTENT_TYPE)
             .and_then(|value| value.to_str().ok())
             .map(str::to_owned);
-        Ok(PlainAnswer {
+        Ok(PlainResponse {
             status: res.status().as_u16(),
             content_type,
-            body: body(res, self.max_answer).await?.into(),
+            body: body(res, self.max_response_bytes).await?.into(),
         })
     }
 }
--- a/fireflyd/src/runner.rs
+++ b/fireflyd/src/runner.rs
@@ -13,7 +13,7 @@
 use crate::agent::AgentInput;
 use crate::upstream::{
     EngineClient, EngineEvent, EngineOrder, EngineStream, FencedOrder, FinishReason,
-    GenerateRequest, Model, ModelState, OrderOutcome, PlainAnswer, PlainClient, UpstreamError,
+    GenerateRequest, Model, ModelState, OrderOutcome, PlainClient, PlainResponse, UpstreamError,
 };
 
 /// Bytes of a plain answer that count as one token.
@@ -333,7 +333,11 @@
     }
 }
 
-async fn give_whole(generation: GenerationId, answer: PlainAnswer, tx: &mpsc::Sender<AgentInput>) {
+async fn give_whole(
+    generation: GenerationId,
+    answer: PlainResponse,
+    tx: &mpsc::Sender<AgentInput>,
+) {
     let tokens: Vec<Vec<u8>> = answer.body.chunks(PART_BYTES).map(<[u8]>::to_vec).collect();
     if !tokens.is_empty() {
         send(tx, AgentEvent::Tokens { generation, tokens }).await;
