--- a/fireflyd/src/admin.rs
+++ b/fireflyd/src/admin.rs
@@ -1,6 +1,6 @@
-//! Operators' interface of a process, on a port of its own: metrics, health, status and drain.
+//! Admin HTTP server of a process: metrics, health, status and drain.
 //!
-//! It asks for no key, so its address belongs on a network that only operators reach.
+//! It has no authentication, so its address belongs on a network that only operators reach.
 
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::Duration;
@@ -15,20 +15,20 @@
 
 use crate::metrics::Metrics;
 
-/// Content type of the metrics.
+/// Content type of the Prometheus text format.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
-/// How long calls in progress may go on when the interface stops.
+/// Time for calls in progress to end when the server stops.
 const STOP_GRACE: Duration = Duration::from_secs(1);
 
-/// Whether the process takes work, with the reason when it doesn't; cloning shares it.
+/// Readiness of the process, with the reason if it isn't ready; clones share the state.
 #[derive(Clone, Debug)]
 pub struct Readiness {
-    /// Why not; `None` when ready.
+    /// Reason for not being ready; `None` when ready.
     reason: Arc<RwLock<Option<Arc<str>>>>,
 }
 
 impl Readiness {
-    /// Not ready, for `reason`.
+    /// Creates a state that is not ready for `reason`.
     #[must_use]
     pub fn not_ready(reason: impl Into<Arc<str>>) -> Self {
         Self {
@@ -36,17 +36,17 @@
         }
     }
 
-    /// Takes work from now on.
+    /// Marks the process as ready.
     pub fn set_ready(&self) {
         self.set(None);
     }
 
-    /// Takes no work from now on, for `reason`.
+    /// Marks the process as not ready for `reason`.
     pub fn set_not_ready(&self, reason: impl Into<Arc<str>>) {
         self.set(Some(reason.into()));
     }
 
-    /// Why the process takes no work; `None` when it does.
+    /// Returns the reason for not being ready; `None` when ready.
     #[must_use]
     pub fn reason(&self) -> Option<Arc<str>> {
         let reason = self.reason.read().unwrap_or_else(PoisonError::into_inner);
@@ -58,30 +58,30 @@
     }
 }
 
-/// What the interface shows and does.
+/// Data and actions of the admin server.
 #[derive(Clone)]
 pub struct Admin {
-    /// The metrics shown.
+    /// Metrics at `/metrics`.
     pub metrics: Metrics,
-    /// The readiness shown.
+    /// Readiness at `/health/ready`.
     pub readiness: Readiness,
-    /// Gives the status as JSON; must not block.
+    /// Returns the status as JSON; must not block.
     pub status: Arc<dyn Fn() -> Value + Send + Sync>,
-    /// Tells what happened to a request, as JSON; must not block.
+    /// Returns the events of a request as JSON; must not block.
     pub explain: Arc<dyn Fn(RequestId) -> Value + Send + Sync>,
-    /// Gives the configuration held, with all its parts; `None` before the
-    /// first; must not block.
+    /// Returns the current configuration with all its parts, `None` before
+    /// the first; must not block.
     pub config: Arc<dyn Fn() -> Option<ConfigBundle> + Send + Sync>,
-    /// Begins a planned stop; must not block, and may be called again.
+    /// Starts a planned stop; must not block and must accept repeated calls.
     pub drain: Arc<dyn Fn() + Send + Sync>,
 }
 
 impl Admin {
-    /// Serves on `listener` until `stop` ends.
+    /// Serves on `listener` until `stop` completes.
     ///
     /// # Errors
     ///
-    /// An error of the listener.
+    /// Returns an error of the listener.
     pub async fn serve(
         self,
         listener: TcpListener,
@@ -155,7 +155,7 @@
 
 #[handler]
 fn drain(Data(admin): Data<&Admin>) -> Response {
-    log::info!(event = "drain_asked"; "");
+    log::info!(event = "drain_requested"; "");
     (admin.drain)();
     "draining\n"
         .with_status(StatusCode::ACCEPTED)
--- a/fireflyd/src/answer.rs
+++ b/fireflyd/src/answer.rs
@@ -1,4 +1,4 @@
-//! The form of answers: events, chat completions and errors.
+//! HTTP form of answers: server-sent events, chat completions and errors.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use poem::{Body, Response};
 use serde_json::{Value, json};
 
-/// Id of an answer as clients know it.
+/// Returns the completion id that clients see.
 fn completion_id(request: RequestId) -> String {
     format!("chatcmpl-{request}")
 }
 
-/// Word for a class, in errors.
+/// Returns the name of a class in error bodies.
 const fn class_name(class: Class) -> &'static str {
     match class {
         Class::Operator => "operator",
@@ -23,21 +23,21 @@
     }
 }
 
-/// Why an answer was not given, or not wholly.
+/// Reason for a missing or incomplete answer.
 #[derive(Clone, Debug)]
 pub struct Failure {
     /// Result code.
     pub code: Code,
-    /// When to come back.
+    /// Delay before the caller may retry.
     pub retry_after: Option<Duration>,
-    /// Tokens given so far.
+    /// Tokens delivered so far.
     pub delivered: u64,
-    /// More for the caller than the code's phrase.
+    /// Detail for the caller, added to the code's phrase.
     pub detail: Option<String>,
 }
 
 impl Failure {
-    /// Failure before anything was given.
+    /// Creates a failure with nothing delivered.
     #[must_use]
     pub const fn of(code: Code) -> Self {
         Self {
@@ -63,12 +63,12 @@
     }
 }
 
-/// Whole seconds, rounded up, as `Retry-After` counts.
+/// Rounds up to whole seconds, the unit of `Retry-After`.
 fn ceil_seconds(span: Duration) -> u64 {
     span.as_secs() + u64::from(span.subsec_nanos() > 0)
 }
 
-/// Response that says why nothing was given.
+/// Builds the error response for an answer with nothing sent yet.
 #[must_use]
 pub fn error_response(failure: &Failure) -> Response {
     let status =
@@ -83,13 +83,13 @@
     builder.body(failure.to_json().to_string())
 }
 
-/// Event that ends a stream with an error.
+/// Builds the event that ends a stream with an error.
 #[must_use]
 pub fn error_event(failure: &Failure) -> Bytes {
     Bytes::from(format!("event: error\ndata: {}\n\n", failure.to_json()))
 }
 
-/// Events for the tokens of a chunk, one each.
+/// Builds one event for each token of a chunk.
 #[must_use]
 pub fn token_events(point: &ResumePoint, model: &Name, chunk: &Chunk) -> Bytes {
     let id = completion_id(point.request);
@@ -111,7 +111,7 @@
     Bytes::from(text)
 }
 
-/// Events that end a whole stream.
+/// Builds the events that end a complete stream.
 #[must_use]
 pub fn finish_events(point: &ResumePoint, model: &Name, finish: &Finish) -> Bytes {
     let data = json!({
@@ -136,7 +136,7 @@
     })
 }
 
-/// Whole answer to a chat completion.
+/// Builds the response of a chat completion that isn't streamed.
 #[must_use]
 pub fn completion_response(
     point: &ResumePoint,
@@ -162,7 +162,7 @@
         .body(body.to_string())
 }
 
-/// Answer of a plain service, as it came.
+/// Builds the response of a call to a plain service, with its status and body unchanged.
 #[must_use]
 pub fn call_response(point: Option<&ResumePoint>, chunk: Chunk, finish: &Finish) -> Response {
     let status = StatusCode::from_u16(finish.status).unwrap_or(StatusCode::BAD_GATEWAY);
--- a/fireflyd/src/claims.rs
+++ b/fireflyd/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys as objects of the platform.
+//! Claims of idempotency keys, stored as platform objects.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 
 use crate::platform::{Condition, PlatformClient, PlatformError};
 
-/// Kind of the objects that hold claims.
+/// Kind of the platform objects that hold claims.
 pub const CLAIM_KIND: &str = "claim";
 
 #[derive(Serialize, Deserialize)]
@@ -23,7 +23,7 @@
     content: String,
 }
 
-/// Asks the platform and says what it answered.
+/// Executes a claim operation on the platform and returns its result.
 pub async fn execute(platform: &PlatformClient, key: Digest, op: ClaimOp) -> ClaimAnswer {
     let name = key.to_string();
     match op {
--- a/fireflyd/src/entry.rs
+++ b/fireflyd/src/entry.rs
@@ -1,4 +1,4 @@
-//! The loop of an entry: sockets and timers round its core.
+//! Event loop of an entry: drives the core with messages, calls and timers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,15 +23,15 @@
 use crate::platform::PlatformClient;
 use crate::status::Status;
 
-/// Entries that look at the fleet's lease at all.
+/// Number of entries that compete for the fleet's lease.
 const LEASE_CANDIDATES: usize = 2;
-/// Events taken in one turn before messages go out.
+/// Most further events handled in one turn before messages are sent.
 const MAX_EVENTS_PER_TURN: usize = 256;
 
-/// What reaches the loop from beside callers and peers.
+/// Input of the loop other than calls and peers' messages.
 #[derive(Debug)]
 pub enum EntryInput {
-    /// For the core.
+    /// An event for the core.
     Core(EntryEvent),
     /// A configuration was read.
     Config(Arc<Config>),
@@ -39,11 +39,11 @@
     Vms(Vec<Vm>),
     /// The platform's answer about the fleet's lease.
     Lease(LeaseCall, LeaseAnswer),
-    /// The entry is to stop.
+    /// A planned stop was requested.
     Leave,
 }
 
-/// The entry's loop and what it owns.
+/// Event loop of an entry, with its state.
 pub struct EntryLoop {
     core: Entry,
     node: Node,
@@ -54,13 +54,14 @@
     leader: Leader,
     is_candidate: bool,
     replies: HashMap<CallId, mpsc::UnboundedSender<Reply>>,
-    /// Failures of this turn, told when its messages are out.
+    /// Failures of this turn, delivered after its messages are sent.
     failures: Vec<(CallId, Reply)>,
     tx: mpsc::Sender<EntryInput>,
 }
 
 impl EntryLoop {
-    /// A loop that will take its own inputs from the other end of `tx`.
+    /// Creates the loop; its background tasks send their results to `tx`,
+    /// whose receiver is passed to [`run`](Self::run).
     #[must_use]
     pub fn new(
         setup: EntrySetup,
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Runs until a planned stop has ended the last call.
+    /// Runs until a planned stop is complete: the grace period is over and
+    /// the last call has ended.
     pub async fn run(
         mut self,
         mut mail: mpsc::Receiver<Vec<u8>>,
@@ -155,7 +157,7 @@
                         .fleet
                         .on_message(now, &envelope.from, message, &mut self.node.outbox);
                 self.apply_fleet_changes(changes);
-                // The load and the version ride on these too.
+                // The envelope also carries the load and the configuration version.
                 self.drive(EntryEvent::Message(Box::new(envelope)));
             }
             Message::ConfigPull { .. } | Message::ConfigPart { .. } => {
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Does what goes over all members, less often than each tick.
+    /// Runs the tasks whose cost grows with the members, less often than each tick.
     fn run_maintenance(&mut self) {
         self.feed.set_watching(self.node.fleet.is_watcher());
         self.is_candidate = self.node.fleet.rank() < LEASE_CANDIDATES;
@@ -233,14 +235,14 @@
         self.status.set(self.status_json());
     }
 
-    /// Shows the state at once; readiness goes before the status.
+    /// Publishes readiness first, then the status, without waiting for a tick.
     fn publish_status(&self) {
         self.update_readiness();
         self.status.set(self.status_json());
     }
 
-    /// Tells a few members of a version that has just come into force; the
-    /// message carries it, and whoever is behind pulls.
+    /// Announces a newly active version to a few members: the message carries
+    /// the version, and lagging members pull it.
     fn announce_config(&mut self, before: ConfigVersion) {
         let have = self.core.config_version();
         if have > before {
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Does the fleet's work when this entry holds the lease.
+    /// Drives the lease, and the placement of models while this entry holds it.
     fn run_leader(&mut self, now: Time) {
         let candidate = !self.core.is_leaving() && self.is_candidate;
         let (request, event) = self.leader.on_tick(now, candidate);
@@ -264,7 +266,7 @@
                 let _ = tx.send(EntryInput::Lease(call, answer)).await;
             });
         }
-        // Without the lease there is nothing to place, so no engine is looked at.
+        // Only the lease holder places models.
         if self.leader.held(now).is_some()
             && let Some(config) = self.core.config().cloned()
         {
@@ -319,7 +321,7 @@
 
     fn reply(&mut self, id: CallId, reply: Reply) {
         if matches!(reply, Reply::Fail { .. }) {
-            // What the fleet has to know of a failure goes out before it.
+            // The fleet's messages about a failure are sent before the reply.
             self.failures.push((id, reply));
         } else {
             self.deliver(id, reply);
@@ -328,7 +330,7 @@
 
     fn deliver(&mut self, id: CallId, reply: Reply) {
         let last = matches!(reply, Reply::End(_) | Reply::Fail { .. });
-        // A caller that went away has told so; its replies are for nobody.
+        // The replies of a disconnected caller are discarded.
         if let Some(tx) = self.replies.get(&id) {
             let _ = tx.send(reply);
         }
--- a/fireflyd/src/frontend.rs
+++ b/fireflyd/src/frontend.rs
@@ -1,8 +1,8 @@
-//! The callers' interface over HTTP.
+//! HTTP server for callers.
 //!
-//! A handler reads a request, gives it to the entry's loop and turns the
-//! replies into a response. What a caller has taken is told back, so that the
-//! agent sends no more than the caller reads.
+//! A handler parses a request, submits it to the entry's loop and turns the
+//! replies into a response. It reports the tokens consumed by the caller, so
+//! that the agent sends no faster than the caller reads.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,19 +30,19 @@
     BadRequest, MAX_BODY_BYTES, ParsedRequest, check_headers, parse_call, parse_chat,
 };
 
-/// Tokens that a caller takes between two notices to the entry.
+/// Tokens consumed by a caller between two reports to the entry.
 const CONSUMED_STEP_TOKENS: u64 = 128;
 
-/// What the front gives to the entry's loop.
+/// Input of the entry's loop from the HTTP server.
 #[derive(Debug)]
 pub enum FrontendEvent {
-    /// A new call, and where its replies go.
+    /// A new call and the channel for its replies.
     Open(CallId, mpsc::UnboundedSender<Reply>),
     /// An event of a call.
     Event(EntryEvent),
 }
 
-/// The callers' side of one entry; cloning shares it.
+/// HTTP frontend of one entry; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Frontend {
     tx: mpsc::Sender<FrontendEvent>,
@@ -50,7 +50,7 @@
     metrics: Metrics,
 }
 
-/// TLS towards callers.
+/// TLS certificate and key of the callers' address.
 #[derive(Clone, Debug)]
 pub struct Tls {
     /// Certificate chain, PEM.
@@ -59,7 +59,7 @@
     pub key: Vec<u8>,
 }
 
-/// A call that the entry knows of; dropping it says that the caller is gone.
+/// A call registered at the entry; dropping it before its end reports that the caller disconnected.
 struct OpenCall {
     id: CallId,
     tx: mpsc::Sender<FrontendEvent>,
@@ -68,7 +68,7 @@
 }
 
 impl Frontend {
-    /// Front that gives its calls to `tx`.
+    /// Creates a frontend that sends its calls to `tx`.
     #[must_use]
     pub fn new(tx: mpsc::Sender<FrontendEvent>, metrics: Metrics) -> Self {
         Self {
@@ -85,7 +85,8 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound or the certificate not read.
+    /// Returns an error when the address cannot be bound or the certificate
+    /// cannot be read.
     pub async fn bind(
         self,
         listen: SocketAddr,
@@ -113,7 +114,7 @@
             .at("/services/:service/*path", serve_call)
             .data(self);
         let stopped = async move {
-            // A sender that is gone stops it, too.
+            // A dropped sender stops the server, too.
             let _ = stop.await;
         };
         let server = Server::new_with_acceptor(acceptor);
@@ -151,13 +152,13 @@
     }
 
     fn report_consumed(&self, next: u64) {
-        // A full queue loses no more than the pace: the next notice says more.
+        // A report lost to a full queue only delays the agent: the next one replaces it.
         let event = EntryEvent::Consumed(self.id, next);
         let _ = self.tx.try_send(FrontendEvent::Event(event));
     }
 }
 
-/// A whole answer, as a call came to its good end.
+/// Complete answer of a successful call.
 struct WholeAnswer {
     resume_point: Option<ResumePoint>,
     chunk: Chunk,
@@ -165,7 +166,7 @@
 }
 
 impl OpenCall {
-    /// Waits for the whole answer, or for why there is none.
+    /// Waits for the complete answer or the failure.
     async fn collect(&mut self) -> Result<WholeAnswer, Failure> {
         let mut resume_point = None;
         let mut chunk = Chunk::default();
@@ -268,7 +269,7 @@
 }
 
 impl Frontend {
-    /// Counts a request that the core never saw.
+    /// Counts a request refused before it reached the core.
     fn count_unreadable(&self, code: Code) {
         let code = code.number().to_string();
         self.metrics
@@ -337,7 +338,7 @@
     }
 }
 
-/// One call on its way from the entry's replies to the caller.
+/// Relays the replies of one call to its caller.
 struct Relay {
     frontend: Frontend,
     call: OpenCall,
@@ -350,7 +351,7 @@
 }
 
 impl Relay {
-    /// Answers with a stream, or with an error status when nothing came.
+    /// Responds with a stream, or with an error status if the call failed before its first event.
     async fn stream(mut self) -> Response {
         let Some(first) = self.next_events().await else {
             return answer::error_response(&Failure::of(Code::OutcomeUnknown));
@@ -385,7 +386,7 @@
         })
     }
 
-    /// Bytes of the next events; `None` after the end.
+    /// Returns the bytes of the next events; `None` after the end.
     async fn next_events(&mut self) -> Option<Result<Bytes, Failure>> {
         loop {
             if self.call.done {
@@ -448,7 +449,7 @@
         }
     }
 
-    /// Answers with the whole, or with an error status.
+    /// Responds with the complete answer or an error status.
     async fn whole(mut self) -> Response {
         let whole = match self.call.collect().await {
             Ok(whole) => whole,
--- a/fireflyd/src/grace_period.rs
+++ b/fireflyd/src/grace_period.rs
@@ -1,11 +1,11 @@
-//! The time between refusing new work and leaving.
+//! Grace period between refusing new work and leaving.
 //!
-//! Balancers and peers that have not heard yet still send work meanwhile; it
+//! Load balancers and peers still send work until they learn of the stop; it
 //! is refused with a reason instead of meeting a closed port.
 
 use std::time::{Duration, Instant};
 
-/// Grace of a planned stop.
+/// Grace period of a planned stop.
 #[derive(Clone, Copy, Debug)]
 pub struct GracePeriod {
     duration: Duration,
@@ -13,7 +13,7 @@
 }
 
 impl GracePeriod {
-    /// Grace of that length, not begun yet.
+    /// Creates a period of that duration, not started yet.
     #[must_use]
     pub const fn new(duration: Duration) -> Self {
         Self {
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Begins it; a second call changes nothing.
+    /// Starts the period; further calls have no effect.
     pub fn begin(&mut self) {
         self.since.get_or_insert_with(Instant::now);
     }
 
-    /// Whether it was begun and has passed.
+    /// Returns whether the period was started and has elapsed.
     #[must_use]
     pub fn is_over(&self) -> bool {
         self.since.is_some_and(|t| t.elapsed() >= self.duration)
--- a/fireflyd/src/journal.rs
+++ b/fireflyd/src/journal.rs
@@ -1,4 +1,4 @@
-//! What happened to requests of late, kept for `fireflyctl explain`.
+//! Recent events of requests, kept for `fireflyctl explain`.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,10 +7,10 @@
 use fireflycroft::{LogEvent, Name, RequestId};
 use serde_json::{Value, json};
 
-/// Notes kept at once; the oldest goes when more come.
+/// Most events kept; the oldest is evicted first.
 pub const MAX_EVENTS: usize = 8_192;
 
-/// Notes of one process; cloning shares them.
+/// Events of one process; clones share them.
 #[derive(Clone, Debug)]
 pub struct Journal {
     node: Name,
@@ -18,7 +18,7 @@
 }
 
 impl Journal {
-    /// An empty journal of the node of that name.
+    /// Creates an empty journal of the node of that name.
     #[must_use]
     pub fn new(node: Name) -> Self {
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Keeps a note that concerns a request.
+    /// Adds an event, unless it concerns no request.
     pub fn add(&self, log_event: &LogEvent) {
         if log_event.request.is_none() {
             return;
@@ -43,7 +43,7 @@
         events.push_back((at, log_event.clone()));
     }
 
-    /// What happened to a request, in order, as JSON.
+    /// Returns the events of a request in order, as JSON.
     #[must_use]
     pub fn explain(&self, request: RequestId) -> Value {
         let events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
--- a/fireflyd/src/outbox.rs
+++ b/fireflyd/src/outbox.rs
@@ -1,7 +1,7 @@
-//! Messages on their way out, gathered by destination.
+//! Outgoing messages, batched by destination.
 //!
-//! What one turn of a loop has to say to one process goes in one mailbox
-//! message, which saves a seal and a system call for each token.
+//! The messages of one turn to one process share a mailbox message, which
+//! saves a seal and a system call for each token.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 /// Most messages in one mailbox message.
 const MAX_BATCH: usize = 64;
 
-/// Messages of one turn.
+/// Outgoing messages of one turn.
 #[derive(Debug, Default)]
 pub struct Outbox {
     by_addr: HashMap<SocketAddr, Vec<Message>>,
@@ -26,7 +26,7 @@
         self.by_addr.entry(to).or_default().push(message);
     }
 
-    /// Sends all that was added.
+    /// Sends all messages added since the last flush.
     pub fn flush(
         &mut self,
         mailbox: &Mailbox,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Cuts messages into batches; a large one goes alone.
+/// Splits messages into batches, with each large one in a batch of its own.
 fn batches(messages: Vec<Message>) -> Vec<Vec<Message>> {
     let mut out: Vec<Vec<Message>> = Vec::new();
     let mut can_append = false;
--- a/fireflyd/src/process.rs
+++ b/fireflyd/src/process.rs
@@ -183,7 +183,7 @@
         tx,
     );
     entry_loop.run(parts.mail, calls, inputs).await;
-    // The front writes on what the loop gave it, until each caller has it.
+    // The frontend writes on what the loop gave it, until each caller has it.
     let _ = stop.send(());
     let _ = tokio::time::timeout(LAST_WRITES, server).await;
     tokio::time::sleep(LINGER).await;
--- a/fireflyd/src/request.rs
+++ b/fireflyd/src/request.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's HTTP request into a submission.
+//! Parsing of a caller's HTTP request into a submission.
 
 use std::sync::Arc;
 
@@ -9,27 +9,27 @@
 use poem::http::HeaderMap;
 use serde::Deserialize;
 
-/// Largest body of a request in bytes; it must fit one message.
+/// Largest body of a request in bytes; it must fit into one mailbox message.
 pub const MAX_BODY_BYTES: usize = 768 * 1024;
 /// Most headers of a request.
 pub const MAX_HEADERS: usize = 64;
 /// Most bytes of all headers.
 pub const MAX_HEADER_BYTES: usize = 16 * 1024;
-/// Longest `Idempotency-Key`.
+/// Longest `Idempotency-Key` in bytes.
 pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
-/// Most tokens of an answer when the caller names none.
+/// Token limit of an answer when the caller sets none.
 const DEFAULT_MAX_TOKENS: u32 = 32_768;
-/// Bytes of the prompt whose digest decides on prefix affinity.
+/// Leading bytes of the prompt whose digest is the key of prefix affinity.
 const PREFIX_BYTES: usize = 1024;
-/// Bytes for one token where words are longer than that.
+/// Bytes per token assumed for texts of long words, whose word count is too low an estimate.
 const BYTES_PER_TOKEN: usize = 8;
 
-/// Why a request is refused before the core sees it.
+/// Refusal of a request before it reaches the core.
 #[derive(Debug)]
 pub struct BadRequest {
     /// Result code.
     pub code: Code,
-    /// What is wrong, for the caller.
+    /// Description of the fault for the caller.
     pub detail: String,
 }
 
@@ -42,12 +42,12 @@
     }
 }
 
-/// What the core is given, and what the answer's form needs.
+/// Submission for the core, with the target for the response.
 #[derive(Debug)]
 pub struct ParsedRequest {
-    /// For the core.
+    /// Submission for the core.
     pub submission: Submission,
-    /// Model or plain service, for the answer.
+    /// Model or plain service.
     pub target: Name,
 }
 
@@ -68,11 +68,11 @@
     content: String,
 }
 
-/// Checks number and size of the headers.
+/// Checks the number and total size of the headers.
 ///
 /// # Errors
 ///
-/// `HeadersTooLarge`.
+/// Returns `HeadersTooLarge` when there are too many bytes or headers.
 pub fn check_headers(headers: &HeaderMap) -> Result<(), BadRequest> {
     let bytes: usize = headers
         .iter()
@@ -85,11 +85,11 @@
     Ok(())
 }
 
-/// Reads a chat completion.
+/// Parses a chat completion request.
 ///
 /// # Errors
 ///
-/// `BadRequest` or `KeyRefused`, with what is wrong.
+/// Returns `BadRequest` or `KeyRefused` with a description of the fault.
 pub fn parse_chat(headers: &HeaderMap, body: Vec<u8>) -> Result<ParsedRequest, BadRequest> {
     let key_digest = parse_key(headers)?;
     let chat: ChatRequest = serde_json::from_slice(&body)
@@ -122,11 +122,11 @@
     Ok(ParsedRequest { submission, target })
 }
 
-/// Reads a call to a plain service.
+/// Parses a call to a plain service.
 ///
 /// # Errors
 ///
-/// `BadRequest` or `KeyRefused`, with what is wrong.
+/// Returns `BadRequest` or `KeyRefused` with a description of the fault.
 pub fn parse_call(
     headers: &HeaderMap,
     method: &str,
@@ -161,7 +161,7 @@
     Ok(ParsedRequest { submission, target })
 }
 
-/// Whether HTTP lets a method be repeated.
+/// Returns whether HTTP defines the method as idempotent.
 fn is_idempotent(method: &str) -> bool {
     matches!(method, "GET" | "HEAD" | "PUT" | "DELETE" | "OPTIONS")
 }
--- a/fireflyd/src/sse.rs
+++ b/fireflyd/src/sse.rs
@@ -1,23 +1,23 @@
-//! Server-sent events out of the chunks of a connection.
+//! Parser of server-sent events from the chunks of a connection.
 //!
-//! The scan is a pure function over the bytes at hand; [`SseReader`] keeps what no event has
-//! completed yet, within a bound.
+//! [`parse_event`] is a pure function; [`SseReader`] buffers the bytes of an incomplete event up to
+//! a limit.
 
 use std::fmt;
 
-/// Largest event in bytes, line ends included.
+/// Largest event in bytes, line endings included.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One event; fields other than these are skipped.
+/// One event; other fields are ignored.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SseEvent {
-    /// Its `id`, if it has one of its own.
+    /// Its `id` field, if present.
     pub id: Option<String>,
     /// Its `data` lines, joined by line feeds; empty for a comment.
     pub data: Vec<u8>,
 }
 
-/// An event grew beyond [`MAX_EVENT`].
+/// Error for an event longer than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLong;
 
@@ -29,7 +29,7 @@
 
 impl std::error::Error for TooLong {}
 
-/// The first whole event of `buf` and what follows it; `None` when there is none yet.
+/// Returns the first complete event of `buf` and the remaining bytes; `None` if none is complete.
 ///
 /// An event ends at an empty line; lines end in a line feed, with or without a carriage return.
 #[must_use]
@@ -46,7 +46,7 @@
     }
 }
 
-/// The first whole line without its end, and what follows it.
+/// Returns the first complete line without its ending and the remaining bytes.
 fn split_line(buf: &[u8]) -> Option<(&[u8], &[u8])> {
     let end = buf.iter().position(|byte| *byte == b'\n')?;
     let line = &buf[..end];
@@ -70,27 +70,27 @@
     }
 }
 
-/// Keeps the bytes that no event has completed yet.
+/// Incremental parser that buffers the bytes of incomplete events.
 #[derive(Debug, Default)]
 pub struct SseReader {
     buf: Vec<u8>,
-    /// Start of what no event has taken.
+    /// Offset of the first unparsed byte.
     start: usize,
 }
 
 impl SseReader {
-    /// Adds a chunk, wherever it was cut.
+    /// Adds a chunk, which may end anywhere in an event.
     pub fn push(&mut self, chunk: &[u8]) {
         self.buf.drain(..self.start);
         self.start = 0;
         self.buf.extend_from_slice(chunk);
     }
 
-    /// The next whole event, if there is one.
+    /// Returns the next complete event, if there is one.
     ///
     /// # Errors
     ///
-    /// [`TooLong`] when an event, whole or not, is over the bound.
+    /// Returns [`TooLong`] when an event, complete or not, exceeds [`MAX_EVENT_BYTES`].
     pub fn next_event(&mut self) -> Result<Option<SseEvent>, TooLong> {
         let pending = &self.buf[self.start..];
         let Some((event, rest)) = parse_event(pending) else {
