--- a/fireflyd/src/keyring.rs
+++ b/fireflyd/src/keyring.rs
@@ -1,12 +1,12 @@
-//! Seals of the messages between the fleet's own processes.
+//! Seals (authentication tags) of the messages between the fleet's processes.
 //!
 //! A sealed message is its payload, followed by the id of a fleet key (one byte) and a tag: the
-//! keyed BLAKE3 hash of payload and id, cut to sixteen bytes. A ring seals with its first key and
-//! opens with any, so that a key is rolled without a stop: add the new key behind the old one
+//! keyed BLAKE3 hash of payload and id, truncated to sixteen bytes. A ring seals with its first key
+//! and opens with any, so that a key is rotated without a stop: add the new key after the old one
 //! everywhere, move it to the front everywhere, remove the old one everywhere.
 //!
-//! The seal proves membership of the fleet and integrity. It hides nothing and does not stop a
-//! replay; the layers above tolerate duplicates.
+//! The seal proves membership of the fleet and integrity. It doesn't encrypt or prevent replays;
+//! the layers above tolerate duplicates.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -17,10 +17,10 @@
 pub const KEY_LEN: usize = 32;
 /// Length of a tag in bytes.
 pub const TAG_LEN: usize = 16;
-/// Bytes that a seal adds to a message.
+/// Length of a seal in bytes.
 pub const SEAL_LEN: usize = 1 + TAG_LEN;
 
-/// Why a message was not opened.
+/// Reason for not opening a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SealError {
     /// The message is shorter than a seal.
@@ -43,14 +43,14 @@
 
 impl std::error::Error for SealError {}
 
-/// Why a key file was not accepted; line numbers start at one.
+/// Reason for refusing a key file; line numbers start at one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyFileError {
     /// No line holds a key.
     Empty,
     /// The line is not `id:64-hex`.
     Malformed(usize),
-    /// The line repeats the id of an earlier one.
+    /// The id of the line is that of an earlier one.
     DuplicateId(usize),
 }
 
@@ -72,7 +72,7 @@
     secret: [u8; KEY_LEN],
 }
 
-/// The fleet keys in force; the first one seals.
+/// The active fleet keys; the first one seals.
 #[derive(Clone)]
 pub struct KeyRing {
     keys: Vec<Key>,
@@ -87,11 +87,11 @@
 }
 
 impl KeyRing {
-    /// Ring of the given ids and keys; the first one seals.
+    /// Creates a ring from ids and keys; the first one seals.
     ///
     /// # Errors
     ///
-    /// [`KeyFileError`] when there is no key or an id is given twice.
+    /// Returns [`KeyFileError`] when there is no key or an id is given twice.
     pub fn new(keys: impl IntoIterator<Item = (u8, [u8; KEY_LEN])>) -> Result<Self, KeyFileError> {
         let mut ring = Self { keys: Vec::new() };
         for (at, (id, secret)) in keys.into_iter().enumerate() {
@@ -100,11 +100,11 @@
         ring.non_empty()
     }
 
-    /// Ring of a text with one `id:64-hex` a line; `#` starts a comment.
+    /// Parses a text with one `id:64-hex` per line; `#` starts a comment.
     ///
     /// # Errors
     ///
-    /// [`KeyFileError`] with the first line at fault.
+    /// Returns [`KeyFileError`] with the first invalid line.
     pub fn parse(text: &str) -> Result<Self, KeyFileError> {
         let mut ring = Self { keys: Vec::new() };
         for (at, line) in text.lines().enumerate() {
@@ -126,11 +126,11 @@
         buf.extend_from_slice(&tag.as_bytes()[..TAG_LEN]);
     }
 
-    /// Payload of a sealed message.
+    /// Verifies a sealed message and returns its payload.
     ///
     /// # Errors
     ///
-    /// [`SealError`] when the message was not sealed with a key of this ring.
+    /// Returns [`SealError`] when the message was not sealed with a key of this ring.
     pub fn open<'a>(&self, msg: &'a [u8]) -> Result<&'a [u8], SealError> {
         let payload_len = msg.len().checked_sub(SEAL_LEN).ok_or(SealError::TooShort)?;
         let (signed, tag) = msg.split_at(payload_len + 1);
@@ -165,7 +165,7 @@
     }
 }
 
-/// Tag as a [`blake3::Hash`], whose comparison takes the same time whatever differs.
+/// Pads a tag to a [`blake3::Hash`], whose comparison takes constant time.
 fn padded_hash(tag: &[u8]) -> blake3::Hash {
     let mut wide = [0; blake3::OUT_LEN];
     wide[..TAG_LEN].copy_from_slice(tag);
@@ -179,14 +179,14 @@
     Some((id, *secret.as_bytes()))
 }
 
-/// A ring that can be replaced while others seal and open with it.
+/// Shared key ring that can be replaced while in use.
 #[derive(Clone, Debug)]
 pub struct SharedKeyRing {
     ring: Arc<RwLock<Arc<KeyRing>>>,
 }
 
 impl SharedKeyRing {
-    /// Shares `ring`.
+    /// Creates a shared ring.
     #[must_use]
     pub fn new(ring: KeyRing) -> Self {
         Self {
@@ -194,14 +194,14 @@
         }
     }
 
-    /// The ring in force.
+    /// Returns the active ring.
     #[must_use]
     pub fn get(&self) -> Arc<KeyRing> {
         let ring = self.ring.read().unwrap_or_else(PoisonError::into_inner);
         Arc::clone(&ring)
     }
 
-    /// Puts `ring` in force.
+    /// Makes `ring` the active one.
     pub fn replace(&self, ring: KeyRing) {
         *self.ring.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(ring);
     }
@@ -211,17 +211,17 @@
 ///
 /// # Errors
 ///
-/// An error that names the file when it can't be read or holds no valid ring.
+/// Returns an error that names the file when it can't be read or holds no valid ring.
 pub fn read_key_file(path: &Path) -> anyhow::Result<KeyRing> {
     use anyhow::Context;
     let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
     KeyRing::parse(&text).with_context(|| path.display().to_string())
 }
 
-/// Re-reads `path` every `period` and puts a changed ring in force; runs until it is dropped.
+/// Re-reads `path` every `period` and activates a changed ring; runs until dropped.
 ///
-/// A file that can't be read or parsed leaves the ring in force as it is and is logged once for
-/// each different fault.
+/// A file that can't be read or parsed leaves the active ring unchanged; an error is logged unless
+/// it equals the one before.
 pub async fn watch_key_file(path: impl Into<PathBuf>, shared: SharedKeyRing, period: Duration) {
     let path = path.into();
     let mut loaded_text = String::new();
--- a/fireflyd/src/link.rs
+++ b/fireflyd/src/link.rs
@@ -1,19 +1,18 @@
-//! The sending side of the mailbox: one queue and one `nng` push socket for each peer.
+//! Sending side of the mailbox: one queue and one `nng` push socket for each peer.
 //!
-//! No task stands behind a peer. At most one frame is in the hands of `nng`, and the completion of
-//! that one hands over the next.
+//! A peer has no task of its own. `nng` holds at most one of its frames, and the completion of
+//! that send starts the next.
 //!
-//! The push socket of this `nng` release has two faults that would touch freed memory, and the
-//! code is laid out to stay clear of them:
+//! The push socket of this `nng` release has two use-after-free faults, which this code avoids:
 //!
 //! - A connection that ends just as a send completes may stay in the socket's list of ready
-//!   connections after it is freed. So a socket serves one connection only: the notice of its end,
-//!   which comes before it is freed, takes the socket out of use and closes the dialer.
-//! - A send that begins while the socket is closed is forgotten, until its timeout finds the
-//!   socket gone. So a send begins only under the lock that holds the socket, and a socket that
-//!   was taken out is closed only when its operation has been cancelled and freed.
+//!   connections after it is freed. So a socket serves one connection only: the pipe event before
+//!   the connection is freed retires the socket and closes the dialer.
+//! - A send that starts while the socket is closing is forgotten until its timeout, which then
+//!   accesses the freed socket. So a send starts only under the lock that holds the socket, and a
+//!   retired socket is closed only after its operation has been cancelled and freed.
 //!
-//! Closing waits for callbacks, so it is never done in one: a thread of the mailbox does it, see
+//! Closing waits for callbacks, so no callback may do it: a thread of the mailbox does, see
 //! [`run_janitor`].
 
 use std::collections::VecDeque;
@@ -28,20 +27,20 @@
 use crate::mailbox::Limits;
 use crate::metrics::MailboxMetrics;
 
-/// First wait before a refused connection is dialled again.
+/// Initial delay before a refused connection is dialled again.
 const RECONNECT_MIN: Duration = Duration::from_millis(50);
-/// Longest wait before a refused connection is dialled again.
+/// Longest delay before a refused connection is dialled again.
 const RECONNECT_MAX: Duration = Duration::from_secs(1);
-/// Wait before a connection that ended is replaced.
+/// Delay before an ended connection is replaced.
 const REPLACE_DELAY: Duration = Duration::from_millis(50);
 
-/// A link taken out of use, for the janitor.
+/// A retired link, to be closed and replaced by the janitor.
 pub(crate) struct RetiredLink {
     peer: Weak<Peer>,
     link: Option<Link>,
 }
 
-/// An address sent to, with the frames that wait for it.
+/// A destination address with its queued frames and link.
 pub(crate) struct Peer {
     to: SocketAddr,
     limits: Limits,
@@ -52,15 +51,15 @@
 
 struct State {
     frames: VecDeque<QueuedFrame>,
-    /// Length of all waiting frames.
+    /// Total length of the queued frames in bytes.
     bytes: usize,
-    /// Length of the frame in the hands of `nng`, if there is one.
+    /// Length in bytes of the frame being sent by `nng`, if any.
     in_flight: Option<usize>,
     last_push: Instant,
     link: Option<Link>,
-    /// Number of the newest link.
+    /// Serial number of the newest link.
     serial: u64,
-    /// Whether the janitor is to look for a new link.
+    /// Whether a new link waits for the janitor.
     reconnecting: bool,
 }
 
@@ -106,7 +105,7 @@
         }
     }
 
-    /// Queues a frame, or drops it when the queue is full.
+    /// Queues a frame, or drops it if the queue is full.
     pub(crate) fn push(self: &Arc<Self>, frame: Vec<u8>) {
         let mut state = self.state();
         let queued_at = Instant::now();
@@ -122,7 +121,7 @@
         self.advance(&mut state);
     }
 
-    /// Whether nothing was queued for the idle time.
+    /// Returns whether nothing is queued and no frame was pushed for [`Limits::idle`].
     pub(crate) fn is_idle(&self, now: Instant) -> bool {
         let state = self.state();
         let is_drained = state.in_flight.is_none() && state.frames.is_empty();
@@ -137,7 +136,7 @@
         self.metrics.dropped.with_label_values(&[cause]).inc();
     }
 
-    /// Looks for a new link when frames wait for one.
+    /// Dials a new link if frames are queued.
     fn reconnect(self: &Arc<Self>) {
         let mut state = self.state();
         state.reconnecting = false;
@@ -146,7 +145,7 @@
         }
     }
 
-    /// Hands over the next frame, over a new link if there is none.
+    /// Sends the next frame, on a new link if there is none.
     fn advance(self: &Arc<Self>, state: &mut State) {
         if state.reconnecting {
             return;
@@ -166,7 +165,7 @@
         self.send_next(state);
     }
 
-    /// Gives the next frame that is young enough to the link.
+    /// Starts sending the next frame that is within [`Limits::max_age`].
     fn send_next(&self, state: &mut State) {
         while state.in_flight.is_none() {
             let Some(next) = state.pop() else {
@@ -189,7 +188,7 @@
         }
     }
 
-    /// The frame in the hands of link `serial` has gone its way.
+    /// Handles the completion of a send on link `serial`.
     fn on_sent(&self, serial: u64, res: &AioResult) {
         let mut state = self.state();
         if !state.is_current(serial) {
@@ -207,15 +206,15 @@
         self.send_next(&mut state);
     }
 
-    /// The connection of link `serial` has ended and is about to be freed.
+    /// Handles the end of the connection of link `serial`, before it is freed.
     fn on_pipe_removed(self: &Arc<Self>, serial: u64, pipe: Pipe) {
         let mut state = self.state();
         if !state.is_current(serial) {
-            // The socket is being closed, and its dialer with it.
+            // The socket is being closed together with its dialer.
             return;
         }
         let link = self.retire_link(&mut state);
-        // Closing a dialer takes a lock of the socket that callbacks hold while they wait for ours.
+        // Closing a dialer takes a socket lock that callbacks hold while they wait for this one.
         drop(state);
         if let Some(dialer) = pipe.dialer() {
             dialer.close();
@@ -223,7 +222,7 @@
         self.dispose(link);
     }
 
-    /// Takes the link out of use until the janitor has been.
+    /// Removes the link; no new one is dialled until the janitor calls [`Self::reconnect`].
     fn retire_link(&self, state: &mut State) -> Option<Link> {
         if state.in_flight.take().is_some() {
             self.count_drop("link");
@@ -249,16 +248,16 @@
 
 fn send_to_janitor(retired: &Sender<RetiredLink>, link: RetiredLink) {
     if let Err(refused) = retired.send(link) {
-        // The janitor is gone; this may be a callback, which must not close a socket.
+        // The janitor has stopped. This may be a callback, which must not close a socket.
         std::thread::spawn(move || drop(refused));
     }
 }
 
-/// A socket for one connection; its drop closes it and must not happen in a callback.
+/// A socket for one connection; dropping it closes it, which no callback may do.
 struct Link {
     serial: u64,
     socket: Socket,
-    /// Present until the drop.
+    /// `Some` until the drop.
     aio: Option<Aio>,
 }
 
@@ -308,20 +307,20 @@
     }
 }
 
-/// Ends the operation of `aio`, frees it, and only then closes its socket.
+/// Cancels the operation of `aio`, frees it, and only then closes its socket.
 ///
-/// Waits for callbacks, so it must not be called from one; no operation may begin any more.
+/// Waits for callbacks, so it must not be called from one; no further operation may start.
 pub(crate) fn stop(aio: Aio, socket: &Socket) {
     aio.cancel();
     aio.wait();
-    // Freeing waits for a timeout that is just being dealt with.
+    // Freeing waits for a timeout that is being handled.
     drop(aio);
     socket.close();
 }
 
-/// Closes lost links, has their peers look for new ones, and calls `sweep` once every `period`.
+/// Closes retired links, reconnects their peers, and calls `sweep` once every `period`.
 ///
-/// Runs until every sender of `rx` is gone.
+/// Runs until every sender of `rx` is dropped.
 pub(crate) fn run_janitor(rx: &Receiver<RetiredLink>, period: Duration, sweep: impl Fn()) {
     let mut reconnects: VecDeque<(Instant, Weak<Peer>)> = VecDeque::new();
     let mut next_sweep = Instant::now() + period;
--- a/fireflyd/src/mailbox.rs
+++ b/fireflyd/src/mailbox.rs
@@ -1,9 +1,9 @@
-//! Messages between the fleet's own processes, over `nng` push and pull sockets on TCP.
+//! Messages between the fleet's processes, over `nng` push and pull sockets on TCP.
 //!
-//! Each process has one listening pull socket, its mailbox, and dials one push socket for each
-//! address it sends to. Nothing here waits or retries: a message that finds its queue full, or
-//! that no link has taken within [`Limits::max_age`], is dropped and counted, and the layers above
-//! recover from the loss. A message may also be lost with the connection that carried it.
+//! Each process listens on one pull socket, its mailbox, and dials one push socket for each
+//! destination. Nothing here waits or retries: a message is dropped and counted when its queue is
+//! full or when it isn't sent within [`Limits::max_age`], and the layers above recover from the
+//! loss. A message may also be lost with its connection.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,27 +23,27 @@
 
 /// Largest payload of a message in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// Largest sealed message in bytes; a longer one is dropped and counted.
+/// Largest sealed message in bytes; longer ones are dropped and counted.
 pub const MAX_FRAME_BYTES: usize = MAX_MESSAGE_BYTES + SEAL_LEN;
-/// Length in bytes from which `nng` cuts the connection instead of reading on.
+/// Receive limit in bytes beyond which `nng` closes the connection.
 ///
-/// It lies above [`MAX_FRAME`], so that a slightly longer frame is counted and costs its sender
-/// no connection.
+/// It is above [`MAX_FRAME_BYTES`], so that a slightly longer frame is counted and doesn't cost
+/// its sender the connection.
 const DISCONNECT_FRAME_BYTES: usize = 2 * MAX_FRAME_BYTES;
-/// Bounds of a mailbox.
+/// Limits of a mailbox.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Received messages waiting for the reader.
+    /// Most received messages queued for the reader.
     pub inbox: usize,
-    /// Messages waiting for one peer.
+    /// Most messages queued for one peer.
     pub peer_messages: usize,
-    /// Bytes waiting for one peer.
+    /// Most bytes queued for one peer.
     pub peer_bytes: usize,
-    /// Peers with an open link.
+    /// Most peers with an open link.
     pub peers: usize,
-    /// Age at which a message that no link has taken is dropped.
+    /// Age at which an unsent message is dropped.
     pub max_age: Duration,
-    /// Time without a send after which a peer's link is closed.
+    /// Time without a message to a peer after which its link is closed.
     pub idle: Duration,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// The process's end of all links; cloning shares it, the last drop closes every link.
+/// Sends and receives messages; clones share the sockets, and the last drop closes them.
 #[derive(Clone)]
 pub struct Mailbox {
     shared: Arc<Shared>,
@@ -77,11 +77,12 @@
 }
 
 impl Mailbox {
-    /// Listens at `listen` (port 0 lets the system choose) and gives the opened messages.
+    /// Listens at `listen` (port 0 lets the system choose) and returns the mailbox with the
+    /// receiver of its opened messages.
     ///
     /// # Errors
     ///
-    /// An error that names the address when it can't be listened on.
+    /// Returns an error that names the address when it can't be listened on.
     pub fn open(
         listen: SocketAddr,
         keys: SharedKeyRing,
@@ -113,15 +114,15 @@
         Ok((Self { shared }, rx))
     }
 
-    /// The address listened on, with the port in force.
+    /// Returns the listening address with the actual port.
     #[must_use]
     pub fn local_addr(&self) -> SocketAddr {
         self.shared.local
     }
 
-    /// Queues `payload` for the mailbox at `to`; never waits.
+    /// Queues `payload` for the mailbox at `to` without waiting.
     ///
-    /// Drops and counts it when a bound is met.
+    /// Drops and counts it when a limit is reached.
     pub fn send(&self, to: SocketAddr, mut payload: Vec<u8>) {
         if payload.len() > MAX_MESSAGE_BYTES {
             self.shared.count_drop("too_long");
@@ -140,7 +141,7 @@
         self.metrics.dropped.with_label_values(&[cause]).inc();
     }
 
-    /// The peer at `to`; `None` when there are too many.
+    /// Returns the peer at `to`, created if new; `None` when there are too many.
     fn peer(&self, to: SocketAddr) -> Option<Arc<Peer>> {
         let peers = self.peers.read().unwrap_or_else(PoisonError::into_inner);
         if let Some(peer) = peers.get(&to) {
@@ -161,7 +162,7 @@
         Peer::new(to, self.limits, self.metrics.clone(), self.retired.clone())
     }
 
-    /// Takes out the peers without a send for the idle time.
+    /// Removes the peers that have been idle for [`Limits::idle`].
     fn close_idle(&self, now: Instant) {
         let mut peers = self.peers.write().unwrap_or_else(PoisonError::into_inner);
         peers.retain(|_, peer| !peer.is_idle(now));
@@ -178,7 +179,7 @@
     }
 }
 
-/// What becomes of a received frame.
+/// Opens received frames and queues their payloads.
 struct Reader {
     keys: SharedKeyRing,
     metrics: MailboxMetrics,
@@ -206,7 +207,7 @@
     }
 }
 
-/// Lets operations on a socket begin until it is shut.
+/// Guards a socket: no operation starts after it is closed.
 struct Gate {
     open: Mutex<bool>,
 }
@@ -218,9 +219,9 @@
         }
     }
 
-    /// Begins an operation, or answers as a closed socket does.
+    /// Starts an operation, or fails with `Closed`.
     fn begin(&self, start: impl FnOnce() -> nng::Result<()>) -> nng::Result<()> {
-        // Held until the operation can be cancelled.
+        // The lock is held until the operation can be cancelled.
         let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         if *open {
             start()
@@ -234,15 +235,15 @@
     }
 }
 
-/// The listening socket; its drop closes it and waits for the callback.
+/// Listening socket; dropping it waits for its callback and closes it.
 struct Inbox {
     state: Arc<InboxState>,
-    /// Present until the drop.
+    /// `Some` until the drop.
     aio: Option<Aio>,
     listener: Listener,
 }
 
-/// What the callback of the inbox works on.
+/// State used by the callback of the inbox.
 struct InboxState {
     socket: Socket,
     gate: Gate,
--- a/fireflyd/src/metrics.rs
+++ b/fireflyd/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters, gauges and histograms of one process.
 //!
-//! All of them hang on a registry of their own, so that a test can hold many processes at once.
-//! Cloning is cheap and shares the values.
+//! Each instance has its own registry, so that a test can run many processes at once. Cloning is
+//! cheap and shares the values.
 
 use std::fmt::Write;
 
@@ -22,7 +22,7 @@
     registry: Registry,
     /// Requests ended, by `brand`, `priority` and result `code`.
     pub requests: IntCounterVec,
-    /// Requests that met their objective or not, by `brand`, `priority` and `met`.
+    /// Requests with an objective, by `brand`, `priority` and `met`.
     pub objective: IntCounterVec,
     /// Seconds from a request's arrival to its first token, by `class`.
     pub first_token_seconds: HistogramVec,
@@ -36,15 +36,15 @@
     pub offers_sent: IntCounter,
     /// Offers refused, by result `code`.
     pub offers_refused: IntCounterVec,
-    /// Streams taken up again at an offset after a cut or stalled link.
+    /// Streams reattached at an offset after a broken or stalled link.
     pub reattachments: IntCounter,
-    /// Generations started afresh before anything was delivered.
+    /// Generations restarted before anything was delivered.
     pub restarts: IntCounter,
     /// Messages and bytes of the mailbox.
     pub mailbox: MailboxMetrics,
-    /// Calls of the platform, by `kind` and `result`.
+    /// Calls to the platform, by `kind` and `result`.
     pub platform_calls: IntCounterVec,
-    /// Version of the configuration in force.
+    /// Version of the active configuration.
     pub config_version: IntGauge,
     /// Known members of the fleet, by `state`.
     pub members: IntGaugeVec,
@@ -52,7 +52,7 @@
     pub quarantined_digests: IntGauge,
 }
 
-/// The mailbox's part of the metrics.
+/// Metrics of the mailbox.
 #[derive(Clone, Debug)]
 pub struct MailboxMetrics {
     /// Messages handed to a link.
@@ -66,18 +66,18 @@
     /// Messages dropped, by `cause`: `queue_full`, `too_old`, `too_long`, `too_many_peers`,
     /// `link`, `inbox_full`.
     pub dropped: IntCounterVec,
-    /// Messages refused for their seal.
+    /// Messages refused for an invalid seal.
     pub refused_seal: IntCounter,
     /// Peers with an open link.
     pub peers: IntGauge,
 }
 
 impl Metrics {
-    /// Metrics on a fresh registry, all at zero.
+    /// Creates the metrics on a new registry, all at zero.
     ///
     /// # Errors
     ///
-    /// A prometheus error when two names clash.
+    /// Returns a Prometheus error when two names clash.
     pub fn new() -> anyhow::Result<Self> {
         let registry = Registry::new();
         Ok(Self {
@@ -112,19 +112,19 @@
                 "Offers refused",
                 &["code"],
             )?,
-            reattachments: counter(&registry, "reattachments_total", "Streams taken up again")?,
-            restarts: counter(&registry, "restarts_total", "Generations started afresh")?,
+            reattachments: counter(&registry, "reattachments_total", "Streams reattached")?,
+            restarts: counter(&registry, "restarts_total", "Generations restarted")?,
             mailbox: MailboxMetrics::new(&registry)?,
             platform_calls: counter_vec(
                 &registry,
                 "platform_calls_total",
-                "Calls of the platform",
+                "Calls to the platform",
                 &["kind", "result"],
             )?,
             config_version: gauge(
                 &registry,
                 "config_version",
-                "Version of the configuration in force",
+                "Version of the active configuration",
             )?,
             members: gauge_vec(&registry, "members", "Known members", &["state"])?,
             quarantined_digests: gauge(&registry, "quarantined_digests", "Digests in quarantine")?,
@@ -132,12 +132,12 @@
         })
     }
 
-    /// All metrics in the prometheus text format.
+    /// Renders all metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         let mut text = String::new();
         if let Err(e) = TextEncoder::new().encode_utf8(&self.registry.gather(), &mut text) {
-            // Writing to a string can't fail, so the comment is all a reader needs.
+            // Writing to a string can't fail; the comment reports an encoding error.
             let _ = writeln!(text, "# {e}");
         }
         text
--- a/fireflyd/src/node.rs
+++ b/fireflyd/src/node.rs
@@ -1,4 +1,4 @@
-//! What both roles share: identity, clock, mailbox, members and journal.
+//! State shared by both roles: identity, clock, mailbox, members and journal.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -15,40 +15,40 @@
 use crate::metrics::Metrics;
 use crate::outbox::Outbox;
 
-/// Time between two ticks of the core.
+/// Interval of the core's ticks.
 pub const TICK: Duration = Duration::from_millis(50);
-/// Time between two turns of what costs more with each member and hurries
-/// nobody: ranks, counts, and what operators are shown.
+/// Interval of the tasks that aren't urgent and whose cost grows with the
+/// members: ranks, counts and the status page.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a process is told of itself.
+/// Configured identity of a process.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Stable name.
     pub name: Name,
     /// Data centre.
     pub data_centre: Name,
-    /// What it does.
+    /// Entry or agent.
     pub role: Role,
     /// Models or plain services of its upstream; empty for an entry.
     pub serves: Vec<Name>,
-    /// Mailboxes of some members.
+    /// Mailbox addresses of seed members.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// One process of the fleet, without its role's core.
+/// One process of the fleet, without the core of its role.
 pub struct Node {
-    /// Who it is.
+    /// Its own peer record.
     pub me: Peer,
     /// Its mailbox.
     pub mailbox: Mailbox,
     /// Its metrics.
     pub metrics: Metrics,
-    /// Members it knows.
+    /// Its view of the members.
     pub fleet: Fleet,
-    /// Messages of this turn.
+    /// Outgoing messages of this turn.
     pub outbox: Outbox,
-    /// What happened of late, by request.
+    /// Recent events of requests.
     pub journal: Journal,
     /// Time between refusing new work and leaving.
     pub grace: GracePeriod,
@@ -57,7 +57,7 @@
 }
 
 impl Node {
-    /// A node of that identity at that mailbox.
+    /// Creates a node with that identity and mailbox.
     #[must_use]
     pub fn new(
         identity: Identity,
@@ -92,13 +92,13 @@
         }
     }
 
-    /// Time since the start.
+    /// Returns the time since the start.
     #[must_use]
     pub fn now(&self) -> Time {
         Time::default() + self.started.elapsed()
     }
 
-    /// Whether upkeep is due at `now`; if so, the next is due a while later.
+    /// Returns whether maintenance is due at `now`; if so, schedules the next.
     pub fn start_maintenance(&mut self, now: Time) -> bool {
         let due = now >= self.next_maintenance;
         if due {
@@ -107,7 +107,7 @@
         due
     }
 
-    /// Reads a message of the mailbox; one that cannot be read is logged.
+    /// Decodes a mailbox message; logs one that is unreadable.
     #[must_use]
     pub fn read(&self, buf: &[u8]) -> Option<(Header, Vec<Message>)> {
         match decode_all(buf) {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Counts the members by state for the metrics.
+    /// Updates the metrics of members by state.
     pub fn update_member_counts(&self) {
         let states = [
             ("alive", MemberState::Alive),
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Logs a note and counts what it stands for.
+    /// Logs an event, adds it to the journal and updates the metrics.
     pub fn record_event(&self, log_event: &LogEvent) {
         update_metrics(&self.metrics, log_event);
         self.journal.add(log_event);
@@ -170,8 +170,8 @@
     }
 }
 
-/// Number of this life: milliseconds of the wall clock above random bits, so
-/// that a later life of the same process has a higher one.
+/// Returns a new incarnation number: milliseconds of the wall clock above
+/// random bits, so that a restarted process gets a higher one.
 fn new_incarnation() -> Incarnation {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/fireflyd/src/plain_client.rs
+++ b/fireflyd/src/plain_client.rs
@@ -8,18 +8,18 @@
 
 use crate::upstream::{HOP_BY_HOP, Result, base_url, body, broken, http_client, never_sent};
 
-/// Answer of a plain service, whatever its status.
+/// Response of a plain service, with any status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlainResponse {
     /// HTTP status.
     pub status: u16,
-    /// Content type, if the service named one.
+    /// Content type, if present.
     pub content_type: Option<String>,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Client of one plain service; cloning shares its connections.
+/// Client of one plain service; clones share its connections.
 #[derive(Clone, Debug)]
 pub struct PlainClient {
     http: reqwest::Client,
@@ -29,11 +29,12 @@
 }
 
 impl PlainClient {
-    /// Client of the service at `base`; `timeout` bounds a call, `max_answer` its answer in bytes.
+    /// Creates a client of the service at `base`; `timeout` limits a call, `max_response_bytes`
+    /// its response.
     ///
     /// # Errors
     ///
-    /// An error when `base` is no HTTP URL.
+    /// Returns an error when `base` is not an HTTP URL.
     pub fn new(base: &str, timeout: Duration, max_response_bytes: usize) -> anyhow::Result<Self> {
         Ok(Self {
             http: http_client(timeout)?,
@@ -43,13 +44,13 @@
         })
     }
 
-    /// Makes a call; `path` may hold a query.
+    /// Makes a call; `path` may include a query.
     ///
-    /// Headers that concern the caller's own connection are left out.
+    /// Headers of the caller's own connection, such as `host`, are omitted.
     ///
     /// # Errors
     ///
-    /// `NeverSent`, `Broken` or `Unusable`; any status is an answer.
+    /// Returns `NeverSent`, `Broken` or `Unusable`; an HTTP error status is a response.
     pub async fn call(
         &self,
         method: &str,
@@ -74,7 +75,7 @@
             .await
     }
 
-    /// URL of a path below the base; never another host.
+    /// Returns the URL of a path below the base; the host can't change.
     fn url(&self, path: &str) -> Url {
         let (path, query) = path
             .split_once('?')
--- a/fireflyd/src/status.rs
+++ b/fireflyd/src/status.rs
@@ -1,22 +1,22 @@
-//! The state that a process shows to operators, renewed by its loop.
+//! Status of a process for operators, updated by its loop.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use serde_json::Value;
 
-/// State shown last; cloning shares it.
+/// Latest status; clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
     value: Arc<Mutex<Value>>,
 }
 
 impl Status {
-    /// Shows `value` from now on.
+    /// Replaces the status.
     pub fn set(&self, value: Value) {
         *self.value.lock().unwrap_or_else(PoisonError::into_inner) = value;
     }
 
-    /// What is shown.
+    /// Returns the current status.
     #[must_use]
     pub fn get(&self) -> Value {
         self.value
