--- a/fireflyd/tests/keyring.rs
+++ b/fireflyd/tests/keyring.rs
@@ -113,7 +113,7 @@
     }
 }
 
-async fn opens(shared: &SharedKeyRing, msg: &[u8], want: bool) {
+async fn await_opens(shared: &SharedKeyRing, msg: &[u8], want: bool) {
     let poll = async {
         while shared.get().open(msg).is_ok() != want {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -135,14 +135,14 @@
         Duration::from_millis(5),
     ));
     let by_new = sealed(&ring(&[NEW]), b"offer");
-    opens(&shared, &by_new, false).await;
+    await_opens(&shared, &by_new, false).await;
     std::fs::write(&path, format!("{}\n{}", line(1, "11"), line(2, "22"))).unwrap();
-    opens(&shared, &by_new, true).await;
+    await_opens(&shared, &by_new, true).await;
     std::fs::write(&path, "broken").unwrap();
     tokio::time::sleep(Duration::from_millis(50)).await;
     assert!(shared.get().open(&by_new).is_ok());
     std::fs::write(&path, line(1, "11")).unwrap();
-    opens(&shared, &by_new, false).await;
+    await_opens(&shared, &by_new, false).await;
     watch.abort();
     std::fs::remove_file(&path).unwrap();
 }
--- a/fireflyd/tests/mailbox.rs
+++ b/fireflyd/tests/mailbox.rs
@@ -11,18 +11,18 @@
 const OLD: (u8, [u8; KEY_LEN]) = (1, [0x11; KEY_LEN]);
 const NEW: (u8, [u8; KEY_LEN]) = (2, [0x22; KEY_LEN]);
 /// Generous bound of each wait for an event.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 /// Wait between two looks at a counter.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-struct End {
+struct Endpoint {
     mailbox: Mailbox,
     rx: Receiver<Vec<u8>>,
     keys: SharedKeyRing,
     metrics: MailboxMetrics,
 }
 
-impl End {
+impl Endpoint {
     fn new(keys: &[(u8, [u8; KEY_LEN])]) -> Self {
         Self::at(any_port(), keys, Limits::default()).unwrap()
     }
@@ -48,7 +48,7 @@
     }
 
     async fn next(&mut self) -> Vec<u8> {
-        tokio::time::timeout(PATIENCE, self.rx.recv())
+        tokio::time::timeout(TIMEOUT, self.rx.recv())
             .await
             .expect("no message came")
             .expect("the mailbox ended")
@@ -64,7 +64,7 @@
 }
 
 /// A port on a loopback number of its own, so that no other test gets it in between.
-fn port_to_return_to(last: u8) -> SocketAddr {
+fn reusable_addr(last: u8) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::new(127, 0, 0, last), 0))
 }
 
@@ -75,11 +75,11 @@
 async fn until(what: &str, done: impl Fn() -> bool) {
     let poll = async {
         while !done() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
     assert!(
-        tokio::time::timeout(PATIENCE, poll).await.is_ok(),
+        tokio::time::timeout(TIMEOUT, poll).await.is_ok(),
         "never came: {what}"
     );
 }
@@ -95,8 +95,8 @@
     ($($name:ident: $len:expr;)*) => {$(
         #[tokio::test]
         async fn $name() {
-            let (a, mut b) = (End::new(&[OLD]), End::new(&[OLD]));
-            let payload: Vec<u8> = (0..$len).map(|at: usize| at.to_le_bytes()[0]).collect();
+            let (a, mut b) = (Endpoint::new(&[OLD]), Endpoint::new(&[OLD]));
+            let payload: Vec<u8> = (0..$len).map(|index: usize| index.to_le_bytes()[0]).collect();
             a.mailbox.send(b.addr(), payload.clone());
             assert!(b.next().await == payload);
         }
@@ -113,18 +113,18 @@
     ($($name:ident: $len:expr, sealed $sealed:expr => $counted:expr;)*) => {$(
         #[tokio::test]
         async fn $name() {
-            let mut b = End::new(&[OLD]);
+            let mut b = Endpoint::new(&[OLD]);
             let mut frame = vec![3; $len];
             if $sealed {
                 ring(&[OLD]).seal(&mut frame);
             }
             let raw = raw_push(b.addr());
             raw.send(&frame[..]).unwrap();
-            let counted: Option<fn(&End) -> u64> = $counted;
+            let counted: Option<fn(&Endpoint) -> u64> = $counted;
             if let Some(counted) = counted {
                 until("the count", || counted(&b) == 1).await;
             }
-            let a = End::new(&[OLD]);
+            let a = Endpoint::new(&[OLD]);
             a.mailbox.send(b.addr(), b"after".to_vec());
             assert_eq!(b.next().await, b"after");
             assert_eq!(b.metrics.received.get(), 1);
@@ -142,11 +142,11 @@
 
 #[tokio::test]
 async fn a_wrong_fleet_key_is_refused_and_the_mailbox_lives_on() {
-    let mut b = End::new(&[OLD]);
-    let stranger = End::new(&[(1, [0x99; KEY_LEN])]);
-    stranger.mailbox.send(b.addr(), b"forged".to_vec());
+    let mut b = Endpoint::new(&[OLD]);
+    let foreign = Endpoint::new(&[(1, [0x99; KEY_LEN])]);
+    foreign.mailbox.send(b.addr(), b"forged".to_vec());
     until("the refusal", || b.metrics.refused_seal.get() == 1).await;
-    let a = End::new(&[OLD]);
+    let a = Endpoint::new(&[OLD]);
     a.mailbox.send(b.addr(), b"true".to_vec());
     assert_eq!(b.next().await, b"true");
     assert_eq!(b.metrics.received.get(), 1);
@@ -154,7 +154,7 @@
 
 #[tokio::test]
 async fn a_key_is_rolled_without_loss() {
-    let (a, mut b) = (End::new(&[OLD]), End::new(&[OLD]));
+    let (a, mut b) = (Endpoint::new(&[OLD]), Endpoint::new(&[OLD]));
     // Each step reaches one process before the other.
     let steps: [(&[_], &[_]); 6] = [
         (&[OLD, NEW], &[OLD]),
@@ -167,11 +167,11 @@
     for (step, (a_keys, b_keys)) in (0_u8..).zip(steps) {
         a.keys.replace(ring(a_keys));
         b.keys.replace(ring(b_keys));
-        for at in 0..50 {
-            a.mailbox.send(b.addr(), vec![step, at]);
+        for index in 0..50 {
+            a.mailbox.send(b.addr(), vec![step, index]);
         }
-        for at in 0..50 {
-            assert_eq!(b.next().await, [step, at]);
+        for index in 0..50 {
+            assert_eq!(b.next().await, [step, index]);
         }
     }
     assert_eq!(b.metrics.refused_seal.get(), 0);
@@ -179,19 +179,19 @@
 
 #[tokio::test]
 async fn messages_of_one_peer_keep_their_order() {
-    let (a, mut b) = (End::new(&[OLD]), End::new(&[OLD]));
-    for at in 0..2000_u32 {
-        a.mailbox.send(b.addr(), at.to_le_bytes().to_vec());
+    let (a, mut b) = (Endpoint::new(&[OLD]), Endpoint::new(&[OLD]));
+    for index in 0..2000_u32 {
+        a.mailbox.send(b.addr(), index.to_le_bytes().to_vec());
     }
-    for at in 0..2000_u32 {
-        assert_eq!(b.next().await, at.to_le_bytes());
+    for index in 0..2000_u32 {
+        assert_eq!(b.next().await, index.to_le_bytes());
     }
 }
 
 #[tokio::test]
 async fn a_peer_restarted_at_its_address_gets_messages_again() {
-    let a = End::new(&[OLD]);
-    let mut b = End::at(port_to_return_to(2), &[OLD], Limits::default()).unwrap();
+    let a = Endpoint::new(&[OLD]);
+    let mut b = Endpoint::at(reusable_addr(2), &[OLD], Limits::default()).unwrap();
     let addr = b.addr();
     a.mailbox.send(addr, b"first".to_vec());
     assert_eq!(b.next().await, b"first");
@@ -208,31 +208,31 @@
             }
         }
     };
-    let msg = tokio::time::timeout(PATIENCE, again).await.unwrap();
+    let msg = tokio::time::timeout(TIMEOUT, again).await.unwrap();
     assert_eq!(msg, b"again");
 }
 
-async fn reopen(addr: SocketAddr) -> End {
+async fn reopen(addr: SocketAddr) -> Endpoint {
     let reopened = async {
         loop {
-            match End::at(addr, &[OLD], Limits::default()) {
+            match Endpoint::at(addr, &[OLD], Limits::default()) {
                 Ok(end) => return end,
-                Err(_) => tokio::time::sleep(LOOK).await,
+                Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
     };
-    tokio::time::timeout(PATIENCE, reopened)
+    tokio::time::timeout(TIMEOUT, reopened)
         .await
         .expect("the address stayed in use")
 }
 
 /// An address that refuses connections; no other socket gets it while this one lives.
-struct Nobody {
+struct UnreachablePeer {
     _bound: tokio::net::TcpSocket,
     addr: SocketAddr,
 }
 
-impl Nobody {
+impl UnreachablePeer {
     fn new() -> Self {
         let bound = tokio::net::TcpSocket::new_v4().unwrap();
         bound.bind(any_port()).unwrap();
@@ -250,10 +250,10 @@
         max_age: Duration::from_millis(100),
         ..Limits::default()
     };
-    let a = End::at(any_port(), &[OLD], limits).unwrap();
-    let nobody = Nobody::new();
+    let a = Endpoint::at(any_port(), &[OLD], limits).unwrap();
+    let unreachable = UnreachablePeer::new();
     for _ in 0..100 {
-        a.mailbox.send(nobody.addr, vec![1; 10]);
+        a.mailbox.send(unreachable.addr, vec![1; 10]);
     }
     until("the drops", || a.dropped("too_old") == 100).await;
     assert_eq!(a.metrics.sent.get(), 0);
@@ -263,12 +263,12 @@
     ($($name:ident: $limits:expr => $dropped:expr;)*) => {$(
         #[tokio::test]
         async fn $name() {
-            let limits = Limits { max_age: PATIENCE, ..$limits };
-            let a = End::at(any_port(), &[OLD], limits).unwrap();
-            let nobody = Nobody::new();
+            let limits = Limits { max_age: TIMEOUT, ..$limits };
+            let a = Endpoint::at(any_port(), &[OLD], limits).unwrap();
+            let unreachable = UnreachablePeer::new();
             // One message leaves the queue for the socket, ten meet the bound.
             for _ in 0..11 {
-                a.mailbox.send(nobody.addr, vec![1; 100]);
+                a.mailbox.send(unreachable.addr, vec![1; 100]);
             }
             assert_eq!(a.dropped("queue_full"), $dropped);
         }
@@ -286,8 +286,8 @@
         peers: 1,
         ..Limits::default()
     };
-    let a = End::at(any_port(), &[OLD], limits).unwrap();
-    let (first, second) = (Nobody::new(), Nobody::new());
+    let a = Endpoint::at(any_port(), &[OLD], limits).unwrap();
+    let (first, second) = (UnreachablePeer::new(), UnreachablePeer::new());
     a.mailbox.send(first.addr, vec![1; MAX_MESSAGE_BYTES + 1]);
     assert_eq!(a.dropped("too_long"), 1);
     a.mailbox.send(first.addr, vec![1]);
@@ -302,8 +302,8 @@
         idle: Duration::from_millis(500),
         ..Limits::default()
     };
-    let a = End::at(any_port(), &[OLD], limits).unwrap();
-    let mut b = End::new(&[OLD]);
+    let a = Endpoint::at(any_port(), &[OLD], limits).unwrap();
+    let mut b = Endpoint::new(&[OLD]);
     for round in 0..3 {
         a.mailbox.send(b.addr(), vec![round]);
         assert_eq!(b.next().await, [round]);
@@ -314,11 +314,11 @@
 #[tokio::test]
 async fn closing_amid_traffic_ends() {
     for round in 0..20_u8 {
-        let (a, b) = (End::new(&[OLD]), End::new(&[OLD]));
+        let (a, b) = (Endpoint::new(&[OLD]), Endpoint::new(&[OLD]));
         let to_a = a.addr();
-        for at in 0..200 {
-            a.mailbox.send(b.addr(), vec![round, at]);
-            b.mailbox.send(to_a, vec![round, at]);
+        for index in 0..200 {
+            a.mailbox.send(b.addr(), vec![round, index]);
+            b.mailbox.send(to_a, vec![round, index]);
         }
         let closed = tokio::task::spawn_blocking(move || {
             // The one with queued messages goes first, then the one it sent to.
@@ -328,7 +328,7 @@
                 drop((b, a));
             }
         });
-        tokio::time::timeout(PATIENCE, closed)
+        tokio::time::timeout(TIMEOUT, closed)
             .await
             .expect("closing hangs")
             .unwrap();
@@ -337,8 +337,8 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_peer_may_come_and_go_amid_traffic() {
-    let a = End::new(&[OLD]);
-    let addr = End::at(port_to_return_to(3), &[OLD], Limits::default())
+    let a = Endpoint::new(&[OLD]);
+    let addr = Endpoint::at(reusable_addr(3), &[OLD], Limits::default())
         .unwrap()
         .addr();
     let sender = a.mailbox.clone();
--- a/fireflyd/tests/processes_claims.rs
+++ b/fireflyd/tests/processes_claims.rs
@@ -15,9 +15,9 @@
 /// Time that a slow platform holds up each call.
 const SLOW_MS: u64 = 900;
 /// Factor by which a first step takes more than a second.
-const NO_TOKEN_YET: u32 = 500;
+const SLOW_FIRST_STEP_FACTOR: u32 = 500;
 /// Longest wait for a refusal that is to come at once.
-const AT_ONCE: Duration = Duration::from_secs(4);
+const PROMPT_TIMEOUT: Duration = Duration::from_secs(4);
 
 crate::cases! {
     agents_frozen_before_the_offer => agents_frozen_before_offer();
@@ -63,7 +63,7 @@
     }
 }
 
-fn begin(caller: &Caller, request: Request, entry: usize) -> JoinHandle<Got> {
+fn start_call(caller: &Caller, request: Request, entry: usize) -> JoinHandle<Got> {
     let caller = caller.clone();
     tokio::spawn(async move { caller.run(request, entry).await })
 }
@@ -85,7 +85,7 @@
 }
 
 /// Waits until an agent holds a reservation; gives the agent's index.
-async fn reserved(fleet: &Fleet) -> usize {
+async fn await_reservation(fleet: &Fleet) -> usize {
     let mut at = None;
     until("a reservation", || async {
         for agent in &fleet.agents {
@@ -110,7 +110,12 @@
     for agent in &mut fleet.agents {
         agent.process.freeze();
     }
-    let res = within(AT_ONCE, "the refusal", post(&fleet, 0, "m", DOSSIERS)).await;
+    let res = within(
+        PROMPT_TIMEOUT,
+        "the refusal",
+        post(&fleet, 0, "m", DOSSIERS),
+    )
+    .await;
     assert!(res.headers().contains_key("retry-after"));
     let code = error_code(res).await;
     assert_eq!(code / 1_000, 2, "{code}");
@@ -130,8 +135,8 @@
 async fn agent_frozen_before_start() {
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.platform_faults(json!({"hang_ms": SLOW_MS})).await;
-    let call = begin(&fleet.caller(), grade("m"), 0);
-    let agent = reserved(&fleet).await;
+    let call = start_call(&fleet.caller(), grade("m"), 0);
+    let agent = await_reservation(&fleet).await;
     fleet.agents[agent].process.freeze();
     sleep(Duration::from_secs(3)).await;
     fleet.platform_faults(json!({"hang_ms": 0})).await;
@@ -147,8 +152,8 @@
 async fn entry_killed_before_start() {
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.platform_faults(json!({"hang_ms": SLOW_MS})).await;
-    let call = begin(&fleet.caller(), grade("m"), 0);
-    reserved(&fleet).await;
+    let call = start_call(&fleet.caller(), grade("m"), 0);
+    await_reservation(&fleet).await;
     fleet.entries[0].process.kill();
     fleet.platform_faults(json!({"hang_ms": 0})).await;
     let got = call.await.unwrap();
@@ -162,12 +167,12 @@
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.platform_faults(json!({"hang_ms": SLOW_MS})).await;
     let caller = fleet.caller();
-    let first = begin(&caller, grade("m"), 0);
-    reserved(&fleet).await;
+    let first = start_call(&caller, grade("m"), 0);
+    await_reservation(&fleet).await;
     fleet.entries[0].process.freeze();
     sleep(Duration::from_secs(3)).await;
     fleet.platform_faults(json!({"hang_ms": 0})).await;
-    let second = begin(&caller, grade("m"), 1).await.unwrap();
+    let second = start_call(&caller, grade("m"), 1).await.unwrap();
     fleet.entries[0].process.thaw();
     let first = first.await.unwrap();
     assert!(
@@ -183,8 +188,8 @@
     let fleet = Fleet::start(Spec::default()).await;
     fleet.platform_faults(json!({"hang_ms": SLOW_MS})).await;
     let caller = fleet.caller();
-    let first = begin(&caller, grade("m"), 0);
-    reserved(&fleet).await;
+    let first = start_call(&caller, grade("m"), 0);
+    await_reservation(&fleet).await;
     first.abort();
     fleet.platform_faults(json!({"hang_ms": 0})).await;
     let got = caller.run(grade("m"), 1).await;
@@ -243,7 +248,7 @@
         ..with_plain()
     })
     .await;
-    let call = begin(&fleet.caller(), filing("m"), 0);
+    let call = start_call(&fleet.caller(), filing("m"), 0);
     let records = fleet.agents.len() - 1;
     until("the call is under way", || async {
         fleet.status(&fleet.agents[records]).await["streams"] == 1
@@ -259,8 +264,8 @@
 /// The generation has begun and given nothing when its entry dies.
 async fn resent_stream() {
     let mut fleet = Fleet::start(Spec::default()).await;
-    fleet.slow_engines(NO_TOKEN_YET).await;
-    let call = begin(&fleet.caller(), streamed_grade("m"), 0);
+    fleet.slow_engines(SLOW_FIRST_STEP_FACTOR).await;
+    let call = start_call(&fleet.caller(), streamed_grade("m"), 0);
     fleet.engine_of("m").await;
     fleet.entries[0].process.kill();
     fleet.slow_engines(1).await;
@@ -288,14 +293,16 @@
 }
 
 /// Keyed work is refused at once as not run; the rest is served.
-async fn platform_out(fault: Value, mended: Value) {
+async fn platform_out(fault: Value, recovered: Value) {
     let fleet = Fleet::start(with_plain()).await;
     fleet.platform_faults(fault).await;
     for entry in &fleet.entries {
         let url = format!("{}/services/records/file", entry.url());
         let req = fleet.http.post(url).bearer_auth(COUNTER);
         let req = req.header("idempotency-key", "m").body("[[mark=m]]");
-        let res = within(AT_ONCE, "the refusal", req.send()).await.unwrap();
+        let res = within(PROMPT_TIMEOUT, "the refusal", req.send())
+            .await
+            .unwrap();
         assert_eq!(res.status(), 503);
         assert!(res.headers().contains_key("retry-after"));
         assert_eq!(error_code(res).await, 2_015);
@@ -305,7 +312,7 @@
         .call(Request::stream("open", DOSSIERS, "model-a", 30), 0)
         .await;
     assert!(open.is_whole(), "{open:?}");
-    fleet.platform_faults(mended).await;
+    fleet.platform_faults(recovered).await;
     let got = fleet.call(filing("m"), 0).await;
     assert!(got.is_whole(), "{got:?}");
     fleet.assert_kept(&[open, got]);
@@ -319,8 +326,8 @@
         .await;
     let caller = fleet.caller();
     let calls = [
-        begin(&caller, filing("m"), 0),
-        begin(&caller, filing("m"), 1),
+        start_call(&caller, filing("m"), 0),
+        start_call(&caller, filing("m"), 1),
     ];
     let mut all = Vec::new();
     for call in calls {
@@ -378,9 +385,9 @@
 /// A keyed generation is not started again, though nothing of it was seen.
 async fn grade_on_killed_engine() {
     let mut fleet = Fleet::start(Spec::default()).await;
-    fleet.slow_engines(NO_TOKEN_YET).await;
+    fleet.slow_engines(SLOW_FIRST_STEP_FACTOR).await;
     let caller = fleet.caller();
-    let call = begin(&caller, grade("m"), 0);
+    let call = start_call(&caller, grade("m"), 0);
     let engine = fleet.engine_of("m").await;
     fleet.engines[engine].process.kill();
     let first = within(PATIENCE, "the end", call).await.unwrap();
--- a/fireflyd/tests/processes_hostile.rs
+++ b/fireflyd/tests/processes_hostile.rs
@@ -15,9 +15,9 @@
 use tokio::task::JoinSet;
 
 /// Longest wait for a final answer that is to come at once.
-const AT_ONCE: Duration = Duration::from_secs(3);
+const PROMPT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Most upstreams that one request may crash.
-const CRASH_BOUND: usize = 2;
+const MAX_CRASHES: usize = 2;
 
 crate::cases! {
     poison_stream_resent_through_both_entries => poison(Request::stream);
@@ -34,44 +34,44 @@
     wrong_type => refused(400, 2_001, |f| chat(f, COUNTER).json(&json!({
         "model": 7, "messages": "hello",
     })));
-    unknown_model => refused(404, 2_005, |f| chat(f, COUNTER).json(&ask("no-such-model")));
-    model_of_another_brand => refused(404, 2_005, |f| chat(f, LOGS).json(&ask("model-a")));
+    unknown_model => refused(404, 2_005, |f| chat(f, COUNTER).json(&chat_body("no-such-model")));
+    model_of_another_brand => refused(404, 2_005, |f| chat(f, LOGS).json(&chat_body("model-a")));
     unknown_service => refused(404, 2_006, |f| {
         f.http.get(format!("{}/services/none/x", f.entries[0].url())).bearer_auth(COUNTER)
     });
-    wrong_key => refused(401, 2_004, |f| chat(f, "no-such-key").json(&ask("model-a")));
+    wrong_key => refused(401, 2_004, |f| chat(f, "no-such-key").json(&chat_body("model-a")));
     no_key => refused(401, 2_004, |f| {
-        f.http.post(format!("{}/v1/chat/completions", f.entries[0].url())).json(&ask("model-a"))
+        f.http.post(format!("{}/v1/chat/completions", f.entries[0].url())).json(&chat_body("model-a"))
     });
-    non_repeatable_without_key => refused(400, 2_007, |f| chat(f, GRADES).json(&ask("model-b")));
+    non_repeatable_without_key => refused(400, 2_007, |f| chat(f, GRADES).json(&chat_body("model-b")));
     long_idempotency_key => refused(400, 2_001, |f| {
-        chat(f, COUNTER).header("idempotency-key", "k".repeat(300)).json(&ask("model-a"))
+        chat(f, COUNTER).header("idempotency-key", "k".repeat(300)).json(&chat_body("model-a"))
     });
     garbled_event_id => refused(400, 2_001, |f| {
-        chat(f, COUNTER).header("last-event-id", "not.an.id").json(&ask("model-a"))
+        chat(f, COUNTER).header("last-event-id", "not.an.id").json(&chat_body("model-a"))
     });
     guessed_event_id => refused(404, 4_003, |f| {
         let id = format!("{:032x}.{:016x}.1.0.agent-1", 7, 7);
-        chat(f, COUNTER).header("last-event-id", id).json(&ask("model-a"))
+        chat(f, COUNTER).header("last-event-id", id).json(&chat_body("model-a"))
     });
     oversized_body => refused(413, 2_002, |f| chat(f, COUNTER).body(vec![b' '; 900 * 1024]));
     many_headers => refused(431, 2_003, |f| {
         let flood = |req: RequestBuilder, n: u32| req.header(format!("x-{n}"), "1");
-        (0..80).fold(chat(f, COUNTER), flood).json(&ask("model-a"))
+        (0..80).fold(chat(f, COUNTER), flood).json(&chat_body("model-a"))
     });
     long_headers => refused(431, 2_003, |f| {
-        chat(f, COUNTER).header("x-long", "1".repeat(20_000)).json(&ask("model-a"))
+        chat(f, COUNTER).header("x-long", "1".repeat(20_000)).json(&chat_body("model-a"))
     });
     prompt_over_every_engine => refused(400, 2_017, |f| {
-        let mut ask = ask("model-a");
-        ask["messages"][0]["content"] = "word ".repeat(100_000).into();
-        chat(f, COUNTER).json(&ask)
+        let mut chat_body = chat_body("model-a");
+        chat_body["messages"][0]["content"] = "word ".repeat(100_000).into();
+        chat(f, COUNTER).json(&chat_body)
     });
     header_flood => header_flood();
     garbage_on_every_port => garbage();
 }
 
-fn ask(model: &str) -> Value {
+fn chat_body(model: &str) -> Value {
     json!({
         "model": model,
         "messages": [{"role": "user", "content": "[[mark=bad]][[len=3]]"}],
@@ -89,7 +89,7 @@
 }
 
 /// One engine is enough to see what never reaches it.
-fn small() -> Spec {
+fn one_engine() -> Spec {
     Spec {
         engines: 1,
         entries: 1,
@@ -108,9 +108,9 @@
 
 /// Its number and status come, nothing runs, and the next caller is served.
 async fn refused(status: u16, code: u64, request: fn(&Fleet) -> RequestBuilder) {
-    let fleet = Fleet::start(small()).await;
+    let fleet = Fleet::start(one_engine()).await;
     let sent = request(&fleet).send();
-    let res = within(AT_ONCE, "the refusal", sent).await.unwrap();
+    let res = within(PROMPT_TIMEOUT, "the refusal", sent).await.unwrap();
     assert_eq!(res.status().as_u16(), status);
     assert_eq!(code_of(res).await, code);
     assert_eq!(fleet.runs().count("bad"), 0);
@@ -123,7 +123,7 @@
         .directives(crash)
 }
 
-fn alive(fleet: &mut Fleet) -> usize {
+fn count_alive(fleet: &mut Fleet) -> usize {
     let engines = fleet.engines.iter_mut();
     engines
         .filter_map(|e| e.process.is_alive().then_some(()))
@@ -143,12 +143,12 @@
         all.push(caller.run(crashing(new, "[[crash]]"), entry).await);
     }
     let last = caller.run(crashing(new, "[[crash]]"), 0);
-    let last = within(AT_ONCE, "the final answer", last).await;
+    let last = within(PROMPT_TIMEOUT, "the final answer", last).await;
     assert_eq!(last.code(), Some(2_014), "{last:?}");
     all.push(last);
-    assert!(alive(&mut fleet) >= 4 - CRASH_BOUND);
+    assert!(count_alive(&mut fleet) >= 4 - MAX_CRASHES);
     assert!(
-        fleet.runs().crashes.len() <= CRASH_BOUND,
+        fleet.runs().crashes.len() <= MAX_CRASHES,
         "{:?}",
         fleet.runs()
     );
@@ -159,7 +159,7 @@
 /// Copies that run in the same moment don't know of each other's crashes: the
 /// bound holds for each of them. What comes after gets the final answer.
 async fn poison_at_once() {
-    const COPIES: usize = 2;
+    const CONCURRENT: usize = 2;
     let mut fleet = Fleet::start(Spec {
         engines: 6,
         ..Spec::default()
@@ -167,24 +167,24 @@
     .await;
     let caller = fleet.caller();
     let mut calls = JoinSet::new();
-    for entry in 0..COPIES {
+    for entry in 0..CONCURRENT {
         let caller = caller.clone();
         let request = crashing(Request::stream, "[[crash]]");
         calls.spawn(async move { caller.run(request, entry).await });
     }
     let all: Vec<Got> = calls.join_all().await;
     assert!(all.iter().all(|g| g.code().is_some()), "{all:#?}");
-    for entry in 0..COPIES {
+    for entry in 0..CONCURRENT {
         let last = caller.run(crashing(Request::stream, "[[crash]]"), entry);
-        let last = within(AT_ONCE, "the final answer", last).await;
+        let last = within(PROMPT_TIMEOUT, "the final answer", last).await;
         assert_eq!(last.code(), Some(2_014), "{last:?}");
     }
     let crashes = fleet.runs().crashes.len();
     assert!(
-        crashes <= COPIES * CRASH_BOUND,
+        crashes <= CONCURRENT * MAX_CRASHES,
         "{crashes} crashes: {all:#?}"
     );
-    assert!(alive(&mut fleet) >= 6 - COPIES * CRASH_BOUND);
+    assert!(count_alive(&mut fleet) >= 6 - CONCURRENT * MAX_CRASHES);
     assert_serves(&fleet).await;
 }
 
@@ -202,7 +202,7 @@
         all.push(caller.run(request, entry).await);
     }
     fleet.assert_kept(&all);
-    assert!(fleet.runs().crashes.len() <= CRASH_BOUND);
+    assert!(fleet.runs().crashes.len() <= MAX_CRASHES);
     assert_eq!(all[3].code(), Some(2_014), "{all:#?}");
     assert_serves(&fleet).await;
 }
@@ -228,7 +228,7 @@
     assert!(poison.code().is_some(), "{poison:?}");
     let all = calls.join_all().await;
     fleet.assert_kept(&all);
-    assert!(fleet.runs().crashes.len() <= CRASH_BOUND);
+    assert!(fleet.runs().crashes.len() <= MAX_CRASHES);
     assert!(all.iter().all(Got::is_whole), "{all:#?}");
 }
 
@@ -286,7 +286,7 @@
 
 /// More header bytes than the library reads.
 async fn header_flood() {
-    let fleet = Fleet::start(small()).await;
+    let fleet = Fleet::start(one_engine()).await;
     let addr = fleet.entries[0].callers.unwrap();
     let mut floods = JoinSet::new();
     for _ in 0..8 {
@@ -313,7 +313,7 @@
 
 /// Bytes that mean nothing, to callers', operators' and peers' ports.
 async fn garbage() {
-    let mut fleet = Fleet::start(small()).await;
+    let mut fleet = Fleet::start(one_engine()).await;
     let nodes = [&fleet.entries[0], &fleet.agents[0]];
     for node in nodes {
         for addr in [Some(node.mailbox), Some(node.admin), node.callers]
--- a/fireflyd/tests/processes_streams.rs
+++ b/fireflyd/tests/processes_streams.rs
@@ -11,16 +11,16 @@
 use tokio::time::sleep;
 
 /// Factor by which a first step takes more than a second.
-const NO_TOKEN_YET: u32 = 500;
+const SLOW_FIRST_STEP_FACTOR: u32 = 500;
 
 crate::cases! {
     entry_killed_after_1 => entry_killed(1);
     entry_killed_after_40 => entry_killed(40);
-    engine_killed_before_first_token_of_stream => engine_killed_unseen(true);
-    engine_killed_before_first_token_of_whole => engine_killed_unseen(false);
+    engine_killed_before_first_token_of_stream => engine_killed_before_token(true);
+    engine_killed_before_first_token_of_whole => engine_killed_before_token(false);
     engine_killed_during_whole => engine_killed_during_whole();
-    engine_killed_after_1 => engine_killed_seen(1);
-    engine_killed_after_40 => engine_killed_seen(40);
+    engine_killed_after_1 => engine_killed_after_tokens(1);
+    engine_killed_after_40 => engine_killed_after_tokens(40);
     engine_restarted_at_once => engine_restarted(40);
     upstream_link_cut_after_1 => upstream_link_cut(1);
     upstream_link_cut_after_40 => upstream_link_cut(40);
@@ -53,9 +53,9 @@
 }
 
 /// Nothing was delivered: another engine starts afresh, unseen.
-async fn engine_killed_unseen(streams: bool) {
+async fn engine_killed_before_token(streams: bool) {
     let mut fleet = Fleet::start(Spec::default()).await;
-    fleet.slow_engines(NO_TOKEN_YET).await;
+    fleet.slow_engines(SLOW_FIRST_STEP_FACTOR).await;
     let request = if streams {
         stream("m", 50)
     } else {
@@ -88,7 +88,7 @@
 }
 
 /// Something was delivered: the end comes at once, with how far it got.
-async fn engine_killed_seen(after: u64) {
+async fn engine_killed_after_tokens(after: u64) {
     let slow = vec!["--time-scale", "1", "--slow-factor", "8"];
     let mut fleet = Fleet::start(Spec {
         engine_flags: slow,
@@ -146,13 +146,13 @@
 }
 
 /// The stream stalls with its agent and goes on without a gap.
-async fn agent_frozen(span: Duration) {
+async fn agent_frozen(duration: Duration) {
     let mut fleet = Fleet::start(Spec::default()).await;
     let mut session = fleet.caller().begin(stream("m", 1_500), 0);
     assert!(session.until_tokens(20).await);
     let engine = fleet.engine_of("m").await;
     fleet.agents[engine].process.freeze();
-    sleep(span).await;
+    sleep(duration).await;
     fleet.agents[engine].process.thaw();
     let got = session.finish().await;
     fleet.assert_kept(std::slice::from_ref(&got));
@@ -161,12 +161,12 @@
 }
 
 /// The caller waits and misses nothing.
-async fn entry_frozen(span: Duration) {
+async fn entry_frozen(duration: Duration) {
     let mut fleet = Fleet::start(Spec::default()).await;
     let mut session = fleet.caller().begin(stream("m", 1_500), 0);
     assert!(session.until_tokens(20).await);
     fleet.entries[0].process.freeze();
-    sleep(span).await;
+    sleep(duration).await;
     fleet.entries[0].process.thaw();
     let got = session.finish().await;
     fleet.assert_kept(std::slice::from_ref(&got));
--- a/fireflyd/tests/sse.rs
+++ b/fireflyd/tests/sse.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpListener;
 
 /// Timeout of calls that are to end in an answer.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 const END: &str = "data: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}],\
     \"usage\":{\"prompt_tokens\":3,\"completion_tokens\":2,\"preemptions\":1}}\n\ndata: [DONE]\n\n";
@@ -233,11 +233,11 @@
     format!("HTTP/1.1 {status}\r\ncontent-type: text/plain\r\ncontent-length: {len}\r\n\r\n")
 }
 
-fn whole(status: &str, body: &str) -> String {
+fn full_response(status: &str, body: &str) -> String {
     head(status, body.len()) + body
 }
 
-fn refusing() -> (tokio::net::TcpSocket, String) {
+fn refusing_address() -> (tokio::net::TcpSocket, String) {
     let bound = tokio::net::TcpSocket::new_v4().unwrap();
     bound.bind((Ipv4Addr::LOCALHOST, 0).into()).unwrap();
     let url = format!("http://{}", bound.local_addr().unwrap());
@@ -255,11 +255,11 @@
     }
 }
 
-async fn generated(answer: String) -> (Vec<EngineEvent>, String) {
+async fn run_generation(answer: String) -> (Vec<EngineEvent>, String) {
     let (url, served) = serve_once(answer).await;
-    let client = EngineClient::new(&url, PATIENCE).unwrap();
+    let client = EngineClient::new(&url, TIMEOUT).unwrap();
     let stream = client.generate(&request()).await.unwrap();
-    let events = tokio::time::timeout(PATIENCE, stream.collect())
+    let events = tokio::time::timeout(TIMEOUT, stream.collect())
         .await
         .unwrap();
     (events, served.await.unwrap())
@@ -267,7 +267,7 @@
 
 #[tokio::test]
 async fn a_generation_is_read_to_its_end() {
-    let (events, seen) = generated(whole("200 OK", &(choice("a") + END))).await;
+    let (events, seen) = run_generation(full_response("200 OK", &(choice("a") + END))).await;
     let want = (
         vec![token("a", None)],
         vec![finished(FinishReason::Stop, USAGE)],
@@ -279,7 +279,7 @@
 
 #[tokio::test]
 async fn a_generation_cut_in_the_middle_breaks() {
-    let (events, _) = generated(head("200 OK", 9999) + &choice("a")).await;
+    let (events, _) = run_generation(head("200 OK", 9999) + &choice("a")).await;
     let (tokens, others) = joined(events);
     assert_eq!(tokens, [token("a", None)]);
     assert!(matches!(&others[..], [EngineEvent::Broken { .. }]));
@@ -290,7 +290,7 @@
         #[tokio::test]
         async fn $name() {
             let (url, served) = serve_once($answer).await;
-            let client = EngineClient::new(&url, PATIENCE).unwrap();
+            let client = EngineClient::new(&url, TIMEOUT).unwrap();
             let error = client.generate(&request()).await.err();
             assert!(matches!(error, Some($want)), "{error:?}");
             served.await.unwrap();
@@ -299,22 +299,22 @@
 }
 
 generate_error_cases! {
-    a_refused_generation_was_answered: whole("404 Not Found", "no model") => UpstreamError::Answered { status: 404, .. },
-    a_redirect_is_not_followed: whole("307 Temporary Redirect", "") => UpstreamError::Answered { status: 307, .. },
+    a_refused_generation_was_answered: full_response("404 Not Found", "no model") => UpstreamError::Answered { status: 404, .. },
+    a_redirect_is_not_followed: full_response("307 Temporary Redirect", "") => UpstreamError::Answered { status: 307, .. },
     a_generation_without_an_answer_is_broken: String::new() => UpstreamError::Broken(_),
     a_generation_cut_within_the_head_is_broken: "HTTP/1.1 2".to_owned() => UpstreamError::Broken(_),
 }
 
 #[tokio::test]
 async fn calls_without_a_connection_were_never_sent() {
-    let (_bound, url) = refusing();
-    let engine = EngineClient::new(&url, PATIENCE).unwrap();
+    let (_bound, url) = refusing_address();
+    let engine = EngineClient::new(&url, TIMEOUT).unwrap();
     let error = engine.generate(&request()).await.err();
     assert!(
         matches!(error, Some(UpstreamError::NeverSent(_))),
         "{error:?}"
     );
-    let plain = PlainClient::new(&url, PATIENCE, 100).unwrap();
+    let plain = PlainClient::new(&url, TIMEOUT, 100).unwrap();
     let none: [(&str, &str); 0] = [];
     let error = plain.call("POST", "/x", &none, "").await.err();
     assert!(
@@ -329,7 +329,7 @@
         async fn $name() {
             let (url, served) = serve_once($answer).await;
             let order = FencedOrder { fence: 3, order: EngineOrder::Load { model: "m".into() } };
-            let got = EngineClient::new(&url, PATIENCE).unwrap().order(&order).await;
+            let got = EngineClient::new(&url, TIMEOUT).unwrap().order(&order).await;
             assert_eq!(got, $want);
             served.await.unwrap();
         }
@@ -337,8 +337,8 @@
 }
 
 order_cases! {
-    an_order_is_taken: whole("200 OK", "{}") => Ok(OrderOutcome::Taken);
-    an_old_order_is_fenced: whole("409 Conflict", "{\"fence\":5}") => Ok(OrderOutcome::Fenced { fence: 5 });
+    an_order_is_taken: full_response("200 OK", "{}") => Ok(OrderOutcome::Taken);
+    an_old_order_is_fenced: full_response("409 Conflict", "{\"fence\":5}") => Ok(OrderOutcome::Fenced { fence: 5 });
 }
 
 #[test]
@@ -353,8 +353,8 @@
 
 #[tokio::test]
 async fn a_load_report_with_unknown_and_missing_fields_is_read() {
-    let (url, _served) = serve_once(whole("200 OK", "{\"running\":2,\"odd\":1}")).await;
-    let load = EngineClient::new(&url, PATIENCE)
+    let (url, _served) = serve_once(full_response("200 OK", "{\"running\":2,\"odd\":1}")).await;
+    let load = EngineClient::new(&url, TIMEOUT)
         .unwrap()
         .load()
         .await
@@ -366,8 +366,8 @@
     ($($name:ident: $path:expr => $line:expr;)*) => {$(
         #[tokio::test]
         async fn $name() {
-            let (url, served) = serve_once(whole("418 I'm a teapot", "body")).await;
-            let client = PlainClient::new(&format!("{url}/base/"), PATIENCE, 100).unwrap();
+            let (url, served) = serve_once(full_response("418 I'm a teapot", "body")).await;
+            let client = PlainClient::new(&format!("{url}/base/"), TIMEOUT, 100).unwrap();
             let headers = [("x-kept", "1"), ("host", "elsewhere"), ("content-length", "9")];
             let got = client.call("POST", $path, &headers, "").await.unwrap();
             assert_eq!((got.status, &got.body[..]), (418, &b"body"[..]));
@@ -387,8 +387,8 @@
 
 #[tokio::test]
 async fn a_plain_answer_over_the_bound_is_unusable() {
-    let (url, _served) = serve_once(whole("200 OK", &"x".repeat(101))).await;
-    let client = PlainClient::new(&url, PATIENCE, 100).unwrap();
+    let (url, _served) = serve_once(full_response("200 OK", &"x".repeat(101))).await;
+    let client = PlainClient::new(&url, TIMEOUT, 100).unwrap();
     let none: [(&str, &str); 0] = [];
     let error = client.call("GET", "/", &none, "").await.err();
     assert!(
@@ -400,7 +400,7 @@
 #[tokio::test]
 async fn a_plain_answer_cut_in_the_body_is_broken() {
     let (url, _served) = serve_once(head("200 OK", 50) + "half").await;
-    let client = PlainClient::new(&url, PATIENCE, 100).unwrap();
+    let client = PlainClient::new(&url, TIMEOUT, 100).unwrap();
     let none: [(&str, &str); 0] = [];
     let error = client.call("GET", "/", &none, "").await.err();
     assert!(matches!(error, Some(UpstreamError::Broken(_))), "{error:?}");
--- a/fireflyd/tests/support/link.rs
+++ b/fireflyd/tests/support/link.rs
@@ -19,10 +19,10 @@
         let listener = TcpListener::bind((to.ip(), 0)).await.unwrap();
         let addr = listener.local_addr().unwrap();
         let cut = Arc::new(Notify::new());
-        let signal = cut.clone();
+        let notify = cut.clone();
         tokio::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(forward(near, to, signal.clone()));
+                tokio::spawn(forward(near, to, notify.clone()));
             }
         });
         Self { addr, cut }
