--- a/fireflyd/tests/admin.rs
+++ b/fireflyd/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' interface, over loopback.
+//! Admin server, over loopback.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
--- a/fireflyd/tests/keyring.rs
+++ b/fireflyd/tests/keyring.rs
@@ -1,4 +1,4 @@
-//! Seals: what opens, what is refused, and a key rolled without a stop.
+//! Key rings: opened and refused seals, and rotation of a key without a stop.
 
 use std::time::Duration;
 
@@ -121,7 +121,7 @@
     };
     tokio::time::timeout(Duration::from_secs(20), poll)
         .await
-        .expect("the changed key file was not taken");
+        .expect("the changed key file was not loaded");
 }
 
 #[tokio::test]
--- a/fireflyd/tests/mailbox.rs
+++ b/fireflyd/tests/mailbox.rs
@@ -1,4 +1,4 @@
-//! Mailboxes over loopback: seals, bounds, restarts, and a key rolled while messages flow.
+//! Mailboxes over loopback: seals, limits, restarts, and rotation of a key under traffic.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -10,9 +10,9 @@
 
 const OLD: (u8, [u8; KEY_LEN]) = (1, [0x11; KEY_LEN]);
 const NEW: (u8, [u8; KEY_LEN]) = (2, [0x22; KEY_LEN]);
-/// Generous bound of each wait for an event.
+/// Longest wait for an event.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Wait between two looks at a counter.
+/// Interval at which a counter is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 struct Endpoint {
@@ -50,7 +50,7 @@
     async fn next(&mut self) -> Vec<u8> {
         tokio::time::timeout(TIMEOUT, self.rx.recv())
             .await
-            .expect("no message came")
+            .expect("no message received")
             .expect("the mailbox ended")
     }
 
@@ -63,7 +63,7 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// A port on a loopback number of its own, so that no other test gets it in between.
+/// Returns a loopback address that no other test uses, so that its port can be bound again.
 fn reusable_addr(last: u8) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::new(127, 0, 0, last), 0))
 }
@@ -80,11 +80,11 @@
     };
     assert!(
         tokio::time::timeout(TIMEOUT, poll).await.is_ok(),
-        "never came: {what}"
+        "timed out: {what}"
     );
 }
 
-/// A bare push socket, for frames that no mailbox would send.
+/// Opens a plain push socket, for frames that a mailbox doesn't send.
 fn raw_push(to: SocketAddr) -> nng::Socket {
     let socket = nng::Socket::new(nng::Protocol::Push0).unwrap();
     socket.dial(&format!("tcp://{to}")).unwrap();
@@ -136,7 +136,7 @@
     an_unsealed_frame_is_refused: 100, sealed false => Some(|b| b.metrics.refused_seal.get());
     a_frame_shorter_than_a_seal_is_refused: 3, sealed false => Some(|b| b.metrics.refused_seal.get());
     a_frame_over_the_bound_is_counted: MAX_MESSAGE_BYTES + 1, sealed true => Some(|b| b.dropped("too_long"));
-    // nng cuts this connection before the frame is read, so there is nothing to count.
+    // nng closes this connection before the frame is read, so it isn't counted.
     a_frame_far_over_the_bound_is_cut: 4 * MAX_FRAME_BYTES, sealed true => None;
 }
 
@@ -155,7 +155,7 @@
 #[tokio::test]
 async fn a_key_is_rolled_without_loss() {
     let (a, mut b) = (Endpoint::new(&[OLD]), Endpoint::new(&[OLD]));
-    // Each step reaches one process before the other.
+    // Each step is applied to one process before the other.
     let steps: [(&[_], &[_]); 6] = [
         (&[OLD, NEW], &[OLD]),
         (&[OLD, NEW], &[OLD, NEW]),
@@ -197,7 +197,7 @@
     assert_eq!(b.next().await, b"first");
     tokio::task::spawn_blocking(move || drop(b)).await.unwrap();
     let mut b = reopen(addr).await;
-    // The first ones may be lost with the old connection.
+    // The first messages may be lost with the old connection.
     let again = async {
         loop {
             a.mailbox.send(addr, b"again".to_vec());
@@ -226,7 +226,7 @@
         .expect("the address stayed in use")
 }
 
-/// An address that refuses connections; no other socket gets it while this one lives.
+/// An address that refuses connections, reserved until the drop.
 struct UnreachablePeer {
     _bound: tokio::net::TcpSocket,
     addr: SocketAddr,
@@ -266,7 +266,7 @@
             let limits = Limits { max_age: TIMEOUT, ..$limits };
             let a = Endpoint::at(any_port(), &[OLD], limits).unwrap();
             let unreachable = UnreachablePeer::new();
-            // One message leaves the queue for the socket, ten meet the bound.
+            // One message leaves the queue for the socket; ten are subject to the limit.
             for _ in 0..11 {
                 a.mailbox.send(unreachable.addr, vec![1; 100]);
             }
@@ -321,7 +321,7 @@
             b.mailbox.send(to_a, vec![round, index]);
         }
         let closed = tokio::task::spawn_blocking(move || {
-            // The one with queued messages goes first, then the one it sent to.
+            // Even rounds drop the sender with queued messages first, odd rounds its peer.
             if round % 2 == 0 {
                 drop((a, b));
             } else {
--- a/fireflyd/tests/processes_claims.rs
+++ b/fireflyd/tests/processes_claims.rs
@@ -1,5 +1,5 @@
-//! Points 3 and 4 on separate processes: "not run" is true, and what may not
-//! be repeated runs at most once.
+//! Guarantees 3 and 4 on separate processes: "not run" is true, and
+//! non-idempotent work runs at most once.
 
 mod support;
 
@@ -12,11 +12,11 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-/// Time that a slow platform holds up each call.
+/// Delay of each call to a slow platform, in milliseconds.
 const SLOW_MS: u64 = 900;
-/// Factor by which a first step takes more than a second.
+/// Slow-down of the engines at which the first step takes more than a second.
 const SLOW_FIRST_STEP_FACTOR: u32 = 500;
-/// Longest wait for a refusal that is to come at once.
+/// Longest wait for an immediate refusal.
 const PROMPT_TIMEOUT: Duration = Duration::from_secs(4);
 
 crate::cases! {
@@ -68,7 +68,7 @@
     tokio::spawn(async move { caller.run(request, entry).await })
 }
 
-/// Sends a generation once, without a caller's patience.
+/// Sends a generation once, without retries.
 async fn post(fleet: &Fleet, entry: usize, mark: &str, key: &str) -> Response {
     let url = format!("{}/v1/chat/completions", fleet.entries[entry].url());
     let body = json!({
@@ -84,7 +84,7 @@
     body["error"]["code"].as_u64().unwrap_or(0)
 }
 
-/// Waits until an agent holds a reservation; gives the agent's index.
+/// Waits until an agent holds a reservation and returns its index.
 async fn await_reservation(fleet: &Fleet) -> usize {
     let mut at = None;
     until("a reservation", || async {
@@ -101,10 +101,10 @@
             at = Some(i);
         }
     }
-    at.expect("the reservation is held longer than two looks take")
+    at.expect("the reservation outlasts two status queries")
 }
 
-/// Offers that frozen agents read late must not run what was refused.
+/// Frozen agents read offers late and must not run the refused requests.
 async fn agents_frozen_before_offer() {
     let mut fleet = Fleet::start(Spec::default()).await;
     for agent in &mut fleet.agents {
@@ -131,7 +131,7 @@
     assert_eq!(fleet.runs().count("m"), 0);
 }
 
-/// The agent wakes after its reservation has lapsed and reads the start.
+/// The agent resumes after its reservation has expired and then reads the start.
 async fn agent_frozen_before_start() {
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.platform_faults(json!({"hang_ms": SLOW_MS})).await;
@@ -147,8 +147,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// The claim takes effect, its start is never sent: the key is free for the
-/// caller who comes again.
+/// The claim takes effect, but its start is never sent: a retry may use the key.
 async fn entry_killed_before_start() {
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.platform_faults(json!({"hang_ms": SLOW_MS})).await;
@@ -162,7 +161,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// An entry that was paused while it claimed starts nothing a second time.
+/// An entry paused during its claim starts no second run.
 async fn entry_frozen_before_start() {
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.platform_faults(json!({"hang_ms": SLOW_MS})).await;
@@ -183,7 +182,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// A caller who left while the key was claimed may come again.
+/// A caller that disconnected during the claim may retry.
 async fn caller_gone_before_start() {
     let fleet = Fleet::start(Spec::default()).await;
     fleet.platform_faults(json!({"hang_ms": SLOW_MS})).await;
@@ -198,7 +197,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// One run, and everybody gets its answer.
+/// Concurrent requests with one key run once, and all callers get the answer.
 async fn same_key_at_once(request: fn(&str) -> Request) {
     let fleet = Fleet::start(with_plain()).await;
     let caller = fleet.caller();
@@ -216,7 +215,7 @@
     }
 }
 
-/// A key that is sent again gets the first answer.
+/// A repeated key gets the first answer.
 async fn same_key_again(request: fn(&str) -> Request) {
     let fleet = Fleet::start(with_plain()).await;
     let mut all = Vec::new();
@@ -228,7 +227,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// A key belongs to the body that it came with.
+/// A key with another body is refused.
 async fn other_body() {
     let fleet = Fleet::start(with_plain()).await;
     let first = fleet.call(filing("m"), 0).await;
@@ -241,7 +240,7 @@
     assert_eq!(fleet.runs().count("other"), 0);
 }
 
-/// The call is under way when its entry dies.
+/// The entry dies while the call is in progress.
 async fn resent_filing() {
     let mut fleet = Fleet::start(Spec {
         plain_flags: vec!["--delay-ms", "1000"],
@@ -250,7 +249,7 @@
     .await;
     let call = start_call(&fleet.caller(), filing("m"), 0);
     let records = fleet.agents.len() - 1;
-    until("the call is under way", || async {
+    until("the call is in progress", || async {
         fleet.status(&fleet.agents[records]).await["streams"] == 1
     })
     .await;
@@ -261,7 +260,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// The generation has begun and given nothing when its entry dies.
+/// The entry dies after the generation has started, before its first token.
 async fn resent_stream() {
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.slow_engines(SLOW_FIRST_STEP_FACTOR).await;
@@ -275,7 +274,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// The answer died with the agent: the key runs no more, and says so.
+/// The answer is lost with the agent: the key isn't run again, and the error code says so.
 async fn resent_after_agent_death() {
     let mut fleet = Fleet::start(with_plain()).await;
     let first = fleet.call(filing("m"), 0).await;
@@ -292,7 +291,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// Keyed work is refused at once as not run; the rest is served.
+/// Keyed requests are refused at once as not run; others are served.
 async fn platform_out(fault: Value, recovered: Value) {
     let fleet = Fleet::start(with_plain()).await;
     fleet.platform_faults(fault).await;
@@ -318,7 +317,7 @@
     fleet.assert_kept(&[open, got]);
 }
 
-/// The write of the claim takes effect and its answer is lost.
+/// The claim is written, but the platform's response is lost.
 async fn claim_answer_lost(writes: u64) {
     let fleet = Fleet::start(with_plain()).await;
     fleet
@@ -338,7 +337,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// What a rule says is non-repeatable is not run without a key.
+/// A request that a rule makes non-repeatable isn't run without a key.
 async fn rule_without_key() {
     let fleet = Fleet::start(Spec::default()).await;
     let res = post(&fleet, 0, "m", GRADES).await;
@@ -347,7 +346,7 @@
     assert_eq!(fleet.runs().count("m"), 0);
 }
 
-/// The service dies in the call: it is not run again, with a key or without.
+/// The service dies during the call: the call isn't run again, with or without a key.
 async fn filing_crashes(point: &'static str, runs: usize) {
     let mut fleet = Fleet::start(Spec {
         plain_flags: vec!["--crash-on", "mark=m", "--crash-point", point],
@@ -370,7 +369,7 @@
         if !fleet.plain.as_mut().unwrap().process.is_alive() {
             fleet.plain.as_mut().unwrap().restart().await;
         }
-        until("the service is up again", || async {
+        until("the service is ready again", || async {
             fleet.is_ready(&fleet.agents[records]).await
         })
         .await;
@@ -382,7 +381,7 @@
     );
 }
 
-/// A keyed generation is not started again, though nothing of it was seen.
+/// A keyed generation isn't restarted, although nothing of it was delivered.
 async fn grade_on_killed_engine() {
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.slow_engines(SLOW_FIRST_STEP_FACTOR).await;
--- a/fireflyd/tests/processes_hostile.rs
+++ b/fireflyd/tests/processes_hostile.rs
@@ -1,5 +1,5 @@
-//! Poison requests, foreign processes and bad input against separate
-//! processes: each is answered by its number, and the fleet lives on.
+//! Poison requests, foreign processes and invalid input against separate
+//! processes: each gets its code, and the fleet keeps serving.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// Longest wait for a final answer that is to come at once.
+/// Longest wait for an immediate final answer.
 const PROMPT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Most upstreams that one request may crash.
 const MAX_CRASHES: usize = 2;
@@ -88,7 +88,7 @@
     body["error"]["code"].as_u64().unwrap_or(0)
 }
 
-/// One engine is enough to see what never reaches it.
+/// Returns a fleet of one engine, enough for requests that don't reach it.
 fn one_engine() -> Spec {
     Spec {
         engines: 1,
@@ -97,7 +97,7 @@
     }
 }
 
-/// Fails unless an entry serves a caller.
+/// Asserts that an entry serves a caller.
 async fn assert_serves(fleet: &Fleet) {
     let got = fleet
         .call(Request::stream("after", DOSSIERS, "model-a", 5), 0)
@@ -106,7 +106,7 @@
     fleet.assert_kept(&[got]);
 }
 
-/// Its number and status come, nothing runs, and the next caller is served.
+/// The request gets its code and status, nothing runs, and the next caller is served.
 async fn refused(status: u16, code: u64, request: fn(&Fleet) -> RequestBuilder) {
     let fleet = Fleet::start(one_engine()).await;
     let sent = request(&fleet).send();
@@ -130,7 +130,7 @@
         .count()
 }
 
-/// Whatever its caller does, it ends few engines; then its answer is final.
+/// A poison request sent again crashes at most [`MAX_CRASHES`] engines, then its answer is final.
 async fn poison(new: fn(&str, &str, &str, u64) -> Request) {
     let mut fleet = Fleet::start(Spec {
         engines: 4,
@@ -156,8 +156,8 @@
     assert_serves(&fleet).await;
 }
 
-/// Copies that run in the same moment don't know of each other's crashes: the
-/// bound holds for each of them. What comes after gets the final answer.
+/// Concurrent copies don't know of each other's crashes, so the limit applies
+/// to each. Later copies get the final answer.
 async fn poison_at_once() {
     const CONCURRENT: usize = 2;
     let mut fleet = Fleet::start(Spec {
@@ -188,7 +188,7 @@
     assert_serves(&fleet).await;
 }
 
-/// It crashes late: what came before is counted, and it is not spliced.
+/// It crashes after some tokens: these are counted, and no second run is appended.
 async fn poison_after_tokens() {
     let fleet = Fleet::start(Spec {
         engines: 4,
@@ -207,7 +207,7 @@
     assert_serves(&fleet).await;
 }
 
-/// Who ran beside it is started afresh where nothing of theirs was seen.
+/// Requests on a crashed engine are restarted if nothing of them was delivered.
 async fn poison_neighbours() {
     let fleet = Fleet::start(Spec {
         engines: 4,
@@ -232,7 +232,7 @@
     assert!(all.iter().all(Got::is_whole), "{all:#?}");
 }
 
-/// Its messages are refused and counted, and it never gets any work.
+/// A process with a wrong fleet key: its messages are refused and counted, and it gets no work.
 async fn wrong_fleet_key() {
     let fleet = Fleet::start(Spec::default()).await;
     let (_, key) = run("fireflyctl", &["fleet-key".to_owned(), "new".to_owned()]);
@@ -264,7 +264,7 @@
     assert_serves(&fleet).await;
 }
 
-/// Both keys are good while the files change one after another.
+/// Both keys are valid during the rotation.
 async fn fleet_key_rolled() {
     let fleet = Fleet::start(Spec::default()).await;
     let old = fs::read_to_string(fleet.path("fleet-keys")).unwrap();
@@ -284,7 +284,7 @@
     fleet.assert_kept(&[got]);
 }
 
-/// More header bytes than the library reads.
+/// Sends more header bytes than the HTTP library accepts.
 async fn header_flood() {
     let fleet = Fleet::start(one_engine()).await;
     let addr = fleet.entries[0].callers.unwrap();
@@ -311,7 +311,7 @@
     assert_serves(&fleet).await;
 }
 
-/// Bytes that mean nothing, to callers', operators' and peers' ports.
+/// Sends invalid bytes to the callers', operators' and peers' ports.
 async fn garbage() {
     let mut fleet = Fleet::start(one_engine()).await;
     let nodes = [&fleet.entries[0], &fleet.agents[0]];
@@ -323,7 +323,7 @@
             for size in [1, 64, 4_096, 3_000_000] {
                 let mut peer = TcpStream::connect(addr).await.unwrap();
                 let bytes: Vec<u8> = (0..size).map(|n: u32| (n * 31 % 251) as u8).collect();
-                // The other side may hang up first.
+                // The server may close the connection first.
                 let _ = peer.write_all(&bytes).await;
             }
         }
--- a/fireflyd/tests/processes_streams.rs
+++ b/fireflyd/tests/processes_streams.rs
@@ -1,5 +1,5 @@
-//! Points 1 and 2 on separate processes: tokens once, in order, of one
-//! generation, and only to the caller who asked.
+//! Guarantees 1 and 2 on separate processes: a caller gets the tokens of one
+//! generation, its own, each once and in order.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use support::{DOSSIERS, Fleet, LOGS, Link, Spec, until};
 use tokio::time::sleep;
 
-/// Factor by which a first step takes more than a second.
+/// Slow-down of the engines at which the first step takes more than a second.
 const SLOW_FIRST_STEP_FACTOR: u32 = 500;
 
 crate::cases! {
@@ -39,7 +39,7 @@
     Request::stream(mark, DOSSIERS, "model-a", tokens)
 }
 
-/// The caller comes back through the other entry and misses nothing.
+/// The caller reconnects to the other entry and misses no token.
 async fn entry_killed(after: u64) {
     let mut fleet = Fleet::start(Spec::default()).await;
     let mut session = fleet.caller().begin(stream("m", 400), 0);
@@ -52,7 +52,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// Nothing was delivered: another engine starts afresh, unseen.
+/// Nothing was delivered: the generation restarts on another engine, unnoticed by the caller.
 async fn engine_killed_before_token(streams: bool) {
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.slow_engines(SLOW_FIRST_STEP_FACTOR).await;
@@ -72,7 +72,7 @@
     assert_eq!(fleet.runs().count("m"), 2);
 }
 
-/// A whole answer is held back, so its caller never sees the restart.
+/// An answer that isn't streamed is buffered, so its caller doesn't notice the restart.
 async fn engine_killed_during_whole() {
     let mut fleet = Fleet::start(Spec::default()).await;
     let caller = fleet.caller();
@@ -87,7 +87,7 @@
     assert_eq!(fleet.runs().count("m"), 2);
 }
 
-/// Something was delivered: the end comes at once, with how far it got.
+/// Tokens were delivered: the stream fails at once with the count delivered.
 async fn engine_killed_after_tokens(after: u64) {
     let slow = vec!["--time-scale", "1", "--slow-factor", "8"];
     let mut fleet = Fleet::start(Spec {
@@ -107,8 +107,8 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// An engine that is back before anyone looked has lost its streams; new work
-/// runs there.
+/// An engine restarted before the failure is detected has lost its streams; it
+/// runs new work.
 async fn engine_restarted(after: u64) {
     let mut fleet = Fleet::start(Spec {
         engines: 1,
@@ -125,7 +125,7 @@
     fleet.assert_kept(&[got, next]);
 }
 
-/// The engine goes on without its connection; the agent takes it up again.
+/// The engine continues without a connection; the agent reattaches.
 async fn upstream_link_cut(after: u64) {
     let mut fleet = Fleet::start(Spec {
         engines: 1,
@@ -145,7 +145,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// The stream stalls with its agent and goes on without a gap.
+/// The stream stalls with its agent and resumes without a gap.
 async fn agent_frozen(duration: Duration) {
     let mut fleet = Fleet::start(Spec::default()).await;
     let mut session = fleet.caller().begin(stream("m", 1_500), 0);
@@ -160,7 +160,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// The caller waits and misses nothing.
+/// The caller waits and misses no token.
 async fn entry_frozen(duration: Duration) {
     let mut fleet = Fleet::start(Spec::default()).await;
     let mut session = fleet.caller().begin(stream("m", 1_500), 0);
@@ -174,7 +174,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// The new life under the old name knows nothing of the old one's streams.
+/// The new incarnation of an agent doesn't know the old one's streams.
 async fn agent_restarted() {
     let mut fleet = Fleet::start(Spec {
         engines: 1,
@@ -191,7 +191,7 @@
     fleet.assert_kept(&[got, next]);
 }
 
-/// Both ends die: the caller comes back and is told the truth.
+/// Agent and entry die: the returning caller gets the correct error code.
 async fn agent_and_entry_killed() {
     let mut fleet = Fleet::start(Spec::default()).await;
     let mut session = fleet.caller().begin(stream("m", 4_000), 0);
@@ -204,7 +204,7 @@
     assert!(matches!(got.end(), End::Code(4_001 | 4_003)), "{got:?}");
 }
 
-/// The caller's own connection breaks, more than once.
+/// The caller's connection breaks repeatedly.
 async fn caller_returns() {
     let fleet = Fleet::start(Spec::default()).await;
     let mut session = fleet.caller().begin(stream("m", 600), 0);
@@ -219,7 +219,7 @@
     assert_eq!(got.last().returns, 5);
 }
 
-/// Another workspace's key gets nothing for an id that it has found out.
+/// The key of another workspace gets nothing for a known event id.
 async fn foreign_stream() {
     let fleet = Fleet::start(Spec::default()).await;
     let mut session = fleet.caller().begin(stream("m", 400), 0);
@@ -243,7 +243,7 @@
     assert!(got.is_whole(), "{got:?}");
 }
 
-/// A stream that nobody came back for is forgotten, and is not made up.
+/// An abandoned stream is dropped after the retention time; its returning caller gets an error.
 async fn forgotten_stream() {
     let fleet = Fleet::start(Spec {
         daemon_flags: vec!["--retain-ms", "500"],
--- a/fireflyd/tests/sse.rs
+++ b/fireflyd/tests/sse.rs
@@ -1,4 +1,4 @@
-//! Streams of an engine: the event scan, the decoder wherever chunks are cut, and the clients.
+//! Event parser, decoder of engine streams with any chunk boundaries, and upstream clients.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Timeout of calls that are to end in an answer.
+/// Timeout of calls that must end with a response.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 const END: &str = "data: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}],\
@@ -99,7 +99,7 @@
     preemptions: 1,
 };
 
-/// All events of a text that arrives at once and then ends.
+/// Decodes a text that arrives in one chunk before the connection ends.
 fn decode(text: &str) -> Vec<EngineEvent> {
     let mut decoder = Decoder::default();
     let mut out = decoder.feed(text.as_bytes());
@@ -158,7 +158,7 @@
     assert!(matches!(&out[1..], [EngineEvent::Broken { .. }]));
 }
 
-/// Events with the tokens of neighbours joined, so that cuts don't show.
+/// Joins all tokens and all other events, so that the result doesn't depend on chunk boundaries.
 fn joined(events: impl IntoIterator<Item = EngineEvent>) -> (Vec<Token>, Vec<EngineEvent>) {
     let (mut tokens, mut others) = (Vec::new(), Vec::new());
     for event in events {
@@ -213,7 +213,7 @@
     }
 }
 
-/// Serves one connection: gives `answer` when the request's head is there, then closes.
+/// Serves one connection: sends `answer` after the request's headers, then closes.
 async fn serve_once(answer: String) -> (String, tokio::task::JoinHandle<String>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let url = format!("http://{}", listener.local_addr().unwrap());
--- a/fireflyd/tests/support/link.rs
+++ b/fireflyd/tests/support/link.rs
@@ -1,4 +1,4 @@
-//! A TCP link that a test cuts: it forwards bytes to one address.
+//! TCP proxy to one address whose connections a test can break.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,14 +7,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// The link; it ends with the test's runtime.
+/// The proxy; it stops with the test's runtime.
 pub struct Link {
     addr: SocketAddr,
     cut: Arc<Notify>,
 }
 
 impl Link {
-    /// A link to `to`.
+    /// Starts a proxy to `to`.
     pub async fn open(to: SocketAddr) -> Self {
         let listener = TcpListener::bind((to.ip(), 0)).await.unwrap();
         let addr = listener.local_addr().unwrap();
@@ -28,12 +28,12 @@
         Self { addr, cut }
     }
 
-    /// Address to connect to.
+    /// Returns the proxy's address.
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Cuts all connections; new ones are taken.
+    /// Closes all connections; new ones are accepted.
     pub fn cut(&self) {
         self.cut.notify_waiters();
     }
