--- a/fireflyd/src/agent.rs
+++ b/fireflyd/src/agent.rs
@@ -197,7 +197,7 @@
             .fleet
             .set_serves(now, self.core.serves(), &mut self.node.outbox);
         self.update_readiness();
-        if self.node.begin_upkeep(now) {
+        if self.node.start_maintenance(now) {
             self.run_maintenance();
         }
     }
@@ -205,7 +205,7 @@
     /// Runs the work that iterates over all members, less often than each tick.
     fn run_maintenance(&mut self) {
         self.feed.set_watching(self.node.fleet.is_watcher());
-        self.node.count_members();
+        self.node.update_member_counts();
         self.status.set(self.status_json());
     }
 
@@ -271,7 +271,7 @@
                 tokio::spawn(async move { runner.execute_order(&order, &tx).await });
             }
             AgentAction::PullConfig(from) => self.feed.pull(from, &mut self.node.outbox),
-            AgentAction::LogEvent(note) => self.node.note(&note),
+            AgentAction::LogEvent(note) => self.node.record_event(&note),
         }
     }
 
--- a/fireflyd/src/entry.rs
+++ b/fireflyd/src/entry.rs
@@ -1,4 +1,4 @@
-//! The loop of an entry: sockets and timers round its core.
+//! Event loop of an entry: drives the core with messages, calls and timers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::claims;
 use crate::config_feed::ConfigFeed;
 use crate::fleet::{Fleet, FleetChanges};
-use crate::front::FrontEvent;
+use crate::frontend::FrontendEvent;
 use crate::leader::Leader;
 use crate::leases;
 use crate::metrics::Metrics;
@@ -23,15 +23,15 @@
 use crate::platform::PlatformClient;
 use crate::status::Status;
 
-/// Entries that look at the fleet's lease at all.
+/// Number of entries that compete for the fleet's lease.
 const LEASE_CANDIDATES: usize = 2;
-/// Events taken in one turn before messages go out.
-const TURN: usize = 256;
+/// Most further events handled in one turn before messages are sent.
+const MAX_EVENTS_PER_TURN: usize = 256;
 
-/// What reaches the loop from beside callers and peers.
+/// Input of the loop other than calls and peers' messages.
 #[derive(Debug)]
 pub enum EntryInput {
-    /// For the core.
+    /// An event for the core.
     Core(EntryEvent),
     /// A configuration was read.
     Config(Arc<Config>),
@@ -39,11 +39,11 @@
     Vms(Vec<Vm>),
     /// The platform's answer about the fleet's lease.
     Lease(LeaseCall, LeaseAnswer),
-    /// The entry is to stop.
+    /// A planned stop was requested.
     Leave,
 }
 
-/// The entry's loop and what it owns.
+/// Event loop of an entry, with its state.
 pub struct EntryLoop {
     core: Entry,
     node: Node,
@@ -54,13 +54,14 @@
     leader: Leader,
     is_candidate: bool,
     replies: HashMap<CallId, mpsc::UnboundedSender<Reply>>,
-    /// Failures of this turn, told when its messages are out.
+    /// Failures of this turn, delivered after its messages are sent.
     failures: Vec<(CallId, Reply)>,
     tx: mpsc::Sender<EntryInput>,
 }
 
 impl EntryLoop {
-    /// A loop that will take its own inputs from the other end of `tx`.
+    /// Creates the loop; its background tasks send their results to `tx`,
+    /// whose receiver is passed to [`run`](Self::run).
     #[must_use]
     pub fn new(
         setup: EntrySetup,
@@ -92,11 +93,12 @@
         }
     }
 
-    /// Runs until a planned stop has ended the last call.
+    /// Runs until a planned stop is complete: the grace period is over and
+    /// the last call has ended.
     pub async fn run(
         mut self,
         mut mail: mpsc::Receiver<Vec<u8>>,
-        mut calls: mpsc::Receiver<FrontEvent>,
+        mut calls: mpsc::Receiver<FrontendEvent>,
         mut inputs: mpsc::Receiver<EntryInput>,
     ) {
         let mut tick = tokio::time::interval(TICK);
@@ -108,7 +110,7 @@
                 Some(input) = inputs.recv() => self.on_input(input),
                 _ = tick.tick() => self.on_tick(),
             }
-            for _ in 0..TURN {
+            for _ in 0..MAX_EVENTS_PER_TURN {
                 if let Ok(buf) = mail.try_recv() {
                     self.on_mail(&buf);
                 } else if let Ok(event) = calls.try_recv() {
@@ -130,11 +132,11 @@
             return;
         };
         let now = self.node.now();
-        let news = self
+        let changes = self
             .node
             .fleet
             .on_received(now, &header.from, &mut self.node.outbox);
-        self.learn(news);
+        self.apply_fleet_changes(changes);
         for message in messages {
             self.on_message(Envelope {
                 from: header.from.clone(),
@@ -150,12 +152,12 @@
         match &envelope.body {
             message if Fleet::is_membership_message(message) => {
                 let message = message.clone();
-                let news =
+                let changes =
                     self.node
                         .fleet
                         .on_message(now, &envelope.from, message, &mut self.node.outbox);
-                self.learn(news);
-                // The load and the version ride on these too.
+                self.apply_fleet_changes(changes);
+                // The envelope also carries the load and the configuration version.
                 self.drive(EntryEvent::Message(Box::new(envelope)));
             }
             Message::ConfigPull { .. } | Message::ConfigPart { .. } => {
@@ -169,12 +171,12 @@
         }
     }
 
-    fn on_call(&mut self, event: FrontEvent) {
+    fn on_call(&mut self, event: FrontendEvent) {
         match event {
-            FrontEvent::Open(id, tx) => {
+            FrontendEvent::Open(id, tx) => {
                 self.replies.insert(id, tx);
             }
-            FrontEvent::Event(event) => {
+            FrontendEvent::Event(event) => {
                 if let EntryEvent::CallerGone(id) = &event {
                     self.replies.remove(id);
                 }
@@ -189,13 +191,13 @@
             EntryInput::Config(config) => {
                 let before = self.core.config_version();
                 self.drive(EntryEvent::Config(config));
-                self.spread_config(before);
-                self.show();
+                self.announce_config(before);
+                self.publish_status();
             }
             EntryInput::Vms(vms) => {
                 let now = self.node.now();
-                let news = self.node.fleet.on_vms(now, vms, &mut self.node.outbox);
-                self.learn(news);
+                let changes = self.node.fleet.on_vms(now, vms, &mut self.node.outbox);
+                self.apply_fleet_changes(changes);
             }
             EntryInput::Lease(call, answer) => {
                 let now = self.node.now();
@@ -206,42 +208,42 @@
                 let now = self.node.now();
                 self.node.fleet.leave(now, &mut self.node.outbox);
                 self.drive(EntryEvent::Leave);
-                self.show();
+                self.publish_status();
             }
         }
     }
 
     fn on_tick(&mut self) {
         let now = self.node.now();
-        let news = self.node.fleet.on_tick(now, &mut self.node.outbox);
-        self.learn(news);
+        let changes = self.node.fleet.on_tick(now, &mut self.node.outbox);
+        self.apply_fleet_changes(changes);
         let entries = self.node.fleet.entries();
         self.drive(EntryEvent::EntryCount(entries));
         self.drive(EntryEvent::Tick);
-        self.lead(now);
-        self.tell_state();
-        if self.node.begin_upkeep(now) {
-            self.keep_up();
+        self.run_leader(now);
+        self.update_readiness();
+        if self.node.start_maintenance(now) {
+            self.run_maintenance();
         }
     }
 
-    /// Does what goes over all members, less often than each tick.
-    fn keep_up(&mut self) {
+    /// Runs the tasks whose cost grows with the members, less often than each tick.
+    fn run_maintenance(&mut self) {
         self.feed.set_watching(self.node.fleet.is_watcher());
         self.is_candidate = self.node.fleet.rank() < LEASE_CANDIDATES;
-        self.node.count_members();
+        self.node.update_member_counts();
         self.status.set(self.status_json());
     }
 
-    /// Shows the state at once; readiness goes before the status.
-    fn show(&self) {
-        self.tell_state();
+    /// Publishes readiness first, then the status, without waiting for a tick.
+    fn publish_status(&self) {
+        self.update_readiness();
         self.status.set(self.status_json());
     }
 
-    /// Tells a few members of a version that has just come into force; the
-    /// message carries it, and whoever is behind pulls.
-    fn spread_config(&mut self, before: ConfigVersion) {
+    /// Announces a newly active version to a few members: the message carries
+    /// the version, and lagging members pull it.
+    fn announce_config(&mut self, before: ConfigVersion) {
         let have = self.core.config_version();
         if have > before {
             let message = Message::ConfigPull { have, part: 0 };
@@ -251,14 +253,14 @@
         }
     }
 
-    /// Does the fleet's work when this entry holds the lease.
-    fn lead(&mut self, now: Time) {
+    /// Drives the lease, and the placement of models while this entry holds it.
+    fn run_leader(&mut self, now: Time) {
         let candidate = !self.core.is_leaving() && self.is_candidate;
-        let (asked, note) = self.leader.on_tick(now, candidate);
-        if let Some(note) = note {
-            self.node.note(&note);
+        let (request, event) = self.leader.on_tick(now, candidate);
+        if let Some(event) = event {
+            self.node.record_event(&event);
         }
-        if let Some((call, op)) = asked {
+        if let Some((call, op)) = request {
             let platform = self.platform.clone();
             let tx = self.tx.clone();
             tokio::spawn(async move {
@@ -266,7 +268,7 @@
                 let _ = tx.send(EntryInput::Lease(call, answer)).await;
             });
         }
-        // Without the lease there is nothing to place, so no engine is looked at.
+        // Only the lease holder places models.
         if self.leader.held(now).is_some()
             && let Some(config) = self.core.config().cloned()
         {
@@ -275,11 +277,11 @@
         }
     }
 
-    fn learn(&mut self, news: FleetChanges) {
-        if news.leave {
+    fn apply_fleet_changes(&mut self, changes: FleetChanges) {
+        if changes.leave {
             self.on_input(EntryInput::Leave);
         }
-        for record in news.changed {
+        for record in changes.changed {
             log::info!(event = "member_changed", name = &*record.peer.name, state:? = record.state; "");
             self.drive(EntryEvent::Member(record));
         }
@@ -290,11 +292,11 @@
         let now = self.node.now();
         self.core.on_event(now, event, &mut out);
         for action in out {
-            self.act(action);
+            self.apply_action(action);
         }
     }
 
-    fn act(&mut self, action: EntryAction) {
+    fn apply_action(&mut self, action: EntryAction) {
         match action {
             EntryAction::Send(to, message) => self.node.outbox.push(to, message),
             EntryAction::Broadcast(message) => {
@@ -307,30 +309,30 @@
                 let platform = self.platform.clone();
                 let tx = self.tx.clone();
                 tokio::spawn(async move {
-                    let answer = claims::ask(&platform, key, op).await;
+                    let answer = claims::execute(&platform, key, op).await;
                     let _ = tx
                         .send(EntryInput::Core(EntryEvent::Claim(id, answer)))
                         .await;
                 });
             }
             EntryAction::PullConfig(from) => self.feed.pull(from, &mut self.node.outbox),
-            EntryAction::Measured(measured) => count(&self.node.metrics, &measured),
-            EntryAction::LogEvent(note) => self.node.note(&note),
+            EntryAction::Measured(measured) => record_request(&self.node.metrics, &measured),
+            EntryAction::LogEvent(event) => self.node.record_event(&event),
         }
     }
 
     fn reply(&mut self, id: CallId, reply: Reply) {
         if matches!(reply, Reply::Fail { .. }) {
-            // What the fleet has to know of a failure goes out before it.
+            // The fleet's messages about a failure are sent before the reply.
             self.failures.push((id, reply));
         } else {
-            self.give(id, reply);
+            self.deliver(id, reply);
         }
     }
 
-    fn give(&mut self, id: CallId, reply: Reply) {
+    fn deliver(&mut self, id: CallId, reply: Reply) {
         let last = matches!(reply, Reply::End(_) | Reply::Fail { .. });
-        // A caller that went away has told so; its replies are for nobody.
+        // The replies of a disconnected caller are discarded.
         if let Some(tx) = self.replies.get(&id) {
             let _ = tx.send(reply);
         }
@@ -345,11 +347,11 @@
             .outbox
             .flush(&self.node.mailbox, &self.node.me, config, None);
         for (id, reply) in std::mem::take(&mut self.failures) {
-            self.give(id, reply);
+            self.deliver(id, reply);
         }
     }
 
-    fn tell_state(&self) {
+    fn update_readiness(&self) {
         let agents = self
             .core
             .router()
@@ -407,7 +409,7 @@
     }
 }
 
-fn count(metrics: &Metrics, measured: &MeasuredRequest) {
+fn record_request(metrics: &Metrics, measured: &MeasuredRequest) {
     let priority = match measured.priority {
         Priority::Interactive => "interactive",
         Priority::Batch => "batch",
--- a/fireflyd/src/metrics.rs
+++ b/fireflyd/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters, gauges and histograms of one process.
 //!
-//! All of them hang on a registry of their own, so that a test can hold many processes at once.
-//! Cloning is cheap and shares the values.
+//! Each instance has its own registry, so that a test can run many processes at once. Cloning is
+//! cheap and shares the values.
 
 use std::fmt::Write;
 
@@ -12,7 +12,7 @@
 };
 
 /// Bucket bounds in seconds, from a millisecond to two minutes.
-const SECONDS: [f64; 16] = [
+const BUCKETS_SECONDS: [f64; 16] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0, 120.0,
 ];
 
@@ -22,7 +22,7 @@
     registry: Registry,
     /// Requests ended, by `brand`, `priority` and result `code`.
     pub requests: IntCounterVec,
-    /// Requests that met their objective or not, by `brand`, `priority` and `met`.
+    /// Requests with an objective, by `brand`, `priority` and `met`.
     pub objective: IntCounterVec,
     /// Seconds from a request's arrival to its first token, by `class`.
     pub first_token_seconds: HistogramVec,
@@ -36,15 +36,15 @@
     pub offers_sent: IntCounter,
     /// Offers refused, by result `code`.
     pub offers_refused: IntCounterVec,
-    /// Streams taken up again at an offset after a cut or stalled link.
+    /// Streams reattached at an offset after a broken or stalled link.
     pub reattachments: IntCounter,
-    /// Generations started afresh before anything was delivered.
+    /// Generations restarted before anything was delivered.
     pub restarts: IntCounter,
     /// Messages and bytes of the mailbox.
     pub mailbox: MailboxMetrics,
-    /// Calls of the platform, by `kind` and `result`.
+    /// Calls to the platform, by `kind` and `result`.
     pub platform_calls: IntCounterVec,
-    /// Version of the configuration in force.
+    /// Version of the active configuration.
     pub config_version: IntGauge,
     /// Known members of the fleet, by `state`.
     pub members: IntGaugeVec,
@@ -52,7 +52,7 @@
     pub quarantined_digests: IntGauge,
 }
 
-/// The mailbox's part of the metrics.
+/// Metrics of the mailbox.
 #[derive(Clone, Debug)]
 pub struct MailboxMetrics {
     /// Messages handed to a link.
@@ -66,65 +66,78 @@
     /// Messages dropped, by `cause`: `queue_full`, `too_old`, `too_long`, `too_many_peers`,
     /// `link`, `inbox_full`.
     pub dropped: IntCounterVec,
-    /// Messages refused for their seal.
+    /// Messages refused for an invalid seal.
     pub refused_seal: IntCounter,
     /// Peers with an open link.
     pub peers: IntGauge,
 }
 
 impl Metrics {
-    /// Metrics on a fresh registry, all at zero.
+    /// Creates the metrics on a new registry, all at zero.
     ///
     /// # Errors
     ///
-    /// A prometheus error when two names clash.
+    /// Returns a Prometheus error when two names clash.
     pub fn new() -> anyhow::Result<Self> {
-        let r = Registry::new();
+        let registry = Registry::new();
         Ok(Self {
-            requests: counters(
-                &r,
+            requests: counter_vec(
+                &registry,
                 "requests_total",
                 "Requests ended",
                 &["brand", "priority", "code"],
             )?,
-            objective: counters(
-                &r,
+            objective: counter_vec(
+                &registry,
                 "objective_total",
                 "Requests by objective met",
                 &["brand", "priority", "met"],
             )?,
-            first_token_seconds: seconds(&r, "first_token_seconds", "Arrival to first token")?,
-            between_token_seconds: seconds(&r, "between_token_seconds", "Between two tokens")?,
-            stall_seconds: seconds(&r, "stall_seconds", "Length of each stall")?,
-            streams_running: gauge(&r, "streams_running", "Streams running now")?,
-            offers_sent: counter(&r, "offers_sent_total", "Offers sent to agents")?,
-            offers_refused: counters(&r, "offers_refused_total", "Offers refused", &["code"])?,
-            reattachments: counter(&r, "reattachments_total", "Streams taken up again")?,
-            restarts: counter(&r, "restarts_total", "Generations started afresh")?,
-            mailbox: MailboxMetrics::new(&r)?,
-            platform_calls: counters(
-                &r,
+            first_token_seconds: seconds_histogram(
+                &registry,
+                "first_token_seconds",
+                "Arrival to first token",
+            )?,
+            between_token_seconds: seconds_histogram(
+                &registry,
+                "between_token_seconds",
+                "Between two tokens",
+            )?,
+            stall_seconds: seconds_histogram(&registry, "stall_seconds", "Length of each stall")?,
+            streams_running: gauge(&registry, "streams_running", "Streams running now")?,
+            offers_sent: counter(&registry, "offers_sent_total", "Offers sent to agents")?,
+            offers_refused: counter_vec(
+                &registry,
+                "offers_refused_total",
+                "Offers refused",
+                &["code"],
+            )?,
+            reattachments: counter(&registry, "reattachments_total", "Streams reattached")?,
+            restarts: counter(&registry, "restarts_total", "Generations restarted")?,
+            mailbox: MailboxMetrics::new(&registry)?,
+            platform_calls: counter_vec(
+                &registry,
                 "platform_calls_total",
-                "Calls of the platform",
+                "Calls to the platform",
                 &["kind", "result"],
             )?,
             config_version: gauge(
-                &r,
+                &registry,
                 "config_version",
-                "Version of the configuration in force",
+                "Version of the active configuration",
             )?,
-            members: gauges(&r, "members", "Known members", &["state"])?,
-            quarantined_digests: gauge(&r, "quarantined_digests", "Digests in quarantine")?,
-            registry: r,
+            members: gauge_vec(&registry, "members", "Known members", &["state"])?,
+            quarantined_digests: gauge(&registry, "quarantined_digests", "Digests in quarantine")?,
+            registry,
         })
     }
 
-    /// All metrics in the prometheus text format.
+    /// Renders all metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         let mut text = String::new();
         if let Err(e) = TextEncoder::new().encode_utf8(&self.registry.gather(), &mut text) {
-            // Writing to a string can't fail, so the comment is all a reader needs.
+            // Writing to a string can't fail; the comment reports an encoding error.
             let _ = writeln!(text, "# {e}");
         }
         text
@@ -132,15 +145,24 @@
 }
 
 impl MailboxMetrics {
-    fn new(r: &Registry) -> anyhow::Result<Self> {
+    fn new(registry: &Registry) -> anyhow::Result<Self> {
         Ok(Self {
-            sent: counter(r, "mailbox_sent_total", "Messages handed to a link")?,
-            sent_bytes: counter(r, "mailbox_sent_bytes_total", "Bytes handed to a link")?,
-            received: counter(r, "mailbox_received_total", "Messages opened")?,
-            received_bytes: counter(r, "mailbox_received_bytes_total", "Bytes opened")?,
-            dropped: counters(r, "mailbox_dropped_total", "Messages dropped", &["cause"])?,
-            refused_seal: counter(r, "mailbox_refused_seal_total", "Wrong seals")?,
-            peers: gauge(r, "mailbox_peers", "Peers with an open link")?,
+            sent: counter(registry, "mailbox_sent_total", "Messages handed to a link")?,
+            sent_bytes: counter(
+                registry,
+                "mailbox_sent_bytes_total",
+                "Bytes handed to a link",
+            )?,
+            received: counter(registry, "mailbox_received_total", "Messages opened")?,
+            received_bytes: counter(registry, "mailbox_received_bytes_total", "Bytes opened")?,
+            dropped: counter_vec(
+                registry,
+                "mailbox_dropped_total",
+                "Messages dropped",
+                &["cause"],
+            )?,
+            refused_seal: counter(registry, "mailbox_refused_seal_total", "Wrong seals")?,
+            peers: gauge(registry, "mailbox_peers", "Peers with an open link")?,
         })
     }
 }
@@ -149,33 +171,38 @@
     Opts::new(format!("firefly_{name}"), help)
 }
 
-fn register<C: Collector + Clone + 'static>(r: &Registry, metric: C) -> anyhow::Result<C> {
-    r.register(Box::new(metric.clone()))?;
+fn register<C: Collector + Clone + 'static>(registry: &Registry, metric: C) -> anyhow::Result<C> {
+    registry.register(Box::new(metric.clone()))?;
     Ok(metric)
 }
 
-fn counter(r: &Registry, name: &str, help: &str) -> anyhow::Result<IntCounter> {
-    register(r, IntCounter::with_opts(opts(name, help))?)
+fn counter(registry: &Registry, name: &str, help: &str) -> anyhow::Result<IntCounter> {
+    register(registry, IntCounter::with_opts(opts(name, help))?)
 }
 
-fn counters(
-    r: &Registry,
+fn counter_vec(
+    registry: &Registry,
     name: &str,
     help: &str,
     labels: &[&str],
 ) -> anyhow::Result<IntCounterVec> {
-    register(r, IntCounterVec::new(opts(name, help), labels)?)
+    register(registry, IntCounterVec::new(opts(name, help), labels)?)
 }
 
-fn gauge(r: &Registry, name: &str, help: &str) -> anyhow::Result<IntGauge> {
-    register(r, IntGauge::with_opts(opts(name, help))?)
+fn gauge(registry: &Registry, name: &str, help: &str) -> anyhow::Result<IntGauge> {
+    register(registry, IntGauge::with_opts(opts(name, help))?)
 }
 
-fn gauges(r: &Registry, name: &str, help: &str, labels: &[&str]) -> anyhow::Result<IntGaugeVec> {
-    register(r, IntGaugeVec::new(opts(name, help), labels)?)
+fn gauge_vec(
+    registry: &Registry,
+    name: &str,
+    help: &str,
+    labels: &[&str],
+) -> anyhow::Result<IntGaugeVec> {
+    register(registry, IntGaugeVec::new(opts(name, help), labels)?)
 }
 
-fn seconds(r: &Registry, name: &str, help: &str) -> anyhow::Result<HistogramVec> {
-    let opts = HistogramOpts::from(opts(name, help)).buckets(SECONDS.to_vec());
-    register(r, HistogramVec::new(opts, &["class"])?)
+fn seconds_histogram(registry: &Registry, name: &str, help: &str) -> anyhow::Result<HistogramVec> {
+    let opts = HistogramOpts::from(opts(name, help)).buckets(BUCKETS_SECONDS.to_vec());
+    register(registry, HistogramVec::new(opts, &["class"])?)
 }
--- a/fireflyd/src/node.rs
+++ b/fireflyd/src/node.rs
@@ -1,4 +1,4 @@
-//! What both roles share: identity, clock, mailbox, members and journal.
+//! State shared by both roles: identity, clock, mailbox, members and journal.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -9,67 +9,67 @@
 use fireflycroft_wire::{Header, decode_all};
 
 use crate::fleet::Fleet;
-use crate::grace::Grace;
+use crate::grace_period::GracePeriod;
 use crate::journal::Journal;
 use crate::mailbox::Mailbox;
 use crate::metrics::Metrics;
 use crate::outbox::Outbox;
 
-/// Time between two ticks of the core.
+/// Interval of the core's ticks.
 pub const TICK: Duration = Duration::from_millis(50);
-/// Time between two turns of what costs more with each member and hurries
-/// nobody: ranks, counts, and what operators are shown.
-const UPKEEP_EVERY: Duration = Duration::from_millis(500);
+/// Interval of the tasks that aren't urgent and whose cost grows with the
+/// members: ranks, counts and the status page.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a process is told of itself.
+/// Configured identity of a process.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Stable name.
     pub name: Name,
     /// Data centre.
     pub data_centre: Name,
-    /// What it does.
+    /// Entry or agent.
     pub role: Role,
     /// Models or plain services of its upstream; empty for an entry.
     pub serves: Vec<Name>,
-    /// Mailboxes of some members.
+    /// Mailbox addresses of seed members.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// One process of the fleet, without its role's core.
+/// One process of the fleet, without the core of its role.
 pub struct Node {
-    /// Who it is.
+    /// Its own peer record.
     pub me: Peer,
     /// Its mailbox.
     pub mailbox: Mailbox,
     /// Its metrics.
     pub metrics: Metrics,
-    /// Members it knows.
+    /// Its view of the members.
     pub fleet: Fleet,
-    /// Messages of this turn.
+    /// Outgoing messages of this turn.
     pub outbox: Outbox,
-    /// What happened of late, by request.
+    /// Recent events of requests.
     pub journal: Journal,
     /// Time between refusing new work and leaving.
-    pub grace: Grace,
+    pub grace: GracePeriod,
     started: Instant,
-    upkeep_at: Time,
+    next_maintenance: Time,
 }
 
 impl Node {
-    /// A node of that identity at that mailbox.
+    /// Creates a node with that identity and mailbox.
     #[must_use]
     pub fn new(
         identity: Identity,
         mailbox: Mailbox,
         metrics: Metrics,
         journal: Journal,
-        grace: Grace,
+        grace: GracePeriod,
     ) -> Self {
         let me = Peer {
             name: identity.name,
             addr: mailbox.local_addr(),
-            incarnation: draw_incarnation(),
+            incarnation: new_incarnation(),
             role: identity.role,
         };
         let setup = MemberSetup {
@@ -88,26 +88,26 @@
             journal,
             grace,
             started: Instant::now(),
-            upkeep_at: Time::default(),
+            next_maintenance: Time::default(),
         }
     }
 
-    /// Time since the start.
+    /// Returns the time since the start.
     #[must_use]
     pub fn now(&self) -> Time {
         Time::default() + self.started.elapsed()
     }
 
-    /// Whether upkeep is due at `now`; if so, the next is due a while later.
-    pub fn begin_upkeep(&mut self, now: Time) -> bool {
-        let due = now >= self.upkeep_at;
+    /// Returns whether maintenance is due at `now`; if so, schedules the next.
+    pub fn start_maintenance(&mut self, now: Time) -> bool {
+        let due = now >= self.next_maintenance;
         if due {
-            self.upkeep_at = now + UPKEEP_EVERY;
+            self.next_maintenance = now + MAINTENANCE_INTERVAL;
         }
         due
     }
 
-    /// Reads a message of the mailbox; one that cannot be read is logged.
+    /// Decodes a mailbox message; logs one that is unreadable.
     #[must_use]
     pub fn read(&self, buf: &[u8]) -> Option<(Header, Vec<Message>)> {
         match decode_all(buf) {
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Counts the members by state for the metrics.
-    pub fn count_members(&self) {
+    /// Updates the metrics of members by state.
+    pub fn update_member_counts(&self) {
         let states = [
             ("alive", MemberState::Alive),
             ("suspect", MemberState::Suspect),
@@ -133,43 +133,46 @@
         }
     }
 
-    /// Logs a note and counts what it stands for.
-    pub fn note(&self, note: &LogEvent) {
-        count(&self.metrics, note);
-        self.journal.add(note);
-        let code = note.code.map_or(0, fireflycroft::Code::number);
-        let peer = note.peer.as_deref().unwrap_or("-");
-        match note.request {
+    /// Logs an event, adds it to the journal and updates the metrics.
+    pub fn record_event(&self, log_event: &LogEvent) {
+        update_metrics(&self.metrics, log_event);
+        self.journal.add(log_event);
+        let code = log_event.code.map_or(0, fireflycroft::Code::number);
+        let peer = log_event.peer.as_deref().unwrap_or("-");
+        match log_event.request {
             Some(req) => {
-                log::info!(event = note.event, req:% = req, peer = peer, code = code, count = note.count; "");
+                log::info!(event = log_event.event, req:% = req, peer = peer, code = code, count = log_event.count; "");
             }
             None => {
-                log::info!(event = note.event, peer = peer, code = code, count = note.count; "");
+                log::info!(event = log_event.event, peer = peer, code = code, count = log_event.count; "");
             }
         }
     }
 }
 
-fn count(metrics: &Metrics, note: &LogEvent) {
-    match note.event {
+fn update_metrics(metrics: &Metrics, log_event: &LogEvent) {
+    match log_event.event {
         "offer_sent" => metrics.offers_sent.inc(),
         "restarted" => metrics.restarts.inc(),
         "offer_refused" => {
-            let code = note.code.map_or(0, fireflycroft::Code::number).to_string();
+            let code = log_event
+                .code
+                .map_or(0, fireflycroft::Code::number)
+                .to_string();
             metrics.offers_refused.with_label_values(&[&code]).inc();
         }
         "config_in_force" => {
             metrics
                 .config_version
-                .set(i64::try_from(note.count).unwrap_or(i64::MAX));
+                .set(i64::try_from(log_event.count).unwrap_or(i64::MAX));
         }
         _ => {}
     }
 }
 
-/// Number of this life: milliseconds of the wall clock above random bits, so
-/// that a later life of the same process has a higher one.
-fn draw_incarnation() -> Incarnation {
+/// Returns a new incarnation number: milliseconds of the wall clock above
+/// random bits, so that a restarted process gets a higher one.
+fn new_incarnation() -> Incarnation {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
--- a/fireflyd/src/plain_client.rs
+++ b/fireflyd/src/plain_client.rs
@@ -10,55 +10,56 @@
     HOP_BY_HOP, Result, base_url, http_client, never_sent, read_body, transport_error,
 };
 
-/// Answer of a plain service, whatever its status.
+/// Response of a plain service, with any status.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlainAnswer {
+pub struct PlainResponse {
     /// HTTP status.
     pub status: u16,
-    /// Content type, if the service named one.
+    /// Content type, if present.
     pub content_type: Option<String>,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Client of one plain service; cloning shares its connections.
+/// Client of one plain service; clones share its connections.
 #[derive(Clone, Debug)]
 pub struct PlainClient {
     http: reqwest::Client,
     base: Url,
     timeout: Duration,
-    max_answer: usize,
+    max_response_bytes: usize,
 }
 
 impl PlainClient {
-    /// Client of the service at `base`; `timeout` bounds a call, `max_answer` its answer in bytes.
+    /// Creates a client of the service at `base`; `timeout` limits a call, `max_response_bytes`
+    /// its response.
     ///
     /// # Errors
     ///
-    /// An error when `base` is no HTTP URL.
-    pub fn new(base: &str, timeout: Duration, max_answer: usize) -> anyhow::Result<Self> {
+    /// Returns an error when `base` is not an HTTP URL.
+    pub fn new(base: &str, timeout: Duration, max_response_bytes: usize) -> anyhow::Result<Self> {
         Ok(Self {
             http: http_client(timeout)?,
             base: base_url(base)?,
             timeout,
-            max_answer,
+            max_response_bytes,
         })
     }
 
-    /// Makes a call; `path` may hold a query.
+    /// Makes a call; `path` may include a query.
     ///
-    /// Headers that concern the caller's own connection are left out.
+    /// Headers of the caller's own connection, such as `host`, are omitted.
     ///
     /// # Errors
     ///
-    /// `NeverSent`, `Broken` or `Unusable`; any status is an answer.
+    /// Returns `NeverSent`, `Broken` or `Unusable`; an HTTP error status is a response.
     pub async fn call(
         &self,
         method: &str,
         path: &str,
         headers: &[(impl AsRef<str>, impl AsRef<str>)],
         payload: impl Into<Bytes>,
-    ) -> Result<PlainAnswer> {
+    ) -> Result<PlainResponse> {
         let method = Method::from_bytes(method.as_bytes()).map_err(never_sent)?;
         let mut call = self
             .http
@@ -72,11 +73,11 @@
                 call = call.header(name, value);
             }
         }
-        self.answer(call.send().await.map_err(|e| transport_error(&e))?)
+        self.read_response(call.send().await.map_err(|e| transport_error(&e))?)
             .await
     }
 
-    /// URL of a path below the base; never another host.
+    /// Returns the URL of a path below the base; the host can't change.
     fn url(&self, path: &str) -> Url {
         let (path, query) = path
             .split_once('?')
@@ -88,16 +89,16 @@
         url
     }
 
-    async fn answer(&self, res: Response) -> Result<PlainAnswer> {
+    async fn read_response(&self, res: Response) -> Result<PlainResponse> {
         let content_type = res
             .headers()
             .get(CONTENT_TYPE)
             .and_then(|value| value.to_str().ok())
             .map(str::to_owned);
-        Ok(PlainAnswer {
+        Ok(PlainResponse {
             status: res.status().as_u16(),
             content_type,
-            body: read_body(res, self.max_answer).await?.into(),
+            body: read_body(res, self.max_response_bytes).await?.into(),
         })
     }
 }
--- a/fireflyd/src/process.rs
+++ b/fireflyd/src/process.rs
@@ -19,8 +19,8 @@
 use crate::agent::{AgentInput, AgentLoop};
 use crate::config_feed::ConfigFeed;
 use crate::entry::{EntryInput, EntryLoop};
-use crate::front::{Front, Tls};
-use crate::grace::Grace;
+use crate::frontend::{Frontend, Tls};
+use crate::grace_period::GracePeriod;
 use crate::journal::Journal;
 use crate::keyring::{SharedKeyRing, read_key_file, watch_key_file};
 use crate::leases;
@@ -102,7 +102,7 @@
     let (feed, configs) = ConfigFeed::new();
     tokio::spawn(feed.clone().follow(platform.clone()));
     let journal = Journal::new(settings.name.clone());
-    let grace = Grace::new(settings.timeouts.drain_grace);
+    let grace = GracePeriod::new(settings.timeouts.drain_grace);
     let node = Node::new(identity(settings), mailbox, metrics, journal, grace);
     Ok(Components {
         node,
@@ -110,7 +110,7 @@
         platform,
         feed,
         configs,
-        ready: Readiness::not_yet("starting"),
+        ready: Readiness::not_ready("starting"),
         status: Status::default(),
     })
 }
@@ -143,10 +143,10 @@
 ) -> anyhow::Result<()> {
     let (calls_tx, calls) = mpsc::channel(QUEUE_CAPACITY);
     let (tx, inputs) = mpsc::channel(QUEUE_CAPACITY);
-    let front = Front::new(calls_tx, components.node.metrics.clone());
+    let frontend = Frontend::new(calls_tx, components.node.metrics.clone());
     let (stop, stopped) = oneshot::channel();
     let tls = read_tls(&entry)?;
-    let (callers, server) = front.bind(entry.listen, tls, stopped).await?;
+    let (callers, server) = frontend.bind(entry.listen, tls, stopped).await?;
     let server = tokio::spawn(server);
     let admin = serve_admin(settings, &components, {
         let tx = tx.clone();
@@ -191,7 +191,7 @@
         tx,
     );
     entry_loop.run(components.mail, calls, inputs).await;
-    // The front keeps writing until each caller has received its response.
+    // The frontend keeps writing until each caller has received its response.
     let _ = stop.send(());
     let _ = tokio::time::timeout(RESPONSE_FLUSH_TIMEOUT, server).await;
     tokio::time::sleep(FINAL_SEND_DELAY).await;
--- a/fireflyd/src/runner.rs
+++ b/fireflyd/src/runner.rs
@@ -13,7 +13,7 @@
 use crate::agent::AgentInput;
 use crate::upstream::{
     EngineClient, EngineEvent, EngineOrder, EngineStream, FencedOrder, FinishReason,
-    GenerateRequest, Model, ModelState, OrderOutcome, PlainAnswer, PlainClient, UpstreamError,
+    GenerateRequest, Model, ModelState, OrderOutcome, PlainClient, PlainResponse, UpstreamError,
 };
 
 /// Bytes of a plain service's response sent as one token.
@@ -339,7 +339,7 @@
 
 async fn send_plain_response(
     generation: GenerationId,
-    answer: PlainAnswer,
+    answer: PlainResponse,
     tx: &mpsc::Sender<AgentInput>,
 ) {
     let tokens: Vec<Vec<u8>> = answer
--- a/fireflyd/tests/keyring.rs
+++ b/fireflyd/tests/keyring.rs
@@ -1,4 +1,4 @@
-//! Seals: what opens, what is refused, and a key rolled without a stop.
+//! Key rings: opened and refused seals, and rotation of a key without a stop.
 
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
     short_key: "1:1122".to_owned() => Some(KeyFileError::Malformed(1));
     not_hex: line(1, "zz") => Some(KeyFileError::Malformed(1));
     id_over_a_byte: format!("256:{}", "11".repeat(KEY_LEN)) => Some(KeyFileError::Malformed(1));
-    repeated_id: format!("{}\n{}", line(1, "11"), line(1, "22")) => Some(KeyFileError::RepeatedId(2));
+    repeated_id: format!("{}\n{}", line(1, "11"), line(1, "22")) => Some(KeyFileError::DuplicateId(2));
 }
 
 macro_rules! open_cases {
@@ -113,7 +113,7 @@
     }
 }
 
-async fn opens(shared: &SharedKeyRing, msg: &[u8], want: bool) {
+async fn await_opens(shared: &SharedKeyRing, msg: &[u8], want: bool) {
     let poll = async {
         while shared.get().open(msg).is_ok() != want {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -121,7 +121,7 @@
     };
     tokio::time::timeout(Duration::from_secs(20), poll)
         .await
-        .expect("the changed key file was not taken");
+        .expect("the changed key file was not loaded");
 }
 
 #[tokio::test]
@@ -135,14 +135,14 @@
         Duration::from_millis(5),
     ));
     let by_new = sealed(&ring(&[NEW]), b"offer");
-    opens(&shared, &by_new, false).await;
+    await_opens(&shared, &by_new, false).await;
     std::fs::write(&path, format!("{}\n{}", line(1, "11"), line(2, "22"))).unwrap();
-    opens(&shared, &by_new, true).await;
+    await_opens(&shared, &by_new, true).await;
     std::fs::write(&path, "broken").unwrap();
     tokio::time::sleep(Duration::from_millis(50)).await;
     assert!(shared.get().open(&by_new).is_ok());
     std::fs::write(&path, line(1, "11")).unwrap();
-    opens(&shared, &by_new, false).await;
+    await_opens(&shared, &by_new, false).await;
     watch.abort();
     std::fs::remove_file(&path).unwrap();
 }
--- a/fireflyd/tests/processes_claims.rs
+++ b/fireflyd/tests/processes_claims.rs
@@ -1,5 +1,5 @@
-//! Points 3 and 4 on separate processes: "not run" is true, and what may not
-//! be repeated runs at most once.
+//! Guarantees 3 and 4 on separate processes: "not run" is true, and
+//! non-idempotent work runs at most once.
 
 mod support;
 
@@ -12,12 +12,12 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-/// Time that a slow platform holds up each call.
+/// Delay of each call to a slow platform, in milliseconds.
 const SLOW_MS: u64 = 900;
-/// Factor by which a first step takes more than a second.
-const NO_TOKEN_YET: u32 = 500;
-/// Longest wait for a refusal that is to come at once.
-const AT_ONCE: Duration = Duration::from_secs(4);
+/// Slow-down of the engines at which the first step takes more than a second.
+const SLOW_FIRST_STEP_FACTOR: u32 = 500;
+/// Longest wait for an immediate refusal.
+const PROMPT_TIMEOUT: Duration = Duration::from_secs(4);
 
 crate::cases! {
     agents_frozen_before_the_offer => agents_frozen_before_offer();
@@ -63,12 +63,12 @@
     }
 }
 
-fn begin(caller: &Caller, request: Request, entry: usize) -> JoinHandle<Got> {
+fn start_call(caller: &Caller, request: Request, entry: usize) -> JoinHandle<Got> {
     let caller = caller.clone();
     tokio::spawn(async move { caller.run(request, entry).await })
 }
 
-/// Sends a generation once, without a caller's patience.
+/// Sends a generation once, without retries.
 async fn post(fleet: &Fleet, entry: usize, mark: &str, key: &str) -> Response {
     let url = format!("{}/v1/chat/completions", fleet.entries[entry].url());
     let body = json!({
@@ -84,8 +84,8 @@
     body["error"]["code"].as_u64().unwrap_or(0)
 }
 
-/// Waits until an agent holds a reservation; gives the agent's index.
-async fn reserved(fleet: &Fleet) -> usize {
+/// Waits until an agent holds a reservation and returns its index.
+async fn await_reservation(fleet: &Fleet) -> usize {
     let mut at = None;
     until("a reservation", || async {
         for agent in &fleet.agents {
@@ -101,16 +101,21 @@
             at = Some(i);
         }
     }
-    at.expect("the reservation is held longer than two looks take")
+    at.expect("the reservation outlasts two status queries")
 }
 
-/// Offers that frozen agents read late must not run what was refused.
+/// Frozen agents read offers late and must not run the refused requests.
 async fn agents_frozen_before_offer() {
     let mut fleet = Fleet::start(Spec::default()).await;
     for agent in &mut fleet.agents {
         agent.process.freeze();
     }
-    let res = within(AT_ONCE, "the refusal", post(&fleet, 0, "m", DOSSIERS)).await;
+    let res = within(
+        PROMPT_TIMEOUT,
+        "the refusal",
+        post(&fleet, 0, "m", DOSSIERS),
+    )
+    .await;
     assert!(res.headers().contains_key("retry-after"));
     let code = error_code(res).await;
     assert_eq!(code / 1_000, 2, "{code}");
@@ -126,12 +131,12 @@
     assert_eq!(fleet.runs().count("m"), 0);
 }
 
-/// The agent wakes after its reservation has lapsed and reads the start.
+/// The agent resumes after its reservation has expired and then reads the start.
 async fn agent_frozen_before_start() {
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.platform_faults(json!({"hang_ms": SLOW_MS})).await;
-    let call = begin(&fleet.caller(), grade("m"), 0);
-    let agent = reserved(&fleet).await;
+    let call = start_call(&fleet.caller(), grade("m"), 0);
+    let agent = await_reservation(&fleet).await;
     fleet.agents[agent].process.freeze();
     sleep(Duration::from_secs(3)).await;
     fleet.platform_faults(json!({"hang_ms": 0})).await;
@@ -142,13 +147,12 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// The claim takes effect, its start is never sent: the key is free for the
-/// caller who comes again.
+/// The claim takes effect, but its start is never sent: a retry may use the key.
 async fn entry_killed_before_start() {
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.platform_faults(json!({"hang_ms": SLOW_MS})).await;
-    let call = begin(&fleet.caller(), grade("m"), 0);
-    reserved(&fleet).await;
+    let call = start_call(&fleet.caller(), grade("m"), 0);
+    await_reservation(&fleet).await;
     fleet.entries[0].process.kill();
     fleet.platform_faults(json!({"hang_ms": 0})).await;
     let got = call.await.unwrap();
@@ -157,17 +161,17 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// An entry that was paused while it claimed starts nothing a second time.
+/// An entry paused during its claim starts no second run.
 async fn entry_frozen_before_start() {
     let mut fleet = Fleet::start(Spec::default()).await;
     fleet.platform_faults(json!({"hang_ms": SLOW_MS})).await;
     let caller = fleet.caller();
-    let first = begin(&caller, grade("m"), 0);
-    reserved(&fleet).await;
+    let first = start_call(&caller, grade("m"), 0);
+    await_reservation(&fleet).await;
     fleet.entries[0].process.freeze();
     sleep(Duration::from_secs(3)).await;
     fleet.platform_faults(json!({"hang_ms": 0})).await;
-    let second = begin(&caller, grade("m"), 1).await.unwrap();
+    let second = start_call(&caller, grade("m"), 1).await.unwrap();
     fleet.entries[0].process.resume();
     let first = first.await.unwrap();
     assert!(
@@ -178,13 +182,13 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// A caller who left while the key was claimed may come again.
+/// A caller that disconnected during the claim may retry.
 async fn caller_gone_before_start() {
     let fleet = Fleet::start(Spec::default()).await;
     fleet.platform_faults(json!({"hang_ms": SLOW_MS})).await;
     let caller = fleet.caller();
-    let first = begin(&caller, grade("m"), 0);
-    reserved(&fleet).await;
+    let first = start_call(&caller, grade("m"), 0);
+    await_reservation(&fleet).await;
     first.abort();
     fleet.platform_faults(json!({"hang_ms": 0})).await;
     let got = caller.run(grade("m"), 1).await;
@@ -193,7 +197,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// One run, and everybody gets its answer.
+/// Concurrent requests with one key run once, and all callers get the answer.
 async fn same_key_at_once(request: fn(&str) -> Request) {
     let fleet = Fleet::start(with_plain()).await;
     let caller = fleet.caller();
@@ -211,7 +215,7 @@
     }
 }
 
-/// A key that is sent again gets the first answer.
+/// A repeated key gets the first answer.
 async fn same_key_again(request: fn(&str) -> Request) {
     let fleet = Fleet::start(with_plain()).await;
     let mut all = Vec::new();
@@ -223,7 +227,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// A key belongs to the body that it came with.
+/// A key with another body is refused.
 async fn other_body() {
     let fleet = Fleet::start(with_plain()).await;
     let first = fleet.call(filing("m"), 0).await;
@@ -236,16 +240,16 @@
     assert_eq!(fleet.runs().count("other"), 0);
 }
 
-/// The call is under way when its entry dies.
+/// The entry dies while the call is in progress.
 async fn resent_filing() {
     let mut fleet = Fleet::start(Spec {
         plain_flags: vec!["--delay-ms", "1000"],
         ..with_plain()
     })
     .await;
-    let call = begin(&fleet.caller(), filing("m"), 0);
+    let call = start_call(&fleet.caller(), filing("m"), 0);
     let records = fleet.agents.len() - 1;
-    until("the call is under way", || async {
+    until("the call is in progress", || async {
         fleet.status(&fleet.agents[records]).await["streams"] == 1
     })
     .await;
@@ -256,11 +260,11 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// The generation has begun and given nothing when its entry dies.
+/// The entry dies after the generation has started, before its first token.
 async fn resent_stream() {
     let mut fleet = Fleet::start(Spec::default()).await;
-    fleet.slow_engines(NO_TOKEN_YET).await;
-    let call = begin(&fleet.caller(), streamed_grade("m"), 0);
+    fleet.slow_engines(SLOW_FIRST_STEP_FACTOR).await;
+    let call = start_call(&fleet.caller(), streamed_grade("m"), 0);
     fleet.engine_of("m").await;
     fleet.entries[0].process.kill();
     fleet.slow_engines(1).await;
@@ -270,7 +274,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// The answer died with the agent: the key runs no more, and says so.
+/// The answer is lost with the agent: the key isn't run again, and the error code says so.
 async fn resent_after_agent_death() {
     let mut fleet = Fleet::start(with_plain()).await;
     let first = fleet.call(filing("m"), 0).await;
@@ -287,15 +291,17 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// Keyed work is refused at once as not run; the rest is served.
-async fn platform_out(fault: Value, mended: Value) {
+/// Keyed requests are refused at once as not run; others are served.
+async fn platform_out(fault: Value, recovered: Value) {
     let fleet = Fleet::start(with_plain()).await;
     fleet.platform_faults(fault).await;
     for entry in &fleet.entries {
         let url = format!("{}/services/records/file", entry.url());
         let req = fleet.http.post(url).bearer_auth(COUNTER);
         let req = req.header("idempotency-key", "m").body("[[mark=m]]");
-        let res = within(AT_ONCE, "the refusal", req.send()).await.unwrap();
+        let res = within(PROMPT_TIMEOUT, "the refusal", req.send())
+            .await
+            .unwrap();
         assert_eq!(res.status(), 503);
         assert!(res.headers().contains_key("retry-after"));
         assert_eq!(error_code(res).await, 2_015);
@@ -305,13 +311,13 @@
         .call(Request::stream("open", DOSSIERS, "model-a", 30), 0)
         .await;
     assert!(open.is_whole(), "{open:?}");
-    fleet.platform_faults(mended).await;
+    fleet.platform_faults(recovered).await;
     let got = fleet.call(filing("m"), 0).await;
     assert!(got.is_whole(), "{got:?}");
     fleet.assert_guarantees(&[open, got]);
 }
 
-/// The write of the claim takes effect and its answer is lost.
+/// The claim is written, but the platform's response is lost.
 async fn claim_answer_lost(writes: u64) {
     let fleet = Fleet::start(with_plain()).await;
     fleet
@@ -319,8 +325,8 @@
         .await;
     let caller = fleet.caller();
     let calls = [
-        begin(&caller, filing("m"), 0),
-        begin(&caller, filing("m"), 1),
+        start_call(&caller, filing("m"), 0),
+        start_call(&caller, filing("m"), 1),
     ];
     let mut all = Vec::new();
     for call in calls {
@@ -331,7 +337,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// What a rule says is non-repeatable is not run without a key.
+/// A request that a rule makes non-repeatable isn't run without a key.
 async fn rule_without_key() {
     let fleet = Fleet::start(Spec::default()).await;
     let res = post(&fleet, 0, "m", GRADES).await;
@@ -340,7 +346,7 @@
     assert_eq!(fleet.runs().count("m"), 0);
 }
 
-/// The service dies in the call: it is not run again, with a key or without.
+/// The service dies during the call: the call isn't run again, with or without a key.
 async fn filing_crashes(point: &'static str, runs: usize) {
     let mut fleet = Fleet::start(Spec {
         plain_flags: vec!["--crash-on", "mark=m", "--crash-point", point],
@@ -363,7 +369,7 @@
         if !fleet.plain.as_mut().unwrap().process.is_alive() {
             fleet.plain.as_mut().unwrap().restart().await;
         }
-        until("the service is up again", || async {
+        until("the service is ready again", || async {
             fleet.is_ready(&fleet.agents[records]).await
         })
         .await;
@@ -375,12 +381,12 @@
     );
 }
 
-/// A keyed generation is not started again, though nothing of it was seen.
+/// A keyed generation isn't restarted, although nothing of it was delivered.
 async fn grade_on_killed_engine() {
     let mut fleet = Fleet::start(Spec::default()).await;
-    fleet.slow_engines(NO_TOKEN_YET).await;
+    fleet.slow_engines(SLOW_FIRST_STEP_FACTOR).await;
     let caller = fleet.caller();
-    let call = begin(&caller, grade("m"), 0);
+    let call = start_call(&caller, grade("m"), 0);
     let engine = fleet.engine_of("m").await;
     fleet.engines[engine].process.kill();
     let first = within(WAIT_TIMEOUT, "the end", call).await.unwrap();
