--- a/standins/src/bin/fireflyload.rs
+++ b/standins/src/bin/fireflyload.rs
@@ -23,15 +23,15 @@
     Command::new("fireflyload")
         .about("Open-loop load on entries or engines")
         .args_conflicts_with_subcommands(true)
-        .arg(targets())
-        .arg(switch("straight", "Targets are engines, not entries"))
+        .arg(target_arg())
+        .arg(switch_arg("straight", "Targets are engines, not entries"))
         .arg(flag(
             "mix",
             "celje",
             "Built-in mix (celje, kerlann) or path of a JSON mix",
         ))
         .arg(optional("model", "Model to ask for instead of the mix's"))
-        .arg(keys())
+        .arg(key_arg())
         .arg(flag("rate", &5, "Requests a second, in the model of time"))
         .arg(flag(
             "duration-s",
@@ -69,7 +69,7 @@
         .arg(flag("svg", "report.svg", "File that receives the chart"))
 }
 
-fn targets() -> Arg {
+fn target_arg() -> Arg {
     optional(
         "target",
         "Base URL of an entry or engine; may be given several times",
@@ -78,7 +78,7 @@
     .value_delimiter(',')
 }
 
-fn keys() -> Arg {
+fn key_arg() -> Arg {
     optional(
         "key",
         "WORKSPACE=KEY instead of the mix's key; may be given several times",
@@ -87,12 +87,12 @@
     .value_delimiter(',')
 }
 
-fn switch(name: &'static str, help: &'static str) -> Arg {
+fn switch_arg(name: &'static str, help: &'static str) -> Arg {
     optional(name, help).action(ArgAction::SetTrue)
 }
 
 async fn run(matches: &ArgMatches) -> anyhow::Result<()> {
-    cli::start_logs();
+    cli::init_logging();
     let record = load::run(config(matches)?).await?;
     let json = serde_json::to_string_pretty(&record)?;
     if let Some(path) = matches.get_one::<String>("record") {
@@ -107,16 +107,16 @@
     Ok(Config {
         targets: targets.cloned().collect(),
         straight: matches.get_flag("straight"),
-        mix: mix(matches)?,
+        mix: load_mix(matches)?,
         rate: value(matches, "rate")?,
-        duration: seconds(matches, "duration-s")?,
-        drain: seconds(matches, "drain-s")?,
+        duration: parse_seconds(matches, "duration-s")?,
+        drain: parse_seconds(matches, "drain-s")?,
         time_scale: value(matches, "time-scale")?,
         seed: value(matches, "seed")?,
     })
 }
 
-fn mix(matches: &ArgMatches) -> anyhow::Result<Mix> {
+fn load_mix(matches: &ArgMatches) -> anyhow::Result<Mix> {
     let name: String = value(matches, "mix")?;
     let mut mix = match Mix::built_in(&name) {
         Some(mix) => mix,
@@ -148,7 +148,7 @@
     }
 }
 
-fn seconds(matches: &ArgMatches, name: &str) -> anyhow::Result<Duration> {
+fn parse_seconds(matches: &ArgMatches, name: &str) -> anyhow::Result<Duration> {
     Duration::try_from_secs_f64(value(matches, name)?).with_context(|| format!("--{name} is wrong"))
 }
 
--- a/standins/src/bin/standin-engine.rs
+++ b/standins/src/bin/standin-engine.rs
@@ -9,7 +9,7 @@
 
 #[tokio::main]
 async fn main() -> anyhow::Result<()> {
-    cli::start_logs();
+    cli::init_logging();
     let matches = command().get_matches();
     let running = engine::serve(config(&matches)?, cli::listener(&matches).await?)?;
     cli::run(&matches, running).await
--- a/standins/src/bin/standin-plain.rs
+++ b/standins/src/bin/standin-plain.rs
@@ -8,7 +8,7 @@
 
 #[tokio::main]
 async fn main() -> anyhow::Result<()> {
-    cli::start_logs();
+    cli::init_logging();
     let matches = cli::command("standin-plain", "Stand-in for a plain service")
         .arg(cli::flag("delay-ms", &0, "Milliseconds that a call takes"))
         .arg(cli::optional(
--- a/standins/src/bin/standin-platform.rs
+++ b/standins/src/bin/standin-platform.rs
@@ -5,7 +5,7 @@
 
 #[tokio::main]
 async fn main() -> anyhow::Result<()> {
-    cli::start_logs();
+    cli::init_logging();
     let matches = cli::command("standin-platform", "Stand-in for the platform's object API")
         .arg(cli::flag(
             "reads-per-second",
--- a/standins/src/cli.rs
+++ b/standins/src/cli.rs
@@ -112,7 +112,7 @@
 }
 
 /// Sends logs to standard error.
-pub fn start_logs() {
+pub fn init_logging() {
     logforth::starter_log::builder()
         .dispatch(|d| d.append(logforth::append::Stderr::default()))
         .apply();
--- a/standins/src/run_log.rs
+++ b/standins/src/run_log.rs
@@ -34,7 +34,7 @@
 
 /// An event with its time.
 #[derive(Serialize)]
-struct Line<'a, E> {
+struct LogLine<'a, E> {
     ms: u128,
     #[serde(flatten)]
     event: &'a E,
@@ -65,7 +65,7 @@
 
     /// Appends one event, stamped with the milliseconds since the log's start.
     pub fn append(&self, event: &impl Serialize) {
-        let line = Line {
+        let line = LogLine {
             ms: self.start.elapsed().as_millis(),
             event,
         };
