--- a/standins/src/bin/demo-callers.rs
+++ b/standins/src/bin/demo-callers.rs
@@ -11,19 +11,22 @@
 #[tokio::main]
 async fn main() -> anyhow::Result<ExitCode> {
     let matches = command().get_matches();
-    let many = |name: &str| {
+    let values_of = |name: &str| {
         let values = matches.get_many::<String>(name).unwrap_or_default();
         values.cloned().collect::<Vec<_>>()
     };
     let cfg = Config {
-        entries: many("entry"),
-        run_logs: many("run-log").into_iter().map(PathBuf::from).collect(),
+        entries: values_of("entry"),
+        run_logs: values_of("run-log")
+            .into_iter()
+            .map(PathBuf::from)
+            .collect(),
         long_tokens: value(&matches, "long-tokens")?,
-        span: Duration::from_secs(value(&matches, "span-s")?),
-        patience: Duration::from_secs(value(&matches, "patience-s")?),
+        duration: Duration::from_secs(value(&matches, "span-s")?),
+        request_timeout: Duration::from_secs(value(&matches, "patience-s")?),
     };
-    let kept = demo::run(&cfg).await?;
-    Ok(if kept {
+    let passed = demo::run(&cfg).await?;
+    Ok(if passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/standins/src/demo/callers.rs
+++ b/standins/src/demo/callers.rs
@@ -8,48 +8,55 @@
 use super::Config;
 use crate::caller::{Caller, Got, Request};
 
-const COUNTER: &str = "demo-key-1";
-const DOSSIERS: &str = "demo-key-2";
-const LOGS: &str = "demo-key-4";
-const GRADES: &str = "demo-key-5";
+const COUNTER_KEY: &str = "demo-key-1";
+const DOSSIER_KEY: &str = "demo-key-2";
+const LOG_KEY: &str = "demo-key-4";
+const GRADE_KEY: &str = "demo-key-5";
 
 /// Tokens of a clerk's lookup.
-const SHORT: u64 = 20;
+const LOOKUP_TOKENS: u64 = 20;
 /// Tokens of a grade.
-const GRADE: u64 = 40;
+const GRADE_TOKENS: u64 = 40;
 /// Pause of a clerk between two lookups.
-const PAUSE: Duration = Duration::from_millis(800);
+const LOOKUP_PAUSE: Duration = Duration::from_millis(800);
 /// Callers of each kind.
-const LONG: usize = 4;
-const CLERKS: usize = 2;
-const PAIRS: usize = 2;
+const LONG_STREAMS: usize = 4;
+const LOOKUP_CALLERS: usize = 2;
+const REQUEST_PAIRS: usize = 2;
 
 /// Starts all callers.
 pub(super) fn start(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller, cfg: &Config) {
-    for n in 0..LONG {
-        let dossier = Request::stream(&format!("dossier{n}"), DOSSIERS, "model-a", cfg.long_tokens);
+    for n in 0..LONG_STREAMS {
+        let dossier = Request::stream(
+            &format!("dossier{n}"),
+            DOSSIER_KEY,
+            "model-a",
+            cfg.long_tokens,
+        );
         start_one(tasks, caller, dossier, n);
-        let log = Request::stream(&format!("log{n}"), LOGS, "model-b", cfg.long_tokens);
+        let log = Request::stream(&format!("log{n}"), LOG_KEY, "model-b", cfg.long_tokens);
         start_one(tasks, caller, log, n);
     }
     let half = cfg.long_tokens / 2;
-    for n in 0..PAIRS {
-        let whole = Request::whole(&format!("whole{n}"), DOSSIERS, "model-b", half);
+    for n in 0..REQUEST_PAIRS {
+        let whole = Request::whole(&format!("whole{n}"), DOSSIER_KEY, "model-b", half);
         start_one(tasks, caller, whole, n);
-        start_pair(tasks, caller, &grade(n));
-        start_pair(tasks, caller, &filing(n));
+        start_pair(tasks, caller, &grade_request(n));
+        start_pair(tasks, caller, &filing_request(n));
     }
-    for n in 0..CLERKS {
-        tasks.spawn(clerk(caller.clone(), n, cfg.span));
+    for n in 0..LOOKUP_CALLERS {
+        tasks.spawn(send_lookups(caller.clone(), n, cfg.duration));
     }
 }
 
-fn grade(n: usize) -> Request {
-    Request::whole(&format!("grade{n}"), GRADES, "model-b", GRADE).keyed(&format!("reel-{n}"))
+fn grade_request(n: usize) -> Request {
+    Request::whole(&format!("grade{n}"), GRADE_KEY, "model-b", GRADE_TOKENS)
+        .keyed(&format!("reel-{n}"))
 }
 
-fn filing(n: usize) -> Request {
-    Request::call(&format!("filing{n}"), COUNTER, "records", "/file").keyed(&format!("claim-{n}"))
+fn filing_request(n: usize) -> Request {
+    Request::call(&format!("filing{n}"), COUNTER_KEY, "records", "/file")
+        .keyed(&format!("claim-{n}"))
 }
 
 fn start_one(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller, request: Request, entry: usize) {
@@ -65,14 +72,14 @@
 }
 
 /// Sends short requests one after another.
-async fn clerk(caller: Caller, clerk: usize, span: Duration) -> Vec<Got> {
-    let end = Instant::now() + span;
+async fn send_lookups(caller: Caller, entry: usize, duration: Duration) -> Vec<Got> {
+    let end = Instant::now() + duration;
     let mut all = Vec::new();
     while Instant::now() < end {
-        let mark = format!("lookup{clerk}x{:02}", all.len());
-        let request = Request::stream(&mark, COUNTER, "model-a", SHORT);
-        all.push(caller.run(request, clerk).await);
-        sleep(PAUSE).await;
+        let mark = format!("lookup{entry}x{:02}", all.len());
+        let request = Request::stream(&mark, COUNTER_KEY, "model-a", LOOKUP_TOKENS);
+        all.push(caller.run(request, entry).await);
+        sleep(LOOKUP_PAUSE).await;
     }
     all
 }
--- a/standins/src/demo/mod.rs
+++ b/standins/src/demo/mod.rs
@@ -1,7 +1,7 @@
 //! The demo's callers: long and short requests at once, live progress, a table
 //! of what each got, and the oracle's judgement.
 
-mod cast;
+mod callers;
 mod table;
 
 use std::path::PathBuf;
@@ -14,7 +14,7 @@
 use crate::oracle::{Runs, judge};
 
 /// Time between two lines of progress.
-const PROGRESS: Duration = Duration::from_secs(1);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a demo is told.
 #[derive(Clone, Debug)]
@@ -26,9 +26,9 @@
     /// Tokens of a long answer.
     pub long_tokens: u64,
     /// For how long clerks send short requests.
-    pub span: Duration,
+    pub duration: Duration,
     /// Time after which a request counts as hung.
-    pub patience: Duration,
+    pub request_timeout: Duration,
 }
 
 /// Runs all callers and prints what they got; true when every promise held.
@@ -37,33 +37,33 @@
 ///
 /// When a run log can't be read.
 pub async fn run(cfg: &Config) -> anyhow::Result<bool> {
-    let caller = Caller::new(cfg.entries.iter().cloned(), cfg.patience)?;
+    let caller = Caller::new(cfg.entries.iter().cloned(), cfg.request_timeout)?;
     let mut tasks = JoinSet::new();
-    cast::start(&mut tasks, &caller, cfg);
-    let mut all = watch(&mut tasks, &caller).await;
+    callers::start(&mut tasks, &caller, cfg);
+    let mut all = await_callers(&mut tasks, &caller).await;
     all.sort_by(|a, b| a.request.mark.cmp(&b.request.mark));
     print!("{}", table::table(&all));
     let runs = Runs::read(&cfg.run_logs)?;
-    let breaches = judge(&runs, &all);
-    for breach in &breaches {
-        println!("BROKEN {breach}");
+    let violations = judge(&runs, &all);
+    for violation in &violations {
+        println!("BROKEN {violation}");
     }
     print!("{}", table::summary(&runs, &all));
     println!(
         "promises {}",
-        if breaches.is_empty() {
+        if violations.is_empty() {
             "held"
         } else {
             "BROKEN"
         }
     );
-    Ok(breaches.is_empty())
+    Ok(violations.is_empty())
 }
 
 /// Waits for all callers and prints a line of progress now and then.
-async fn watch(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller) -> Vec<Got> {
+async fn await_callers(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller) -> Vec<Got> {
     let start = Instant::now();
-    let mut ticks = interval(PROGRESS);
+    let mut ticks = interval(PROGRESS_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
     let mut all: Vec<Got> = Vec::new();
     loop {
--- a/standins/src/demo/table.rs
+++ b/standins/src/demo/table.rs
@@ -12,16 +12,16 @@
          -----------  ------  ----  ---------  ----------------  -----\n",
     );
     for got in all {
-        let returns: u32 = got.attempts.iter().map(|a| a.returns).sum();
+        let reattachments: u32 = got.attempts.iter().map(|a| a.returns).sum();
         let _ = writeln!(
             text,
             "{:<11}  {:<6}  {:>4}  {:>9}  {:<16}  {}",
             got.request.mark,
-            kind(got),
+            request_kind(got),
             got.attempts.len(),
-            returns,
-            tokens(got),
-            ended(got.last()),
+            reattachments,
+            format_tokens(got),
+            format_end(got.last()),
         );
     }
     text
@@ -30,14 +30,14 @@
 /// Lines that sum up what happened.
 pub(super) fn summary(runs: &Runs, all: &[Got]) -> String {
     let whole = all.iter().filter(|g| g.is_whole()).count();
-    let returns: u32 = all
+    let reattachments: u32 = all
         .iter()
         .flat_map(|g| &g.attempts)
         .map(|a| a.returns)
         .sum();
     format!(
         "\n{} requests, {whole} answered whole, {} ended with a code; \
-         callers came back to a stream {returns} times\n\
+         callers came back to a stream {reattachments} times\n\
          {} generations began on engines, {} calls ran on plain services\n",
         all.len(),
         all.len() - whole,
@@ -46,7 +46,7 @@
     )
 }
 
-const fn kind(got: &Got) -> &'static str {
+const fn request_kind(got: &Got) -> &'static str {
     match &got.request.work {
         Work::Generate { stream: true, .. } => "stream",
         Work::Generate { stream: false, .. } => "whole",
@@ -54,14 +54,14 @@
     }
 }
 
-fn tokens(got: &Got) -> String {
+fn format_tokens(got: &Got) -> String {
     match got.request.tokens() {
         Some(all) => format!("{} of {all}", got.last().tokens),
         None => "-".to_owned(),
     }
 }
 
-fn ended(attempt: &Attempt) -> String {
+fn format_end(attempt: &Attempt) -> String {
     match &attempt.end {
         End::Whole => "whole".to_owned(),
         End::Code(code) => format!("code {code}"),
