--- a/standins/src/load/call.rs
+++ b/standins/src/load/call.rs
@@ -6,19 +6,19 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::check::TokenCheck;
-use super::events::{self, Event, EventReader, Part};
+use super::events::{self, Delta, Event, EventReader};
 use super::meter::Meter;
 use super::mix::Class;
 use super::progress::Progress;
 
 /// Header that names the request across systems.
-const REQUEST_ID: &str = "x-request-id";
+const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// Finish reason of an answer that someone cut off.
-const CANCELLED: &str = "cancelled";
+const FINISH_CANCELLED: &str = "cancelled";
 
 /// Finish reason of an answer that an engine had no memory to go on with.
-const LENGTH: &str = "length";
+const FINISH_LENGTH: &str = "length";
 
 /// The body of a request.
 #[derive(Serialize)]
@@ -85,69 +85,69 @@
             preemptions: None,
         };
         let deadline = self.deadline;
-        let answer = self.answer(client, &mut outcome, progress);
+        let answer = self.send(client, &mut outcome, progress);
         outcome.end = timeout_at(deadline, answer)
             .await
             .unwrap_or(End::Unfinished);
         if outcome.end != End::Complete {
-            outcome.meter.cut(Instant::now());
+            outcome.meter.record_cut(Instant::now());
         }
         outcome
     }
 
-    async fn answer(self, client: &Client, outcome: &mut Outcome, progress: &Progress) -> End {
+    async fn send(self, client: &Client, outcome: &mut Outcome, progress: &Progress) -> End {
         let req = client
             .post(&self.url)
             .bearer_auth(&self.key)
-            .header(REQUEST_ID, &self.mark)
+            .header(REQUEST_ID_HEADER, &self.mark)
             .json(&self.body);
         match req.send().await {
             Ok(res) if res.status().is_success() => {
-                outcome.read(res, self.output_tokens, progress).await
+                outcome.read_stream(res, self.output_tokens, progress).await
             }
-            Ok(res) => End::Refused(refusal(res).await),
-            Err(err) => End::Failed(reason(&err)),
+            Ok(res) => End::Refused(refusal_code(res).await),
+            Err(err) => End::Failed(failure_reason(&err)),
         }
     }
 }
 
 impl Outcome {
-    async fn read(&mut self, mut res: Response, expected: u64, progress: &Progress) -> End {
+    async fn read_stream(&mut self, mut res: Response, expected: u64, progress: &Progress) -> End {
         let mut reader = EventReader::default();
         let mut finish = None;
         loop {
             let chunk = match res.chunk().await {
                 Ok(Some(chunk)) => chunk,
                 Ok(None) => return End::Broken("ended".to_owned()),
-                Err(err) => return End::Broken(reason(&err)),
+                Err(err) => return End::Broken(failure_reason(&err)),
             };
             for event in reader.push(&chunk) {
                 match event {
-                    Event::Part(part) => self.part(part, &mut finish, progress),
-                    Event::Done => return self.done(finish.as_deref(), expected),
+                    Event::Delta(delta) => self.apply_delta(delta, &mut finish, progress),
+                    Event::Done => return self.complete(finish.as_deref(), expected),
                     Event::Error(code) => return End::Broken(code),
                 }
             }
         }
     }
 
-    fn part(&mut self, part: Part, finish: &mut Option<String>, progress: &Progress) {
+    fn apply_delta(&mut self, delta: Delta, finish: &mut Option<String>, progress: &Progress) {
         let now = Instant::now();
-        let tokens = self.check.text(&part.content);
+        let tokens = self.check.push_text(&delta.content);
         for _ in 0..tokens {
-            self.meter.token(now);
+            self.meter.record_token(now);
         }
         self.tokens += tokens;
         progress.add_tokens(tokens);
-        self.preemptions = part.preemptions.or(self.preemptions);
-        *finish = part.finish_reason.or(finish.take());
+        self.preemptions = delta.preemptions.or(self.preemptions);
+        *finish = delta.finish_reason.or(finish.take());
     }
 
-    fn done(&mut self, finish: Option<&str>, expected: u64) -> End {
+    fn complete(&mut self, finish: Option<&str>, expected: u64) -> End {
         match finish {
             None => End::Broken("no finish reason".to_owned()),
-            Some(CANCELLED) => End::Broken(CANCELLED.to_owned()),
-            Some(LENGTH) if self.tokens < expected => End::Broken(LENGTH.to_owned()),
+            Some(FINISH_CANCELLED) => End::Broken(FINISH_CANCELLED.to_owned()),
+            Some(FINISH_LENGTH) if self.tokens < expected => End::Broken(FINISH_LENGTH.to_owned()),
             Some(_) => {
                 self.check.complete(expected);
                 End::Complete
@@ -157,18 +157,18 @@
 }
 
 /// The code of a refusal: status, and the system's own code if it gives one.
-async fn refusal(res: Response) -> String {
+async fn refusal_code(res: Response) -> String {
     let status = res.status().as_u16();
     let body: Value = res.json().await.unwrap_or(Value::Null);
     let error = body.get("error").unwrap_or(&body);
     match error.get("code") {
-        Some(_) => format!("{status}/{}", events::code(error)),
+        Some(_) => format!("{status}/{}", events::error_code(error)),
         None => status.to_string(),
     }
 }
 
 /// A short reason for a failed transfer.
-fn reason(err: &reqwest::Error) -> String {
+fn failure_reason(err: &reqwest::Error) -> String {
     let reason = if err.is_connect() {
         "connect"
     } else if err.is_timeout() {
--- a/standins/src/load/check.rs
+++ b/standins/src/load/check.rs
@@ -42,11 +42,11 @@
     }
 
     /// Takes in text that holds any number of whole tokens; returns how many.
-    pub fn text(&mut self, text: &str) -> u64 {
+    pub fn push_text(&mut self, text: &str) -> u64 {
         let mut tokens = 0;
         for token in text.split_whitespace() {
             tokens += 1;
-            if let Err(violation) = self.token(token) {
+            if let Err(violation) = self.check_token(token) {
                 self.violation.get_or_insert(violation);
             }
         }
@@ -66,8 +66,8 @@
         self.violation
     }
 
-    fn token(&mut self, token: &str) -> Result<(), Violation> {
-        let (nonce, mark, index) = parts(token).ok_or(Violation::Malformed)?;
+    fn check_token(&mut self, token: &str) -> Result<(), Violation> {
+        let (nonce, mark, index) = split_token(token).ok_or(Violation::Malformed)?;
         let known = self.nonce.get_or_insert_with(|| nonce.to_owned());
         if mark != self.mark {
             return Err(Violation::OtherRequest);
@@ -85,7 +85,7 @@
 }
 
 /// The nonce, mark and index of a token.
-fn parts(token: &str) -> Option<(&str, &str, u64)> {
+fn split_token(token: &str) -> Option<(&str, &str, u64)> {
     let (nonce, rest) = token.split_once('.')?;
     let (mark, index) = rest.rsplit_once('.')?;
     Some((nonce, mark, index.parse().ok()?))
--- a/standins/src/load/events.rs
+++ b/standins/src/load/events.rs
@@ -8,17 +8,17 @@
 /// What an event of a stream says.
 #[derive(Debug, PartialEq)]
 pub(super) enum Event {
-    /// Part of the answer.
-    Part(Part),
+    /// Delta of the answer.
+    Delta(Delta),
     /// The end.
     Done,
     /// An error of the system, with its code.
     Error(String),
 }
 
-/// Part of an answer.
+/// Delta of an answer.
 #[derive(Debug, Default, PartialEq)]
-pub(super) struct Part {
+pub(super) struct Delta {
     pub(super) content: String,
     pub(super) finish_reason: Option<String>,
     pub(super) preemptions: Option<u64>,
@@ -39,14 +39,14 @@
             self.buf.extend_from_slice(line);
             if line.ends_with(b"\n") {
                 let line = std::mem::take(&mut self.buf);
-                events.extend(self.line(&String::from_utf8_lossy(&line)));
+                events.extend(self.push_line(&String::from_utf8_lossy(&line)));
             }
         }
         events
     }
 
     /// Takes in a line; an empty one ends an event.
-    fn line(&mut self, line: &str) -> Option<Event> {
+    fn push_line(&mut self, line: &str) -> Option<Event> {
         let line = line.trim_end_matches(['\r', '\n']);
         if let Some(data) = line.strip_prefix("data:") {
             self.data.push_str(data.trim_start());
@@ -54,7 +54,7 @@
         if !line.is_empty() || self.data.is_empty() {
             return None;
         }
-        Some(event(&std::mem::take(&mut self.data)))
+        Some(parse_event(&std::mem::take(&mut self.data)))
     }
 }
 
@@ -84,33 +84,33 @@
     preemptions: Option<u64>,
 }
 
-fn event(data: &str) -> Event {
+fn parse_event(data: &str) -> Event {
     if data == DONE {
         return Event::Done;
     }
     match serde_json::from_str::<RawEvent>(data) {
         Ok(RawEvent {
             error: Some(error), ..
-        }) => Event::Error(code(&error)),
-        Ok(raw) => Event::Part(part(raw)),
+        }) => Event::Error(error_code(&error)),
+        Ok(raw) => Event::Delta(parse_delta(raw)),
         Err(_) => Event::Error("unreadable".to_owned()),
     }
 }
 
-fn part(raw: RawEvent) -> Part {
-    let mut part = Part {
+fn parse_delta(raw: RawEvent) -> Delta {
+    let mut delta = Delta {
         preemptions: raw.usage.and_then(|usage| usage.preemptions),
-        ..Part::default()
+        ..Delta::default()
     };
     if let Some(choice) = raw.choices.into_iter().next() {
-        part.content = choice.delta.content.unwrap_or_default();
-        part.finish_reason = choice.finish_reason;
+        delta.content = choice.delta.content.unwrap_or_default();
+        delta.finish_reason = choice.finish_reason;
     }
-    part
+    delta
 }
 
 /// The code in an error: its field `code`, or the whole of it.
-pub(super) fn code(error: &serde_json::Value) -> String {
+pub(super) fn error_code(error: &serde_json::Value) -> String {
     let code = error.get("code").unwrap_or(error);
     code.as_str()
         .map_or_else(|| code.to_string(), str::to_owned)
--- a/standins/src/load/meter.rs
+++ b/standins/src/load/meter.rs
@@ -36,8 +36,8 @@
     }
 
     /// Notes a token at `now`.
-    pub fn token(&mut self, now: Instant) {
-        let wait = self.wait(now);
+    pub fn record_token(&mut self, now: Instant) {
+        let wait = self.record_wait(now);
         if self.first_token_ms.is_some() {
             self.gaps_ms.push(wait);
         } else {
@@ -47,8 +47,8 @@
     }
 
     /// Notes that no token will come after `now`, although some should have.
-    pub fn cut(&mut self, now: Instant) {
-        self.wait(now);
+    pub fn record_cut(&mut self, now: Instant) {
+        self.record_wait(now);
         self.last = now;
     }
 
@@ -77,11 +77,11 @@
         let gaps = self.gaps_ms.len();
         let late = self.gaps_ms.iter().filter(|gap| **gap > self.goal.gap_ms);
         first.is_some_and(|first| first <= self.goal.first_token_ms)
-            && count(late.count()) <= count(gaps) * (1.0 - GOAL_QUANTILE)
+            && to_f64(late.count()) <= to_f64(gaps) * (1.0 - GOAL_QUANTILE)
     }
 
     /// Adds to the stall time what the wait that ends at `now` exceeds the goal.
-    fn wait(&mut self, now: Instant) -> f64 {
+    fn record_wait(&mut self, now: Instant) -> f64 {
         let wait = (now - self.last).as_secs_f64() * 1e3 * self.time_scale;
         let goal = match self.first_token_ms {
             Some(_) => self.goal.gap_ms,
@@ -93,6 +93,6 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts stay small")]
-fn count(number: usize) -> f64 {
+fn to_f64(number: usize) -> f64 {
     number as f64
 }
--- a/standins/src/load/mix.rs
+++ b/standins/src/load/mix.rs
@@ -39,7 +39,7 @@
 
 /// A lognormal distribution of lengths in tokens.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Lengths {
+pub struct LengthDistribution {
     /// Median.
     pub median: f64,
     /// Standard deviation of the logarithm.
@@ -60,9 +60,9 @@
     /// Tokens at the head of the prompt that all its requests of a workspace share.
     pub shared_prompt: u64,
     /// The rest of the prompt.
-    pub prompt: Lengths,
+    pub prompt: LengthDistribution,
     /// The answer.
-    pub output: Lengths,
+    pub output: LengthDistribution,
 }
 
 /// A customer's workspace.
@@ -195,7 +195,12 @@
     weights.map(workspace).collect()
 }
 
-fn interactive(name: &str, weight: f64, prompt: Lengths, output: Lengths) -> Kind {
+fn interactive(
+    name: &str,
+    weight: f64,
+    prompt: LengthDistribution,
+    output: LengthDistribution,
+) -> Kind {
     Kind {
         name: Arc::from(name),
         class: Class::Interactive,
@@ -206,7 +211,7 @@
     }
 }
 
-fn batch(name: &str, weight: f64, prompt: Lengths, output: Lengths) -> Kind {
+fn batch(name: &str, weight: f64, prompt: LengthDistribution, output: LengthDistribution) -> Kind {
     Kind {
         class: Class::Batch,
         shared_prompt: 256,
@@ -214,6 +219,6 @@
     }
 }
 
-fn lengths(median: f64, sigma: f64, max: u64) -> Lengths {
-    Lengths { median, sigma, max }
+fn lengths(median: f64, sigma: f64, max: u64) -> LengthDistribution {
+    LengthDistribution { median, sigma, max }
 }
--- a/standins/src/load/mod.rs
+++ b/standins/src/load/mod.rs
@@ -14,16 +14,16 @@
 mod mix;
 mod plan;
 mod progress;
+mod prompt;
 mod record;
 mod report;
 mod run;
 mod tally;
-mod words;
 
 pub use self::chart::draw;
 pub use self::check::{TokenCheck, Violation};
 pub use self::meter::Meter;
-pub use self::mix::{Class, Goal, Kind, Lengths, Mix, Workspace};
+pub use self::mix::{Class, Goal, Kind, LengthDistribution, Mix, Workspace};
 pub use self::plan::{Arrival, arrivals};
 pub use self::record::{ClassRecord, Quantiles, Record, Settings};
 pub use self::report::table;
--- a/standins/src/load/plan.rs
+++ b/standins/src/load/plan.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::mix::{Lengths, Mix};
+use super::mix::{LengthDistribution, Mix};
 use crate::lognormal;
 
 /// One request to come.
@@ -36,27 +36,27 @@
     let mut at = 0.0;
     let arrivals = (0..).map(move |number| {
         at += -(1.0 - rng.random::<f64>()).ln() / rate;
-        arrival(mix, &mut rng, number, Duration::from_secs_f64(at))
+        draw_arrival(mix, &mut rng, number, Duration::from_secs_f64(at))
     });
     arrivals.take_while(move |arrival| arrival.at < end)
 }
 
-fn arrival(mix: &Mix, rng: &mut ChaCha8Rng, number: u64, at: Duration) -> Arrival {
+fn draw_arrival(mix: &Mix, rng: &mut ChaCha8Rng, number: u64, at: Duration) -> Arrival {
     let workspaces = mix.workspaces.iter().map(|workspace| workspace.weight);
-    let workspace = pick(rng, workspaces);
-    let kind = pick(rng, mix.kinds.iter().map(|kind| kind.weight));
+    let workspace = pick_weighted(rng, workspaces);
+    let kind = pick_weighted(rng, mix.kinds.iter().map(|kind| kind.weight));
     Arrival {
         number,
         at,
         workspace,
         kind,
-        prompt_tokens: length(rng, mix.kinds[kind].prompt),
-        output_tokens: length(rng, mix.kinds[kind].output),
+        prompt_tokens: draw_length(rng, mix.kinds[kind].prompt),
+        output_tokens: draw_length(rng, mix.kinds[kind].output),
     }
 }
 
 /// The place of a weight, drawn by weight.
-fn pick(rng: &mut ChaCha8Rng, weights: impl Iterator<Item = f64> + Clone) -> usize {
+fn pick_weighted(rng: &mut ChaCha8Rng, weights: impl Iterator<Item = f64> + Clone) -> usize {
     let mut rest = rng.random::<f64>() * weights.clone().sum::<f64>();
     let last = weights.clone().count().saturating_sub(1);
     let mut weights = weights;
@@ -67,6 +67,6 @@
     found.unwrap_or(last)
 }
 
-fn length(rng: &mut ChaCha8Rng, lengths: Lengths) -> u64 {
+fn draw_length(rng: &mut ChaCha8Rng, lengths: LengthDistribution) -> u64 {
     lognormal::draw(rng, lengths.median, lengths.sigma, lengths.max)
 }
--- a/standins/src/load/progress.rs
+++ b/standins/src/load/progress.rs
@@ -8,7 +8,7 @@
 use super::call::End;
 
 /// How often a line is written.
-const PERIOD: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Counters of a run in progress.
 #[derive(Debug, Default)]
@@ -40,18 +40,18 @@
 
     /// Writes a line a second to standard error, for ever.
     pub(super) async fn report(&self) {
-        let mut ticks = interval(PERIOD);
+        let mut ticks = interval(REPORT_INTERVAL);
         ticks.tick().await;
         let mut tokens_before = 0;
         for second in 1_u64.. {
             ticks.tick().await;
             let tokens = self.tokens.load(Ordering::Relaxed);
-            eprintln!("{}", self.line(second, tokens - tokens_before));
+            eprintln!("{}", self.format_line(second, tokens - tokens_before));
             tokens_before = tokens;
         }
     }
 
-    fn line(&self, second: u64, tokens: u64) -> String {
+    fn format_line(&self, second: u64, tokens: u64) -> String {
         let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let (sent, complete) = (load(&self.sent), load(&self.complete));
         let (refused, broken) = (load(&self.refused), load(&self.broken));
--- a/standins/src/load/prompt.rs
+++ b/standins/src/load/prompt.rs
@@ -7,28 +7,28 @@
 use crate::hash;
 
 /// Different words that a prompt is made of.
-const VOCABULARY: u64 = 4_096;
+const VOCABULARY_SIZE: u64 = 4_096;
 
 /// The head of a prompt, shared by requests of one kind in one workspace.
-pub(super) fn shared(mix: &Mix, arrival: &Arrival) -> String {
+pub(super) fn shared_prefix(mix: &Mix, arrival: &Arrival) -> String {
     let kind = &mix.kinds[arrival.kind];
     let workspace = &mix.workspaces[arrival.workspace];
     let seed = hash::fnv(format!("{}/{}", workspace.name, kind.name).as_bytes());
-    words(seed, kind.shared_prompt)
+    generate_words(seed, kind.shared_prompt)
 }
 
 /// The rest of a prompt, with the directives that set length and mark.
-pub(super) fn own(kind: &Kind, arrival: &Arrival, mark: &str) -> String {
+pub(super) fn user_prompt(kind: &Kind, arrival: &Arrival, mark: &str) -> String {
     let seed = hash::extend(hash::fnv(kind.name.as_bytes()), mark.as_bytes());
-    let mut text = words(seed, arrival.prompt_tokens);
+    let mut text = generate_words(seed, arrival.prompt_tokens);
     let _ = write!(text, "[[len={}]][[mark={mark}]]", arrival.output_tokens);
     text
 }
 
-fn words(seed: u64, count: u64) -> String {
+fn generate_words(seed: u64, count: u64) -> String {
     let mut text = String::new();
     for index in 0..count {
-        let word = hash::extend(seed, &index.to_le_bytes()) % VOCABULARY;
+        let word = hash::extend(seed, &index.to_le_bytes()) % VOCABULARY_SIZE;
         let _ = write!(text, "w{word} ");
     }
     text
--- a/standins/src/load/record.rs
+++ b/standins/src/load/record.rs
@@ -10,7 +10,7 @@
 use super::mix::{Class, Goal};
 
 /// Units of a histogram in a millisecond.
-pub(super) const UNITS_PER_MS: f64 = 1e3;
+pub(super) const MICROS_PER_MS: f64 = 1e3;
 
 /// What a run was made with.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -126,16 +126,16 @@
     /// Reads the quantiles off a histogram in microseconds.
     #[must_use]
     pub fn new(histogram: &Histogram<u64>) -> Self {
-        let at = |quantile| ms(histogram.value_at_quantile(quantile));
+        let at = |quantile| to_ms(histogram.value_at_quantile(quantile));
         Self {
             count: histogram.len(),
-            mean: histogram.mean() / UNITS_PER_MS,
+            mean: histogram.mean() / MICROS_PER_MS,
             p50: at(0.5),
             p90: at(0.9),
             p95: at(0.95),
             p99: at(0.99),
             p999: at(0.999),
-            max: ms(histogram.max()),
+            max: to_ms(histogram.max()),
         }
     }
 
@@ -153,6 +153,6 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "times stay far below 2^52 µs")]
-fn ms(units: u64) -> f64 {
-    units as f64 / UNITS_PER_MS
+fn to_ms(micros: u64) -> f64 {
+    micros as f64 / MICROS_PER_MS
 }
--- a/standins/src/load/report.rs
+++ b/standins/src/load/report.rs
@@ -35,16 +35,16 @@
 #[must_use]
 pub fn table(records: &[(String, Record)]) -> String {
     let mut buf = String::new();
-    line(&mut buf, &COLUMNS.map(|(name, _)| name.to_owned()));
+    write_line(&mut buf, &COLUMNS.map(|(name, _)| name.to_owned()));
     for (name, record) in records {
         for (class, measured) in &record.classes {
-            line(&mut buf, &cells(name, *class, measured));
+            write_line(&mut buf, &row(name, *class, measured));
         }
     }
     buf
 }
 
-fn line(buf: &mut String, cells: &[String; COLUMNS.len()]) {
+fn write_line(buf: &mut String, cells: &[String; COLUMNS.len()]) {
     for (cell, (_, width)) in cells.iter().zip(COLUMNS) {
         let _ = write!(buf, "{cell:>width$} ");
     }
@@ -52,7 +52,7 @@
     buf.push('\n');
 }
 
-fn cells(name: &str, class: Class, measured: &ClassRecord) -> [String; COLUMNS.len()] {
+fn row(name: &str, class: Class, measured: &ClassRecord) -> [String; COLUMNS.len()] {
     let Quantiles {
         p50,
         p95,
@@ -70,19 +70,19 @@
         ClassRecord::total(&measured.broken).to_string(),
         measured.unfinished.to_string(),
         ClassRecord::total(&measured.violations).to_string(),
-        short(measured.stall_ms.mean),
-        short(measured.stall_ms.p99),
+        format_number(measured.stall_ms.mean),
+        format_number(measured.stall_ms.p99),
         measured.preemptions.to_string(),
-        short(measured.first_token_ms.p50),
-        short(measured.first_token_ms.p99),
-        short(p50),
-        short(p95),
-        short(p99),
-        short(p999),
-        short(measured.goodput_tokens_per_s),
+        format_number(measured.first_token_ms.p50),
+        format_number(measured.first_token_ms.p99),
+        format_number(p50),
+        format_number(p95),
+        format_number(p99),
+        format_number(p999),
+        format_number(measured.goodput_tokens_per_s),
     ]
 }
 
-fn short(number: f64) -> String {
+fn format_number(number: f64) -> String {
     format!("{number:.1}")
 }
--- a/standins/src/load/run.rs
+++ b/standins/src/load/run.rs
@@ -14,13 +14,13 @@
 use super::mix::{Class, Mix};
 use super::plan::{Arrival, arrivals};
 use super::progress::Progress;
+use super::prompt;
 use super::record::{Record, Settings, WorkspaceRecord};
 use super::tally::Tally;
-use super::words;
 use crate::clock::wait_until;
 
 /// Path of the call.
-const PATH: &str = "/v1/chat/completions";
+const COMPLETIONS_PATH: &str = "/v1/chat/completions";
 
 /// Largest answer that requests allow, in tokens.
 const MAX_TOKENS: u64 = 16_384;
@@ -53,7 +53,7 @@
 }
 
 /// How each workspace fared so far.
-type Workspaces = BTreeMap<Arc<str>, WorkspaceRecord>;
+type WorkspaceRecords = BTreeMap<Arc<str>, WorkspaceRecord>;
 
 /// What the requests of a run share.
 struct Run {
@@ -75,13 +75,13 @@
     let mut background = JoinSet::new();
     let shared = Arc::clone(&run);
     background.spawn(async move { shared.progress.report().await });
-    let (tallies, workspaces) = run.drive().await?;
+    let (tallies, workspaces) = run.send_all().await?;
     let duration = run.cfg.duration;
     Ok(Record {
         settings: run.settings(),
         classes: tallies
             .into_iter()
-            .map(|(class, tally)| (class, tally.record(duration)))
+            .map(|(class, tally)| (class, tally.into_record(duration)))
             .collect(),
         workspaces,
     })
@@ -102,43 +102,45 @@
     }
 
     /// Sends each request at its time and adds up the outcomes by class.
-    async fn drive(self: &Arc<Self>) -> anyhow::Result<(BTreeMap<Class, Tally>, Workspaces)> {
+    async fn send_all(
+        self: &Arc<Self>,
+    ) -> anyhow::Result<(BTreeMap<Class, Tally>, WorkspaceRecords)> {
         let mut tallies = BTreeMap::new();
-        let mut workspaces = Workspaces::new();
+        let mut workspaces = WorkspaceRecords::new();
         for class in Class::ALL {
             tallies.insert(class, Tally::new()?);
         }
         let mut calls = JoinSet::new();
         let cfg = &self.cfg;
         for arrival in arrivals(&cfg.mix, cfg.rate, cfg.duration, cfg.seed) {
-            wait_until(self.instant(&arrival)).await;
+            wait_until(self.scheduled_at(&arrival)).await;
             self.progress.add_sent();
             let run = Arc::clone(self);
-            calls.spawn(async move { (arrival, run.send(&arrival).await) });
+            calls.spawn(async move { (arrival, run.send_request(&arrival).await) });
             while let Some(done) = calls.try_join_next() {
-                self.add(&mut tallies, &mut workspaces, &done?);
+                self.add_outcome(&mut tallies, &mut workspaces, &done?);
             }
         }
         while let Some(done) = calls.join_next().await {
-            self.add(&mut tallies, &mut workspaces, &done?);
+            self.add_outcome(&mut tallies, &mut workspaces, &done?);
         }
         Ok((tallies, workspaces))
     }
 
-    async fn send(&self, arrival: &Arrival) -> Outcome {
+    async fn send_request(&self, arrival: &Arrival) -> Outcome {
         let class = self.cfg.mix.kinds[arrival.kind].class;
         let goal = self.cfg.mix.goal(class);
-        let meter = Meter::new(goal, self.cfg.time_scale, self.instant(arrival));
-        let call = self.call(arrival);
+        let meter = Meter::new(goal, self.cfg.time_scale, self.scheduled_at(arrival));
+        let call = self.build_call(arrival);
         let outcome = call.run(&self.client, meter, &self.progress).await;
         self.progress.add_end(&outcome.end);
         outcome
     }
 
-    fn add(
+    fn add_outcome(
         &self,
         tallies: &mut BTreeMap<Class, Tally>,
-        workspaces: &mut Workspaces,
+        workspaces: &mut WorkspaceRecords,
         (arrival, outcome): &(Arrival, Outcome),
     ) {
         let mix = &self.cfg.mix;
@@ -154,29 +156,29 @@
         }
     }
 
-    fn call(&self, arrival: &Arrival) -> Call {
+    fn build_call(&self, arrival: &Arrival) -> Call {
         let mix = &self.cfg.mix;
         let mark = format!("{}-{}", self.cfg.seed, arrival.number);
         Call {
-            url: format!("{}{PATH}", self.target(arrival.number)),
+            url: format!("{}{COMPLETIONS_PATH}", self.target(arrival.number)),
             key: mix.workspaces[arrival.workspace].key.to_string(),
-            body: self.body(arrival, &mark),
+            body: self.build_body(arrival, &mark),
             mark,
             output_tokens: arrival.output_tokens,
             deadline: self.deadline,
         }
     }
 
-    fn body(&self, arrival: &Arrival, mark: &str) -> Body {
+    fn build_body(&self, arrival: &Arrival, mark: &str) -> Body {
         let mix = &self.cfg.mix;
         let kind = &mix.kinds[arrival.kind];
         let system = Message {
             role: "system",
-            content: words::shared(mix, arrival),
+            content: prompt::shared_prefix(mix, arrival),
         };
         let user = Message {
             role: "user",
-            content: words::own(kind, arrival, mark),
+            content: prompt::user_prompt(kind, arrival, mark),
         };
         Body {
             model: mix.model.to_string(),
@@ -184,19 +186,19 @@
             max_tokens: MAX_TOKENS,
             stream: true,
             priority_class: (!self.cfg.straight).then_some(kind.class),
-            priority: self.cfg.straight.then(|| priority(kind.class)),
+            priority: self.cfg.straight.then(|| engine_priority(kind.class)),
         }
     }
 
     fn target(&self, number: u64) -> &str {
         let targets = &self.cfg.targets;
-        let place = number % targets.len() as u64;
-        let place = usize::try_from(place).unwrap_or_default();
-        targets[place].trim_end_matches('/')
+        let index = number % targets.len() as u64;
+        let index = usize::try_from(index).unwrap_or_default();
+        targets[index].trim_end_matches('/')
     }
 
     /// When a request is meant to arrive, on the clock.
-    fn instant(&self, arrival: &Arrival) -> Instant {
+    fn scheduled_at(&self, arrival: &Arrival) -> Instant {
         self.start + arrival.at.div_f64(self.cfg.time_scale)
     }
 
@@ -216,7 +218,7 @@
     }
 }
 
-fn priority(class: Class) -> i64 {
+fn engine_priority(class: Class) -> i64 {
     match class {
         Class::Interactive => INTERACTIVE_PRIORITY,
         Class::Batch => BATCH_PRIORITY,
--- a/standins/src/load/tally.rs
+++ b/standins/src/load/tally.rs
@@ -6,13 +6,13 @@
 use hdrhistogram::Histogram;
 
 use super::call::{End, Outcome};
-use super::record::{ClassRecord, Quantiles, UNITS_PER_MS};
+use super::record::{ClassRecord, MICROS_PER_MS, Quantiles};
 
 /// Significant digits of the histograms.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Longest time that the histograms tell apart, in microseconds.
-const MAX_UNITS: u64 = 24 * 3_600 * 1_000_000;
+const MAX_MICROS: u64 = 24 * 3_600 * 1_000_000;
 
 /// The outcomes of a class so far.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
 
 impl Tally {
     pub(super) fn new() -> anyhow::Result<Self> {
-        let histogram = || Histogram::new_with_max(MAX_UNITS, DIGITS);
+        let histogram = || Histogram::new_with_max(MAX_MICROS, SIGNIFICANT_DIGITS);
         Ok(Self {
             counts: ClassRecord::default(),
             good_tokens: 0,
@@ -54,7 +54,7 @@
     }
 
     /// The record of the class after a run with so long a time of arrivals.
-    pub(super) fn record(self, duration: Duration) -> ClassRecord {
+    pub(super) fn into_record(self, duration: Duration) -> ClassRecord {
         ClassRecord {
             goodput_tokens_per_s: per_second(self.good_tokens, duration),
             stall_ms: Quantiles::new(&self.stall),
@@ -67,9 +67,9 @@
     fn add_end(&mut self, outcome: &Outcome) {
         match &outcome.end {
             End::Complete => self.counts.complete += 1,
-            End::Refused(code) => count(&mut self.counts.refused, code),
-            End::Failed(reason) => count(&mut self.counts.failed, reason),
-            End::Broken(reason) => count(&mut self.counts.broken, reason),
+            End::Refused(code) => increment(&mut self.counts.refused, code),
+            End::Failed(reason) => increment(&mut self.counts.failed, reason),
+            End::Broken(reason) => increment(&mut self.counts.broken, reason),
             End::Unfinished => self.counts.unfinished += 1,
         }
     }
@@ -86,17 +86,17 @@
 
     fn add_times(&mut self, outcome: &Outcome) {
         let meter = &outcome.meter;
-        self.stall.saturating_record(units(meter.stall_ms()));
+        self.stall.saturating_record(to_micros(meter.stall_ms()));
         if let Some(first_token) = meter.first_token_ms() {
-            self.first_token.saturating_record(units(first_token));
+            self.first_token.saturating_record(to_micros(first_token));
         }
         for gap in meter.gaps_ms() {
-            self.gap.saturating_record(units(*gap));
+            self.gap.saturating_record(to_micros(*gap));
         }
     }
 }
 
-fn count(reasons: &mut BTreeMap<String, u64>, reason: &str) {
+fn increment(reasons: &mut BTreeMap<String, u64>, reason: &str) {
     *reasons.entry(reason.to_owned()).or_default() += 1;
 }
 
@@ -111,6 +111,6 @@
     clippy::cast_sign_loss,
     reason = "the cast saturates, and times are positive"
 )]
-fn units(ms: f64) -> u64 {
-    (ms * UNITS_PER_MS) as u64
+fn to_micros(ms: f64) -> u64 {
+    (ms * MICROS_PER_MS) as u64
 }
--- a/standins/src/oracle/tokens.rs
+++ b/standins/src/oracle/tokens.rs
@@ -20,7 +20,7 @@
 /// The first flaw.
 pub fn check_tokens(runs: &Runs, mark: &str, text: &str, whole: Option<u64>) -> Result<(), Flaw> {
     let mut check = TokenCheck::new(mark);
-    check.text(text);
+    check.push_text(text);
     if let Some(expected) = whole {
         check.complete(expected);
     }
--- a/standins/tests/measures.rs
+++ b/standins/tests/measures.rs
@@ -61,7 +61,7 @@
 fn check(texts: &[&str], expected: u64, violation: Option<Violation>) {
     let mut check = TokenCheck::new("m");
     for text in texts {
-        check.text(text);
+        check.push_text(text);
     }
     check.complete(expected);
     assert_eq!(check.violation(), violation);
@@ -72,7 +72,7 @@
     let arrival = Instant::now();
     let mut meter = Meter::new(GOAL, 1.0, arrival);
     for token in tokens {
-        meter.token(arrival + Duration::from_millis(*token));
+        meter.record_token(arrival + Duration::from_millis(*token));
     }
     assert!((meter.stall_ms() - stall_ms).abs() < 1e-6);
     assert_eq!(meter.met_goal(), met_goal);
@@ -82,7 +82,7 @@
 fn meter_scales_time(scale: f64) {
     let arrival = Instant::now();
     let mut meter = Meter::new(GOAL, scale, arrival);
-    meter.token(arrival + Duration::from_millis(9));
+    meter.record_token(arrival + Duration::from_millis(9));
     let first = meter.first_token_ms().unwrap();
     assert!((first - 90.0).abs() < 1e-6);
 }
@@ -90,7 +90,7 @@
 fn meter_counts_cut() {
     let arrival = Instant::now();
     let mut meter = Meter::new(GOAL, 1.0, arrival);
-    meter.cut(arrival + Duration::from_millis(300));
+    meter.record_cut(arrival + Duration::from_millis(300));
     assert!((meter.stall_ms() - 200.0).abs() < 1e-6);
     assert_eq!(meter.first_token_ms(), None);
 }
