--- a/standins/src/bin/demo-callers.rs
+++ b/standins/src/bin/demo-callers.rs
@@ -1,4 +1,4 @@
-//! The callers of the demo as a program.
+//! Runs the callers of the demo.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -35,7 +35,7 @@
 
 fn command() -> Command {
     Command::new("demo-callers")
-        .about("Callers with long and short requests, and a check of what they got")
+        .about("Sends long and short requests and checks the responses")
         .arg(
             optional("entry", "Base URL of an entry; may be given several times")
                 .action(ArgAction::Append)
@@ -53,7 +53,7 @@
         .arg(flag(
             "span-s",
             &25,
-            "Seconds for which clerks send short requests",
+            "Seconds during which short requests are sent",
         ))
         .arg(flag(
             "patience-s",
--- a/standins/src/bin/fireflyload.rs
+++ b/standins/src/bin/fireflyload.rs
@@ -1,4 +1,4 @@
-//! The load tool as a program.
+//! Command line of the load tool.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -21,7 +21,7 @@
 
 fn command() -> Command {
     Command::new("fireflyload")
-        .about("Open-loop load on entries or engines")
+        .about("Generates open-loop load on entries or engines")
         .args_conflicts_with_subcommands(true)
         .arg(target_arg())
         .arg(switch_arg("straight", "Targets are engines, not entries"))
@@ -30,28 +30,24 @@
             "celje",
             "Built-in mix (celje, kerlann) or path of a JSON mix",
         ))
-        .arg(optional("model", "Model to ask for instead of the mix's"))
+        .arg(optional("model", "Model to request instead of the mix's"))
         .arg(key_arg())
-        .arg(flag("rate", &5, "Requests a second, in the model of time"))
+        .arg(flag("rate", &5, "Requests per second of simulated time"))
         .arg(flag(
             "duration-s",
             &60,
-            "Seconds of arrivals, in the model of time",
+            "Seconds of arrivals, in simulated time",
         ))
         .arg(flag(
             "drain-s",
             &300,
-            "Seconds to wait for answers after that",
+            "Seconds to wait for answers after the last arrival",
         ))
-        .arg(flag(
-            "time-scale",
-            &1,
-            "How many times faster the engines run",
-        ))
-        .arg(flag("seed", &1, "Seed of the arrivals"))
+        .arg(flag("time-scale", &1, "Speed-up factor of the engines"))
+        .arg(flag("seed", &1, "Seed of the arrival process"))
         .arg(optional(
             "record",
-            "File that receives the record, instead of standard output",
+            "File to write the record to, instead of standard output",
         ))
         .subcommand(report_command())
 }
@@ -64,9 +60,9 @@
                 .required(true)
                 .action(ArgAction::Append)
                 .num_args(1..)
-                .help("Records of runs"),
+                .help("Files with records of runs"),
         )
-        .arg(flag("svg", "report.svg", "File that receives the chart"))
+        .arg(flag("svg", "report.svg", "File to write the chart to"))
 }
 
 fn target_arg() -> Arg {
@@ -96,7 +92,7 @@
     let record = load::run(config(matches)?).await?;
     let json = serde_json::to_string_pretty(&record)?;
     if let Some(path) = matches.get_one::<String>("record") {
-        return std::fs::write(path, json).context("--record can't be written");
+        return std::fs::write(path, json).context("can't write the file of --record");
     }
     println!("{json}");
     Ok(())
@@ -143,18 +139,19 @@
         }
     }
     match keys.first_key_value() {
-        Some((workspace, _)) => bail!("--key names no workspace of the mix: {workspace}"),
+        Some((workspace, _)) => bail!("--key: the mix has no workspace {workspace}"),
         None => Ok(()),
     }
 }
 
 fn parse_seconds(matches: &ArgMatches, name: &str) -> anyhow::Result<Duration> {
-    Duration::try_from_secs_f64(value(matches, name)?).with_context(|| format!("--{name} is wrong"))
+    Duration::try_from_secs_f64(value(matches, name)?)
+        .with_context(|| format!("--{name} is not a valid duration"))
 }
 
 fn read_json<T: serde::de::DeserializeOwned>(path: &str) -> anyhow::Result<T> {
     let text = std::fs::read_to_string(path).with_context(|| format!("can't read {path}"))?;
-    serde_json::from_str(&text).with_context(|| format!("can't understand {path}"))
+    serde_json::from_str(&text).with_context(|| format!("can't parse {path}"))
 }
 
 fn report(matches: &ArgMatches) -> anyhow::Result<()> {
--- a/standins/src/demo/callers.rs
+++ b/standins/src/demo/callers.rs
@@ -1,4 +1,4 @@
-//! Who calls in the demo, by the keys of the sample inventory.
+//! Callers of the demo, with the keys of the sample inventory.
 
 use std::time::Duration;
 
@@ -13,15 +13,17 @@
 const LOG_KEY: &str = "demo-key-4";
 const GRADE_KEY: &str = "demo-key-5";
 
-/// Tokens of a clerk's lookup.
+/// Tokens of the answer to a lookup.
 const LOOKUP_TOKENS: u64 = 20;
-/// Tokens of a grade.
+/// Tokens of the answer to a grading request.
 const GRADE_TOKENS: u64 = 40;
-/// Pause of a clerk between two lookups.
+/// Pause of a caller between two lookups.
 const LOOKUP_PAUSE: Duration = Duration::from_millis(800);
-/// Callers of each kind.
+/// Long streams to each of the two models.
 const LONG_STREAMS: usize = 4;
+/// Callers that send short lookups one after another.
 const LOOKUP_CALLERS: usize = 2;
+/// Unstreamed requests, and pairs of grading and of filing requests.
 const REQUEST_PAIRS: usize = 2;
 
 /// Starts all callers.
@@ -64,14 +66,14 @@
     tasks.spawn(async move { vec![caller.run(request, entry).await] });
 }
 
-/// Sends the same keyed request through two entries at once.
+/// Sends the same request, with its idempotency key, through two entries at once.
 fn start_pair(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller, request: &Request) {
     for entry in 0..2 {
         start_one(tasks, caller, request.clone(), entry);
     }
 }
 
-/// Sends short requests one after another.
+/// Sends short requests one after another for `duration`.
 async fn send_lookups(caller: Caller, entry: usize, duration: Duration) -> Vec<Got> {
     let end = Instant::now() + duration;
     let mut all = Vec::new();
--- a/standins/src/demo/mod.rs
+++ b/standins/src/demo/mod.rs
@@ -1,5 +1,5 @@
-//! The demo's callers: long and short requests at once, live progress, a table
-//! of what each got, and the oracle's judgement.
+//! Callers of the demo: concurrent long and short requests, live progress, a
+//! table of the results, and the oracle's verdict.
 
 mod callers;
 mod table;
@@ -13,10 +13,10 @@
 use crate::caller::{Caller, Got};
 use crate::oracle::{Runs, judge};
 
-/// Time between two lines of progress.
+/// Time between two progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a demo is told.
+/// Configuration of a demo.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Base URLs of the entries.
@@ -25,17 +25,17 @@
     pub run_logs: Vec<PathBuf>,
     /// Tokens of a long answer.
     pub long_tokens: u64,
-    /// For how long clerks send short requests.
+    /// Time during which short requests are sent.
     pub duration: Duration,
     /// Time after which a request counts as hung.
     pub request_timeout: Duration,
 }
 
-/// Runs all callers and prints what they got; true when every promise held.
+/// Runs all callers and prints their results; returns whether every guarantee held.
 ///
 /// # Errors
 ///
-/// When a run log can't be read.
+/// Fails when the HTTP client can't be built or a run log can't be read.
 pub async fn run(cfg: &Config) -> anyhow::Result<bool> {
     let caller = Caller::new(cfg.entries.iter().cloned(), cfg.request_timeout)?;
     let mut tasks = JoinSet::new();
@@ -50,7 +50,7 @@
     }
     print!("{}", table::summary(&runs, &all));
     println!(
-        "promises {}",
+        "guarantees {}",
         if violations.is_empty() {
             "held"
         } else {
@@ -60,7 +60,7 @@
     Ok(violations.is_empty())
 }
 
-/// Waits for all callers and prints a line of progress now and then.
+/// Waits for all callers, printing a progress line every [`PROGRESS_INTERVAL`].
 async fn await_callers(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller) -> Vec<Got> {
     let start = Instant::now();
     let mut ticks = interval(PROGRESS_INTERVAL);
@@ -70,11 +70,11 @@
         tokio::select! {
             done = tasks.join_next() => match done {
                 Some(Ok(got)) => all.extend(got),
-                Some(Err(e)) => println!("a caller failed: {e}"),
+                Some(Err(e)) => println!("caller task failed: {e}"),
                 None => return all,
             },
             _ = ticks.tick() => println!(
-                "{:>3} s  {:>2} callers at work  {:>6} tokens",
+                "{:>3} s  {:>2} callers active  {:>6} tokens",
                 start.elapsed().as_secs(),
                 tasks.len(),
                 caller.tokens(),
--- a/standins/src/demo/table.rs
+++ b/standins/src/demo/table.rs
@@ -1,14 +1,14 @@
-//! What each caller got, for people.
+//! Formats the results of the demo as text.
 
 use std::fmt::Write;
 
 use crate::caller::{Attempt, End, Got, Work};
 use crate::oracle::Runs;
 
-/// A line for each request.
+/// Returns a table with a line for each request.
 pub(super) fn table(all: &[Got]) -> String {
     let mut text = String::from(
-        "\nrequest      kind    sent  came back  tokens            ended\n\
+        "\nrequest      kind    sent    resumed  tokens            ended\n\
          -----------  ------  ----  ---------  ----------------  -----\n",
     );
     for got in all {
@@ -27,7 +27,7 @@
     text
 }
 
-/// Lines that sum up what happened.
+/// Returns a summary of all requests.
 pub(super) fn summary(runs: &Runs, all: &[Got]) -> String {
     let whole = all.iter().filter(|g| g.is_whole()).count();
     let reattachments: u32 = all
@@ -36,9 +36,9 @@
         .map(|a| a.returns)
         .sum();
     format!(
-        "\n{} requests, {whole} answered whole, {} ended with a code; \
-         callers came back to a stream {reattachments} times\n\
-         {} generations began on engines, {} calls ran on plain services\n",
+        "\n{} requests, {whole} answered completely, {} not; \
+         callers resumed a stream {reattachments} times\n\
+         {} generations started on engines, {} calls ran on plain services\n",
         all.len(),
         all.len() - whole,
         runs.generations.len(),
--- a/standins/src/load/call.rs
+++ b/standins/src/load/call.rs
@@ -1,4 +1,4 @@
-//! One request and its answer.
+//! Sends one request and reads its answer.
 
 use reqwest::{Client, Response};
 use serde::Serialize;
@@ -11,13 +11,14 @@
 use super::mix::Class;
 use super::progress::Progress;
 
-/// Header that names the request across systems.
+/// Header with the request id, forwarded across systems.
 const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Finish reason of an answer that someone cut off.
+/// Finish reason of a cancelled answer.
 const FINISH_CANCELLED: &str = "cancelled";
 
-/// Finish reason of an answer that an engine had no memory to go on with.
+/// Finish reason at a length limit; short of the expected length it means that the
+/// engine ran out of memory.
 const FINISH_LENGTH: &str = "length";
 
 /// The body of a request.
@@ -40,7 +41,7 @@
     pub(super) content: String,
 }
 
-/// A request ready to go.
+/// A request ready to be sent.
 pub(super) struct Call {
     pub(super) url: String,
     pub(super) key: String,
@@ -53,19 +54,19 @@
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum End {
-    /// The whole answer came.
+    /// The complete answer arrived.
     Complete,
-    /// The system refused it, with this code.
+    /// The system refused the request with this code.
     Refused(String),
-    /// No answer began, for this reason.
+    /// No answer started, for this reason.
     Failed(String),
-    /// An answer began and broke off, for this reason.
+    /// An answer started and broke off, for this reason.
     Broken(String),
-    /// It was still in progress when the run ended.
+    /// The request was still in progress when the run ended.
     Unfinished,
 }
 
-/// A request with all that was seen of it.
+/// The result of a request.
 pub(super) struct Outcome {
     pub(super) end: End,
     pub(super) meter: Meter,
@@ -75,7 +76,7 @@
 }
 
 impl Call {
-    /// Sends the request and reads the answer until its end or the deadline.
+    /// Sends the request and reads the answer until it ends or the deadline passes.
     pub(super) async fn run(self, client: &Client, meter: Meter, progress: &Progress) -> Outcome {
         let mut outcome = Outcome {
             end: End::Unfinished,
@@ -156,7 +157,8 @@
     }
 }
 
-/// The code of a refusal: status, and the system's own code if it gives one.
+/// Returns the code of a refusal: the HTTP status, and the error code in the body
+/// if there is one.
 async fn refusal_code(res: Response) -> String {
     let status = res.status().as_u16();
     let body: Value = res.json().await.unwrap_or(Value::Null);
@@ -167,7 +169,7 @@
     }
 }
 
-/// A short reason for a failed transfer.
+/// Returns a short reason for a failed transfer.
 fn failure_reason(err: &reqwest::Error) -> String {
     let reason = if err.is_connect() {
         "connect"
--- a/standins/src/load/chart.rs
+++ b/standins/src/load/chart.rs
@@ -1,4 +1,4 @@
-//! A chart of latency quantiles.
+//! Draws latency quantiles as an SVG chart.
 
 use std::path::Path;
 
@@ -8,18 +8,18 @@
 
 use super::record::{ClassRecord, Quantiles, Record};
 
-/// Size of the chart, in pixels.
+/// Width and height of the chart, in pixels.
 const SIZE_PX: (u32, u32) = (1_200, 520);
 
-/// Smallest time shown, in milliseconds.
+/// Smallest latency shown, in milliseconds.
 const MIN_MS: f64 = 0.1;
 
-/// Places on the axis of quantiles, in nines: 0.3 for the median, 3 for 99.9 %.
+/// Range of the quantile axis, in nines: 0.3 is the median, 3 is 99.9 %.
 const NINES_RANGE: std::ops::Range<f64> = 0.2..3.2;
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// Draws latency between tokens and to the first token into the SVG at `path`.
+/// Draws the latency between tokens and to the first token into an SVG at `path`.
 ///
 /// # Errors
 ///
@@ -75,7 +75,7 @@
 
 type Series = (String, Vec<(f64, f64)>);
 
-/// A named line for each class of each record that has values.
+/// Returns a labelled line for each class with values in each record.
 fn build_series(
     records: &[(String, Record)],
     quantiles: fn(&ClassRecord) -> Quantiles,
@@ -98,7 +98,7 @@
     quantiles.points().map(point).to_vec()
 }
 
-/// The upper end of the axis of times.
+/// Returns the upper end of the latency axis, in milliseconds.
 fn axis_max_ms(series: &[Series]) -> f64 {
     let times = series
         .iter()
@@ -107,7 +107,8 @@
     times.fold(MIN_MS * 10.0, f64::max) * 2.0
 }
 
-/// An error of the chart library, which borrows what it failed on.
+/// Converts an error of the chart library, which borrows from the chart, into an
+/// owned one.
 fn chart_error(err: impl std::fmt::Display) -> anyhow::Error {
     anyhow!("chart failed: {err}")
 }
--- a/standins/src/load/check.rs
+++ b/standins/src/load/check.rs
@@ -1,26 +1,26 @@
-//! Checking that an answer is whole: its tokens once, in order, of one generation.
+//! Checks that an answer is complete: each token once, in order, of one generation.
 
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with an answer.
+/// A fault in the tokens of an answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Violation {
-    /// A token isn't of the checked form.
+    /// A token isn't of the form `nonce.mark.index`.
     Malformed,
-    /// Tokens of two generations in one answer.
+    /// The answer mixes tokens of two generations.
     OtherGeneration,
-    /// A token of somebody else's request.
+    /// A token belongs to another request.
     OtherRequest,
-    /// A token came twice.
+    /// A token arrived twice or out of order.
     Repeated,
     /// A token is missing before a later one.
     Gap,
-    /// The answer says it is complete, with fewer or more tokens than it has.
+    /// The answer ended as complete with an unexpected number of tokens.
     WrongLength,
 }
 
-/// Follows the tokens of one answer.
+/// Checks the tokens of one answer as they arrive.
 #[derive(Debug)]
 pub struct TokenCheck {
     mark: String,
@@ -30,7 +30,7 @@
 }
 
 impl TokenCheck {
-    /// Checks an answer whose tokens bear `mark`.
+    /// Creates a check of an answer whose tokens carry `mark`.
     #[must_use]
     pub fn new(mark: impl Into<String>) -> Self {
         Self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes in text that holds any number of whole tokens; returns how many.
+    /// Checks text made of whole tokens and returns their number.
     pub fn push_text(&mut self, text: &str) -> u64 {
         let mut tokens = 0;
         for token in text.split_whitespace() {
@@ -53,14 +53,14 @@
         tokens
     }
 
-    /// Takes in the end of an answer that says it is complete.
+    /// Checks the length of an answer that ended as complete.
     pub fn complete(&mut self, expected: u64) {
         if self.next != expected {
             self.violation.get_or_insert(Violation::WrongLength);
         }
     }
 
-    /// The first thing wrong, if any.
+    /// Returns the first violation, if any.
     #[must_use]
     pub fn violation(&self) -> Option<Violation> {
         self.violation
@@ -84,7 +84,7 @@
     }
 }
 
-/// The nonce, mark and index of a token.
+/// Splits a token into nonce, mark and index.
 fn split_token(token: &str) -> Option<(&str, &str, u64)> {
     let (nonce, rest) = token.split_once('.')?;
     let (mark, index) = rest.rsplit_once('.')?;
--- a/standins/src/load/events.rs
+++ b/standins/src/load/events.rs
@@ -1,22 +1,22 @@
-//! Reading server-sent events from the chunks of a body.
+//! Parses server-sent events from the chunks of a response body.
 
 use serde::Deserialize;
 
-/// The data that ends a stream.
+/// Data of the event that ends a stream.
 const DONE: &str = "[DONE]";
 
-/// What an event of a stream says.
+/// A parsed event of a stream.
 #[derive(Debug, PartialEq)]
 pub(super) enum Event {
-    /// Delta of the answer.
+    /// The next part of the answer.
     Delta(Delta),
-    /// The end.
+    /// The end of the stream.
     Done,
-    /// An error of the system, with its code.
+    /// An error, with its code.
     Error(String),
 }
 
-/// Delta of an answer.
+/// An increment of an answer.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct Delta {
     pub(super) content: String,
@@ -24,7 +24,7 @@
     pub(super) preemptions: Option<u64>,
 }
 
-/// Splits a body into events.
+/// An incremental parser that splits a body into events.
 #[derive(Debug, Default)]
 pub(super) struct EventReader {
     buf: Vec<u8>,
@@ -32,7 +32,7 @@
 }
 
 impl EventReader {
-    /// Takes in a chunk and returns the events that it completes.
+    /// Parses a chunk and returns the events that it completes.
     pub(super) fn push(&mut self, chunk: &[u8]) -> Vec<Event> {
         let mut events = Vec::new();
         for line in chunk.split_inclusive(|byte| *byte == b'\n') {
@@ -45,7 +45,7 @@
         events
     }
 
-    /// Takes in a line; an empty one ends an event.
+    /// Parses a line; an empty one ends an event.
     fn push_line(&mut self, line: &str) -> Option<Event> {
         let line = line.trim_end_matches(['\r', '\n']);
         if let Some(data) = line.strip_prefix("data:") {
@@ -58,7 +58,7 @@
     }
 }
 
-/// An event as it stands in a stream.
+/// The JSON data of an event.
 #[derive(Deserialize)]
 struct RawEvent {
     #[serde(default)]
@@ -109,7 +109,7 @@
     delta
 }
 
-/// The code in an error: its field `code`, or the whole of it.
+/// Returns the `code` field of an error, or the entire error without one.
 pub(super) fn error_code(error: &serde_json::Value) -> String {
     let code = error.get("code").unwrap_or(error);
     code.as_str()
--- a/standins/src/load/meter.rs
+++ b/standins/src/load/meter.rs
@@ -1,16 +1,16 @@
-//! Measuring one answer against the goal of its class.
+//! Measures one answer against the latency goal of its class.
 //!
-//! Stall time is the sum of what the wait for the first token, from the intended
-//! arrival, and each gap between tokens exceed the goal.
+//! Stall time is the sum of the excess over the goal: of the wait from the
+//! scheduled arrival to the first token, and of each gap between tokens.
 
 use tokio::time::Instant;
 
 use super::mix::Goal;
 
-/// The 95th percentile of gaps decides whether an answer met its goal.
+/// Quantile of the gaps that must be within the goal.
 const GOAL_QUANTILE: f64 = 0.95;
 
-/// Follows the times of one answer, in milliseconds of the model of time.
+/// Measures the latencies of one answer, in milliseconds of simulated time.
 #[derive(Debug)]
 pub struct Meter {
     goal: Goal,
@@ -22,7 +22,7 @@
 }
 
 impl Meter {
-    /// Measures an answer to a request meant to arrive at `arrival`.
+    /// Creates a meter for a request scheduled at `arrival`.
     #[must_use]
     pub fn new(goal: Goal, time_scale: f64, arrival: Instant) -> Self {
         Self {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Notes a token at `now`.
+    /// Records a token that arrived at `now`.
     pub fn record_token(&mut self, now: Instant) {
         let wait = self.record_wait(now);
         if self.first_token_ms.is_some() {
@@ -46,31 +46,31 @@
         self.last = now;
     }
 
-    /// Notes that no token will come after `now`, although some should have.
+    /// Records that the answer was cut at `now`, with tokens outstanding.
     pub fn record_cut(&mut self, now: Instant) {
         self.record_wait(now);
         self.last = now;
     }
 
-    /// Stall time so far.
+    /// Returns the stall time so far.
     #[must_use]
     pub fn stall_ms(&self) -> f64 {
         self.stall_ms
     }
 
-    /// The wait for the first token, if it came.
+    /// Returns the time to the first token, if it arrived.
     #[must_use]
     pub fn first_token_ms(&self) -> Option<f64> {
         self.first_token_ms
     }
 
-    /// The gaps between tokens, in order.
+    /// Returns the gaps between tokens, in order.
     #[must_use]
     pub fn gaps_ms(&self) -> &[f64] {
         &self.gaps_ms
     }
 
-    /// Whether the first token and the 95th percentile of gaps met the goal.
+    /// Returns whether the first token and the 95th percentile of gaps met the goal.
     #[must_use]
     pub fn met_goal(&self) -> bool {
         let first = self.first_token_ms;
@@ -80,7 +80,8 @@
             && to_f64(late.count()) <= to_f64(gaps) * (1.0 - GOAL_QUANTILE)
     }
 
-    /// Adds to the stall time what the wait that ends at `now` exceeds the goal.
+    /// Returns the wait that ends at `now` and adds its excess over the goal to the
+    /// stall time.
     fn record_wait(&mut self, now: Instant) -> f64 {
         let wait = (now - self.last).as_secs_f64() * 1e3 * self.time_scale;
         let goal = match self.first_token_ms {
--- a/standins/src/load/mix.rs
+++ b/standins/src/load/mix.rs
@@ -1,16 +1,16 @@
-//! What callers ask for: workspaces, kinds of requests, lengths and goals.
+//! Request mixes: workspaces, kinds of requests, lengths and latency goals.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether somebody waits for the answer.
+/// Priority class of a request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// A person waits for each token.
+    /// A person reads the answer as it arrives.
     Interactive,
-    /// A long job whose answer may be late.
+    /// A long job that tolerates delay.
     Batch,
 }
 
@@ -18,7 +18,7 @@
     /// All classes.
     pub const ALL: [Self; 2] = [Self::Interactive, Self::Batch];
 
-    /// Its name, as requests and records carry it.
+    /// Returns the name used in requests and records.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -28,12 +28,12 @@
     }
 }
 
-/// The latency that callers of a class put up with, in milliseconds.
+/// Latency goal of a class, in milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Goal {
-    /// Until the first token.
+    /// Time to the first token.
     pub first_token_ms: f64,
-    /// Between two tokens.
+    /// Gap between two tokens.
     pub gap_ms: f64,
 }
 
@@ -44,48 +44,48 @@
     pub median: f64,
     /// Standard deviation of the logarithm.
     pub sigma: f64,
-    /// Longest.
+    /// Maximum.
     pub max: u64,
 }
 
 /// One kind of request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Kind {
-    /// Its name.
+    /// Name.
     pub name: Arc<str>,
-    /// Its class.
+    /// Priority class.
     pub class: Class,
-    /// Its share of the requests, against the other weights.
+    /// Share of the requests, relative to the other weights.
     pub weight: f64,
-    /// Tokens at the head of the prompt that all its requests of a workspace share.
+    /// Tokens of the prompt prefix shared by its requests of one workspace.
     pub shared_prompt: u64,
-    /// The rest of the prompt.
+    /// Lengths of the rest of the prompt.
     pub prompt: LengthDistribution,
-    /// The answer.
+    /// Lengths of the answer.
     pub output: LengthDistribution,
 }
 
 /// A customer's workspace.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Workspace {
-    /// Its name.
+    /// Name.
     pub name: Arc<str>,
-    /// Its share of the requests, against the other weights.
+    /// Share of the requests, relative to the other weights.
     pub weight: f64,
-    /// The bearer key of its callers.
+    /// Bearer key of its callers.
     pub key: Arc<str>,
 }
 
-/// A whole mix.
+/// A request mix.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Mix {
-    /// Its name.
+    /// Name.
     pub name: Arc<str>,
-    /// The model asked for.
+    /// Requested model.
     pub model: Arc<str>,
-    /// Who asks.
+    /// Workspaces that send requests.
     pub workspaces: Vec<Workspace>,
-    /// What they ask.
+    /// Kinds of requests.
     pub kinds: Vec<Kind>,
     /// Goal of interactive requests.
     pub interactive: Goal,
@@ -93,7 +93,7 @@
     pub batch: Goal,
 }
 
-/// Shares of ten workspaces, a few of them large.
+/// Weights of ten workspaces, a few of them large.
 const WORKSPACE_WEIGHTS: [f64; 10] = [30.0, 22.0, 15.0, 8.0, 6.0, 5.0, 5.0, 4.0, 3.0, 2.0];
 
 /// Goal of interactive requests in the built-in mixes.
@@ -109,7 +109,7 @@
 };
 
 impl Mix {
-    /// A built-in mix by its name.
+    /// Returns the built-in mix of this name.
     #[must_use]
     pub fn built_in(name: &str) -> Option<Self> {
         let kinds = match name {
@@ -127,7 +127,7 @@
         })
     }
 
-    /// The goal of a class.
+    /// Returns the goal of a class.
     #[must_use]
     pub fn goal(&self, class: Class) -> Goal {
         match class {
@@ -137,7 +137,7 @@
     }
 }
 
-/// Short lookups at the counter beside long dossiers.
+/// Returns a mix of short lookups and long dossiers.
 fn celje() -> Vec<Kind> {
     vec![
         interactive(
@@ -161,7 +161,7 @@
     ]
 }
 
-/// Short grades beside long restoration logs.
+/// Returns a mix of short grades and long restoration logs.
 fn kerlann() -> Vec<Kind> {
     vec![
         interactive(
--- a/standins/src/load/mod.rs
+++ b/standins/src/load/mod.rs
@@ -1,10 +1,9 @@
-//! The load tool: open-loop arrivals, measured where the caller stands.
+//! The load tool: open-loop load, measured at the caller.
 //!
-//! Arrivals follow a Poisson process drawn from a seed and don't wait for
-//! answers. All latencies count from the intended arrival, so that a late start
-//! counts against the system. Rates, durations and results are in the engines'
-//! model of time: with a time scale of 10 the clock runs ten times faster than
-//! the figures say.
+//! Arrivals follow a seeded Poisson process and don't wait for answers. Latencies
+//! count from the scheduled arrival, so that a delayed start counts against the
+//! system. Rates, durations and results are in the simulated time of the engines:
+//! with a time scale of 10, ten simulated seconds pass in one real second.
 
 mod call;
 mod chart;
--- a/standins/src/load/plan.rs
+++ b/standins/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! The arrivals of a run, drawn from its seed.
+//! Draws the arrivals of a run from its seed.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 use super::mix::{LengthDistribution, Mix};
 use crate::lognormal;
 
-/// One request to come.
+/// A scheduled request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// Its number, from 0.
+    /// Sequence number, from 0.
     pub number: u64,
-    /// When it arrives, from the start of the run.
+    /// Arrival time, from the start of the run.
     pub at: Duration,
-    /// Place of its workspace in the mix.
+    /// Index of its workspace in the mix.
     pub workspace: usize,
-    /// Place of its kind in the mix.
+    /// Index of its kind in the mix.
     pub kind: usize,
-    /// Tokens of the prompt that it shares with none.
+    /// Tokens of the prompt after the shared prefix.
     pub prompt_tokens: u64,
-    /// Tokens of the whole answer.
+    /// Tokens of the complete answer.
     pub output_tokens: u64,
 }
 
-/// The arrivals at `rate` a second until `end`; the same for the same seed.
+/// Draws arrivals at `rate` per second until `end`; deterministic for a seed.
 pub fn arrivals(
     mix: &Mix,
     rate: f64,
@@ -55,7 +55,7 @@
     }
 }
 
-/// The place of a weight, drawn by weight.
+/// Draws an index with a probability proportional to its weight.
 fn pick_weighted(rng: &mut ChaCha8Rng, weights: impl Iterator<Item = f64> + Clone) -> usize {
     let mut rest = rng.random::<f64>() * weights.clone().sum::<f64>();
     let last = weights.clone().count().saturating_sub(1);
--- a/standins/src/load/progress.rs
+++ b/standins/src/load/progress.rs
@@ -1,4 +1,4 @@
-//! A line a second on how a run goes.
+//! Progress lines of a run.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use super::call::End;
 
-/// How often a line is written.
+/// Time between two progress lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Counters of a run in progress.
@@ -38,7 +38,7 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Writes a line a second to standard error, for ever.
+    /// Writes a line per second to standard error until it is dropped.
     pub(super) async fn report(&self) {
         let mut ticks = interval(REPORT_INTERVAL);
         ticks.tick().await;
--- a/standins/src/load/prompt.rs
+++ b/standins/src/load/prompt.rs
@@ -1,4 +1,4 @@
-//! Prompts as text, so that whoever counts words finds the tokens.
+//! Prompt texts with one word per token, for engines that count words.
 
 use std::fmt::Write;
 
@@ -6,10 +6,10 @@
 use super::plan::Arrival;
 use crate::hash;
 
-/// Different words that a prompt is made of.
+/// Number of distinct words in prompts.
 const VOCABULARY_SIZE: u64 = 4_096;
 
-/// The head of a prompt, shared by requests of one kind in one workspace.
+/// Returns the start of a prompt, shared by requests of one kind in one workspace.
 pub(super) fn shared_prefix(mix: &Mix, arrival: &Arrival) -> String {
     let kind = &mix.kinds[arrival.kind];
     let workspace = &mix.workspaces[arrival.workspace];
@@ -17,7 +17,8 @@
     generate_words(seed, kind.shared_prompt)
 }
 
-/// The rest of a prompt, with the directives that set length and mark.
+/// Returns the rest of a prompt, with the directives that set the answer length
+/// and the mark.
 pub(super) fn user_prompt(kind: &Kind, arrival: &Arrival, mark: &str) -> String {
     let seed = hash::extend(hash::fnv(kind.name.as_bytes()), mark.as_bytes());
     let mut text = generate_words(seed, arrival.prompt_tokens);
--- a/standins/src/load/record.rs
+++ b/standins/src/load/record.rs
@@ -1,4 +1,4 @@
-//! The record of a run, one JSON object.
+//! The record of a run, written as one JSON object.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,59 +9,59 @@
 use super::check::Violation;
 use super::mix::{Class, Goal};
 
-/// Units of a histogram in a millisecond.
+/// Microseconds, the unit of the histograms, per millisecond.
 pub(super) const MICROS_PER_MS: f64 = 1e3;
 
-/// What a run was made with.
+/// Settings of a run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Settings {
-    /// Base URLs asked in turn.
+    /// Base URLs of the targets, used in turn.
     pub targets: Vec<String>,
-    /// Whether they are engines.
+    /// Whether the targets are engines.
     pub straight: bool,
     /// Name of the mix.
     pub mix: Arc<str>,
-    /// Requests a second, in the model of time.
+    /// Requests per second of simulated time.
     pub rate: f64,
-    /// Seconds of arrivals, in the model of time.
+    /// Seconds of arrivals, in simulated time.
     pub duration_s: f64,
-    /// How many times faster the clock runs.
+    /// Speed-up factor of simulated time over real time.
     pub time_scale: f64,
-    /// Seed of the arrivals.
+    /// Seed of the arrival process.
     pub seed: u64,
-    /// Goals by class.
+    /// Latency goals by class.
     pub goals: BTreeMap<Class, Goal>,
 }
 
-/// A whole run.
+/// Settings and results of a run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Record {
-    /// What it was made with.
+    /// Settings.
     pub settings: Settings,
-    /// What was measured, by class.
+    /// Results by class.
     pub classes: BTreeMap<Class, ClassRecord>,
-    /// How each workspace fared.
+    /// Results by workspace.
     #[serde(default)]
     pub workspaces: BTreeMap<Arc<str>, WorkspaceRecord>,
 }
 
-/// How one workspace fared.
+/// Results of one workspace.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct WorkspaceRecord {
     /// Requests sent.
     pub sent: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub complete: u64,
-    /// Whole answers within their goal.
+    /// Complete answers within their goal.
     pub good: u64,
 }
 
-/// What was measured of a class; times in milliseconds of the model of time.
+/// Results of a class; times in milliseconds of simulated time.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ClassRecord {
     /// Requests sent.
     pub sent: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub complete: u64,
     /// Refusals by code.
     pub refused: BTreeMap<String, u64>,
@@ -71,37 +71,37 @@
     pub broken: BTreeMap<String, u64>,
     /// Requests in progress when the run ended.
     pub unfinished: u64,
-    /// Answers with something wrong in their tokens, by the first thing wrong.
+    /// Answers with a violation in their tokens, by the first violation.
     pub violations: BTreeMap<Violation, u64>,
     /// Tokens received.
     pub tokens: u64,
-    /// Tokens received in answers that didn't come to their end.
+    /// Tokens received in incomplete answers.
     pub wasted_tokens: u64,
-    /// Whole answers whose first token and 95th percentile of gaps met the goal.
+    /// Complete answers whose first token and 95th percentile of gaps met the goal.
     pub good: u64,
-    /// Tokens of these in each second of arrivals.
+    /// Tokens of good answers per second of arrivals.
     pub goodput_tokens_per_s: f64,
-    /// Answers that told of their preemptions.
+    /// Answers that reported their preemptions.
     pub with_usage: u64,
-    /// Preemptions that they told of.
+    /// Preemptions reported.
     pub preemptions: u64,
-    /// Stall time of each request that wasn't refused.
+    /// Stall time of requests that weren't refused.
     pub stall_ms: Quantiles,
-    /// From the intended arrival to the first token.
+    /// Time from the scheduled arrival to the first token.
     pub first_token_ms: Quantiles,
-    /// Between two tokens.
+    /// Gap between two tokens.
     pub gap_ms: Quantiles,
 }
 
 impl ClassRecord {
-    /// Requests counted under any of the reasons.
+    /// Returns the number of requests under all reasons.
     #[must_use]
     pub fn total<K>(reasons: &BTreeMap<K, u64>) -> u64 {
         reasons.values().sum()
     }
 }
 
-/// A distribution, in milliseconds.
+/// Summary of a distribution, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Quantiles {
     /// Number of values.
@@ -123,7 +123,7 @@
 }
 
 impl Quantiles {
-    /// Reads the quantiles off a histogram in microseconds.
+    /// Reads the quantiles of a histogram in microseconds.
     #[must_use]
     pub fn new(histogram: &Histogram<u64>) -> Self {
         let at = |quantile| to_ms(histogram.value_at_quantile(quantile));
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The quantiles with their places.
+    /// Returns pairs of quantile and value.
     #[must_use]
     pub fn points(&self) -> [(f64, f64); 5] {
         [
--- a/standins/src/load/report.rs
+++ b/standins/src/load/report.rs
@@ -1,11 +1,11 @@
-//! A table of records.
+//! Formats records as a table.
 
 use std::fmt::Write;
 
 use super::mix::Class;
 use super::record::{ClassRecord, Quantiles, Record};
 
-/// The columns with their widths.
+/// Columns and their widths.
 const COLUMNS: [(&str, usize); 19] = [
     ("record", 20),
     ("class", 11),
@@ -28,10 +28,10 @@
     ("goodput", 8),
 ];
 
-/// A table with a line for each class of each named record.
+/// Returns a table with a line for each class of each named record.
 ///
-/// Times are in milliseconds, `stall` is the mean of a request, `goodput` is in
-/// tokens a second and `wrong` counts answers with a violation.
+/// Times are in milliseconds, `stall` is the mean over requests, `goodput` is in
+/// tokens per second and `wrong` counts answers with a violation.
 #[must_use]
 pub fn table(records: &[(String, Record)]) -> String {
     let mut buf = String::new();
--- a/standins/src/load/run.rs
+++ b/standins/src/load/run.rs
@@ -1,4 +1,4 @@
-//! A run: arrivals at their times, and the outcomes added up.
+//! Runs the load: sends requests on schedule and adds up their outcomes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,43 +19,43 @@
 use super::tally::Tally;
 use crate::clock::wait_until;
 
-/// Path of the call.
+/// Path of chat completions.
 const COMPLETIONS_PATH: &str = "/v1/chat/completions";
 
-/// Largest answer that requests allow, in tokens.
+/// Limit on the answer length in requests, in tokens.
 const MAX_TOKENS: u64 = 16_384;
 
-/// Priority of interactive requests sent straight to engines.
+/// Priority of interactive requests sent directly to engines.
 const INTERACTIVE_PRIORITY: i64 = 10;
 
-/// Priority of batch requests sent straight to engines.
+/// Priority of batch requests sent directly to engines.
 const BATCH_PRIORITY: i64 = 0;
 
-/// Settings of a run. Times are in the model of time.
+/// Settings of a run. Times are simulated.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Base URLs asked in turn.
+    /// Base URLs of the targets, used in turn.
     pub targets: Vec<String>,
-    /// Whether they are engines, which know priorities but no classes.
+    /// Whether the targets are engines, which take priorities instead of classes.
     pub straight: bool,
-    /// What is asked.
+    /// Request mix.
     pub mix: Mix,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long requests arrive.
+    /// Time during which requests arrive.
     pub duration: Duration,
-    /// How long answers in progress are waited for after that.
+    /// Time to wait for answers in progress after `duration`.
     pub drain: Duration,
-    /// How many times faster the clock runs.
+    /// Speed-up factor of simulated time over real time.
     pub time_scale: f64,
-    /// Seed of the arrivals.
+    /// Seed of the arrival process.
     pub seed: u64,
 }
 
-/// How each workspace fared so far.
+/// Results by workspace so far.
 type WorkspaceRecords = BTreeMap<Arc<str>, WorkspaceRecord>;
 
-/// What the requests of a run share.
+/// State shared by the requests of a run.
 struct Run {
     cfg: Config,
     client: Client,
@@ -64,13 +64,14 @@
     deadline: Instant,
 }
 
-/// Runs the load to its end.
+/// Runs the load to its end and returns the record.
 ///
 /// # Errors
 ///
-/// Fails without targets, or when the client can't be set up.
+/// Fails without targets, when the HTTP client or a histogram can't be created, or
+/// when the task of a request panics.
 pub async fn run(cfg: Config) -> anyhow::Result<Record> {
-    anyhow::ensure!(!cfg.targets.is_empty(), "no target");
+    anyhow::ensure!(!cfg.targets.is_empty(), "no target given");
     let run = Arc::new(Run::new(cfg)?);
     let mut background = JoinSet::new();
     let shared = Arc::clone(&run);
@@ -93,7 +94,7 @@
         let start = Instant::now();
         let end = (cfg.duration + cfg.drain).div_f64(cfg.time_scale);
         Ok(Self {
-            client: client.context("no client")?,
+            client: client.context("can't create the HTTP client")?,
             progress: Progress::default(),
             start,
             deadline: start + end,
@@ -101,7 +102,8 @@
         })
     }
 
-    /// Sends each request at its time and adds up the outcomes by class.
+    /// Sends each request at its scheduled time and adds up the outcomes by class and
+    /// by workspace.
     async fn send_all(
         self: &Arc<Self>,
     ) -> anyhow::Result<(BTreeMap<Class, Tally>, WorkspaceRecords)> {
@@ -197,7 +199,7 @@
         targets[index].trim_end_matches('/')
     }
 
-    /// When a request is meant to arrive, on the clock.
+    /// Returns the scheduled arrival of a request in real time.
     fn scheduled_at(&self, arrival: &Arrival) -> Instant {
         self.start + arrival.at.div_f64(self.cfg.time_scale)
     }
--- a/standins/src/load/tally.rs
+++ b/standins/src/load/tally.rs
@@ -1,4 +1,4 @@
-//! Adding up the outcomes of a class.
+//! Adds up the outcomes of a class.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 /// Significant digits of the histograms.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Longest time that the histograms tell apart, in microseconds.
+/// Largest value that the histograms resolve, in microseconds.
 const MAX_MICROS: u64 = 24 * 3_600 * 1_000_000;
 
-/// The outcomes of a class so far.
+/// Totals of a class so far.
 #[derive(Debug)]
 pub(super) struct Tally {
     counts: ClassRecord,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The record of the class after a run with so long a time of arrivals.
+    /// Returns the record of the class after `duration` of arrivals.
     pub(super) fn into_record(self, duration: Duration) -> ClassRecord {
         ClassRecord {
             goodput_tokens_per_s: per_second(self.good_tokens, duration),
@@ -105,7 +105,7 @@
     tokens as f64 / duration.as_secs_f64()
 }
 
-/// Milliseconds in units of a histogram.
+/// Converts milliseconds to microseconds, the unit of the histograms.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/standins/src/run_log.rs
+++ b/standins/src/run_log.rs
@@ -1,6 +1,6 @@
-//! The record of what a stand-in really ran.
+//! Log of the work that a stand-in executed.
 //!
-//! One JSON object a line, with the milliseconds since the log was opened. A
+//! Each line is a JSON object with the milliseconds since the log was opened. A
 //! file is flushed after each line, so that a crash loses none.
 
 use std::fs::{File, OpenOptions};
@@ -21,18 +21,18 @@
     sink: Mutex<Sink>,
 }
 
-/// Where the lines go.
+/// Destination of the lines.
 #[derive(Debug)]
 enum Sink {
-    /// Nowhere.
+    /// Discards all lines.
     Discard,
-    /// To a file, flushed line by line.
+    /// A file, flushed after each line.
     File(File),
-    /// To memory, for tests in the same process.
+    /// Memory, for tests in the same process.
     Memory(Vec<Value>),
 }
 
-/// An event with its time.
+/// An event with its timestamp.
 #[derive(Serialize)]
 struct LogLine<'a, E> {
     ms: u128,
@@ -41,19 +41,19 @@
 }
 
 impl RunLog {
-    /// A log that keeps nothing.
+    /// Creates a log that discards all events.
     #[must_use]
     pub fn discard() -> Self {
         Self::new(Sink::Discard)
     }
 
-    /// A log held in memory.
+    /// Creates a log in memory.
     #[must_use]
     pub fn memory() -> Self {
         Self::new(Sink::Memory(Vec::new()))
     }
 
-    /// A log appended to the file at `path`.
+    /// Opens a log that appends to the file at `path`.
     ///
     /// # Errors
     ///
@@ -63,7 +63,7 @@
         Ok(Self::new(Sink::File(file)))
     }
 
-    /// Appends one event, stamped with the milliseconds since the log's start.
+    /// Appends an event with the milliseconds since the log was opened.
     pub fn append(&self, event: &impl Serialize) {
         let line = LogLine {
             ms: self.start.elapsed().as_millis(),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The events kept so far by a log in memory; none for the other kinds.
+    /// Returns the events of a log in memory; empty for the other kinds.
     #[must_use]
     pub fn events(&self) -> Vec<Value> {
         match &*lock(&self.sink) {
@@ -104,7 +104,7 @@
     }
 }
 
-/// Writes one whole line at once, so that lines of two processes don't mix.
+/// Writes a line in a single call, so that lines of two processes don't interleave.
 fn write_line(file: &mut File, line: &impl Serialize) -> io::Result<()> {
     let mut buf = serde_json::to_vec(line)?;
     buf.push(b'\n');
--- a/standins/tests/load.rs
+++ b/standins/tests/load.rs
@@ -19,7 +19,7 @@
     report_of_a_record => report();
 }
 
-/// How many times faster the engines run.
+/// Speed-up factor of the engines.
 const SCALE: f64 = 50.0;
 
 async fn engine() -> Running {
@@ -43,7 +43,7 @@
     }
 }
 
-/// The sum over both classes of what `field` reads.
+/// Returns the sum of a field over both classes.
 fn sum(record: &Record, field: impl Fn(&ClassRecord) -> u64) -> u64 {
     record.classes.values().map(field).sum()
 }
@@ -113,7 +113,7 @@
     );
 }
 
-/// Sends a request that crashes the engine, ahead of all others.
+/// Crashes the engine with a request of higher priority than all others.
 async fn crash(url: &str) {
     let body = serde_json::json!({
         "model": "small",
--- a/standins/tests/measures.rs
+++ b/standins/tests/measures.rs
@@ -1,11 +1,11 @@
-//! Tests of what the load tool plans, checks and measures, without sockets.
+//! Tests of the arrivals, token checks and meters of the load tool, without sockets.
 
 use std::time::Duration;
 
 use standins::load::{Goal, Meter, Mix, TokenCheck, Violation, arrivals};
 use tokio::time::Instant;
 
-/// Names each case and gives it the call that checks it.
+/// Generates a test for each case from its name and the call that checks it.
 macro_rules! cases {
     ($($name:ident => $check:ident($($arg:expr),* $(,)?);)*) => {
         mod cases {
@@ -67,7 +67,8 @@
     assert_eq!(check.violation(), violation);
 }
 
-/// Tokens at these milliseconds after the arrival stall so long.
+/// Checks the stall time and the goal of tokens at these milliseconds after the
+/// arrival.
 fn meter(tokens: &[u64], stall_ms: f64, met_goal: bool) {
     let arrival = Instant::now();
     let mut meter = Meter::new(GOAL, 1.0, arrival);
