--- a/standins/src/demo/callers.rs
+++ b/standins/src/demo/callers.rs
@@ -19,11 +19,11 @@
 const GRADE_TOKENS: u64 = 40;
 /// Pause of a caller between two lookups.
 const LOOKUP_PAUSE: Duration = Duration::from_millis(800);
-/// Long streams to each of the two models.
+/// Number of long streams to each of the two models.
 const LONG_STREAMS: usize = 4;
-/// Callers that send short lookups one after another.
+/// Number of callers that send short lookups one after another.
 const LOOKUP_CALLERS: usize = 2;
-/// Unstreamed requests, and pairs of grading and of filing requests.
+/// Number each of unstreamed requests, grading pairs and filing pairs.
 const REQUEST_PAIRS: usize = 2;
 
 /// Starts all callers.
