--- a/fireflyd/tests/processes_claims.rs
+++ b/fireflyd/tests/processes_claims.rs
@@ -7,7 +7,7 @@
 
 use reqwest::Response;
 use serde_json::{Value, json};
-use standins::caller::{Caller, End, Got, Request};
+use standins::caller::{Caller, End, Request, RequestOutcome};
 use support::{COUNTER, DOSSIERS, Fleet, GRADES, PATIENCE, Spec, until, within};
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
@@ -45,15 +45,15 @@
 }
 
 fn filing(mark: &str) -> Request {
-    Request::call(mark, COUNTER, "records", "/file").keyed(mark)
+    Request::call(mark, COUNTER, "records", "/file").with_idempotency_key(mark)
 }
 
 fn grade(mark: &str) -> Request {
-    Request::whole(mark, GRADES, "model-b", 60).keyed(mark)
+    Request::non_streaming(mark, GRADES, "model-b", 60).with_idempotency_key(mark)
 }
 
 fn streamed_grade(mark: &str) -> Request {
-    Request::stream(mark, GRADES, "model-b", 60).keyed(mark)
+    Request::stream(mark, GRADES, "model-b", 60).with_idempotency_key(mark)
 }
 
 fn with_plain() -> Spec {
@@ -63,7 +63,7 @@
     }
 }
 
-fn begin(caller: &Caller, request: Request, entry: usize) -> JoinHandle<Got> {
+fn begin(caller: &Caller, request: Request, entry: usize) -> JoinHandle<RequestOutcome> {
     let caller = caller.clone();
     tokio::spawn(async move { caller.run(request, entry).await })
 }
@@ -119,9 +119,9 @@
     }
     fleet.await_ready().await;
     let next = fleet
-        .call(Request::whole("next", DOSSIERS, "model-b", 9), 0)
+        .call(Request::non_streaming("next", DOSSIERS, "model-b", 9), 0)
         .await;
-    assert!(next.is_whole(), "{next:?}");
+    assert!(next.is_complete(), "{next:?}");
     fleet.assert_kept(&[next]);
     assert_eq!(fleet.runs().count("m"), 0);
 }
@@ -138,7 +138,7 @@
     fleet.agents[agent].process.thaw();
     let got = call.await.unwrap();
     fleet.assert_kept(std::slice::from_ref(&got));
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
@@ -153,7 +153,7 @@
     fleet.platform_faults(json!({"hang_ms": 0})).await;
     let got = call.await.unwrap();
     fleet.assert_kept(std::slice::from_ref(&got));
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
@@ -171,7 +171,7 @@
     fleet.entries[0].process.thaw();
     let first = first.await.unwrap();
     assert!(
-        first.is_whole() && second.is_whole(),
+        first.is_complete() && second.is_complete(),
         "{first:?} {second:?}"
     );
     fleet.assert_kept(&[first, second]);
@@ -189,7 +189,7 @@
     fleet.platform_faults(json!({"hang_ms": 0})).await;
     let got = caller.run(grade("m"), 1).await;
     fleet.assert_kept(std::slice::from_ref(&got));
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
@@ -206,7 +206,7 @@
         }
         let all = calls.join_all().await;
         fleet.assert_kept(&all);
-        assert!(all.iter().all(Got::is_whole), "{all:#?}");
+        assert!(all.iter().all(RequestOutcome::is_complete), "{all:#?}");
         assert_eq!(fleet.runs().count(&mark), 1);
     }
 }
@@ -219,7 +219,7 @@
         all.push(fleet.call(request("m"), entry).await);
     }
     fleet.assert_kept(&all);
-    assert!(all.iter().all(Got::is_whole), "{all:#?}");
+    assert!(all.iter().all(RequestOutcome::is_complete), "{all:#?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
@@ -230,7 +230,7 @@
     let mut other = filing("other");
     other.idempotency_key = Some("m".to_owned());
     let second = fleet.call(other, 1).await;
-    assert!(first.is_whole(), "{first:?}");
+    assert!(first.is_complete(), "{first:?}");
     assert_eq!(second.code(), Some(2_008), "{second:?}");
     fleet.assert_kept(&[first, second]);
     assert_eq!(fleet.runs().count("other"), 0);
@@ -252,7 +252,7 @@
     fleet.entries[0].process.kill();
     let got = call.await.unwrap();
     fleet.assert_kept(std::slice::from_ref(&got));
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
@@ -266,7 +266,7 @@
     fleet.slow_engines(1).await;
     let got = call.await.unwrap();
     fleet.assert_kept(std::slice::from_ref(&got));
-    assert!(got.is_whole() && got.attempts.len() == 2, "{got:?}");
+    assert!(got.is_complete() && got.attempts.len() == 2, "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
@@ -274,7 +274,7 @@
 async fn resent_after_agent_death() {
     let mut fleet = Fleet::start(with_plain()).await;
     let first = fleet.call(filing("m"), 0).await;
-    assert!(first.is_whole(), "{first:?}");
+    assert!(first.is_complete(), "{first:?}");
     let records = fleet.agents.len() - 1;
     fleet.agents[records].restart();
     fleet.await_ready().await;
@@ -304,10 +304,10 @@
     let open = fleet
         .call(Request::stream("open", DOSSIERS, "model-a", 30), 0)
         .await;
-    assert!(open.is_whole(), "{open:?}");
+    assert!(open.is_complete(), "{open:?}");
     fleet.platform_faults(mended).await;
     let got = fleet.call(filing("m"), 0).await;
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     fleet.assert_kept(&[open, got]);
 }
 
@@ -327,7 +327,7 @@
         all.push(call.await.unwrap());
     }
     fleet.assert_kept(&all);
-    assert!(all.iter().all(Got::is_whole), "{all:#?}");
+    assert!(all.iter().all(RequestOutcome::is_complete), "{all:#?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
--- a/fireflyd/tests/processes_config.rs
+++ b/fireflyd/tests/processes_config.rs
@@ -271,13 +271,13 @@
     free_workspace(&fleet);
     let request = Request::stream("m", REMOVED, "model-a", 1_500);
     let mut session = fleet.caller().begin(request, 0);
-    assert!(session.until_tokens(3).await);
+    assert!(session.read_until_tokens(3).await);
     let file = inventory_without(&fleet, REMOVED_WORKSPACE);
     let (status, text) = fleet.ctl(&["inventory", "apply", &file, "--wait", "5"]);
     assert_eq!(status, DONE, "{text}");
     assert!(is_removed_at(&fleet, &fleet.entries[0]).await);
     let got = session.finish().await;
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     fleet.assert_kept(&[got]);
 }
 
@@ -297,7 +297,7 @@
     let got = fleet
         .call(Request::stream("m", DOSSIERS, "model-a", 30), 0)
         .await;
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     fleet.assert_kept(&[got]);
     watch.assert_never_lower().await;
 }
--- a/fireflyd/tests/processes_hostile.rs
+++ b/fireflyd/tests/processes_hostile.rs
@@ -8,7 +8,7 @@
 
 use reqwest::{RequestBuilder, Response};
 use serde_json::{Value, json};
-use standins::caller::{Got, Request};
+use standins::caller::{Request, RequestOutcome};
 use support::{COUNTER, DOSSIERS, Fleet, GRADES, LOGS, PATIENCE, Spec, run, until, within};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -21,7 +21,7 @@
 
 crate::cases! {
     poison_stream_resent_through_both_entries => poison(Request::stream);
-    poison_whole_resent_through_both_entries => poison(Request::whole);
+    poison_whole_resent_through_both_entries => poison(Request::non_streaming);
     poison_at_once_through_both_entries => poison_at_once();
     poison_after_tokens => poison_after_tokens();
     poison_leaves_its_neighbours_an_answer => poison_neighbours();
@@ -102,7 +102,7 @@
     let got = fleet
         .call(Request::stream("after", DOSSIERS, "model-a", 5), 0)
         .await;
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     fleet.assert_kept(&[got]);
 }
 
@@ -172,7 +172,7 @@
         let request = crashing(Request::stream, "[[crash]]");
         calls.spawn(async move { caller.run(request, entry).await });
     }
-    let all: Vec<Got> = calls.join_all().await;
+    let all: Vec<RequestOutcome> = calls.join_all().await;
     assert!(all.iter().all(|g| g.code().is_some()), "{all:#?}");
     for entry in 0..COPIES {
         let last = caller.run(crashing(Request::stream, "[[crash]]"), entry);
@@ -218,7 +218,7 @@
     let mut calls = JoinSet::new();
     for n in 0..8 {
         let caller = caller.clone();
-        let request = Request::whole(&format!("m{n}"), DOSSIERS, "model-a", 300);
+        let request = Request::non_streaming(&format!("m{n}"), DOSSIERS, "model-a", 300);
         calls.spawn(async move { caller.run(request, n).await });
     }
     for n in 0..8 {
@@ -229,7 +229,7 @@
     let all = calls.join_all().await;
     fleet.assert_kept(&all);
     assert!(fleet.runs().crashes.len() <= CRASH_BOUND);
-    assert!(all.iter().all(Got::is_whole), "{all:#?}");
+    assert!(all.iter().all(RequestOutcome::is_complete), "{all:#?}");
 }
 
 /// Its messages are refused and counted, and it never gets any work.
@@ -273,14 +273,14 @@
     let mut session = fleet
         .caller()
         .begin(Request::stream("m", DOSSIERS, "model-a", 3_000), 0);
-    assert!(session.until_tokens(10).await);
+    assert!(session.read_until_tokens(10).await);
     for keys in [format!("{old}{new}"), format!("{new}{old}"), new] {
         fs::write(fleet.path("fleet-keys"), keys).unwrap();
         tokio::time::sleep(Duration::from_millis(1_500)).await;
     }
     assert_serves(&fleet).await;
     let got = session.finish().await;
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     fleet.assert_kept(&[got]);
 }
 
--- a/fireflyd/tests/processes_leaving.rs
+++ b/fireflyd/tests/processes_leaving.rs
@@ -7,7 +7,7 @@
 
 use reqwest::Response;
 use serde_json::{Value, json};
-use standins::caller::{Caller, Got, Request, Session};
+use standins::caller::{Caller, Request, RequestOutcome, Session};
 use support::{COUNTER, DOSSIERS, Fleet, Node, Spec, until};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpSocket;
@@ -48,13 +48,13 @@
     let mut all = Vec::new();
     for n in 0..count {
         let mut session = caller.begin(stream(&format!("long{n}"), LONG), n);
-        assert!(session.until_tokens(3).await);
+        assert!(session.read_until_tokens(3).await);
         all.push(session);
     }
     all
 }
 
-async fn finish_all(sessions: Vec<Session>) -> Vec<Got> {
+async fn finish_all(sessions: Vec<Session>) -> Vec<RequestOutcome> {
     let mut calls = JoinSet::new();
     for session in sessions {
         calls.spawn(session.finish());
@@ -63,7 +63,7 @@
 }
 
 /// Sends short requests through all entries at once.
-async fn probe(caller: &Caller, name: &str) -> Vec<Got> {
+async fn probe(caller: &Caller, name: &str) -> Vec<RequestOutcome> {
     let mut calls = JoinSet::new();
     for n in 0..PROBES {
         let caller = caller.clone();
@@ -74,16 +74,16 @@
 }
 
 /// Generations of these requests that began on an engine.
-fn begun_on(fleet: &Fleet, all: &[Got], engine: usize) -> usize {
+fn begun_on(fleet: &Fleet, all: &[RequestOutcome], engine: usize) -> usize {
     let runs = fleet.runs();
     let marks = all.iter().flat_map(|g| &g.attempts).map(|a| &a.mark);
     let on = |mark: &&String| runs.logs_of(mark).contains(&engine);
     marks.filter(on).count()
 }
 
-fn assert_whole(all: &[Got]) {
+fn assert_whole(all: &[RequestOutcome]) {
     assert!(
-        all.iter().all(|g| g.is_whole() && g.attempts.len() == 1),
+        all.iter().all(|g| g.is_complete() && g.attempts.len() == 1),
         "{all:#?}"
     );
 }
@@ -122,7 +122,7 @@
     fleet.platform_faults(json!({"vm_lag_ms": 60_000})).await;
     let caller = fleet.caller();
     let mut long = caller.begin(stream("long", LONG), 0);
-    assert!(long.until_tokens(3).await);
+    assert!(long.read_until_tokens(3).await);
     let engine = fleet.engine_of("long").await;
     fleet.agents[engine].process.ask_to_stop();
     await_leaving(&fleet, &fleet.agents[engine]).await;
@@ -130,7 +130,7 @@
     assert_whole(&probes);
     assert_eq!(begun_on(&fleet, &probes, engine), 0);
     let long = long.finish().await;
-    assert!(long.is_whole(), "{long:?}");
+    assert!(long.is_complete(), "{long:?}");
     fleet.assert_kept(&probes);
     fleet.assert_kept(&[long]);
     assert!(fleet.agents[engine].process.ended().await.success());
@@ -141,7 +141,7 @@
     let mut fleet = Fleet::start(Spec::default()).await;
     let caller = fleet.caller();
     let mut long = caller.begin(stream("long", LONG), 0);
-    assert!(long.until_tokens(3).await);
+    assert!(long.read_until_tokens(3).await);
     let engine = fleet.engine_of("long").await;
     fleet.entries[1].process.freeze();
     fleet.agents[engine].process.ask_to_stop();
@@ -151,7 +151,7 @@
     assert_whole(&probes);
     assert_eq!(begun_on(&fleet, &probes, engine), 0);
     let long = long.finish().await;
-    assert!(long.is_whole(), "{long:?}");
+    assert!(long.is_complete(), "{long:?}");
     fleet.assert_kept(&probes);
     fleet.assert_kept(&[long]);
 }
@@ -209,8 +209,8 @@
     })
     .await;
     let mut session = fleet.caller().begin(stream("m", 300), 0);
-    assert!(session.until_tokens(20).await);
-    session.hang_up();
+    assert!(session.read_until_tokens(20).await);
+    session.disconnect();
     fleet.agents[0].process.ask_to_stop();
     until("the generation ends", || {
         let log = std::fs::read_to_string(&fleet.engines[0].run_log).unwrap();
@@ -220,7 +220,7 @@
     sleep(Duration::from_secs(1)).await;
     let got = session.finish().await;
     fleet.assert_kept(std::slice::from_ref(&got));
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     assert!(fleet.agents[0].process.ended().await.success());
 }
 
@@ -248,7 +248,7 @@
     let mut fleet = Fleet::start(Spec::default()).await;
     let caller = fleet.caller();
     let mut long = begin_long(&caller, 4).await;
-    let whole = Request::whole("whole", DOSSIERS, "model-a", LONG);
+    let whole = Request::non_streaming("whole", DOSSIERS, "model-a", LONG);
     let whole = begin(&caller, whole, 0);
     fleet.engine_of("whole").await;
     for _ in 0..times {
@@ -257,17 +257,17 @@
     }
     assert_refuses(&fleet, &fleet.entries[0]).await;
     for session in &mut long {
-        assert!(session.until_tokens(50).await);
+        assert!(session.read_until_tokens(50).await);
     }
     let mut all = finish_all(long).await;
     all.push(whole.await.unwrap());
     assert_whole(&all);
-    assert!(all.iter().all(|g| g.last().returns == 0), "{all:#?}");
+    assert!(all.iter().all(|g| g.last().reconnects == 0), "{all:#?}");
     fleet.assert_kept(&all);
     assert!(fleet.entries[0].process.ended().await.success());
 }
 
-fn begin(caller: &Caller, request: Request, entry: usize) -> JoinHandle<Got> {
+fn begin(caller: &Caller, request: Request, entry: usize) -> JoinHandle<RequestOutcome> {
     let caller = caller.clone();
     tokio::spawn(async move { caller.run(request, entry).await })
 }
@@ -307,17 +307,17 @@
     })
     .await;
     let mut session = fleet.caller().begin(stream("m", 8_000), 0);
-    assert!(session.until_tokens(3).await);
+    assert!(session.read_until_tokens(3).await);
     fleet.entries[0].process.ask_to_stop();
     sleep(Duration::from_secs(3)).await;
     let got = session.finish().await;
     assert!(
-        got.is_whole(),
+        got.is_complete(),
         "{:?} after {}",
         got.end(),
         got.last().tokens
     );
-    assert_eq!(got.last().returns, 0);
+    assert_eq!(got.last().reconnects, 0);
     fleet.assert_kept(&[got]);
     assert!(fleet.entries[0].process.ended().await.success());
 }
--- a/fireflyd/tests/processes_streams.rs
+++ b/fireflyd/tests/processes_streams.rs
@@ -43,12 +43,12 @@
 async fn entry_killed(after: u64) {
     let mut fleet = Fleet::start(Spec::default()).await;
     let mut session = fleet.caller().begin(stream("m", 400), 0);
-    assert!(session.until_tokens(after).await);
+    assert!(session.read_until_tokens(after).await);
     fleet.entries[0].process.kill();
     let got = session.finish().await;
     fleet.assert_kept(std::slice::from_ref(&got));
-    assert!(got.is_whole(), "{got:?}");
-    assert_eq!((got.attempts.len(), got.last().returns), (1, 1));
+    assert!(got.is_complete(), "{got:?}");
+    assert_eq!((got.attempts.len(), got.last().reconnects), (1, 1));
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
@@ -59,7 +59,7 @@
     let request = if streams {
         stream("m", 50)
     } else {
-        Request::whole("m", DOSSIERS, "model-a", 50)
+        Request::non_streaming("m", DOSSIERS, "model-a", 50)
     };
     let caller = fleet.caller();
     let call = tokio::spawn(async move { caller.run(request, 0).await });
@@ -68,7 +68,7 @@
     fleet.slow_engines(1).await;
     let got = call.await.unwrap();
     fleet.assert_kept(std::slice::from_ref(&got));
-    assert!(got.is_whole() && got.attempts.len() == 1, "{got:?}");
+    assert!(got.is_complete() && got.attempts.len() == 1, "{got:?}");
     assert_eq!(fleet.runs().count("m"), 2);
 }
 
@@ -76,14 +76,14 @@
 async fn engine_killed_during_whole() {
     let mut fleet = Fleet::start(Spec::default()).await;
     let caller = fleet.caller();
-    let request = Request::whole("m", DOSSIERS, "model-a", 600);
+    let request = Request::non_streaming("m", DOSSIERS, "model-a", 600);
     let call = tokio::spawn(async move { caller.run(request, 0).await });
     let engine = fleet.engine_of("m").await;
     sleep(Duration::from_millis(300)).await;
     fleet.engines[engine].process.kill();
     let got = call.await.unwrap();
     fleet.assert_kept(std::slice::from_ref(&got));
-    assert!(got.is_whole() && got.attempts.len() == 1, "{got:?}");
+    assert!(got.is_complete() && got.attempts.len() == 1, "{got:?}");
     assert_eq!(fleet.runs().count("m"), 2);
 }
 
@@ -96,7 +96,7 @@
     })
     .await;
     let mut session = fleet.caller().begin(stream("m", 4_000), 0);
-    assert!(session.until_tokens(after).await);
+    assert!(session.read_until_tokens(after).await);
     let engine = fleet.engine_of("m").await;
     fleet.engines[engine].process.kill();
     let got = session.finish().await;
@@ -116,12 +116,12 @@
     })
     .await;
     let mut session = fleet.caller().begin(stream("m", 4_000), 0);
-    assert!(session.until_tokens(after).await);
+    assert!(session.read_until_tokens(after).await);
     fleet.engines[0].restart().await;
     let got = session.finish().await;
     assert_eq!(got.code(), Some(3_001), "{got:?}");
     let next = fleet.call(stream("next", 50), 1).await;
-    assert!(next.is_whole(), "{next:?}");
+    assert!(next.is_complete(), "{next:?}");
     fleet.assert_kept(&[got, next]);
 }
 
@@ -137,11 +137,11 @@
     fleet.agents[0] = fleet.start_engine_agent(0, &format!("http://{}", link.addr()));
     fleet.await_ready().await;
     let mut session = fleet.caller().begin(stream("m", 400), 0);
-    assert!(session.until_tokens(after).await);
+    assert!(session.read_until_tokens(after).await);
     link.cut();
     let got = session.finish().await;
     fleet.assert_kept(std::slice::from_ref(&got));
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
@@ -149,14 +149,14 @@
 async fn agent_frozen(span: Duration) {
     let mut fleet = Fleet::start(Spec::default()).await;
     let mut session = fleet.caller().begin(stream("m", 1_500), 0);
-    assert!(session.until_tokens(20).await);
+    assert!(session.read_until_tokens(20).await);
     let engine = fleet.engine_of("m").await;
     fleet.agents[engine].process.freeze();
     sleep(span).await;
     fleet.agents[engine].process.thaw();
     let got = session.finish().await;
     fleet.assert_kept(std::slice::from_ref(&got));
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
@@ -164,13 +164,13 @@
 async fn entry_frozen(span: Duration) {
     let mut fleet = Fleet::start(Spec::default()).await;
     let mut session = fleet.caller().begin(stream("m", 1_500), 0);
-    assert!(session.until_tokens(20).await);
+    assert!(session.read_until_tokens(20).await);
     fleet.entries[0].process.freeze();
     sleep(span).await;
     fleet.entries[0].process.thaw();
     let got = session.finish().await;
     fleet.assert_kept(std::slice::from_ref(&got));
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
@@ -182,12 +182,12 @@
     })
     .await;
     let mut session = fleet.caller().begin(stream("m", 4_000), 0);
-    assert!(session.until_tokens(20).await);
+    assert!(session.read_until_tokens(20).await);
     fleet.agents[0].restart();
     let got = session.finish().await;
     assert!(matches!(got.end(), End::Code(3_001 | 4_001)), "{got:?}");
     let next = fleet.call(stream("next", 50), 1).await;
-    assert!(next.is_whole(), "{next:?}");
+    assert!(next.is_complete(), "{next:?}");
     fleet.assert_kept(&[got, next]);
 }
 
@@ -195,7 +195,7 @@
 async fn agent_and_entry_killed() {
     let mut fleet = Fleet::start(Spec::default()).await;
     let mut session = fleet.caller().begin(stream("m", 4_000), 0);
-    assert!(session.until_tokens(20).await);
+    assert!(session.read_until_tokens(20).await);
     let engine = fleet.engine_of("m").await;
     fleet.agents[engine].process.kill();
     fleet.entries[0].process.kill();
@@ -209,21 +209,21 @@
     let fleet = Fleet::start(Spec::default()).await;
     let mut session = fleet.caller().begin(stream("m", 600), 0);
     for stop in [1, 2, 50, 300, 599] {
-        assert!(session.until_tokens(stop).await);
-        session.hang_up();
-        session.turn_to(usize::from(stop % 2 == 0));
+        assert!(session.read_until_tokens(stop).await);
+        session.disconnect();
+        session.switch_entry(usize::from(stop % 2 == 0));
     }
     let got = session.finish().await;
     fleet.assert_kept(std::slice::from_ref(&got));
-    assert!(got.is_whole(), "{got:?}");
-    assert_eq!(got.last().returns, 5);
+    assert!(got.is_complete(), "{got:?}");
+    assert_eq!(got.last().reconnects, 5);
 }
 
 /// Another workspace's key gets nothing for an id that it has found out.
 async fn foreign_stream() {
     let fleet = Fleet::start(Spec::default()).await;
     let mut session = fleet.caller().begin(stream("m", 400), 0);
-    assert!(session.until_tokens(5).await);
+    assert!(session.read_until_tokens(5).await);
     let id = session.last_id().unwrap().to_owned();
     let body = json!({
         "model": "model-b",
@@ -240,7 +240,7 @@
     }
     let got = session.finish().await;
     fleet.assert_kept(std::slice::from_ref(&got));
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
 }
 
 /// A stream that nobody came back for is forgotten, and is not made up.
@@ -251,8 +251,8 @@
     })
     .await;
     let mut session = fleet.caller().begin(stream("m", 4_000), 0);
-    assert!(session.until_tokens(20).await);
-    session.hang_up();
+    assert!(session.read_until_tokens(20).await);
+    session.disconnect();
     until("the unread generation is stopped", || async {
         let text = std::fs::read_to_string(&fleet.engines[fleet.engine_of("m").await].run_log);
         text.unwrap().contains("\"cancelled\"")
--- a/fireflyd/tests/support/fleet.rs
+++ b/fireflyd/tests/support/fleet.rs
@@ -9,7 +9,7 @@
 
 use reqwest::Client;
 use serde_json::{Value, json};
-use standins::caller::{Caller, Got, Request};
+use standins::caller::{Caller, Request, RequestOutcome};
 use standins::oracle::{Breach, Runs, judge};
 use tokio::net::TcpSocket;
 use tokio::sync::{Semaphore, SemaphorePermit};
@@ -388,7 +388,7 @@
     }
 
     /// Sees one request to its end, from the entry of that index on.
-    pub async fn call(&self, request: Request, entry: usize) -> Got {
+    pub async fn call(&self, request: Request, entry: usize) -> RequestOutcome {
         self.caller().run(request, entry).await
     }
 
@@ -410,7 +410,7 @@
     }
 
     /// Fails the test when a promise was broken to one of these callers.
-    pub fn assert_kept(&self, all: &[Got]) {
+    pub fn assert_kept(&self, all: &[RequestOutcome]) {
         let breaches: Vec<Breach> = judge(&self.runs(), all);
         assert!(
             breaches.is_empty(),
--- a/standins/src/caller/attempt.rs
+++ b/standins/src/caller/attempt.rs
@@ -6,15 +6,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
     /// It is still in progress.
-    Open,
+    InProgress,
     /// The whole answer came.
-    Whole,
+    Complete,
     /// The system ended it with this result code.
     Code(u32),
     /// The connection broke before anything came that one could come back to.
-    Cut,
+    Disconnected,
     /// Nothing ended it in the time that the caller had.
-    Hung,
+    TimedOut,
 }
 
 /// One request as it was sent, with all that came of it.
@@ -33,12 +33,12 @@
     /// Seconds after which the system says to come back.
     pub retry_after: Option<u64>,
     /// Times that the caller came back to the stream.
-    pub returns: u32,
+    pub reconnects: u32,
 }
 
 /// All that came of a request.
 #[derive(Clone, Debug)]
-pub struct Got {
+pub struct RequestOutcome {
     /// The request.
     pub request: Request,
     /// Its attempts, in order; the last tells how it ended.
@@ -51,10 +51,10 @@
             mark,
             text: String::new(),
             tokens: 0,
-            end: End::Open,
+            end: End::InProgress,
             delivered: None,
             retry_after: None,
-            returns: 0,
+            reconnects: 0,
         }
     }
 
@@ -64,7 +64,7 @@
     }
 }
 
-impl Got {
+impl RequestOutcome {
     /// The attempt that tells how the request ended.
     ///
     /// # Panics
@@ -92,7 +92,7 @@
 
     /// Whether the whole answer came.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
-        *self.end() == End::Whole
+    pub fn is_complete(&self) -> bool {
+        *self.end() == End::Complete
     }
 }
--- a/standins/src/caller/events.rs
+++ b/standins/src/caller/events.rs
@@ -13,7 +13,7 @@
 
 /// What the data of an event says.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Said {
+pub(super) enum Payload {
     /// Part of the answer, which may be empty.
     Text(String),
     /// The end of the answer.
@@ -66,17 +66,17 @@
 
 impl Event {
     /// What it says.
-    pub(super) fn said(&self) -> Said {
+    pub(super) fn payload(&self) -> Payload {
         if self.data == "[DONE]" {
-            return Said::Done;
+            return Payload::Done;
         }
         match serde_json::from_str::<Value>(&self.data) {
-            Ok(value) if value.get("error").is_some() => Said::Error(value),
+            Ok(value) if value.get("error").is_some() => Payload::Error(value),
             Ok(value) => {
                 let content = &value["choices"][0]["delta"]["content"];
-                Said::Text(content.as_str().unwrap_or_default().to_owned())
+                Payload::Text(content.as_str().unwrap_or_default().to_owned())
             }
-            Err(_) => Said::Unreadable,
+            Err(_) => Payload::Unreadable,
         }
     }
 }
--- a/standins/src/caller/mod.rs
+++ b/standins/src/caller/mod.rs
@@ -9,6 +9,6 @@
 mod request;
 mod session;
 
-pub use self::attempt::{Attempt, End, Got};
+pub use self::attempt::{Attempt, End, RequestOutcome};
 pub use self::request::{Request, Work};
 pub use self::session::{Caller, Session};
--- a/standins/src/caller/request.rs
+++ b/standins/src/caller/request.rs
@@ -60,7 +60,7 @@
 
     /// A generation that is answered as a whole.
     #[must_use]
-    pub fn whole(mark: &str, key: &str, model: &str, tokens: u64) -> Self {
+    pub fn non_streaming(mark: &str, key: &str, model: &str, tokens: u64) -> Self {
         let mut req = Self::stream(mark, key, model, tokens);
         if let Work::Generate { stream, .. } = &mut req.work {
             *stream = false;
@@ -82,7 +82,7 @@
 
     /// The same with an `Idempotency-Key`, which it keeps with its body.
     #[must_use]
-    pub fn keyed(mut self, idempotency_key: &str) -> Self {
+    pub fn with_idempotency_key(mut self, idempotency_key: &str) -> Self {
         self.idempotency_key = Some(idempotency_key.to_owned());
         self.keeps_body = true;
         self
@@ -114,7 +114,7 @@
     }
 
     /// Whether it may be sent anew though it may have run.
-    pub(super) fn is_repeatable(&self) -> bool {
+    pub(super) fn is_retryable(&self) -> bool {
         let generates = matches!(self.work, Work::Generate { .. });
         generates || self.idempotency_key.is_some()
     }
--- a/standins/src/caller/session.rs
+++ b/standins/src/caller/session.rs
@@ -8,21 +8,21 @@
 use serde_json::Value;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use super::attempt::{Attempt, End, Got};
-use super::events::{Reader, Said};
+use super::attempt::{Attempt, End, RequestOutcome};
+use super::events::{Payload, Reader};
 use super::request::Request;
 
 /// Wait before a broken connection is taken up elsewhere.
-const RECONNECT: Duration = Duration::from_millis(50);
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 /// Longest wait for a connection.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What all callers of a run share; cloning is cheap.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client,
     entries: Arc<[String]>,
-    patience: Duration,
+    timeout: Duration,
     tokens: Arc<AtomicU64>,
 }
 
@@ -33,14 +33,14 @@
     request: Request,
     entry: usize,
     attempts: Vec<Attempt>,
-    link: Option<Link>,
+    connection: Option<Connection>,
     last_id: Option<String>,
     deadline: Instant,
 }
 
 /// A stream that is being read.
 #[derive(Debug)]
-struct Link {
+struct Connection {
     res: Response,
     reader: Reader,
 }
@@ -48,9 +48,9 @@
 /// What is to be done after an answer or a failure.
 enum Next {
     /// Go on reading or sending.
-    On,
+    Continue,
     /// Send it anew after that wait.
-    Anew(Duration),
+    Retry(Duration),
     /// This is the end.
     Ended(End),
 }
@@ -64,16 +64,16 @@
     /// When there is no HTTP client to be had.
     pub fn new(
         entries: impl IntoIterator<Item = String>,
-        patience: Duration,
+        timeout: Duration,
     ) -> reqwest::Result<Self> {
         let client = Client::builder()
             .no_proxy()
-            .connect_timeout(CONNECT)
+            .connect_timeout(CONNECT_TIMEOUT)
             .build()?;
         Ok(Self {
             client,
             entries: entries.into_iter().collect(),
-            patience,
+            timeout,
             tokens: Arc::default(),
         })
     }
@@ -93,21 +93,21 @@
             request,
             entry,
             attempts: vec![first],
-            link: None,
+            connection: None,
             last_id: None,
-            deadline: Instant::now() + self.patience,
+            deadline: Instant::now() + self.timeout,
         }
     }
 
     /// Sees a request to its end, from the entry of that index on.
-    pub async fn run(&self, request: Request, entry: usize) -> Got {
+    pub async fn run(&self, request: Request, entry: usize) -> RequestOutcome {
         self.begin(request, entry).finish().await
     }
 }
 
 impl Session {
     /// Reads until the attempt has `count` tokens; false when it ended first.
-    pub async fn until_tokens(&mut self, count: u64) -> bool {
+    pub async fn read_until_tokens(&mut self, count: u64) -> bool {
         while self.attempt().tokens < count {
             if !self.step().await {
                 return false;
@@ -117,9 +117,9 @@
     }
 
     /// Sees the request to its end.
-    pub async fn finish(mut self) -> Got {
+    pub async fn finish(mut self) -> RequestOutcome {
         while self.step().await {}
-        Got {
+        RequestOutcome {
             request: self.request,
             attempts: self.attempts,
         }
@@ -138,30 +138,30 @@
     }
 
     /// Gives up the connection, as a caller does whose network broke.
-    pub fn hang_up(&mut self) {
-        self.link = None;
+    pub fn disconnect(&mut self) {
+        self.connection = None;
     }
 
     /// Goes on at the entry of that index from the next connection on.
-    pub fn turn_to(&mut self, entry: usize) {
+    pub fn switch_entry(&mut self, entry: usize) {
         self.entry = entry;
     }
 
     /// Takes one step; false when the request has ended.
     async fn step(&mut self) -> bool {
-        if self.attempt().end != End::Open {
+        if self.attempt().end != End::InProgress {
             return false;
         }
         let deadline = self.deadline;
-        let next = match timeout_at(deadline, self.act()).await {
+        let next = match timeout_at(deadline, self.advance()).await {
             Ok(next) => next,
-            Err(_) => Next::Ended(End::Hung),
+            Err(_) => Next::Ended(End::TimedOut),
         };
         match next {
-            Next::On => true,
-            Next::Anew(wait) => {
+            Next::Continue => true,
+            Next::Retry(wait) => {
                 sleep(wait).await;
-                self.begin_anew();
+                self.start_retry();
                 true
             }
             Next::Ended(end) => {
@@ -171,8 +171,8 @@
         }
     }
 
-    async fn act(&mut self) -> Next {
-        if self.link.is_some() {
+    async fn advance(&mut self) -> Next {
+        if self.connection.is_some() {
             self.read().await
         } else {
             self.send().await
@@ -184,7 +184,7 @@
         &mut self.attempts[last]
     }
 
-    fn begin_anew(&mut self) {
+    fn start_retry(&mut self) {
         let mark = if self.request.keeps_body {
             self.request.mark.clone()
         } else {
@@ -216,23 +216,23 @@
         }
         match req.send().await {
             Ok(res) if is_stream(&res) => {
-                self.attempt().returns += u32::from(self.last_id.is_some());
-                self.link = Some(Link {
+                self.attempt().reconnects += u32::from(self.last_id.is_some());
+                self.connection = Some(Connection {
                     res,
                     reader: Reader::default(),
                 });
-                Next::On
+                Next::Continue
             }
-            Ok(res) => self.take_whole(res).await,
-            Err(err) => self.on_cut(err.is_connect()).await,
+            Ok(res) => self.read_complete(res).await,
+            Err(err) => self.on_disconnect(err.is_connect()).await,
         }
     }
 
     /// Takes an answer that is no stream.
-    async fn take_whole(&mut self, res: Response) -> Next {
+    async fn read_complete(&mut self, res: Response) -> Next {
         let ok = res.status().is_success();
         let Ok(value) = res.json::<Value>().await else {
-            return self.on_cut(false).await;
+            return self.on_disconnect(false).await;
         };
         if !ok {
             return self.on_error(&value).await;
@@ -240,7 +240,7 @@
         let content = value["choices"][0]["message"]["content"].as_str();
         let text = content.map_or_else(|| value.to_string(), str::to_owned);
         self.add(&text);
-        Next::Ended(End::Whole)
+        Next::Ended(End::Complete)
     }
 
     fn add(&mut self, text: &str) {
@@ -252,46 +252,46 @@
 
     /// Takes the next event of a stream.
     async fn read(&mut self) -> Next {
-        let Some(link) = &mut self.link else {
-            return Next::On;
+        let Some(connection) = &mut self.connection else {
+            return Next::Continue;
         };
-        if let Some(event) = link.reader.next() {
+        if let Some(event) = connection.reader.next() {
             self.last_id = event.id.clone().or(self.last_id.take());
-            return match event.said() {
-                Said::Text(text) => {
+            return match event.payload() {
+                Payload::Text(text) => {
                     self.add(&text);
-                    Next::On
+                    Next::Continue
                 }
-                Said::Done => Next::Ended(End::Whole),
-                Said::Error(value) => {
-                    self.link = None;
+                Payload::Done => Next::Ended(End::Complete),
+                Payload::Error(value) => {
+                    self.connection = None;
                     self.on_error(&value).await
                 }
-                Said::Unreadable => Next::Ended(End::Cut),
+                Payload::Unreadable => Next::Ended(End::Disconnected),
             };
         }
-        match link.res.chunk().await {
+        match connection.res.chunk().await {
             Ok(Some(chunk)) => {
-                link.reader.push(&chunk);
-                Next::On
+                connection.reader.push(&chunk);
+                Next::Continue
             }
-            Ok(None) | Err(_) => self.on_cut(false).await,
+            Ok(None) | Err(_) => self.on_disconnect(false).await,
         }
     }
 
     /// Comes back to the stream through the next entry, or sends anew.
-    async fn on_cut(&mut self, refused: bool) -> Next {
-        self.link = None;
+    async fn on_disconnect(&mut self, refused: bool) -> Next {
+        self.connection = None;
         if self.last_id.is_some() {
             self.entry += 1;
-            sleep(RECONNECT).await;
-            return Next::On;
+            sleep(RECONNECT_DELAY).await;
+            return Next::Continue;
         }
-        if refused || self.request.is_repeatable() {
-            self.attempt().end = End::Cut;
-            return Next::Anew(RECONNECT);
+        if refused || self.request.is_retryable() {
+            self.attempt().end = End::Disconnected;
+            return Next::Retry(RECONNECT_DELAY);
         }
-        Next::Ended(End::Cut)
+        Next::Ended(End::Disconnected)
     }
 
     /// Waits where the system says when to come back; else that's the end.
@@ -309,15 +309,17 @@
             // The stream goes on elsewhere: only this entry won't serve it.
             self.entry += 1;
             sleep(Duration::from_secs(secs)).await;
-            return Next::On;
+            return Next::Continue;
         }
         self.attempt().end = End::Code(code);
-        Next::Anew(Duration::from_secs(secs))
+        Next::Retry(Duration::from_secs(secs))
     }
 }
 
 fn is_stream(res: &Response) -> bool {
-    let kind = res.headers().get("content-type");
-    let kind = kind.and_then(|v| v.to_str().ok()).unwrap_or_default();
-    res.status().is_success() && kind.starts_with("text/event-stream")
+    let content_type = res.headers().get("content-type");
+    let content_type = content_type
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or_default();
+    res.status().is_success() && content_type.starts_with("text/event-stream")
 }
--- a/standins/src/demo/cast.rs
+++ b/standins/src/demo/cast.rs
@@ -6,7 +6,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::Config;
-use crate::caller::{Caller, Got, Request};
+use crate::caller::{Caller, Request, RequestOutcome};
 
 const COUNTER: &str = "demo-key-1";
 const DOSSIERS: &str = "demo-key-2";
@@ -25,7 +25,7 @@
 const PAIRS: usize = 2;
 
 /// Starts all callers.
-pub(super) fn start(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller, cfg: &Config) {
+pub(super) fn start(tasks: &mut JoinSet<Vec<RequestOutcome>>, caller: &Caller, cfg: &Config) {
     for n in 0..LONG {
         let dossier = Request::stream(&format!("dossier{n}"), DOSSIERS, "model-a", cfg.long_tokens);
         start_one(tasks, caller, dossier, n);
@@ -34,7 +34,7 @@
     }
     let half = cfg.long_tokens / 2;
     for n in 0..PAIRS {
-        let whole = Request::whole(&format!("whole{n}"), DOSSIERS, "model-b", half);
+        let whole = Request::non_streaming(&format!("whole{n}"), DOSSIERS, "model-b", half);
         start_one(tasks, caller, whole, n);
         start_pair(tasks, caller, &grade(n));
         start_pair(tasks, caller, &filing(n));
@@ -45,27 +45,34 @@
 }
 
 fn grade(n: usize) -> Request {
-    Request::whole(&format!("grade{n}"), GRADES, "model-b", GRADE).keyed(&format!("reel-{n}"))
+    Request::non_streaming(&format!("grade{n}"), GRADES, "model-b", GRADE)
+        .with_idempotency_key(&format!("reel-{n}"))
 }
 
 fn filing(n: usize) -> Request {
-    Request::call(&format!("filing{n}"), COUNTER, "records", "/file").keyed(&format!("claim-{n}"))
+    Request::call(&format!("filing{n}"), COUNTER, "records", "/file")
+        .with_idempotency_key(&format!("claim-{n}"))
 }
 
-fn start_one(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller, request: Request, entry: usize) {
+fn start_one(
+    tasks: &mut JoinSet<Vec<RequestOutcome>>,
+    caller: &Caller,
+    request: Request,
+    entry: usize,
+) {
     let caller = caller.clone();
     tasks.spawn(async move { vec![caller.run(request, entry).await] });
 }
 
 /// Sends the same keyed request through two entries at once.
-fn start_pair(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller, request: &Request) {
+fn start_pair(tasks: &mut JoinSet<Vec<RequestOutcome>>, caller: &Caller, request: &Request) {
     for entry in 0..2 {
         start_one(tasks, caller, request.clone(), entry);
     }
 }
 
 /// Sends short requests one after another.
-async fn clerk(caller: Caller, clerk: usize, span: Duration) -> Vec<Got> {
+async fn clerk(caller: Caller, clerk: usize, span: Duration) -> Vec<RequestOutcome> {
     let end = Instant::now() + span;
     let mut all = Vec::new();
     while Instant::now() < end {
--- a/standins/src/demo/mod.rs
+++ b/standins/src/demo/mod.rs
@@ -10,7 +10,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-use crate::caller::{Caller, Got};
+use crate::caller::{Caller, RequestOutcome};
 use crate::oracle::{Runs, judge};
 
 /// Time between two lines of progress.
@@ -61,11 +61,11 @@
 }
 
 /// Waits for all callers and prints a line of progress now and then.
-async fn watch(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller) -> Vec<Got> {
+async fn watch(tasks: &mut JoinSet<Vec<RequestOutcome>>, caller: &Caller) -> Vec<RequestOutcome> {
     let start = Instant::now();
     let mut ticks = interval(PROGRESS);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
-    let mut all: Vec<Got> = Vec::new();
+    let mut all: Vec<RequestOutcome> = Vec::new();
     loop {
         tokio::select! {
             done = tasks.join_next() => match done {
--- a/standins/src/demo/table.rs
+++ b/standins/src/demo/table.rs
@@ -2,24 +2,24 @@
 
 use std::fmt::Write;
 
-use crate::caller::{Attempt, End, Got, Work};
+use crate::caller::{Attempt, End, RequestOutcome, Work};
 use crate::oracle::Runs;
 
 /// A line for each request.
-pub(super) fn table(all: &[Got]) -> String {
+pub(super) fn table(all: &[RequestOutcome]) -> String {
     let mut text = String::from(
         "\nrequest      kind    sent  came back  tokens            ended\n\
          -----------  ------  ----  ---------  ----------------  -----\n",
     );
     for got in all {
-        let returns: u32 = got.attempts.iter().map(|a| a.returns).sum();
+        let reconnects: u32 = got.attempts.iter().map(|a| a.reconnects).sum();
         let _ = writeln!(
             text,
             "{:<11}  {:<6}  {:>4}  {:>9}  {:<16}  {}",
             got.request.mark,
             kind(got),
             got.attempts.len(),
-            returns,
+            reconnects,
             tokens(got),
             ended(got.last()),
         );
@@ -28,16 +28,16 @@
 }
 
 /// Lines that sum up what happened.
-pub(super) fn summary(runs: &Runs, all: &[Got]) -> String {
-    let whole = all.iter().filter(|g| g.is_whole()).count();
-    let returns: u32 = all
+pub(super) fn summary(runs: &Runs, all: &[RequestOutcome]) -> String {
+    let whole = all.iter().filter(|g| g.is_complete()).count();
+    let reconnects: u32 = all
         .iter()
         .flat_map(|g| &g.attempts)
-        .map(|a| a.returns)
+        .map(|a| a.reconnects)
         .sum();
     format!(
         "\n{} requests, {whole} answered whole, {} ended with a code; \
-         callers came back to a stream {returns} times\n\
+         callers came back to a stream {reconnects} times\n\
          {} generations began on engines, {} calls ran on plain services\n",
         all.len(),
         all.len() - whole,
@@ -46,7 +46,7 @@
     )
 }
 
-const fn kind(got: &Got) -> &'static str {
+const fn kind(got: &RequestOutcome) -> &'static str {
     match &got.request.work {
         Work::Generate { stream: true, .. } => "stream",
         Work::Generate { stream: false, .. } => "whole",
@@ -54,7 +54,7 @@
     }
 }
 
-fn tokens(got: &Got) -> String {
+fn tokens(got: &RequestOutcome) -> String {
     match got.request.tokens() {
         Some(all) => format!("{} of {all}", got.last().tokens),
         None => "-".to_owned(),
@@ -63,10 +63,10 @@
 
 fn ended(attempt: &Attempt) -> String {
     match &attempt.end {
-        End::Whole => "whole".to_owned(),
+        End::Complete => "whole".to_owned(),
         End::Code(code) => format!("code {code}"),
-        End::Cut => "cut".to_owned(),
-        End::Hung => "hung".to_owned(),
-        End::Open => "open".to_owned(),
+        End::Disconnected => "cut".to_owned(),
+        End::TimedOut => "hung".to_owned(),
+        End::InProgress => "open".to_owned(),
     }
 }
--- a/standins/src/oracle/judge.rs
+++ b/standins/src/oracle/judge.rs
@@ -4,7 +4,7 @@
 
 use super::runs::Runs;
 use super::tokens::{Flaw, check_tokens};
-use crate::caller::{Attempt, End, Got, Work};
+use crate::caller::{Attempt, End, RequestOutcome, Work};
 
 /// Result codes that say "not run".
 const NOT_RUN: std::ops::Range<u32> = 2_000..3_000;
@@ -39,7 +39,7 @@
     /// The answer of a plain service is not of this request.
     NotOwn,
     /// It never ended.
-    Hung,
+    TimedOut,
 }
 
 impl fmt::Display for Breach {
@@ -50,9 +50,9 @@
 
 /// Names every promise that was broken.
 #[must_use]
-pub fn judge(runs: &Runs, all: &[Got]) -> Vec<Breach> {
-    let alone = |got: &Got| {
-        let same = |other: &&Got| other.request.mark == got.request.mark;
+pub fn judge(runs: &Runs, all: &[RequestOutcome]) -> Vec<Breach> {
+    let alone = |got: &RequestOutcome| {
+        let same = |other: &&RequestOutcome| other.request.mark == got.request.mark;
         all.iter().filter(same).count() == 1
     };
     let mut breaches: Vec<Breach> = all
@@ -67,7 +67,7 @@
 }
 
 /// Checks one request; `alone` when no other of them has its mark.
-fn judge_one(runs: &Runs, got: &Got, alone: bool) -> Vec<Breach> {
+fn judge_one(runs: &Runs, got: &RequestOutcome, alone: bool) -> Vec<Breach> {
     let mut breaches: Vec<Breach> = Vec::new();
     for attempt in &got.attempts {
         let wrong = judge_attempt(runs, got, attempt);
@@ -85,9 +85,9 @@
     breaches
 }
 
-fn judge_attempt(runs: &Runs, got: &Got, attempt: &Attempt) -> Option<Wrong> {
-    if matches!(attempt.end, End::Hung | End::Open) {
-        return Some(Wrong::Hung);
+fn judge_attempt(runs: &Runs, got: &RequestOutcome, attempt: &Attempt) -> Option<Wrong> {
+    if matches!(attempt.end, End::TimedOut | End::InProgress) {
+        return Some(Wrong::TimedOut);
     }
     if let Some(wrong) = judge_text(runs, got, attempt) {
         return Some(wrong);
@@ -109,8 +109,8 @@
     matches!(attempt.end, End::Code(code) if NOT_RUN.contains(&code))
 }
 
-fn judge_text(runs: &Runs, got: &Got, attempt: &Attempt) -> Option<Wrong> {
-    let whole = attempt.end == End::Whole;
+fn judge_text(runs: &Runs, got: &RequestOutcome, attempt: &Attempt) -> Option<Wrong> {
+    let whole = attempt.end == End::Complete;
     match &got.request.work {
         Work::Generate { tokens, .. } => {
             let whole = whole.then_some(*tokens);
@@ -125,18 +125,18 @@
 }
 
 /// Whether the rules let the request run once at most.
-fn may_run_once(got: &Got) -> bool {
+fn may_run_once(got: &RequestOutcome) -> bool {
     let call = matches!(got.request.work, Work::Call { .. });
     got.request.idempotency_key.is_some() || call
 }
 
 /// Whether two whole answers to one key differ.
-fn differ(one: &Got, other: &Got) -> bool {
+fn differ(one: &RequestOutcome, other: &RequestOutcome) -> bool {
     let (a, b) = (&one.request, &other.request);
     let same_key = a.idempotency_key.is_some()
         && (&a.idempotency_key, &a.key) == (&b.idempotency_key, &b.key)
         && a.mark == b.mark;
-    same_key && one.is_whole() && other.is_whole() && one.last().text != other.last().text
+    same_key && one.is_complete() && other.is_complete() && one.last().text != other.last().text
 }
 
 fn breach(mark: &str, what: Wrong) -> Breach {
--- a/standins/tests/oracle.rs
+++ b/standins/tests/oracle.rs
@@ -1,6 +1,6 @@
 //! The oracle names each broken promise, and none where all held.
 
-use standins::caller::{Attempt, End, Got, Request};
+use standins::caller::{Attempt, End, Request, RequestOutcome};
 use standins::load::Violation;
 use standins::oracle::{Flaw, PlainRun, Run, Runs, Wrong, judge};
 
@@ -37,7 +37,7 @@
         end,
         delivered: None,
         retry_after: None,
-        returns: 0,
+        reconnects: 0,
     }
 }
 
@@ -46,15 +46,15 @@
 }
 
 fn keyed() -> Request {
-    stream().keyed("once")
+    stream().with_idempotency_key("once")
 }
 
 fn filing() -> Request {
     Request::call("m", "key", "records", "/file")
 }
 
-fn got(request: Request, attempt: Attempt) -> Got {
-    Got {
+fn got(request: Request, attempt: Attempt) -> RequestOutcome {
+    RequestOutcome {
         request,
         attempts: vec![attempt],
     }
@@ -79,23 +79,23 @@
 }
 
 breaches! {
-    whole_answer_holds: ran(&["m"]), [got(stream(), attempt("n0.m.0 n0.m.1 ", End::Whole))]
+    whole_answer_holds: ran(&["m"]), [got(stream(), attempt("n0.m.0 n0.m.1 ", End::Complete))]
         => [];
     honest_end_holds: ran(&["m"]), [got(stream(), said(1, attempt("n0.m.0 ", End::Code(3001))))]
         => [];
     refusal_holds: ran(&[]), [got(stream(), said(0, attempt("", End::Code(2011))))]
         => [];
-    token_twice: ran(&["m"]), [got(stream(), attempt("n0.m.0 n0.m.0 n0.m.1 ", End::Whole))]
+    token_twice: ran(&["m"]), [got(stream(), attempt("n0.m.0 n0.m.0 n0.m.1 ", End::Complete))]
         => [Wrong::Tokens(Flaw::Tokens(Violation::Repeated))];
     token_missing: ran(&["m"]), [got(stream(), attempt("n0.m.1 ", End::Code(3001)))]
         => [Wrong::Tokens(Flaw::Tokens(Violation::Gap))];
-    end_missing: ran(&["m"]), [got(stream(), attempt("n0.m.0 ", End::Whole))]
+    end_missing: ran(&["m"]), [got(stream(), attempt("n0.m.0 ", End::Complete))]
         => [Wrong::Tokens(Flaw::Tokens(Violation::WrongLength))];
-    two_generations: ran(&["m", "m"]), [got(stream(), attempt("n0.m.0 n1.m.1 ", End::Whole))]
+    two_generations: ran(&["m", "m"]), [got(stream(), attempt("n0.m.0 n1.m.1 ", End::Complete))]
         => [Wrong::Tokens(Flaw::Tokens(Violation::OtherGeneration))];
-    answer_of_another: ran(&["m", "o"]), [got(stream(), attempt("n1.o.0 n1.o.1 ", End::Whole))]
+    answer_of_another: ran(&["m", "o"]), [got(stream(), attempt("n1.o.0 n1.o.1 ", End::Complete))]
         => [Wrong::Tokens(Flaw::Tokens(Violation::OtherRequest))];
-    answer_never_made: ran(&[]), [got(stream(), attempt("n9.m.0 n9.m.1 ", End::Whole))]
+    answer_never_made: ran(&[]), [got(stream(), attempt("n9.m.0 n9.m.1 ", End::Complete))]
         => [Wrong::Tokens(Flaw::NeverRan)];
     wrong_count: ran(&["m"]), [got(stream(), said(2, attempt("n0.m.0 ", End::Code(3001))))]
         => [Wrong::Delivered { said: 2, came: 1 }];
@@ -103,16 +103,16 @@
         => [Wrong::RanThoughNotRun(1)];
     keyed_ran_though_refused: ran(&["m"]), [got(keyed(), attempt("", End::Code(2015)))]
         => [Wrong::RanThoughNotRun(1)];
-    keyed_ran_twice: ran(&["m", "m"]), [got(keyed(), attempt("n0.m.0 n0.m.1 ", End::Whole))]
+    keyed_ran_twice: ran(&["m", "m"]), [got(keyed(), attempt("n0.m.0 n0.m.1 ", End::Complete))]
         => [Wrong::RanAgain(2)];
     keyed_answers_differ: ran(&["m"]), [
-        got(keyed(), attempt("n0.m.0 n0.m.1 ", End::Whole)),
-        got(keyed(), attempt("n0.m.0 n0.m.1  ", End::Whole)),
+        got(keyed(), attempt("n0.m.0 n0.m.1 ", End::Complete)),
+        got(keyed(), attempt("n0.m.0 n0.m.1  ", End::Complete)),
     ] => [Wrong::Differs];
-    call_ran_twice: called("m", 2), [got(filing(), attempt("[[mark=m]]", End::Whole))]
+    call_ran_twice: called("m", 2), [got(filing(), attempt("[[mark=m]]", End::Complete))]
         => [Wrong::RanAgain(2)];
-    call_answered_for_another: called("m", 1), [got(filing(), attempt("[[mark=o]]", End::Whole))]
+    call_answered_for_another: called("m", 1), [got(filing(), attempt("[[mark=o]]", End::Complete))]
         => [Wrong::NotOwn];
-    no_end: ran(&["m"]), [got(stream(), attempt("n0.m.0 ", End::Hung))]
-        => [Wrong::Hung];
+    no_end: ran(&["m"]), [got(stream(), attempt("n0.m.0 ", End::TimedOut))]
+        => [Wrong::TimedOut];
 }
