--- a/fireflyd/tests/processes_leaving.rs
+++ b/fireflyd/tests/processes_leaving.rs
@@ -77,7 +77,7 @@
 fn begun_on(fleet: &Fleet, all: &[RequestOutcome], engine: usize) -> usize {
     let runs = fleet.runs();
     let marks = all.iter().flat_map(|g| &g.attempts).map(|a| &a.mark);
-    let on = |mark: &&String| runs.logs_of(mark).contains(&engine);
+    let on = |mark: &&String| runs.log_indexes(mark).contains(&engine);
     marks.filter(on).count()
 }
 
--- a/fireflyd/tests/support/fleet.rs
+++ b/fireflyd/tests/support/fleet.rs
@@ -10,7 +10,7 @@
 use reqwest::Client;
 use serde_json::{Value, json};
 use standins::caller::{Caller, Request, RequestOutcome};
-use standins::oracle::{Breach, Runs, judge};
+use standins::oracle::{Breach, Runs, find_breaches};
 use tokio::net::TcpSocket;
 use tokio::sync::{Semaphore, SemaphorePermit};
 
@@ -403,15 +403,15 @@
     /// began; waits for it.
     pub async fn engine_of(&self, mark: &str) -> usize {
         until(&format!("{mark} began"), || {
-            std::future::ready(!self.runs().logs_of(mark).is_empty())
+            std::future::ready(!self.runs().log_indexes(mark).is_empty())
         })
         .await;
-        self.runs().logs_of(mark)[0]
+        self.runs().log_indexes(mark)[0]
     }
 
     /// Fails the test when a promise was broken to one of these callers.
     pub fn assert_kept(&self, all: &[RequestOutcome]) {
-        let breaches: Vec<Breach> = judge(&self.runs(), all);
+        let breaches: Vec<Breach> = find_breaches(&self.runs(), all);
         assert!(
             breaches.is_empty(),
             "{breaches:#?}\n{all:#?}\nlogs: {}",
--- a/standins/src/demo/mod.rs
+++ b/standins/src/demo/mod.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
 use crate::caller::{Caller, RequestOutcome};
-use crate::oracle::{Runs, judge};
+use crate::oracle::{Runs, find_breaches};
 
 /// Time between two lines of progress.
 const PROGRESS: Duration = Duration::from_secs(1);
@@ -44,7 +44,7 @@
     all.sort_by(|a, b| a.request.mark.cmp(&b.request.mark));
     print!("{}", table::table(&all));
     let runs = Runs::read(&cfg.run_logs)?;
-    let breaches = judge(&runs, &all);
+    let breaches = find_breaches(&runs, &all);
     for breach in &breaches {
         println!("BROKEN {breach}");
     }
--- a/standins/src/oracle/mod.rs
+++ b/standins/src/oracle/mod.rs
@@ -4,10 +4,10 @@
 //! [`Runs`] reads the run logs, [`judge`] compares them with what callers got
 //! and names each [`Breach`]. The oracle knows nothing of how the system works.
 
-mod judge;
+mod checker;
 mod runs;
 mod tokens;
 
-pub use self::judge::{Breach, Wrong, judge};
-pub use self::runs::{PlainRun, Run, Runs};
-pub use self::tokens::{Flaw, check_tokens};
+pub use self::checker::{Breach, BreachKind, find_breaches};
+pub use self::runs::{GenerationRun, PlainRun, Runs};
+pub use self::tokens::{TokenBreach, check_tokens};
--- a/standins/src/oracle/runs.rs
+++ b/standins/src/oracle/runs.rs
@@ -8,13 +8,13 @@
 
 /// A generation that an engine took into its queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Run {
+pub struct GenerationRun {
     /// Tag of the caller's request.
     pub mark: String,
     /// Number drawn for the generation, as its tokens show it.
     pub nonce: String,
     /// Place of its log among those read.
-    pub log: usize,
+    pub log_index: usize,
 }
 
 /// A call that a plain service ran.
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Runs {
     /// Generations, log by log.
-    pub generations: Vec<Run>,
+    pub generations: Vec<GenerationRun>,
     /// Calls of plain services, log by log.
     pub calls: Vec<PlainRun>,
     /// Tags of requests that crashed what ran them, once for each crash.
@@ -40,7 +40,7 @@
 }
 
 #[derive(Deserialize)]
-struct Line {
+struct LogLine {
     event: String,
     mark: Option<String>,
     nonce: Option<String>,
@@ -57,10 +57,10 @@
     /// last line without its end is left out.
     pub fn read(paths: impl IntoIterator<Item = impl AsRef<Path>>) -> io::Result<Self> {
         let mut runs = Self::default();
-        for (log, path) in paths.into_iter().enumerate() {
+        for (log_index, path) in paths.into_iter().enumerate() {
             let text = fs::read_to_string(path)?;
             for line in text.split_inclusive('\n').filter(|l| l.ends_with('\n')) {
-                runs.add(log, serde_json::from_str(line)?);
+                runs.add(log_index, serde_json::from_str(line)?);
             }
         }
         Ok(runs)
@@ -76,25 +76,25 @@
 
     /// Places of the logs in which generations with that mark began.
     #[must_use]
-    pub fn logs_of(&self, mark: &str) -> Vec<usize> {
+    pub fn log_indexes(&self, mark: &str) -> Vec<usize> {
         let own = self.generations.iter().filter(|r| r.mark == mark);
-        own.map(|r| r.log).collect()
+        own.map(|r| r.log_index).collect()
     }
 
     /// Whether a generation with that mark and nonce ran.
     #[must_use]
-    pub fn has(&self, mark: &str, nonce: &str) -> bool {
-        let own = |r: &&Run| r.mark == mark && r.nonce == nonce;
+    pub fn has_generation(&self, mark: &str, nonce: &str) -> bool {
+        let own = |r: &&GenerationRun| r.mark == mark && r.nonce == nonce;
         self.generations.iter().any(|r| own(&r))
     }
 
-    fn add(&mut self, log: usize, line: Line) {
+    fn add(&mut self, log_index: usize, line: LogLine) {
         let mark = line.mark.unwrap_or_default();
         match line.event.as_str() {
-            "started" => self.generations.push(Run {
+            "started" => self.generations.push(GenerationRun {
                 mark,
                 nonce: line.nonce.unwrap_or_default(),
-                log,
+                log_index,
             }),
             "ran" => self.calls.push(PlainRun {
                 mark,
--- a/standins/src/oracle/tokens.rs
+++ b/standins/src/oracle/tokens.rs
@@ -5,11 +5,11 @@
 
 /// What is wrong with the tokens of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum TokenBreach {
     /// They break a rule by themselves.
-    Tokens(Violation),
+    Sequence(Violation),
     /// No engine ran the generation that they say they are of.
-    NeverRan,
+    UnknownGeneration,
 }
 
 /// Checks the text of an answer to the request with that mark, and that it has
@@ -18,17 +18,24 @@
 /// # Errors
 ///
 /// The first flaw.
-pub fn check_tokens(runs: &Runs, mark: &str, text: &str, whole: Option<u64>) -> Result<(), Flaw> {
-    let mut check = TokenCheck::new(mark);
-    check.text(text);
-    if let Some(expected) = whole {
-        check.complete(expected);
+pub fn check_tokens(
+    runs: &Runs,
+    mark: &str,
+    text: &str,
+    complete_tokens: Option<u64>,
+) -> Result<(), TokenBreach> {
+    let mut checker = TokenCheck::new(mark);
+    checker.text(text);
+    if let Some(expected) = complete_tokens {
+        checker.complete(expected);
     }
-    if let Some(violation) = check.violation() {
-        return Err(Flaw::Tokens(violation));
+    if let Some(violation) = checker.violation() {
+        return Err(TokenBreach::Sequence(violation));
     }
     match text.split('.').next() {
-        Some(nonce) if !nonce.is_empty() && !runs.has(mark, nonce) => Err(Flaw::NeverRan),
+        Some(nonce) if !nonce.is_empty() && !runs.has_generation(mark, nonce) => {
+            Err(TokenBreach::UnknownGeneration)
+        }
         _ => Ok(()),
     }
 }
--- a/standins/tests/oracle.rs
+++ b/standins/tests/oracle.rs
@@ -2,14 +2,14 @@
 
 use standins::caller::{Attempt, End, Request, RequestOutcome};
 use standins::load::Violation;
-use standins::oracle::{Flaw, PlainRun, Run, Runs, Wrong, judge};
+use standins::oracle::{BreachKind, GenerationRun, PlainRun, Runs, TokenBreach, find_breaches};
 
 /// Runs with generations of these marks; each has the nonce `n` and its place.
-fn ran(marks: &[&str]) -> Runs {
-    let run = |(i, mark): (usize, &&str)| Run {
+fn generations(marks: &[&str]) -> Runs {
+    let run = |(i, mark): (usize, &&str)| GenerationRun {
         mark: (*mark).to_owned(),
         nonce: format!("n{i}"),
-        log: 0,
+        log_index: 0,
     };
     Runs {
         generations: marks.iter().enumerate().map(run).collect(),
@@ -17,7 +17,7 @@
     }
 }
 
-fn called(mark: &str, times: u64) -> Runs {
+fn calls(mark: &str, times: u64) -> Runs {
     let call = |number| PlainRun {
         mark: mark.to_owned(),
         path: "/file".to_owned(),
@@ -45,74 +45,74 @@
     Request::stream("m", "key", "model", 2)
 }
 
-fn keyed() -> Request {
+fn keyed_stream() -> Request {
     stream().with_idempotency_key("once")
 }
 
-fn filing() -> Request {
+fn plain_call() -> Request {
     Request::call("m", "key", "records", "/file")
 }
 
-fn got(request: Request, attempt: Attempt) -> RequestOutcome {
+fn outcome(request: Request, attempt: Attempt) -> RequestOutcome {
     RequestOutcome {
         request,
         attempts: vec![attempt],
     }
 }
 
-fn said(delivered: u64, mut attempt: Attempt) -> Attempt {
+fn with_delivered(delivered: u64, mut attempt: Attempt) -> Attempt {
     attempt.delivered = Some(delivered);
     attempt
 }
 
 macro_rules! breaches {
-    ($($name:ident: $runs:expr, [$($got:expr),* $(,)?] => $wrong:expr;)*) => {$(
+    ($($name:ident: $runs:expr, [$($outcome:expr),* $(,)?] => $expected:expr;)*) => {$(
         #[test]
         fn $name() {
-            let found: Vec<Wrong> = judge(&$runs, &[$($got),*])
+            let found: Vec<BreachKind> = find_breaches(&$runs, &[$($outcome),*])
                 .into_iter()
-                .map(|breach| breach.what)
+                .map(|breach| breach.kind)
                 .collect();
-            assert_eq!(found, $wrong);
+            assert_eq!(found, $expected);
         }
     )*};
 }
 
 breaches! {
-    whole_answer_holds: ran(&["m"]), [got(stream(), attempt("n0.m.0 n0.m.1 ", End::Complete))]
+    whole_answer_holds: generations(&["m"]), [outcome(stream(), attempt("n0.m.0 n0.m.1 ", End::Complete))]
         => [];
-    honest_end_holds: ran(&["m"]), [got(stream(), said(1, attempt("n0.m.0 ", End::Code(3001))))]
+    honest_end_holds: generations(&["m"]), [outcome(stream(), with_delivered(1, attempt("n0.m.0 ", End::Code(3001))))]
         => [];
-    refusal_holds: ran(&[]), [got(stream(), said(0, attempt("", End::Code(2011))))]
+    refusal_holds: generations(&[]), [outcome(stream(), with_delivered(0, attempt("", End::Code(2011))))]
         => [];
-    token_twice: ran(&["m"]), [got(stream(), attempt("n0.m.0 n0.m.0 n0.m.1 ", End::Complete))]
-        => [Wrong::Tokens(Flaw::Tokens(Violation::Repeated))];
-    token_missing: ran(&["m"]), [got(stream(), attempt("n0.m.1 ", End::Code(3001)))]
-        => [Wrong::Tokens(Flaw::Tokens(Violation::Gap))];
-    end_missing: ran(&["m"]), [got(stream(), attempt("n0.m.0 ", End::Complete))]
-        => [Wrong::Tokens(Flaw::Tokens(Violation::WrongLength))];
-    two_generations: ran(&["m", "m"]), [got(stream(), attempt("n0.m.0 n1.m.1 ", End::Complete))]
-        => [Wrong::Tokens(Flaw::Tokens(Violation::OtherGeneration))];
-    answer_of_another: ran(&["m", "o"]), [got(stream(), attempt("n1.o.0 n1.o.1 ", End::Complete))]
-        => [Wrong::Tokens(Flaw::Tokens(Violation::OtherRequest))];
-    answer_never_made: ran(&[]), [got(stream(), attempt("n9.m.0 n9.m.1 ", End::Complete))]
-        => [Wrong::Tokens(Flaw::NeverRan)];
-    wrong_count: ran(&["m"]), [got(stream(), said(2, attempt("n0.m.0 ", End::Code(3001))))]
-        => [Wrong::Delivered { said: 2, came: 1 }];
-    ran_though_refused: ran(&["m"]), [got(stream(), attempt("", End::Code(2013)))]
-        => [Wrong::RanThoughNotRun(1)];
-    keyed_ran_though_refused: ran(&["m"]), [got(keyed(), attempt("", End::Code(2015)))]
-        => [Wrong::RanThoughNotRun(1)];
-    keyed_ran_twice: ran(&["m", "m"]), [got(keyed(), attempt("n0.m.0 n0.m.1 ", End::Complete))]
-        => [Wrong::RanAgain(2)];
-    keyed_answers_differ: ran(&["m"]), [
-        got(keyed(), attempt("n0.m.0 n0.m.1 ", End::Complete)),
-        got(keyed(), attempt("n0.m.0 n0.m.1  ", End::Complete)),
-    ] => [Wrong::Differs];
-    call_ran_twice: called("m", 2), [got(filing(), attempt("[[mark=m]]", End::Complete))]
-        => [Wrong::RanAgain(2)];
-    call_answered_for_another: called("m", 1), [got(filing(), attempt("[[mark=o]]", End::Complete))]
-        => [Wrong::NotOwn];
-    no_end: ran(&["m"]), [got(stream(), attempt("n0.m.0 ", End::TimedOut))]
-        => [Wrong::TimedOut];
+    token_twice: generations(&["m"]), [outcome(stream(), attempt("n0.m.0 n0.m.0 n0.m.1 ", End::Complete))]
+        => [BreachKind::Tokens(TokenBreach::Sequence(Violation::Repeated))];
+    token_missing: generations(&["m"]), [outcome(stream(), attempt("n0.m.1 ", End::Code(3001)))]
+        => [BreachKind::Tokens(TokenBreach::Sequence(Violation::Gap))];
+    end_missing: generations(&["m"]), [outcome(stream(), attempt("n0.m.0 ", End::Complete))]
+        => [BreachKind::Tokens(TokenBreach::Sequence(Violation::WrongLength))];
+    two_generations: generations(&["m", "m"]), [outcome(stream(), attempt("n0.m.0 n1.m.1 ", End::Complete))]
+        => [BreachKind::Tokens(TokenBreach::Sequence(Violation::OtherGeneration))];
+    answer_of_another: generations(&["m", "o"]), [outcome(stream(), attempt("n1.o.0 n1.o.1 ", End::Complete))]
+        => [BreachKind::Tokens(TokenBreach::Sequence(Violation::OtherRequest))];
+    answer_never_made: generations(&[]), [outcome(stream(), attempt("n9.m.0 n9.m.1 ", End::Complete))]
+        => [BreachKind::Tokens(TokenBreach::UnknownGeneration)];
+    wrong_count: generations(&["m"]), [outcome(stream(), with_delivered(2, attempt("n0.m.0 ", End::Code(3001))))]
+        => [BreachKind::WrongCount { reported: 2, received: 1 }];
+    ran_though_refused: generations(&["m"]), [outcome(stream(), attempt("", End::Code(2013)))]
+        => [BreachKind::RanThoughNotRun(1)];
+    keyed_ran_though_refused: generations(&["m"]), [outcome(keyed_stream(), attempt("", End::Code(2015)))]
+        => [BreachKind::RanThoughNotRun(1)];
+    keyed_ran_twice: generations(&["m", "m"]), [outcome(keyed_stream(), attempt("n0.m.0 n0.m.1 ", End::Complete))]
+        => [BreachKind::RanMoreThanOnce(2)];
+    keyed_answers_differ: generations(&["m"]), [
+        outcome(keyed_stream(), attempt("n0.m.0 n0.m.1 ", End::Complete)),
+        outcome(keyed_stream(), attempt("n0.m.0 n0.m.1  ", End::Complete)),
+    ] => [BreachKind::AnswersDiffer];
+    call_ran_twice: calls("m", 2), [outcome(plain_call(), attempt("[[mark=m]]", End::Complete))]
+        => [BreachKind::RanMoreThanOnce(2)];
+    call_answered_for_another: calls("m", 1), [outcome(plain_call(), attempt("[[mark=o]]", End::Complete))]
+        => [BreachKind::WrongRequest];
+    no_end: generations(&["m"]), [outcome(stream(), attempt("n0.m.0 ", End::TimedOut))]
+        => [BreachKind::TimedOut];
 }
