--- a/fireflydirect/tests/processes_lives.rs
+++ b/fireflydirect/tests/processes_lives.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use standins::site::{EngineKind, Harm};
+use standins::site::{EngineKind, ProxyFault};
 use support::{KEY, Site, cases, check_runs, until, whole_stream};
 
 cases! {
@@ -18,7 +18,7 @@
         let reading = tokio::spawn(async { answer.await.unwrap().text().await });
         let engine = site.engine_of(&id).await;
         let instance = site.engines[engine].instance();
-        site.proxies[&instance].set(Harm::Silence);
+        site.proxies[&instance].set_fault(ProxyFault::BlockAll);
         site.engines[engine].restart().await.unwrap();
         site.enter(EngineKind::Model, engine, "ready").await;
         assert_eq!(reading.await.unwrap().unwrap(), whole_stream(&id, 100));
--- a/fireflydirect/tests/processes_restored.rs
+++ b/fireflydirect/tests/processes_restored.rs
@@ -52,7 +52,7 @@
 
 cases! {
     leaving_said_again_at_a_lower_revision_holds(site: 2) {
-        let copy = site.store.copy();
+        let copy = site.store.snapshot();
         write_much(&site);
         say_state(&site, 1, "ready");
         for entry in 0..2 {
@@ -72,7 +72,7 @@
     }
 
     upstream_that_left_is_not_believed_to_serve(site: 2) {
-        let copy = site.store.copy();
+        let copy = site.store.snapshot();
         say_state(&site, 1, "draining");
         for entry in 0..2 {
             until_leaving(&site, entry, "m-1").await;
@@ -85,7 +85,7 @@
     }
 
     engine_that_started_since_the_copy_goes_on(site: 2) {
-        let copy = site.store.copy();
+        let copy = site.store.snapshot();
         site.add_engine(2).await;
         for entry in 0..2 {
             until("the new engine", || serves(&site, entry, "m-2")).await;
@@ -111,7 +111,7 @@
     }
 
     configuration_does_not_go_back(site: 2) {
-        let copy = site.store.copy();
+        let copy = site.store.snapshot();
         site.publish_routes(&[KEY], &[("new", "/new/")]);
         for entry in 0..2 {
             until("the new route", || async {
@@ -135,7 +135,7 @@
     }
 
     entry_cut_off_hears_of_the_era_from_another(site: 3) {
-        let copy = site.store.copy();
+        let copy = site.store.snapshot();
         write_much(&site);
         say_state(&site, 1, "ready");
         let denied = IpAddr::V4(site.entries[1].ip);
@@ -147,7 +147,7 @@
     }
 
     two_drills_and_an_outage(site: 2) {
-        let copy = site.store.copy();
+        let copy = site.store.snapshot();
         write_much(&site);
         site.store.restore(copy.clone());
         write_much(&site);
--- a/fireflydirect/tests/processes_store.rs
+++ b/fireflydirect/tests/processes_store.rs
@@ -19,7 +19,7 @@
         })
         .await;
         // On a busy machine a third try of one may begin before the second is answered.
-        assert!(site.store.overlapped() >= 2, "a try beside each list that hangs");
+        assert!(site.store.overlapping_calls() >= 2, "a try beside each list that hangs");
     }
 
     caller_of_an_entry_that_has_just_started_is_served(site: 0) {
@@ -137,7 +137,7 @@
         // No record lapses in an outage that is much shorter.
         tokio::time::sleep(Duration::from_secs(3)).await;
         for plain in ["p-0", "p-1"] {
-            site.store.lapse("servers", plain);
+            site.store.expire("servers", plain);
         }
         site.store.compact();
         site.store.set_mode(StoreMode::Up);
--- a/fireflydirect/tests/removals.rs
+++ b/fireflydirect/tests/removals.rs
@@ -80,7 +80,7 @@
 
     upstream_that_a_new_list_lacks_gets_nothing(site: 1) {
         tokio::time::sleep(ALL_BACK).await;
-        site.store.lapse("servers", "p-0");
+        site.store.expire("servers", "p-0");
         site.store.compact();
         let noticed = |event| has_line(&site, 0, event, "p-0");
         until("the list", || async { noticed("upstream_missing") || noticed("upstream_leaves") }).await;
@@ -93,7 +93,7 @@
         until("one off duty", || async { (0..4).any(|e| is_off_duty(&site, e)) }).await;
         let steps_in = (0..4).find(|e| is_off_duty(&site, *e)).unwrap();
         tokio::time::sleep(ALL_BACK).await;
-        site.store.lapse("servers", "p-0");
+        site.store.expire("servers", "p-0");
         for entry in (0..4).filter(|e| *e != steps_in) {
             site.entries[entry].kill();
         }
--- a/fireflydirect/tests/soak.rs
+++ b/fireflydirect/tests/soak.rs
@@ -16,7 +16,7 @@
 use soak_parts::callers::Callers;
 use soak_parts::harmed::Soak;
 use soak_parts::plan::{Fault, Step, plan, plan_with_conditions, plan_with_drills};
-use standins::site::{Breach, Harm};
+use standins::site::{Breach, ProxyFault};
 use std::time::Duration;
 use support::{KEY, Site, until};
 
@@ -219,7 +219,7 @@
     };
     let silent = Fault::LeaveEngine { announced: false };
     let steps = [
-        step(500, 0, Fault::StoreHarm(Harm::Reset)),
+        step(500, 0, Fault::StoreHarm(ProxyFault::Reset)),
         step(7_050, 1, silent),
         step(7_500, 3, silent),
     ];
--- a/fireflydirect/tests/soak_parts/harmed.rs
+++ b/fireflydirect/tests/soak_parts/harmed.rs
@@ -2,7 +2,7 @@
 
 use crate::soak_parts::plan::{Fault, Step};
 use crate::support::{KEY, Site};
-use standins::site::{AnswerFault, EngineKind, Evidence, Harm, Snapshot, StoreMode};
+use standins::site::{AnswerFault, EngineKind, Evidence, ProxyFault, Snapshot, StoreMode};
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
@@ -166,7 +166,7 @@
             }
             Fault::LateStore => {
                 self.excuse(step.span);
-                self.site.store.set_mode(StoreMode::Late(LATE));
+                self.site.store.set_mode(StoreMode::Delay(LATE));
                 self.due.push((end, Undo::Store));
             }
             Fault::StaleStore => {
@@ -188,7 +188,7 @@
             }
             Fault::StoreHarm(harm) => {
                 self.excuse(step.span);
-                self.site.store_proxy.as_ref().unwrap().set(harm);
+                self.site.store_proxy.as_ref().unwrap().set_fault(harm);
                 self.due.push((end, Undo::Store));
             }
             Fault::Compact => self.site.store.compact(),
@@ -243,14 +243,14 @@
     fn begin_drill(&mut self, span: Duration) {
         self.excuse(span + WRITTEN_AGAIN_AFTER);
         let number = self.copies.len();
-        self.copies.insert(number, self.site.store.copy());
+        self.copies.insert(number, self.site.store.snapshot());
         self.due.push((Instant::now() + span, Undo::Drill(number)));
     }
 
     async fn restart(&mut self, engine: usize, silent: bool, end: Instant) {
         if silent {
             self.excuse(end - Instant::now());
-            self.harm(EngineKind::Model, engine, Harm::Silence);
+            self.harm(EngineKind::Model, engine, ProxyFault::BlockAll);
             let undo = Undo::UpstreamHarm(EngineKind::Model, engine);
             self.due.push((end, undo));
         }
@@ -324,9 +324,9 @@
         }
     }
 
-    fn harm(&self, kind: EngineKind, number: usize, harm: Harm) {
+    fn harm(&self, kind: EngineKind, number: usize, harm: ProxyFault) {
         let instance = self.upstream(kind, number).instance();
-        self.site.proxies[&instance].set(harm);
+        self.site.proxies[&instance].set_fault(harm);
     }
 
     async fn undo(&mut self, undo: Undo) {
@@ -345,9 +345,13 @@
             Undo::Listed(engine) => self.list_leaving(engine).await,
             Undo::Pause(plain) => self.end_pause(plain),
             Undo::Answers(kind, number) => self.upstream(kind, number).set_fault(AnswerFault::None),
-            Undo::UpstreamHarm(kind, number) => self.harm(kind, number, Harm::None),
+            Undo::UpstreamHarm(kind, number) => self.harm(kind, number, ProxyFault::None),
             Undo::Store => {
-                self.site.store_proxy.as_ref().unwrap().set(Harm::None);
+                self.site
+                    .store_proxy
+                    .as_ref()
+                    .unwrap()
+                    .set_fault(ProxyFault::None);
                 self.site.store.set_mode(StoreMode::Up);
             }
             Undo::Resume(entry) => {
--- a/fireflydirect/tests/soak_parts/plan.rs
+++ b/fireflydirect/tests/soak_parts/plan.rs
@@ -2,7 +2,7 @@
 
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use standins::site::{AnswerFault, Harm};
+use standins::site::{AnswerFault, ProxyFault};
 use std::time::Duration;
 
 /// One thing that goes wrong, or is done to the site.
@@ -31,9 +31,9 @@
     /// Reads of the store lie behind, and then its history is gone.
     StaleStore,
     /// The connections to an upstream are harmed.
-    UpstreamHarm(Harm),
+    UpstreamHarm(ProxyFault),
     /// The connections to the store are harmed.
-    StoreHarm(Harm),
+    StoreHarm(ProxyFault),
     /// The store drops its history.
     Compact,
     /// The store comes back from a copy that was made when this began; upstreams and the operator
@@ -166,11 +166,11 @@
     }
 }
 
-fn draw_harm(rng: &mut impl Rng) -> Harm {
+fn draw_harm(rng: &mut impl Rng) -> ProxyFault {
     match rng.random_range(0..4) {
-        0 => Harm::Delay(Duration::from_millis(rng.random_range(5..200))),
-        1 => Harm::OneWay,
-        2 => Harm::Silence,
-        _ => Harm::Reset,
+        0 => ProxyFault::Delay(Duration::from_millis(rng.random_range(5..200))),
+        1 => ProxyFault::BlockAnswers,
+        2 => ProxyFault::BlockAll,
+        _ => ProxyFault::Reset,
     }
 }
--- a/fireflydirect/tests/support/mod.rs
+++ b/fireflydirect/tests/support/mod.rs
@@ -224,7 +224,7 @@
         };
         let store = match &self.store_proxy {
             Some(proxy) => proxy.addr(),
-            None => self.store.open_door(ip.into()).await.unwrap(),
+            None => self.store.add_listener(ip.into()).await.unwrap(),
         };
         fs::write(&entry.settings, self.settings(&entry, store).to_string()).unwrap();
         entry.start();
--- a/standins/src/site/mod.rs
+++ b/standins/src/site/mod.rs
@@ -15,6 +15,6 @@
 
 pub use engine::{AnswerFault, Engine, EngineKind};
 pub use judge::{Attempt, Breach, Evidence, Kind, NamedRate, Outcome};
-pub use proxy::{Harm, Proxy};
+pub use proxy::{Proxy, ProxyFault};
 pub use record::{Record, Run, RunEnd};
 pub use store::{Snapshot, Store, StoreMode};
--- a/standins/src/site/proxy.rs
+++ b/standins/src/site/proxy.rs
@@ -12,20 +12,20 @@
 use tokio::task::JoinHandle;
 
 /// Bytes passed on at a time.
-const PIECE: usize = 4_096;
+const BUFFER_BYTES: usize = 4_096;
 
 /// What a proxy does to what passes through it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Harm {
+pub enum ProxyFault {
     /// Nothing.
     #[default]
     None,
     /// Each piece comes so much later.
     Delay(Duration),
     /// Answers are held back; requests pass.
-    OneWay,
+    BlockAnswers,
     /// Nothing passes either way, and nothing says so.
-    Silence,
+    BlockAll,
     /// New connections are reset, and open ones at once.
     Reset,
 }
@@ -34,8 +34,8 @@
 #[derive(Debug)]
 pub struct Proxy {
     addr: SocketAddr,
-    harm: watch::Sender<Harm>,
-    cut: Arc<Notify>,
+    fault: watch::Sender<ProxyFault>,
+    reset_signal: Arc<Notify>,
     task: JoinHandle<()>,
 }
 
@@ -54,13 +54,18 @@
     pub async fn start(to: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((to.ip(), 0)).await?;
         let addr = listener.local_addr()?;
-        let harm = watch::Sender::new(Harm::None);
-        let cut = Arc::new(Notify::new());
-        let task = tokio::spawn(accept(listener, to, harm.subscribe(), cut.clone()));
+        let fault = watch::Sender::new(ProxyFault::None);
+        let reset_signal = Arc::new(Notify::new());
+        let task = tokio::spawn(accept(
+            listener,
+            to,
+            fault.subscribe(),
+            reset_signal.clone(),
+        ));
         Ok(Self {
             addr,
-            harm,
-            cut,
+            fault,
+            reset_signal,
             task,
         })
     }
@@ -72,10 +77,10 @@
     }
 
     /// Harms what passes from now on.
-    pub fn set(&self, harm: Harm) {
-        self.harm.send_replace(harm);
-        if harm == Harm::Reset {
-            self.cut.notify_waiters();
+    pub fn set_fault(&self, fault: ProxyFault) {
+        self.fault.send_replace(fault);
+        if fault == ProxyFault::Reset {
+            self.reset_signal.notify_waiters();
         }
     }
 }
@@ -83,19 +88,24 @@
 async fn accept(
     listener: TcpListener,
     to: SocketAddr,
-    harm: watch::Receiver<Harm>,
-    cut: Arc<Notify>,
+    fault: watch::Receiver<ProxyFault>,
+    reset_signal: Arc<Notify>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        if *harm.borrow() == Harm::Reset {
+        if *fault.borrow() == ProxyFault::Reset {
             super::http::reset(stream);
             continue;
         }
-        tokio::spawn(pass(stream, to, harm.clone(), cut.clone()));
+        tokio::spawn(forward(stream, to, fault.clone(), reset_signal.clone()));
     }
 }
 
-async fn pass(stream: TcpStream, to: SocketAddr, harm: watch::Receiver<Harm>, cut: Arc<Notify>) {
+async fn forward(
+    stream: TcpStream,
+    to: SocketAddr,
+    fault: watch::Receiver<ProxyFault>,
+    reset_signal: Arc<Notify>,
+) {
     let Ok(upstream) = TcpStream::connect(to).await else {
         return super::http::reset(stream);
     };
@@ -104,36 +114,36 @@
     let (from_caller, to_caller) = stream.into_split();
     let (from_upstream, to_upstream) = upstream.into_split();
     let is_answer = true;
-    let there = carry(from_caller, to_upstream, harm.clone(), !is_answer);
-    let back = carry(from_upstream, to_caller, harm, is_answer);
+    let requests = copy_one_way(from_caller, to_upstream, fault.clone(), !is_answer);
+    let answers = copy_one_way(from_upstream, to_caller, fault, is_answer);
     tokio::select! {
-        () = there => {}
-        () = back => {}
-        () = cut.notified() => {}
+        () = requests => {}
+        () = answers => {}
+        () = reset_signal.notified() => {}
     }
 }
 
-async fn carry(
+async fn copy_one_way(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut harm: watch::Receiver<Harm>,
+    mut fault: watch::Receiver<ProxyFault>,
     is_answer: bool,
 ) {
-    let mut buf = vec![0; PIECE];
+    let mut buf = vec![0; BUFFER_BYTES];
     loop {
         let read = from.read(&mut buf).await;
-        let holds = |h: &Harm| match h {
-            Harm::Silence => true,
-            Harm::OneWay => is_answer,
-            Harm::None | Harm::Delay(_) | Harm::Reset => false,
+        let is_blocked = |fault: &ProxyFault| match fault {
+            ProxyFault::BlockAll => true,
+            ProxyFault::BlockAnswers => is_answer,
+            ProxyFault::None | ProxyFault::Delay(_) | ProxyFault::Reset => false,
         };
         // The end of a connection is held back like its bytes. The sender lives as long as the proxy.
-        let _ = harm.wait_for(|h| !holds(h)).await;
+        let _ = fault.wait_for(|fault| !is_blocked(fault)).await;
         let Ok(len @ 1..) = read else {
             return;
         };
-        let delay = match *harm.borrow() {
-            Harm::Delay(delay) => delay,
+        let delay = match *fault.borrow() {
+            ProxyFault::Delay(delay) => delay,
             _ => Duration::ZERO,
         };
         tokio::time::sleep(delay).await;
--- a/standins/src/site/store.rs
+++ b/standins/src/site/store.rs
@@ -32,7 +32,7 @@
     /// others.
     HangNext(u32),
     /// Its answers come so much later.
-    Late(Duration),
+    Delay(Duration),
     /// Reads show what was there when this began, and watches hear nothing; the history of that
     /// time is dropped at its end.
     Stale,
@@ -41,7 +41,7 @@
 impl StoreMode {
     const fn delay(&self) -> Duration {
         match self {
-            Self::Late(delay) => *delay,
+            Self::Delay(delay) => *delay,
             _ => Duration::ZERO,
         }
     }
@@ -60,15 +60,15 @@
     revision: u64,
     objects: BTreeMap<(String, String), Value>,
     events: Vec<Event>,
-    dropped_below: u64,
+    compacted_below: u64,
     mode: StoreMode,
     calls: u64,
     calls_by: BTreeMap<IpAddr, u64>,
     /// Kinds of the calls that hang and whose callers still wait.
     hanging: Vec<String>,
-    overlapped: u64,
+    overlapping_calls: u64,
     /// What reads show while they are stale.
-    shown: Option<Snapshot>,
+    stale_view: Option<Snapshot>,
     /// Times that it came back from a copy.
     era: u64,
 }
@@ -86,7 +86,7 @@
     addr: SocketAddr,
     shared: Arc<Shared>,
     task: JoinHandle<()>,
-    doors: JoinSet<()>,
+    extra_listeners: JoinSet<()>,
 }
 
 #[derive(Debug, Default)]
@@ -116,7 +116,7 @@
             addr,
             shared,
             task,
-            doors: JoinSet::new(),
+            extra_listeners: JoinSet::new(),
         })
     }
 
@@ -127,11 +127,11 @@
     /// # Errors
     ///
     /// When no port can be bound.
-    pub async fn open_door(&mut self, caller: IpAddr) -> io::Result<SocketAddr> {
+    pub async fn add_listener(&mut self, caller: IpAddr) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((self.addr.ip(), 0)).await?;
         let addr = listener.local_addr()?;
         let task = accept(listener, Some(caller), self.shared.clone());
-        self.doors.spawn(task);
+        self.extra_listeners.spawn(task);
         Ok(addr)
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Removes an object without an event, as when its lease lapsed in an outage.
-    pub fn lapse(&self, kind: &str, name: &str) {
+    pub fn expire(&self, kind: &str, name: &str) {
         let key = (kind.to_owned(), name.to_owned());
         lock(&self.shared.state).objects.remove(&key);
     }
@@ -194,26 +194,26 @@
         let mut state = lock(&self.shared.state);
         state.events.clear();
         state.revision += 1;
-        state.dropped_below = state.revision;
+        state.compacted_below = state.revision;
         drop(state);
         self.shared.changed.notify_waiters();
     }
 
     /// A copy of what it holds now.
     #[must_use]
-    pub fn copy(&self) -> Snapshot {
-        lock(&self.shared.state).copy()
+    pub fn snapshot(&self) -> Snapshot {
+        lock(&self.shared.state).snapshot()
     }
 
     /// Comes back from a copy: what was written since is gone, its revisions are given out again, and
     /// a watch from one of them has to list.
-    pub fn restore(&self, copy: Snapshot) {
+    pub fn restore(&self, snapshot: Snapshot) {
         let mut state = lock(&self.shared.state);
         state.era += 1;
-        state.revision = copy.revision;
-        state.objects = copy.objects;
+        state.revision = snapshot.revision;
+        state.objects = snapshot.objects;
         state.events.clear();
-        state.dropped_below = copy.revision;
+        state.compacted_below = snapshot.revision;
         drop(state);
         self.shared.changed.notify_waiters();
     }
@@ -221,9 +221,9 @@
     /// Treats calls like this from now on.
     pub fn set_mode(&self, mode: StoreMode) {
         let mut state = lock(&self.shared.state);
-        let was_stale = state.shown.take().is_some();
+        let was_stale = state.stale_view.take().is_some();
         if mode == StoreMode::Stale {
-            state.shown = Some(state.copy());
+            state.stale_view = Some(state.snapshot());
         }
         state.mode = mode;
         drop(state);
@@ -241,8 +241,8 @@
 
     /// Calls that came while another one of the same kind hung and its caller still waited.
     #[must_use]
-    pub fn overlapped(&self) -> u64 {
-        lock(&self.shared.state).overlapped
+    pub fn overlapping_calls(&self) -> u64 {
+        lock(&self.shared.state).overlapping_calls
     }
 
     /// Callers so far, with the number of their calls.
@@ -253,7 +253,7 @@
 }
 
 impl State {
-    fn copy(&self) -> Snapshot {
+    fn snapshot(&self) -> Snapshot {
         Snapshot {
             revision: self.revision,
             objects: self.objects.clone(),
@@ -262,17 +262,17 @@
 }
 
 async fn accept(listener: TcpListener, caller: Option<IpAddr>, shared: Arc<Shared>) {
-    while let Ok((stream, from)) = listener.accept().await {
-        let caller = caller.unwrap_or(from.ip());
+    while let Ok((stream, peer)) = listener.accept().await {
+        let caller = caller.unwrap_or(peer.ip());
         tokio::spawn(serve_connection(stream, caller, shared.clone()));
     }
 }
 
-async fn serve_connection(mut stream: TcpStream, from: IpAddr, shared: Arc<Shared>) {
+async fn serve_connection(mut stream: TcpStream, caller: IpAddr, shared: Arc<Shared>) {
     let mut buf = Vec::new();
     while let Ok(Some(req)) = read_request(&mut stream, &mut buf).await {
-        match treat(&shared, from, &req).await {
-            Treatment::Answer(status, body) => {
+        match handle(&shared, caller, &req).await {
+            Reply::Answer(status, body) => {
                 let era = lock(&shared.state).era.to_string();
                 let headers = [("Content-Type", "application/json"), ("Store-Era", &era)];
                 let body = body.to_string();
@@ -283,20 +283,20 @@
                     return;
                 }
             }
-            Treatment::Reset => return reset(stream),
-            Treatment::Hang => return hang(&stream, &shared, kind_of(&req)).await,
+            Reply::Reset => return reset(stream),
+            Reply::Hang => return hold_open(&stream, &shared, object_kind(&req)).await,
         }
     }
 }
 
-enum Treatment {
+enum Reply {
     Answer(u16, Value),
     Reset,
     Hang,
 }
 
 /// Answers nothing until the caller has closed the connection.
-async fn hang(stream: &TcpStream, shared: &Shared, kind: &str) {
+async fn hold_open(stream: &TcpStream, shared: &Shared, kind: &str) {
     lock(&shared.state).hanging.push(kind.to_owned());
     until_closed(stream).await;
     let hanging = &mut lock(&shared.state).hanging;
@@ -306,81 +306,84 @@
 }
 
 /// Kind of the objects that a call is about; empty for what is no such call.
-fn kind_of(req: &Request) -> &str {
+fn object_kind(req: &Request) -> &str {
     let path = req.path.split('?').next().unwrap_or_default();
     path.strip_prefix("/v1/objects/").unwrap_or_default()
 }
 
-async fn treat(shared: &Shared, from: IpAddr, req: &Request) -> Treatment {
+async fn handle(shared: &Shared, caller: IpAddr, req: &Request) -> Reply {
     {
         let mut state = lock(&shared.state);
         state.calls += 1;
-        *state.calls_by.entry(from).or_default() += 1;
-        if state.hanging.iter().any(|k| k == kind_of(req)) {
-            state.overlapped += 1;
+        *state.calls_by.entry(caller).or_default() += 1;
+        if state.hanging.iter().any(|k| k == object_kind(req)) {
+            state.overlapping_calls += 1;
         }
     }
     loop {
         // Registered before the look, so that no change falls between both.
         let changed = shared.changed.notified();
-        match look(shared, from, req) {
-            Look::Done(treatment) => {
-                let late = lock(&shared.state).mode.delay();
-                tokio::time::sleep(late).await;
-                return treatment;
+        match decide(shared, caller, req) {
+            Decision::Done(reply) => {
+                let delay = lock(&shared.state).mode.delay();
+                tokio::time::sleep(delay).await;
+                return reply;
             }
-            Look::Wait => changed.await,
-            Look::WaitAtMost(span) => {
-                if tokio::time::timeout(span, changed).await.is_err() {
+            Decision::Wait => changed.await,
+            Decision::WaitUpTo(timeout) => {
+                if tokio::time::timeout(timeout, changed).await.is_err() {
                     let state = lock(&shared.state);
-                    let shown = state.shown.as_ref().map_or(state.revision, |s| s.revision);
-                    let body = json!({"events": [], "store_revision": shown});
-                    return Treatment::Answer(200, body);
+                    let revision = state
+                        .stale_view
+                        .as_ref()
+                        .map_or(state.revision, |s| s.revision);
+                    let body = json!({"events": [], "store_revision": revision});
+                    return Reply::Answer(200, body);
                 }
             }
         }
     }
 }
 
-enum Look {
-    Done(Treatment),
+enum Decision {
+    Done(Reply),
     Wait,
-    WaitAtMost(Duration),
+    WaitUpTo(Duration),
 }
 
-fn look(shared: &Shared, from: IpAddr, req: &Request) -> Look {
+fn decide(shared: &Shared, caller: IpAddr, req: &Request) -> Decision {
     let mut state = lock(&shared.state);
     match &mut state.mode {
-        StoreMode::Reset => return Look::Done(Treatment::Reset),
-        StoreMode::Silent => return Look::Wait,
-        StoreMode::Deny(ips) if ips.contains(&from) => {
-            return Look::Done(Treatment::Answer(503, json!({})));
+        StoreMode::Reset => return Decision::Done(Reply::Reset),
+        StoreMode::Silent => return Decision::Wait,
+        StoreMode::Deny(ips) if ips.contains(&caller) => {
+            return Decision::Done(Reply::Answer(503, json!({})));
         }
-        StoreMode::SilentTo(ips) if ips.contains(&from) => return Look::Wait,
-        StoreMode::HangNext(left) if *left > 0 => {
-            *left -= 1;
-            return Look::Done(Treatment::Hang);
+        StoreMode::SilentTo(ips) if ips.contains(&caller) => return Decision::Wait,
+        StoreMode::HangNext(remaining) if *remaining > 0 => {
+            *remaining -= 1;
+            return Decision::Done(Reply::Hang);
         }
         StoreMode::Up
         | StoreMode::Deny(_)
         | StoreMode::SilentTo(_)
         | StoreMode::HangNext(_)
-        | StoreMode::Late(_)
+        | StoreMode::Delay(_)
         | StoreMode::Stale => {}
     }
-    let kind = kind_of(req);
+    let kind = object_kind(req);
     if kind.is_empty() {
-        return Look::Done(Treatment::Answer(404, json!({})));
+        return Decision::Done(Reply::Answer(404, json!({})));
     }
     match req.query("watch").and_then(|r| r.parse().ok()) {
         Some(revision) => watch(&state, kind, revision, req),
-        None => Look::Done(Treatment::Answer(200, list(&state, kind))),
+        None => Decision::Done(Reply::Answer(200, list(&state, kind))),
     }
 }
 
 fn list(state: &State, kind: &str) -> Value {
-    let (objects, revision) = match &state.shown {
-        Some(shown) => (&shown.objects, shown.revision),
+    let (objects, revision) = match &state.stale_view {
+        Some(stale_view) => (&stale_view.objects, stale_view.revision),
         None => (&state.objects, state.revision),
     };
     let of_kind = objects.iter().filter(|((k, _), _)| k == kind);
@@ -388,20 +391,20 @@
     json!({"items": items, "more": false, "store_revision": revision})
 }
 
-fn watch(state: &State, kind: &str, revision: u64, req: &Request) -> Look {
-    if revision < state.dropped_below || revision > state.revision {
-        return Look::Done(Treatment::Answer(410, json!({})));
+fn watch(state: &State, kind: &str, revision: u64, req: &Request) -> Decision {
+    if revision < state.compacted_below || revision > state.revision {
+        return Decision::Done(Reply::Answer(410, json!({})));
     }
-    let later = state.events.iter();
-    let newest = state.shown.as_ref().map_or(u64::MAX, |s| s.revision);
-    let later = later.filter(|e| e.kind == kind && e.revision > revision && e.revision <= newest);
-    let events: Vec<Value> = later
+    let newer = state.events.iter();
+    let newest = state.stale_view.as_ref().map_or(u64::MAX, |s| s.revision);
+    let newer = newer.filter(|e| e.kind == kind && e.revision > revision && e.revision <= newest);
+    let events: Vec<Value> = newer
         .map(|e| json!({"object": e.object, "tombstone": e.removed}))
         .collect();
     if events.is_empty() {
         let wait = req.query("wait_ms").and_then(|w| w.parse().ok());
-        return Look::WaitAtMost(Duration::from_millis(wait.unwrap_or(0)));
+        return Decision::WaitUpTo(Duration::from_millis(wait.unwrap_or(0)));
     }
     let body = json!({"events": events, "store_revision": state.revision.min(newest)});
-    Look::Done(Treatment::Answer(200, body))
+    Decision::Done(Reply::Answer(200, body))
 }
