--- a/fireflydirect/tests/soak.rs
+++ b/fireflydirect/tests/soak.rs
@@ -96,7 +96,7 @@
     soak.evidence.attempts = callers.attempts();
     soak.evidence.runs = soak.site.record.runs();
     soak.evidence.foreign_memory = soak.site.record.foreign_memory();
-    let breaches = soak.evidence.judge();
+    let breaches = soak.evidence.find_breaches();
     assert!(
         breaches.is_empty(),
         "{}",
@@ -104,7 +104,7 @@
     );
     let whole = soak.evidence.attempts.iter();
     let whole = whole
-        .filter(|a| matches!(a.outcome, standins::site::Outcome::Whole(_)))
+        .filter(|a| matches!(a.outcome, standins::site::Outcome::Complete(_)))
         .count();
     println!(
         "{name}: {} attempts, {whole} whole, {} faults",
--- a/fireflydirect/tests/soak_parts/callers.rs
+++ b/fireflydirect/tests/soak_parts/callers.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{KEY, whole_stream};
 use reqwest::Client;
-use standins::site::{Attempt, Kind, Outcome};
+use standins::site::{Attempt, Outcome, RequestKind};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -60,29 +60,29 @@
     async fn attempt(&self, client: &Client, number: u64) -> Attempt {
         let id = format!("s{number}");
         let kind = match number % 4 {
-            0 => Kind::Fetch,
-            1 => Kind::File,
-            2 => Kind::Log,
-            _ => Kind::Grade,
+            0 => RequestKind::Fetch,
+            1 => RequestKind::File,
+            2 => RequestKind::Log,
+            _ => RequestKind::Grade,
         };
         let events = 2 + number * 7 % LONG_STREAM;
-        let (method, path, owed) = match kind {
-            Kind::Fetch => (
+        let (method, path, expected_body) = match kind {
+            RequestKind::Fetch => (
                 "GET",
                 "/fetch/a".to_owned(),
                 format!("GET /fetch/a for {id}"),
             ),
-            Kind::File => (
+            RequestKind::File => (
                 "POST",
                 "/file/a".to_owned(),
                 format!("POST /file/a for {id}"),
             ),
-            Kind::Log => (
+            RequestKind::Log => (
                 "POST",
                 format!("/log/a?events={events}"),
                 whole_stream(&id, events),
             ),
-            Kind::Grade => (
+            RequestKind::Grade => (
                 "POST",
                 format!("/grade/a?events={events}"),
                 whole_stream(&id, events),
@@ -99,7 +99,7 @@
             .header("X-Request-Id", &id)
             .header("X-Deadline-Ms", PATIENCE.as_millis().to_string())
             .header("X-Credential", KEY);
-        if matches!(kind, Kind::Log | Kind::Grade) {
+        if matches!(kind, RequestKind::Log | RequestKind::Grade) {
             req = req
                 .header("X-Token-Usage", "500,2000")
                 .header("X-Length-Hint", (events * 4).to_string())
@@ -112,7 +112,7 @@
         Attempt {
             id,
             kind,
-            owed,
+            expected_body,
             outcome,
         }
     }
@@ -132,8 +132,8 @@
     loop {
         match answer.chunk().await {
             Ok(Some(chunk)) => body.extend_from_slice(&chunk),
-            Ok(None) => return Outcome::Whole(String::from_utf8_lossy(&body).into_owned()),
-            Err(_) => return Outcome::Cut(String::from_utf8_lossy(&body).into_owned()),
+            Ok(None) => return Outcome::Complete(String::from_utf8_lossy(&body).into_owned()),
+            Err(_) => return Outcome::Truncated(String::from_utf8_lossy(&body).into_owned()),
         }
     }
 }
--- a/fireflydirect/tests/soak_parts/conditions.rs
+++ b/fireflydirect/tests/soak_parts/conditions.rs
@@ -1,7 +1,7 @@
 //! What upstreams of a soak say in their answers of the requests to come.
 
 use crate::soak_parts::harmed::{SERVES_ON, Soak, Undo};
-use standins::site::{AnswerFault, EngineKind, NamedRate};
+use standins::site::{AnnouncedRate, AnswerFault, EngineKind};
 use std::time::{Duration, Instant};
 
 /// Header in which an upstream names the requests a second that it takes from all entries.
@@ -32,7 +32,7 @@
         }
         let per_second = u32::try_from(pick % 4).unwrap();
         upstream.set_header(RATE_LIMIT, Some(&per_second.to_string()));
-        self.evidence.rates.push(NamedRate {
+        self.evidence.rates.push(AnnouncedRate {
             instance,
             per_second,
             span: (now, end),
@@ -54,7 +54,7 @@
         let upstream = &self.site.engines[engine];
         upstream.set_header(LEAVING, Some("1"));
         let said = (upstream.instance(), Instant::now());
-        self.evidence.said_leaving.extend([said]);
+        self.evidence.departing.extend([said]);
         self.due.push((listed_at, Undo::Listed(engine)));
     }
 
--- a/standins/src/site/mod.rs
+++ b/standins/src/site/mod.rs
@@ -4,17 +4,17 @@
 //! of it runs in one process on loopback addresses; faults are switched on by
 //! calls. What upstreams ran is on record, for an oracle to judge.
 
+mod checker;
 mod engine;
 mod http;
-mod judge;
 mod proxy;
 mod record;
 mod runs;
 mod start;
 mod store;
 
+pub use checker::{AnnouncedRate, Attempt, Breach, Evidence, Outcome, RequestKind};
 pub use engine::{AnswerFault, Engine, EngineKind};
-pub use judge::{Attempt, Breach, Evidence, Kind, NamedRate, Outcome};
 pub use proxy::{Proxy, ProxyFault};
 pub use record::{Record, Run, RunEnd};
 pub use store::{Snapshot, Store, StoreMode};
--- /dev/null
+++ b/standins/tests/site_checker.rs
@@ -0,0 +1,151 @@
+//! The oracle of the soak finds each promise broken when it is.
+
+use standins::site::{AnnouncedRate, Attempt, Breach, Evidence, Outcome, RequestKind, Run, RunEnd};
+use std::time::{Duration, Instant};
+
+macro_rules! cases {
+    ($($name:ident => $body:expr;)+) => {
+        $(
+            #[test]
+            fn $name() {
+                $body
+            }
+        )+
+    };
+}
+
+cases! {
+    sound_evidence_has_no_breach => assert_eq!(evidence(RequestKind::Log, complete(), vec![run(0, 9)]).find_breaches(), []);
+    foreign_body_is_found => assert_breach(&evidence(RequestKind::Fetch, Outcome::Complete("other".into()), vec![]), Breach::WrongBody);
+    body_that_only_looks_whole_is_found => assert_breach(&evidence(RequestKind::Log, Outcome::Complete("ow".into()), vec![]), Breach::WrongBody);
+    wrong_part_is_found => assert_breach(&evidence(RequestKind::Log, Outcome::Truncated("we".into()), vec![]), Breach::WrongBody);
+    part_of_the_body_is_allowed => assert_eq!(evidence(RequestKind::Log, Outcome::Truncated("ow".into()), vec![]).find_breaches(), []);
+    second_run_is_found => assert_breach(&evidence(RequestKind::File, complete(), vec![run(0, 1), run(2, 3)]), Breach::RanMoreThanOnce);
+    second_run_of_what_may_run_again_is_allowed =>
+        assert_eq!(evidence(RequestKind::Fetch, complete(), vec![run(0, 1), run(2, 3)]).find_breaches(), []);
+    run_that_goes_on_from_memory_is_allowed =>
+        assert_eq!(evidence(RequestKind::Log, complete(), vec![run(0, 1), from_memory(run(2, 3))]).find_breaches(), []);
+    refusal_of_what_ran_is_found => assert_breach(&evidence(RequestKind::File, Outcome::NotRun(503), vec![run(0, 1)]), Breach::RefusedButRan);
+    two_runs_at_once_are_found => assert_breach(&evidence(RequestKind::Log, complete(), vec![run(0, 3), from_memory(run(1, 4))]), Breach::OverlappingRuns);
+    work_after_notice_is_found => assert_breach(&after_notice(), Breach::AfterNotice);
+    work_after_notice_of_a_paused_entry_is_excused => assert_paused_entry_excused();
+    memory_of_another_request_is_found => assert_breach(&foreign_memory(), Breach::ForeignMemory);
+    work_by_a_strangers_record_is_found => assert_breach(&overwritten(run(5, 6)), Breach::OverwrittenRecord);
+    work_just_after_the_record_was_overwritten_is_allowed => assert_eq!(overwritten(run(2, 3)).find_breaches(), []);
+    work_after_its_own_record_is_back_is_allowed => assert_eq!(overwritten(run(9, 10)).find_breaches(), []);
+    work_after_an_answer_said_that_it_leaves_is_found => assert_breach(&departing(8), Breach::AfterNotice);
+    work_soon_after_such_an_answer_is_allowed => assert_eq!(departing(4).find_breaches(), []);
+    more_than_the_named_rate_is_found => {
+        assert_eq!(rate_limited(12).find_breaches(), [Breach::RateExceeded("i".to_owned())]);
+    };
+    named_rate_and_what_the_rule_adds_is_allowed => assert_eq!(rate_limited(11).find_breaches(), []);
+    run_left_behind_is_found => assert_breach(&evidence(RequestKind::Log, complete(), vec![left_running()]), Breach::LeftRunning);
+}
+
+/// Runs of an engine whose answers say from second 1 on that it leaves: at 2, and later.
+fn departing(second_start: u64) -> Evidence {
+    let runs = vec![run(2, 3), run(second_start, second_start + 1)];
+    let mut evidence = evidence(RequestKind::Fetch, complete(), runs);
+    evidence.departing.insert("i".to_owned(), at(1));
+    evidence
+}
+
+/// An upstream that names one a second, and so many runs at once after the first.
+fn rate_limited(concurrent: usize) -> Evidence {
+    let mut runs = vec![run(2, 3)];
+    runs.extend((0..concurrent).map(|_| run(4, 5)));
+    let mut evidence = evidence(RequestKind::Fetch, complete(), runs);
+    evidence.rates.push(AnnouncedRate {
+        instance: "i".to_owned(),
+        per_second: 1,
+        span: (at(1), at(20)),
+    });
+    evidence
+}
+
+/// The moment from which tests count.
+fn start_time() -> Instant {
+    use std::sync::OnceLock;
+    static START: OnceLock<Instant> = OnceLock::new();
+    *START.get_or_init(Instant::now)
+}
+
+fn at(seconds: u64) -> Instant {
+    start_time() + Duration::from_secs(seconds)
+}
+
+fn run(from: u64, to: u64) -> Run {
+    Run {
+        request_id: "r".to_owned(),
+        instance: "i".to_owned(),
+        workspace: None,
+        saw_key: false,
+        after: 0,
+        from_memory: false,
+        began: at(from),
+        end: (RunEnd::Complete, at(to)),
+    }
+}
+
+fn from_memory(run: Run) -> Run {
+    Run {
+        from_memory: true,
+        ..run
+    }
+}
+
+fn left_running() -> Run {
+    Run {
+        end: (RunEnd::Running, at(0)),
+        ..run(0, 0)
+    }
+}
+
+/// Evidence of a run on an upstream whose record a stranger had overwritten from 0 to 8 s.
+fn overwritten(run: Run) -> Evidence {
+    Evidence {
+        overwritten: vec![("i".to_owned(), at(0), at(8))],
+        ..evidence(RequestKind::Log, complete(), vec![run])
+    }
+}
+
+fn foreign_memory() -> Evidence {
+    Evidence {
+        foreign_memory: vec!["r".to_owned()],
+        ..evidence(RequestKind::Log, complete(), vec![run(0, 9)])
+    }
+}
+
+fn complete() -> Outcome {
+    Outcome::Complete("owed".to_owned())
+}
+
+fn evidence(kind: RequestKind, outcome: Outcome, runs: Vec<Run>) -> Evidence {
+    let attempt = Attempt {
+        id: "r".to_owned(),
+        kind,
+        expected_body: "owed".to_owned(),
+        outcome,
+    };
+    Evidence {
+        attempts: vec![attempt],
+        runs,
+        ..Evidence::default()
+    }
+}
+
+fn after_notice() -> Evidence {
+    let mut evidence = evidence(RequestKind::Log, complete(), vec![run(10, 11)]);
+    evidence.notices.insert("i".to_owned(), at(1));
+    evidence
+}
+
+fn assert_paused_entry_excused() {
+    let mut evidence = after_notice();
+    evidence.excused.push((at(5), at(12)));
+    assert_eq!(evidence.find_breaches(), []);
+}
+
+fn assert_breach(evidence: &Evidence, breach: fn(String) -> Breach) {
+    assert_eq!(evidence.find_breaches(), [breach("r".to_owned())]);
+}
