--- a/standins/src/caller/attempt.rs
+++ b/standins/src/caller/attempt.rs
@@ -1,47 +1,48 @@
-//! What a caller got.
+//! Outcome of a caller's request and of its attempts.
 
 use super::request::Request;
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
-    /// It is still in progress.
+    /// Still in progress.
     InProgress,
-    /// The whole answer came.
+    /// The complete answer arrived.
     Complete,
-    /// The system ended it with this result code.
+    /// Ended by the system with this result code.
     Code(u32),
-    /// The connection broke before anything came that one could come back to.
+    /// The connection broke before an event that the caller could resume after, or an event was
+    /// unreadable.
     Disconnected,
-    /// Nothing ended it in the time that the caller had.
+    /// Not ended within the caller's timeout.
     TimedOut,
 }
 
-/// One request as it was sent, with all that came of it.
+/// One sending of a request, and its result.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Tag in its body.
+    /// Tag in the body.
     pub mark: String,
-    /// Text of the answer so far.
+    /// Text of the answer received so far.
     pub text: String,
-    /// Tokens so far.
+    /// Tokens received so far.
     pub tokens: u64,
-    /// How it ended.
+    /// State of the attempt.
     pub end: End,
-    /// Tokens that the system says it gave, where it ended with a code.
+    /// Delivered tokens reported by the system in an error.
     pub delivered: Option<u64>,
-    /// Seconds after which the system says to come back.
+    /// Seconds that the system asked the caller to wait before a retry.
     pub retry_after: Option<u64>,
-    /// Times that the caller came back to the stream.
+    /// Reconnections to the stream.
     pub reconnects: u32,
 }
 
-/// All that came of a request.
+/// Outcome of a request over all its attempts.
 #[derive(Clone, Debug)]
 pub struct RequestOutcome {
     /// The request.
     pub request: Request,
-    /// Its attempts, in order; the last tells how it ended.
+    /// Attempts in order; the last one holds the final result.
     pub attempts: Vec<Attempt>,
 }
 
@@ -65,23 +66,23 @@
 }
 
 impl RequestOutcome {
-    /// The attempt that tells how the request ended.
+    /// Returns the attempt with the final result.
     ///
     /// # Panics
     ///
-    /// When there is none, which no session leaves behind.
+    /// Panics when there is no attempt; a session always has one.
     #[must_use]
     pub fn last(&self) -> &Attempt {
         self.attempts.last().expect("a session has an attempt")
     }
 
-    /// How the request ended.
+    /// Returns how the request ended.
     #[must_use]
     pub fn end(&self) -> &End {
         &self.last().end
     }
 
-    /// Result code that it ended with, if it did.
+    /// Returns the result code that ended the request, if any.
     #[must_use]
     pub fn code(&self) -> Option<u32> {
         match self.end() {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Whether the whole answer came.
+    /// Returns whether the complete answer arrived.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         *self.end() == End::Complete
--- a/standins/src/caller/events.rs
+++ b/standins/src/caller/events.rs
@@ -1,30 +1,30 @@
-//! Server-sent events with their ids, from the chunks of a body.
+//! Parser of server-sent events with their ids.
 
 use serde_json::Value;
 
-/// One event.
+/// A server-sent event.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Event {
-    /// Id to come back with.
+    /// Value for `Last-Event-ID` on a reconnection.
     pub(super) id: Option<String>,
-    /// Text of its data.
+    /// Contents of the `data` fields.
     pub(super) data: String,
 }
 
-/// What the data of an event says.
+/// Parsed data of an event.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Payload {
-    /// Part of the answer, which may be empty.
+    /// Part of the answer; may be empty.
     Text(String),
-    /// The end of the answer.
+    /// End of the answer.
     Done,
-    /// The system ended the answer with this error.
+    /// Error that ended the answer.
     Error(Value),
-    /// Nothing that a caller understands.
+    /// Data that isn't JSON.
     Unreadable,
 }
 
-/// Splits a body into events.
+/// Incremental splitter of a body into events.
 #[derive(Debug, Default)]
 pub(super) struct Reader {
     buf: Vec<u8>,
@@ -32,12 +32,12 @@
 }
 
 impl Reader {
-    /// Takes in a chunk.
+    /// Appends a chunk of the body.
     pub(super) fn push(&mut self, chunk: &[u8]) {
         self.buf.extend_from_slice(chunk);
     }
 
-    /// The next whole event.
+    /// Returns the next complete event, if there is one.
     pub(super) fn next(&mut self) -> Option<Event> {
         loop {
             let end = self.buf.iter().position(|byte| *byte == b'\n')?;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes in a line; an empty one ends an event.
+    /// Processes a line; an empty one ends an event.
     fn line(&mut self, line: &str) -> Option<Event> {
         if line.is_empty() {
             let event = std::mem::take(&mut self.event);
@@ -65,7 +65,7 @@
 }
 
 impl Event {
-    /// What it says.
+    /// Parses the data.
     pub(super) fn payload(&self) -> Payload {
         if self.data == "[DONE]" {
             return Payload::Done;
--- a/standins/src/caller/mod.rs
+++ b/standins/src/caller/mod.rs
@@ -1,8 +1,8 @@
-//! Callers as demo and tests need them: they read streams, come back where
-//! the connection broke, and wait when they are told to.
+//! Callers for the demo and for tests. They read streams, reconnect after a
+//! broken connection and obey `retry_after`.
 //!
-//! A [`Session`] sees one request to its end over as many connections and
-//! entries as it takes. It keeps what it got as [`Attempt`]s for the oracle.
+//! A [`Session`] runs one request to its end over as many connections and
+//! entries as needed, and records [`Attempt`]s for the oracle.
 
 mod attempt;
 mod events;
--- a/standins/src/caller/request.rs
+++ b/standins/src/caller/request.rs
@@ -1,47 +1,47 @@
-//! What a caller asks for.
+//! Requests of callers.
 
 use serde_json::{Value, json};
 
-/// What is to be run.
+/// Work that a request asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Work {
     /// A generation.
     Generate {
-        /// Model to ask for.
+        /// Name of the model.
         model: String,
-        /// Tokens that the answer has.
+        /// Tokens in the complete answer.
         tokens: u64,
-        /// Whether the answer comes token by token.
+        /// Whether the answer is streamed.
         stream: bool,
-        /// More directives for the engine.
+        /// Further directives to the engine in the prompt.
         directives: String,
     },
-    /// A call of a plain service by `POST`.
+    /// A `POST` call of a plain service.
     Call {
         /// Name of the service.
         service: String,
-        /// Path of the call, with its first slash.
+        /// Path of the call, with a leading slash.
         path: String,
     },
 }
 
-/// One request as its caller means it.
+/// A caller's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Tag by which the run logs tell it from others.
+    /// Tag that identifies the request in the run logs.
     pub mark: String,
     /// Key of the workspace.
     pub key: String,
-    /// What is to be run.
+    /// Work to run.
     pub work: Work,
-    /// `Idempotency-Key`, if it has one.
+    /// Value of `Idempotency-Key`, if sent.
     pub idempotency_key: Option<String>,
-    /// Whether it keeps its body when it is sent again.
+    /// Whether retries send the same body.
     pub keeps_body: bool,
 }
 
 impl Request {
-    /// A streamed generation.
+    /// Creates a streamed generation.
     #[must_use]
     pub fn stream(mark: &str, key: &str, model: &str, tokens: u64) -> Self {
         Self {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A generation that is answered as a whole.
+    /// Creates a generation with a single, non-streamed answer.
     #[must_use]
     pub fn non_streaming(mark: &str, key: &str, model: &str, tokens: u64) -> Self {
         let mut req = Self::stream(mark, key, model, tokens);
@@ -68,7 +68,7 @@
         req
     }
 
-    /// A call of a plain service.
+    /// Creates a call of a plain service.
     #[must_use]
     pub fn call(mark: &str, key: &str, service: &str, path: &str) -> Self {
         Self {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The same with an `Idempotency-Key`, which it keeps with its body.
+    /// Adds an `Idempotency-Key`; retries send the same body.
     #[must_use]
     pub fn with_idempotency_key(mut self, idempotency_key: &str) -> Self {
         self.idempotency_key = Some(idempotency_key.to_owned());
@@ -88,14 +88,14 @@
         self
     }
 
-    /// The same with its body kept when it is sent again.
+    /// Makes retries send the same body.
     #[must_use]
     pub fn same_body(mut self) -> Self {
         self.keeps_body = true;
         self
     }
 
-    /// The same with more directives for the engine.
+    /// Appends directives to the engine.
     #[must_use]
     pub fn directives(mut self, text: &str) -> Self {
         if let Work::Generate { directives, .. } = &mut self.work {
@@ -104,7 +104,7 @@
         self
     }
 
-    /// Tokens that a whole answer has; `None` for a call.
+    /// Returns the tokens in a complete answer; `None` for a call.
     #[must_use]
     pub fn tokens(&self) -> Option<u64> {
         match &self.work {
@@ -113,13 +113,13 @@
         }
     }
 
-    /// Whether it may be sent anew though it may have run.
+    /// Returns whether a retry is allowed although the request may have run.
     pub(super) fn is_retryable(&self) -> bool {
         let generates = matches!(self.work, Work::Generate { .. });
         generates || self.idempotency_key.is_some()
     }
 
-    /// Path of its URL.
+    /// Returns the path of the URL.
     pub(super) fn path(&self) -> String {
         match &self.work {
             Work::Generate { .. } => "/v1/chat/completions".to_owned(),
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Its body under `mark`.
+    /// Returns the body with the tag `mark`.
     pub(super) fn body(&self, mark: &str) -> Value {
         match &self.work {
             Work::Generate {
--- a/standins/src/caller/session.rs
+++ b/standins/src/caller/session.rs
@@ -1,4 +1,4 @@
-//! Seeing one request to its end over several connections and entries.
+//! Runs one request to its end over several connections and entries.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,12 +12,12 @@
 use super::events::{Payload, Reader};
 use super::request::Request;
 
-/// Wait before a broken connection is taken up elsewhere.
+/// Wait before a reconnection or a retry after a broken connection.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
-/// Longest wait for a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What all callers of a run share; cloning is cheap.
+/// State shared by all callers of a run; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client,
@@ -26,7 +26,7 @@
     tokens: Arc<AtomicU64>,
 }
 
-/// One request on its way.
+/// A request in progress.
 #[derive(Debug)]
 pub struct Session {
     caller: Caller,
@@ -38,30 +38,30 @@
     deadline: Instant,
 }
 
-/// A stream that is being read.
+/// An open stream.
 #[derive(Debug)]
 struct Connection {
     res: Response,
     reader: Reader,
 }
 
-/// What is to be done after an answer or a failure.
+/// Next action after an answer or a failure.
 enum Next {
-    /// Go on reading or sending.
+    /// Continue reading or sending.
     Continue,
-    /// Send it anew after that wait.
+    /// Start a new attempt after this wait.
     Retry(Duration),
-    /// This is the end.
+    /// The request ended.
     Ended(End),
 }
 
 impl Caller {
-    /// Callers of these entries (base URLs); each request ends within
-    /// `patience`.
+    /// Creates callers of these entries (base URLs); each request ends within
+    /// `timeout`.
     ///
     /// # Errors
     ///
-    /// When there is no HTTP client to be had.
+    /// Returns an error when the HTTP client can't be built.
     pub fn new(
         entries: impl IntoIterator<Item = String>,
         timeout: Duration,
@@ -78,13 +78,13 @@
         })
     }
 
-    /// Tokens that all callers have got.
+    /// Returns the tokens received by all callers.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         self.tokens.load(Ordering::Relaxed)
     }
 
-    /// Begins a request at the entry of that index.
+    /// Starts a request at the entry with this index.
     #[must_use]
     pub fn begin(&self, request: Request, entry: usize) -> Session {
         let first = Attempt::new(request.mark.clone());
@@ -99,14 +99,15 @@
         }
     }
 
-    /// Sees a request to its end, from the entry of that index on.
+    /// Runs a request to its end, starting at the entry with this index.
     pub async fn run(&self, request: Request, entry: usize) -> RequestOutcome {
         self.begin(request, entry).finish().await
     }
 }
 
 impl Session {
-    /// Reads until the attempt has `count` tokens; false when it ended first.
+    /// Reads until an attempt has `count` tokens; returns false when the request
+    /// ended first.
     pub async fn read_until_tokens(&mut self, count: u64) -> bool {
         while self.attempt().tokens < count {
             if !self.step().await {
@@ -116,7 +117,7 @@
         true
     }
 
-    /// Sees the request to its end.
+    /// Runs the request to its end.
     pub async fn finish(mut self) -> RequestOutcome {
         while self.step().await {}
         RequestOutcome {
@@ -125,29 +126,29 @@
         }
     }
 
-    /// Id of the last event, to come back with.
+    /// Returns the id of the last event, which a reconnection sends.
     #[must_use]
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Tokens of the present attempt.
+    /// Returns the tokens of the current attempt.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         self.attempts.last().map_or(0, |a| a.tokens)
     }
 
-    /// Gives up the connection, as a caller does whose network broke.
+    /// Drops the connection, as on a network failure of the caller.
     pub fn disconnect(&mut self) {
         self.connection = None;
     }
 
-    /// Goes on at the entry of that index from the next connection on.
+    /// Uses the entry with this index from the next connection on.
     pub fn switch_entry(&mut self, entry: usize) {
         self.entry = entry;
     }
 
-    /// Takes one step; false when the request has ended.
+    /// Performs one step; returns false when the request has ended.
     async fn step(&mut self) -> bool {
         if self.attempt().end != End::InProgress {
             return false;
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Takes an answer that is no stream.
+    /// Reads an answer that isn't streamed.
     async fn read_complete(&mut self, res: Response) -> Next {
         let ok = res.status().is_success();
         let Ok(value) = res.json::<Value>().await else {
@@ -250,7 +251,7 @@
         self.caller.tokens.fetch_add(more, Ordering::Relaxed);
     }
 
-    /// Takes the next event of a stream.
+    /// Processes the next event of a stream, or reads its next chunk.
     async fn read(&mut self) -> Next {
         let Some(connection) = &mut self.connection else {
             return Next::Continue;
@@ -279,7 +280,7 @@
         }
     }
 
-    /// Comes back to the stream through the next entry, or sends anew.
+    /// Resumes the stream through the next entry, retries, or ends the request.
     async fn on_disconnect(&mut self, refused: bool) -> Next {
         self.connection = None;
         if self.last_id.is_some() {
@@ -294,7 +295,8 @@
         Next::Ended(End::Disconnected)
     }
 
-    /// Waits where the system says when to come back; else that's the end.
+    /// Waits and retries when the error has a `retry_after`; otherwise ends the
+    /// request.
     async fn on_error(&mut self, value: &Value) -> Next {
         let error = &value["error"];
         let code = error["code"].as_u64().and_then(|c| u32::try_from(c).ok());
@@ -306,7 +308,7 @@
             return Next::Ended(End::Code(code));
         };
         if self.last_id.is_some() {
-            // The stream goes on elsewhere: only this entry won't serve it.
+            // Only this entry refuses the stream; others can continue it.
             self.entry += 1;
             sleep(Duration::from_secs(secs)).await;
             return Next::Continue;
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,9 +1,9 @@
-//! Development only: small stand-ins for the systems that surround fireflycroft.
+//! Development only: small stand-ins for the systems around fireflycroft.
 //!
 //! Each stand-in is a library function `serve` that takes a bound listener and
-//! returns a [`Running`] server, so that a test holds it in its own process, and
-//! a thin binary round that function. What a stand-in really ran goes to its
-//! [`RunLog`], which is the oracle of tests under failures.
+//! returns a [`Running`] server, so that tests can run it in their own process,
+//! and a thin binary around that function. It writes what it ran to its
+//! [`RunLog`], against which tests with failures check the answers.
 
 pub mod caller;
 pub mod cli;
--- a/standins/src/oracle/checker.rs
+++ b/standins/src/oracle/checker.rs
@@ -1,4 +1,4 @@
-//! The promises, each as a check on what ran and what callers got.
+//! Checks of the guarantees against what ran and what callers received.
 
 use std::fmt;
 
@@ -6,39 +6,39 @@
 use super::tokens::{TokenBreach, check_tokens};
 use crate::caller::{Attempt, End, RequestOutcome, Work};
 
-/// Result codes that say "not run".
+/// Result codes that mean "not run".
 const NOT_RUN: std::ops::Range<u32> = 2_000..3_000;
 
-/// A promise that was broken to one caller.
+/// A violated guarantee of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
     /// Tag of the request.
     pub mark: String,
-    /// What is wrong.
+    /// Violated guarantee.
     pub kind: BreachKind,
 }
 
-/// What is wrong.
+/// Kinds of violated guarantees.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BreachKind {
-    /// The tokens are not the next ones of one generation of this request.
+    /// The tokens aren't consecutive tokens of one generation of this request.
     Tokens(TokenBreach),
-    /// The system says that it gave another number of tokens.
+    /// The system reported another number of delivered tokens.
     WrongCount {
-        /// What the system says.
+        /// Tokens reported by the system.
         reported: u64,
-        /// What came.
+        /// Tokens received by the caller.
         received: u64,
     },
-    /// It ran so many times although the system says that it was not run.
+    /// Runs of a request that the system reported as not run.
     RanThoughNotRun(usize),
-    /// It ran so many times and may run once at most.
+    /// Runs of a request that may run at most once.
     RanMoreThanOnce(usize),
-    /// Two answers to the same key differ.
+    /// Two answers to the same idempotency key differ.
     AnswersDiffer,
-    /// The answer of a plain service is not of this request.
+    /// A plain service's answer belongs to another request.
     WrongRequest,
-    /// It never ended.
+    /// The request didn't end within the caller's timeout.
     TimedOut,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Names every promise that was broken.
+/// Returns all violated guarantees.
 #[must_use]
 pub fn find_breaches(runs: &Runs, outcomes: &[RequestOutcome]) -> Vec<Breach> {
     let unique_mark = |outcome: &RequestOutcome| {
@@ -68,7 +68,7 @@
     breaches
 }
 
-/// Checks one request; `alone` when no other of them has its mark.
+/// Checks one request; `unique_mark` tells whether no other request has its mark.
 fn check_request(runs: &Runs, outcome: &RequestOutcome, unique_mark: bool) -> Vec<Breach> {
     let mut breaches: Vec<Breach> = Vec::new();
     for attempt in &outcome.attempts {
@@ -107,7 +107,7 @@
         .then_some(BreachKind::RanThoughNotRun(ran))
 }
 
-/// Whether the system said "not run".
+/// Returns whether the system reported the attempt as not run.
 fn is_reported_not_run(attempt: &Attempt) -> bool {
     matches!(attempt.end, End::Code(code) if NOT_RUN.contains(&code))
 }
@@ -127,13 +127,13 @@
     }
 }
 
-/// Whether the rules let the request run once at most.
+/// Returns whether the request may run at most once.
 fn runs_at_most_once(outcome: &RequestOutcome) -> bool {
     let call = matches!(outcome.request.work, Work::Call { .. });
     outcome.request.idempotency_key.is_some() || call
 }
 
-/// Whether two whole answers to one key differ.
+/// Returns whether two complete answers to one idempotency key differ.
 fn answers_differ(one: &RequestOutcome, other: &RequestOutcome) -> bool {
     let (a, b) = (&one.request, &other.request);
     let same_key = a.idempotency_key.is_some()
--- a/standins/src/oracle/mod.rs
+++ b/standins/src/oracle/mod.rs
@@ -1,8 +1,8 @@
-//! Whether callers got what the system promises, judged by what the stand-ins
-//! really ran.
+//! Oracle of the guarantees to callers, based on what the stand-ins ran.
 //!
-//! [`Runs`] reads the run logs, [`judge`] compares them with what callers got
-//! and names each [`Breach`]. The oracle knows nothing of how the system works.
+//! [`Runs`] reads the run logs, [`find_breaches`] compares them with what
+//! callers received and returns each [`Breach`]. The oracle doesn't depend on
+//! how the system works.
 
 mod checker;
 mod runs;
--- a/standins/src/oracle/runs.rs
+++ b/standins/src/oracle/runs.rs
@@ -1,4 +1,4 @@
-//! What the run logs of the stand-ins tell.
+//! Contents of the stand-ins' run logs.
 
 use std::fs;
 use std::io;
@@ -6,14 +6,14 @@
 
 use serde::Deserialize;
 
-/// A generation that an engine took into its queue.
+/// A generation that an engine accepted into its queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GenerationRun {
     /// Tag of the caller's request.
     pub mark: String,
-    /// Number drawn for the generation, as its tokens show it.
+    /// Random number of the generation, contained in its tokens.
     pub nonce: String,
-    /// Place of its log among those read.
+    /// Index of its log among those read.
     pub log_index: usize,
 }
 
@@ -24,18 +24,18 @@
     pub mark: String,
     /// Path of the call.
     pub path: String,
-    /// Running number for that path.
+    /// Sequence number for this path.
     pub number: u64,
 }
 
-/// All that ran.
+/// Runs read from the logs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Runs {
     /// Generations, log by log.
     pub generations: Vec<GenerationRun>,
     /// Calls of plain services, log by log.
     pub calls: Vec<PlainRun>,
-    /// Tags of requests that crashed what ran them, once for each crash.
+    /// Tags of requests that crashed their engine or service, one for each crash.
     pub crashes: Vec<String>,
 }
 
@@ -53,8 +53,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when a log can't be read or a line of it not be understood. A
-    /// last line without its end is left out.
+    /// Returns an error when a log can't be read or a line can't be parsed. A last
+    /// line without a line end is skipped.
     pub fn read(paths: impl IntoIterator<Item = impl AsRef<Path>>) -> io::Result<Self> {
         let mut runs = Self::default();
         for (log_index, path) in paths.into_iter().enumerate() {
@@ -66,7 +66,7 @@
         Ok(runs)
     }
 
-    /// Times that requests with that mark ran.
+    /// Returns how often requests with this mark ran.
     #[must_use]
     pub fn count(&self, mark: &str) -> usize {
         let generations = self.generations.iter().filter(|r| r.mark == mark).count();
@@ -74,14 +74,14 @@
         generations + calls
     }
 
-    /// Places of the logs in which generations with that mark began.
+    /// Returns the indexes of the logs with generations with this mark.
     #[must_use]
     pub fn log_indexes(&self, mark: &str) -> Vec<usize> {
         let own = self.generations.iter().filter(|r| r.mark == mark);
         own.map(|r| r.log_index).collect()
     }
 
-    /// Whether a generation with that mark and nonce ran.
+    /// Returns whether a generation with this mark and nonce ran.
     #[must_use]
     pub fn has_generation(&self, mark: &str, nonce: &str) -> bool {
         let own = |r: &&GenerationRun| r.mark == mark && r.nonce == nonce;
--- a/standins/src/oracle/tokens.rs
+++ b/standins/src/oracle/tokens.rs
@@ -1,23 +1,23 @@
-//! Whether the tokens of an answer come once, in order, of one generation.
+//! Checks that the tokens of an answer come once, in order, from one generation.
 
 use super::runs::Runs;
 use crate::load::{TokenCheck, Violation};
 
-/// What is wrong with the tokens of an answer.
+/// Violated guarantees about the tokens of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenBreach {
-    /// They break a rule by themselves.
+    /// The token sequence itself is invalid.
     Sequence(Violation),
-    /// No engine ran the generation that they say they are of.
+    /// No engine ran the generation that the tokens name.
     UnknownGeneration,
 }
 
-/// Checks the text of an answer to the request with that mark, and that it has
-/// `whole` tokens, where it is said to be whole.
+/// Checks the text of an answer to the request with this mark, and its number of
+/// tokens when `complete_tokens` is given.
 ///
 /// # Errors
 ///
-/// The first flaw.
+/// Returns the first violation.
 pub fn check_tokens(
     runs: &Runs,
     mark: &str,
--- a/standins/tests/oracle.rs
+++ b/standins/tests/oracle.rs
@@ -1,10 +1,10 @@
-//! The oracle names each broken promise, and none where all held.
+//! Tests that the oracle finds each violated guarantee, and none where all hold.
 
 use standins::caller::{Attempt, End, Request, RequestOutcome};
 use standins::load::Violation;
 use standins::oracle::{BreachKind, GenerationRun, PlainRun, Runs, TokenBreach, find_breaches};
 
-/// Runs with generations of these marks; each has the nonce `n` and its place.
+/// Returns generations with these marks; each nonce is `n` and the index.
 fn generations(marks: &[&str]) -> Runs {
     let run = |(i, mark): (usize, &&str)| GenerationRun {
         mark: (*mark).to_owned(),
