--- a/standins/src/site/checker.rs
+++ b/standins/src/site/checker.rs
@@ -1,4 +1,4 @@
-//! The oracle: whether what callers and upstreams saw keeps the promises.
+//! Oracle of the guarantees, based on the records of callers and upstreams.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -6,31 +6,31 @@
 
 use super::record::{Run, RunEnd};
 
-/// Time for which two runs of one request may overlap: the users' bound.
+/// Longest allowed overlap of two runs of one request; set by the users.
 const MAX_OVERLAP: Duration = Duration::from_millis(400);
 
-/// Time after its notice in which an upstream may get new work: the users' bound.
+/// Time after its leave notice in which an upstream may get new work; set by the users.
 const NOTICE_GRACE: Duration = Duration::from_secs(2);
 
-/// Time after its record was overwritten by a stranger in which an upstream may get new work.
+/// Time after a foreign overwrite of its record in which an upstream may get new work.
 const OVERWRITE_GRACE: Duration = Duration::from_secs(3);
 
-/// Time in which an upstream's answer reaches an entry, and word of it all others.
+/// Time in which an upstream's answer reaches an entry and its contents reach all other entries.
 const PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
-/// Span in which requests to a limited upstream are counted: the users' bound.
+/// Window in which requests to a rate-limited upstream are counted; set by the users.
 const RATE_WINDOW: Duration = Duration::from_secs(4);
 
-/// What a kind of request promises.
+/// Kinds of requests by their guarantees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestKind {
-    /// A call that may run more than once.
+    /// Call that may run more than once.
     Fetch,
-    /// A call that runs at most once.
+    /// Call that runs at most once.
     File,
-    /// A stream that runs at most once.
+    /// Stream that runs at most once.
     Log,
-    /// A stream that may be run anew after the last event.
+    /// Stream that may run again after the last event.
     Grade,
 }
 
@@ -40,54 +40,54 @@
     }
 }
 
-/// What became of an attempt, as its caller saw it.
+/// Result of an attempt, as received by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A success, whole, with this body.
+    /// Success with this complete body.
     Complete(String),
-    /// A success that broke off after this much.
+    /// Success whose body broke off after this part.
     Truncated(String),
-    /// A status that promises that it was not run.
+    /// Status that guarantees that the request wasn't run.
     NotRun(u16),
-    /// Another status.
+    /// Any other status.
     Failed(u16),
-    /// No answer, or no connection.
+    /// No answer or no connection.
     NoAnswer,
 }
 
-/// One attempt of a caller.
+/// An attempt of a caller.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// What it promises.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// The body that it is owed.
+    /// Complete body that the caller expects.
     pub expected_body: String,
-    /// What became of it.
+    /// Result of the attempt.
     pub outcome: Outcome,
 }
 
-/// Something that was promised and not kept.
+/// A violated guarantee, with the id of the request or upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Breach {
-    /// A body that is not the request's own, or not whole though it looked so.
+    /// A body of another request, or a partial body that looked complete.
     WrongBody(String),
-    /// More than one run of a request that may run once.
+    /// More than one run of a request that may run at most once.
     RanMoreThanOnce(String),
-    /// Told as not run, and run.
+    /// A run of a request that was reported as not run.
     RefusedButRan(String),
-    /// Two runs of one generation at the same time.
+    /// Simultaneous runs of one request.
     OverlappingRuns(String),
-    /// New work on an upstream that had announced its leaving.
+    /// New work on an upstream after its leave notice.
     AfterNotice(String),
-    /// More new work on an upstream than the rate that it named allows.
+    /// More new work on an upstream than its announced rate allows.
     RateExceeded(String),
-    /// New work on an upstream whose record a stranger had overwritten.
+    /// New work on an upstream whose record was overwritten by another one.
     OverwrittenRecord(String),
-    /// A request that was sent to go on from the memory of another one.
+    /// A request that was resumed from the memory of another one.
     ForeignMemory(String),
-    /// A run that goes on though nobody waits for it.
+    /// A run still in progress without a waiting caller.
     LeftRunning(String),
 }
 
@@ -97,19 +97,19 @@
     }
 }
 
-/// A rate that an upstream named in its answers for a while.
+/// A rate limit that an upstream announced in its answers for some time.
 #[derive(Clone, Debug)]
 pub struct AnnouncedRate {
-    /// The upstream.
+    /// Id of the upstream.
     pub instance: String,
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: u32,
-    /// From when to when.
+    /// Start and end of the announcement.
     pub span: (Instant, Instant),
 }
 
 impl AnnouncedRate {
-    /// Runs that the users' rule allows in any [`RATE_WINDOW`].
+    /// Returns the runs allowed by the users' rule in any [`RATE_WINDOW`].
     fn allowed(&self) -> usize {
         let seconds = usize::try_from(RATE_WINDOW.as_secs()).unwrap_or(usize::MAX);
         let announced = usize::try_from(self.per_second).unwrap_or(usize::MAX);
@@ -117,31 +117,31 @@
     }
 }
 
-/// What is known of one test.
+/// Records of one test.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
     /// Attempts of callers.
     pub attempts: Vec<Attempt>,
     /// Runs of upstreams.
     pub runs: Vec<Run>,
-    /// Requests that were sent to go on from the memory of another one.
+    /// Requests that were resumed from the memory of another one.
     pub foreign_memory: Vec<String>,
-    /// Upstreams that announced their leaving, and when.
+    /// Times of leave notices in the store, by upstream.
     pub notices: HashMap<String, Instant>,
-    /// Upstreams whose answers said from some moment on that they leave.
+    /// Times from which answers carried a leave notice, by upstream.
     pub departing: HashMap<String, Instant>,
-    /// Rates that upstreams named.
+    /// Rates announced by upstreams.
     pub rates: Vec<AnnouncedRate>,
-    /// Upstreams whose records a stranger had overwritten, from when to when.
+    /// Upstreams with overwritten records, with start and end.
     pub overwritten: Vec<(String, Instant, Instant)>,
-    /// When entries were started again: they have to hear of rates anew.
+    /// Restarts of entries, which have to receive rates again.
     pub restarts: Vec<Instant>,
-    /// Spans in which an entry could not know or act: paused, or cut off.
+    /// Periods in which an entry couldn't receive or act, because it was paused or disconnected.
     pub excused: Vec<(Instant, Instant)>,
 }
 
 impl Evidence {
-    /// All promises that were not kept.
+    /// Returns all violated guarantees.
     #[must_use]
     pub fn find_breaches(&self) -> Vec<Breach> {
         let mut by_id: HashMap<&str, Vec<&Run>> = HashMap::new();
@@ -190,7 +190,7 @@
         late && !self.is_excused(run.began)
     }
 
-    /// When entries have an answer of an upstream that says that it leaves.
+    /// Returns when all entries know of an upstream's first leave notice in an answer.
     fn first_leave_notice(&self, instance: &str) -> Option<Instant> {
         let since = self.departing.get(instance)?;
         let runs = self.runs.iter().filter(|r| r.instance == instance);
@@ -198,8 +198,8 @@
         first.map(|began| began + PROPAGATION_TIME)
     }
 
-    /// Whether more began on an upstream in some span than the rate that it named allows, of what
-    /// entries sent once they had an answer that named it.
+    /// Returns whether more runs began in some [`RATE_WINDOW`] than an upstream's rate allows. Runs
+    /// count from the time when all entries know of the first answer with the rate.
     fn exceeds_rate(&self, rate: &AnnouncedRate) -> bool {
         let (from, to) = rate.span;
         let runs = self.runs.iter().filter(|r| r.instance == rate.instance);
--- a/standins/src/site/engine.rs
+++ b/standins/src/site/engine.rs
@@ -1,4 +1,4 @@
-//! An upstream of the site: a model engine with memory to move, or a plain service.
+//! An upstream of the site: a model engine whose runs can migrate, or a plain service.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,40 +17,40 @@
 use super::start::{bind_with_retries, close_port, unix_millis};
 use crate::sync::lock;
 
-/// What an upstream is.
+/// Kinds of upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineKind {
-    /// It streams generations.
+    /// Streams generations.
     Model,
-    /// It answers calls as a whole.
+    /// Answers calls without streaming.
     Plain,
 }
 
-/// How an upstream spoils the requests to come.
+/// Faults of an upstream's answers to requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AnswerFault {
-    /// It doesn't.
+    /// No fault.
     #[default]
     None,
-    /// It turns them away as not run.
+    /// Rejects requests as not run.
     Reject,
-    /// It runs them and answers 500.
+    /// Runs requests and answers 500.
     Error,
-    /// It runs them and resets the connection.
+    /// Runs requests and resets the connection.
     DropAnswer,
-    /// It breaks off in the middle of the fifth event, or of the body.
+    /// Resets the connection in the middle of the fifth event, or of the body.
     Truncate,
-    /// It sends another request's answer after each one.
+    /// Sends another request's answer after each answer.
     Duplicate,
-    /// It crashes when it begins to run them.
+    /// Crashes at the start of a run.
     Crash,
-    /// It never answers.
+    /// Never answers.
     Hang,
-    /// It reads prompts for a second before it answers.
+    /// Takes a second to read the prompt before it answers.
     Slow,
 }
 
-/// A running upstream; dropping it ends it.
+/// A running upstream; dropping it stops it.
 #[derive(Debug)]
 pub struct Engine {
     shared: Arc<Shared>,
@@ -61,23 +61,23 @@
 pub(super) struct Shared {
     kind: EngineKind,
     instance: Mutex<String>,
-    /// Unix milliseconds of the start.
+    /// Start time, in Unix milliseconds.
     pub(super) born: u64,
     addr: SocketAddr,
-    /// Address under which others know it: a proxy's, if there is one.
+    /// Address that others use: the proxy's, if there is one.
     pub(super) advertised_addr: Mutex<SocketAddr>,
     pub(super) record: Record,
     fault: Mutex<AnswerFault>,
-    /// Requests that it turned away.
+    /// Number of rejected requests.
     rejected: AtomicUsize,
-    /// Headers that all its answers carry beside their own, by name.
+    /// Headers added to all answers to requests, by name.
     extra_headers: Mutex<HashMap<String, String>>,
-    /// Milliseconds until it is gone, as its report says.
+    /// Milliseconds until it leaves, as reported.
     pub(super) leaves_ms: Mutex<Option<u32>>,
-    /// Runs that are to stop for a move, by request.
+    /// Signals that stop runs for a migration, by request.
     pub(super) stop_signals: Mutex<HashMap<String, Arc<Notify>>>,
     crash: Notify,
-    /// Handles given out in this life.
+    /// Number of the next handle in this incarnation.
     pub(super) next_handle: AtomicU64,
 }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    /// These headers, and those that all answers carry.
+    /// Returns these headers and the extra headers.
     pub(super) fn with_extra_headers(&self, own: &[(&str, &str)]) -> Headers {
         let owned = |(name, value): (&str, &str)| (name.to_owned(), value.to_owned());
         let own = own.iter().copied().map(owned);
@@ -109,7 +109,7 @@
         own.chain(extra_headers).collect()
     }
 
-    /// Writes a whole answer to a request.
+    /// Writes a complete answer to a request.
     pub(super) async fn answer(
         &self,
         stream: &mut TcpStream,
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     ///
-    /// When the address can't be bound.
+    /// Returns an error when the address can't be bound.
     pub async fn start(
         kind: EngineKind,
         instance: &str,
@@ -148,12 +148,11 @@
         Self { shared, stop }
     }
 
-    /// Ends it and starts it again at once, under the same id and address: it knows nothing of
-    /// before.
+    /// Kills and restarts the upstream under the same id and address, without its previous state.
     ///
     /// # Errors
     ///
-    /// When the address isn't free within a few seconds.
+    /// Returns an error when the address isn't free within a few seconds.
     pub async fn restart(&mut self) -> io::Result<()> {
         self.kill();
         let old = &self.shared;
@@ -166,25 +165,25 @@
         Ok(())
     }
 
-    /// When it started, in Unix milliseconds.
+    /// Returns the start time, in Unix milliseconds.
     #[must_use]
     pub fn born(&self) -> u64 {
         self.shared.born
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.shared.addr
     }
 
-    /// Its id.
+    /// Returns the id.
     #[must_use]
     pub fn instance(&self) -> String {
         lock(&self.shared.instance).clone()
     }
 
-    /// The entry that it keeps of itself in the store.
+    /// Returns the record with which the upstream registers in the store.
     #[must_use]
     pub fn registration(&self, service: &str, state: &str) -> Value {
         json!({"service": service, "address": self.addr().to_string(), "zone": "a",
@@ -192,18 +191,18 @@
             "born": self.born()})
     }
 
-    /// Spoils the requests to come.
+    /// Sets the fault for subsequent requests.
     pub fn set_fault(&self, fault: AnswerFault) {
         *lock(&self.shared.fault) = fault;
     }
 
-    /// Requests that it has turned away since its start.
+    /// Returns the number of requests rejected since the start.
     #[must_use]
     pub fn rejected(&self) -> usize {
         self.shared.rejected.load(Ordering::Relaxed)
     }
 
-    /// Says so in a header of all answers to requests, or no longer.
+    /// Sets a header of all answers to requests, or removes it.
     pub fn set_header(&self, name: &str, value: Option<&str>) {
         let mut extra_headers = lock(&self.shared.extra_headers);
         match value {
@@ -212,24 +211,24 @@
         };
     }
 
-    /// Says in its report that it is gone after so many milliseconds.
+    /// Makes the report announce that it leaves in `after_ms`.
     pub fn report_leaving(&self, after_ms: u32) {
         *lock(&self.shared.leaves_ms) = Some(after_ms);
     }
 
-    /// Others know it by this address from now on.
+    /// Sets the address that others use.
     pub fn set_advertised_addr(&self, addr: SocketAddr) {
         *lock(&self.shared.advertised_addr) = addr;
     }
 
-    /// Gives the address to another instance, as after a restart.
+    /// Replaces the instance id at this address, as after a restart.
     pub fn set_instance(&self, instance: &str) {
         instance.clone_into(&mut lock(&self.shared.instance));
     }
 
-    /// Ends it at once: connections are reset, the port is closed.
+    /// Stops it at once: closes the port and resets the connections.
     pub fn kill(&self) {
-        // It may have crashed already.
+        // Fails when the upstream has crashed already.
         let _ = self.stop.send(true);
         let advertised_addr = lock(&self.shared.advertised_addr).to_string();
         self.shared.record.drop_copies_at(&advertised_addr);
@@ -243,7 +242,8 @@
 }
 
 async fn accept(listener: TcpListener, shared: Arc<Shared>, mut stopped: watch::Receiver<bool>) {
-    // Connections are reset once the port is closed, so that nobody who sees it can connect again.
+    // Close the port before resetting connections, so that a client that sees the reset can't
+    // reconnect.
     let (closing, closed) = watch::channel(false);
     let mut connections = JoinSet::new();
     loop {
@@ -281,7 +281,7 @@
     }
 }
 
-/// What becomes of a connection after a request.
+/// Action on a connection after a request.
 pub(super) enum ConnectionAction {
     Keep,
     Reset,
@@ -355,7 +355,8 @@
     }
 }
 
-/// Takes the copy that a request names, if it lies here and is its own.
+/// Removes the copy of memory named by a request; returns whether it was stored here for this
+/// request.
 fn take_matching_copy(shared: &Shared, req: &Request, id: &str) -> bool {
     let Some((issuer, handle)) = req.header("kv-from").and_then(|from| from.split_once('/')) else {
         return false;
@@ -366,7 +367,7 @@
         handle: handle.to_owned(),
     });
     if owner.as_deref().is_some_and(|of| of != id) {
-        // The real engine doesn't compare, and would go on from the other's memory.
+        // The real engine doesn't compare ids and would resume from the other request's memory.
         shared.record.record_foreign_memory(id);
     }
     owner.is_some_and(|of| of == id)
--- a/standins/src/site/http.rs
+++ b/standins/src/site/http.rs
@@ -1,4 +1,4 @@
-//! Reading requests and writing answers by hand, since faults need torn ones.
+//! Hand-written HTTP reading and writing, since faults need truncated answers.
 
 use std::io;
 use std::time::Duration;
@@ -6,16 +6,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Time between two looks at whether a caller has closed its connection.
+/// Interval of checks for a connection closed by the caller.
 const CLOSED_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Longest head that is read, in bytes.
+/// Maximum size of a request head.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// Names and values of the headers of an answer.
+/// Names and values of an answer's headers.
 pub(super) type Headers = Vec<(String, String)>;
 
-/// One request.
+/// An HTTP request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Request {
     pub(super) method: String,
@@ -25,13 +25,13 @@
 }
 
 impl Request {
-    /// Value of a header; its name in lower case.
+    /// Returns the value of a header; `name` is in lower case.
     pub(super) fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(n, _)| n == name);
         found.map(|(_, value)| value.as_str())
     }
 
-    /// Value of a parameter of the query.
+    /// Returns the value of a query parameter.
     pub(super) fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.path.split_once('?')?;
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -39,7 +39,8 @@
     }
 }
 
-/// Reads the next request of a connection; `None` at its end.
+/// Reads the next request of a connection. Returns `None` at the end of the connection or when
+/// the head is too long.
 pub(super) async fn read_request(
     stream: &mut TcpStream,
     buf: &mut Vec<u8>,
@@ -89,7 +90,7 @@
     bytes.windows(pattern.len()).position(|w| w == pattern)
 }
 
-/// Writes a whole answer.
+/// Writes a complete answer.
 pub(super) async fn write_answer(
     stream: &mut TcpStream,
     status: u16,
@@ -102,7 +103,7 @@
     stream.write_all(&bytes).await
 }
 
-/// Writes the head of an answer whose body comes in chunks.
+/// Writes the head of an answer with a chunked body.
 pub(super) async fn write_stream_head(stream: &mut TcpStream, headers: &Headers) -> io::Result<()> {
     let mut bytes = head(200, headers);
     bytes.extend_from_slice(b"Transfer-Encoding: chunked\r\n\r\n");
@@ -129,14 +130,14 @@
         .collect()
 }
 
-/// Makes the connection end with a reset instead of an orderly end.
+/// Closes the connection with a reset.
 pub(super) fn reset(stream: TcpStream) {
-    // A socket that refuses the option is closed in the ordinary way.
+    // If the option can't be set, the socket is closed in the ordinary way.
     let _ = stream.set_zero_linger();
     drop(stream);
 }
 
-/// Ends when the caller has closed the connection.
+/// Waits until the caller has closed the connection.
 pub(super) async fn until_closed(stream: &TcpStream) {
     let mut byte = [0];
     loop {
--- a/standins/src/site/mod.rs
+++ b/standins/src/site/mod.rs
@@ -1,8 +1,8 @@
-//! A stand-in for the users' prepared platform: its store and its upstreams.
+//! Stand-in for the users' prepared platform: its store and its upstreams.
 //!
-//! Written by the platform's published pages, for tests of the direct entry. All
-//! of it runs in one process on loopback addresses; faults are switched on by
-//! calls. What upstreams ran is on record, for an oracle to judge.
+//! Follows the platform's published pages; used by tests of the direct entry. It
+//! runs in one process on loopback addresses, and method calls inject faults. An
+//! oracle checks the guarantees against the recorded runs of upstreams.
 
 mod checker;
 mod engine;
--- a/standins/src/site/proxy.rs
+++ b/standins/src/site/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms the connections through it.
+//! Loopback proxy that injects faults into its connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,26 +11,26 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinHandle;
 
-/// Bytes passed on at a time.
+/// Most bytes forwarded at a time.
 const BUFFER_BYTES: usize = 4_096;
 
-/// What a proxy does to what passes through it.
+/// Faults of the connections through a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ProxyFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Each piece comes so much later.
+    /// Delays each forwarded piece by this time.
     Delay(Duration),
-    /// Answers are held back; requests pass.
+    /// Holds back answers and forwards requests.
     BlockAnswers,
-    /// Nothing passes either way, and nothing says so.
+    /// Holds back both directions and keeps connections open.
     BlockAll,
-    /// New connections are reset, and open ones at once.
+    /// Resets open connections at once, and new ones on arrival.
     Reset,
 }
 
-/// A proxy before one address; dropping it ends it.
+/// A proxy to one address; dropping it stops it.
 #[derive(Debug)]
 pub struct Proxy {
     addr: SocketAddr,
@@ -46,11 +46,11 @@
 }
 
 impl Proxy {
-    /// Starts a proxy at the IP of `to`, on a port of its own.
+    /// Starts a proxy at the IP of `to`, on a free port.
     ///
     /// # Errors
     ///
-    /// When no port can be bound there.
+    /// Returns an error when no port can be bound there.
     pub async fn start(to: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((to.ip(), 0)).await?;
         let addr = listener.local_addr()?;
@@ -70,13 +70,13 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Harms what passes from now on.
+    /// Sets the fault of all connections.
     pub fn set_fault(&self, fault: ProxyFault) {
         self.fault.send_replace(fault);
         if fault == ProxyFault::Reset {
@@ -109,7 +109,7 @@
     let Ok(upstream) = TcpStream::connect(to).await else {
         return super::http::reset(stream);
     };
-    // The harm of a reset is to be seen as one.
+    // Closing the socket after a `Reset` fault must reset the connection.
     let _ = stream.set_zero_linger();
     let (from_caller, to_caller) = stream.into_split();
     let (from_upstream, to_upstream) = upstream.into_split();
@@ -137,7 +137,8 @@
             ProxyFault::BlockAnswers => is_answer,
             ProxyFault::None | ProxyFault::Delay(_) | ProxyFault::Reset => false,
         };
-        // The end of a connection is held back like its bytes. The sender lives as long as the proxy.
+        // The end of a connection is held back like its bytes. The wait fails only when the proxy
+        // is dropped.
         let _ = fault.wait_for(|fault| !is_blocked(fault)).await;
         let Ok(len @ 1..) = read else {
             return;
--- a/standins/src/site/record.rs
+++ b/standins/src/site/record.rs
@@ -1,4 +1,4 @@
-//! What upstreams ran, for the oracle.
+//! Record of the upstreams' runs, for the oracle.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -6,18 +6,18 @@
 
 use crate::sync::lock;
 
-/// How a run ended.
+/// State or end of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// It goes on.
+    /// In progress.
     Running,
-    /// Its answer was sent whole.
+    /// The complete answer was sent.
     Complete,
-    /// Its caller closed the connection.
+    /// The caller closed the connection.
     Abandoned,
-    /// It was stopped to go on elsewhere.
+    /// Stopped to continue on another upstream.
     Migrated,
-    /// The upstream ended, crashed or failed it.
+    /// Broken off by a fault of the upstream.
     Broken,
 }
 
@@ -26,55 +26,55 @@
 pub struct Run {
     /// Id of the request.
     pub request_id: String,
-    /// Upstream that ran it.
+    /// Id of the upstream.
     pub instance: String,
-    /// Workspace that the upstream was told.
+    /// Workspace sent to the upstream.
     pub workspace: Option<String>,
     /// Whether the caller's key reached the upstream.
     pub saw_key: bool,
-    /// Event after which it began.
+    /// Number of the event after which it began.
     pub after: u64,
-    /// Whether it went on from the memory of an earlier run.
+    /// Whether it resumed from the memory of an earlier run.
     pub from_memory: bool,
-    /// When it began.
+    /// Start time.
     pub began: Instant,
-    /// How and when it ended.
+    /// State and its time; the start time while in progress.
     pub end: (RunEnd, Instant),
 }
 
-/// All runs of all upstreams of a site, and the copies of their memory.
+/// Runs of all upstreams of a site, and copies of their memory; clones share the state.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     inner: Arc<Mutex<Inner>>,
 }
 
-/// Where a copy lies, and its name.
+/// Location and name of a copy of a run's memory.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct CopyKey {
-    /// Address of the upstream that keeps it.
+    /// Address of the upstream that holds the copy.
     pub(super) holder: String,
-    /// Address of the upstream that gave it its handle.
+    /// Address of the upstream that issued the handle.
     pub(super) issuer: String,
-    /// The handle.
+    /// Handle given by the issuer; the request id for a memory backup.
     pub(super) handle: String,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     runs: Vec<Run>,
-    /// Whose request each copy is of.
+    /// Request ids of the copies.
     copies: HashMap<CopyKey, String>,
     foreign_memory: Vec<String>,
 }
 
 impl Record {
-    /// All runs so far.
+    /// Returns all runs so far.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         lock(&self.inner).runs.clone()
     }
 
-    /// Runs of one request.
+    /// Returns the runs of one request.
     #[must_use]
     pub fn runs_of(&self, request_id: &str) -> Vec<Run> {
         let runs = self.runs();
@@ -83,14 +83,14 @@
             .collect()
     }
 
-    /// Upstreams at which a run goes on, and the number of such runs.
+    /// Returns the number of runs in progress.
     #[must_use]
     pub fn running_count(&self) -> usize {
         let runs = self.runs();
         runs.iter().filter(|r| r.end.0 == RunEnd::Running).count()
     }
 
-    /// Requests that were sent to go on from the memory of another one.
+    /// Returns the requests that were resumed from the memory of another one.
     #[must_use]
     pub fn foreign_memory(&self) -> Vec<String> {
         lock(&self.inner).foreign_memory.clone()
@@ -119,7 +119,7 @@
         lock(&self.inner).copies.insert(key, request_id.to_owned());
     }
 
-    /// Takes a copy, which can be used once.
+    /// Removes a copy, which can be used once, and returns its request id.
     pub(super) fn take_copy(&self, key: &CopyKey) -> Option<String> {
         lock(&self.inner).copies.remove(key)
     }
--- a/standins/src/site/runs.rs
+++ b/standins/src/site/runs.rs
@@ -1,4 +1,4 @@
-//! What an upstream of the site does with a request that it runs, and what it says of its runs.
+//! Runs of requests on an upstream of the site, their migration and the load report.
 
 use std::io;
 use std::sync::Arc;
@@ -15,22 +15,22 @@
 use super::record::{CopyKey, Run, RunEnd};
 use crate::sync::lock;
 
-/// Time between two events of a stream.
+/// Interval between two events of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Events of a stream whose request names no number.
+/// Events of a stream when the request doesn't give a number.
 const DEFAULT_EVENTS: u64 = 30;
 
-/// Tokens that each run holds, as the report has it.
+/// Tokens reported for each run.
 const RUN_TOKENS: u64 = 3_000;
 
-/// Time that a slow engine reads a prompt.
+/// Time that a slow engine needs to read a prompt.
 const PROMPT_READ_TIME: Duration = Duration::from_secs(1);
 
-/// Time that a plain call takes.
+/// Duration of a plain call.
 const PLAIN_CALL_TIME: Duration = Duration::from_millis(5);
 
-/// A run on record; abandoned if dropped before its end.
+/// A recorded run; marked as abandoned if dropped before its end.
 pub(super) struct ActiveRun<'a> {
     shared: &'a Shared,
     run: usize,
@@ -107,7 +107,7 @@
     Ok(ConnectionAction::Keep)
 }
 
-/// Event of a stream, which names its request.
+/// Formats an event, which contains the id of its request.
 fn event(id: &str, number: u64) -> String {
     format!("id: {number}\ndata: {id} {number}\n\n")
 }
@@ -183,7 +183,7 @@
         write_answer(stream, 404, &Headers::new(), b"{}").await?;
         return Ok(ConnectionAction::Keep);
     };
-    // Each life counts its handles anew.
+    // Each incarnation counts its handles from 0.
     let handle = format!("h{}", shared.next_handle.fetch_add(1, Ordering::Relaxed));
     let key = CopyKey {
         holder: call["to"].as_str().unwrap_or_default().to_owned(),
--- a/standins/src/site/start.rs
+++ b/standins/src/site/start.rs
@@ -1,4 +1,4 @@
-//! Starting an upstream, also where another one has just ended.
+//! Binding and closing of an upstream's port, also for a restart at the same address.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr};
@@ -7,13 +7,13 @@
 use socket2::SockRef;
 use tokio::net::TcpListener;
 
-/// Tries to bind an address again, one each [`BIND_PAUSE`].
+/// Retries of binding an address, one per [`BIND_RETRY_INTERVAL`].
 const BIND_ATTEMPTS: u32 = 500;
 
-/// Time between two of them.
+/// Interval between two bind attempts.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Binds an address that its former owner is about to give up.
+/// Binds an address, retrying while its former owner still uses it.
 pub(super) async fn bind_with_retries(addr: SocketAddr) -> io::Result<TcpListener> {
     let mut attempts = 0;
     loop {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Time of day, in Unix milliseconds.
+/// Returns the current time in Unix milliseconds.
 pub(super) fn unix_millis() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.map_or(0, |t| u64::try_from(t.as_millis()).unwrap_or(u64::MAX))
@@ -35,10 +35,10 @@
 
 /// Closes a port for new connections at once.
 ///
-/// A process that is just being started holds a copy of every descriptor until it runs its program,
-/// and a listener that is only dropped would take connections meanwhile.
+/// Between fork and exec, a child process holds a copy of every descriptor. A listener that is only
+/// dropped would accept connections in that time.
 pub(super) fn close_port(listener: TcpListener) {
-    // One that is no longer there is closed already.
+    // Fails only when the socket is closed already.
     let _ = SockRef::from(&listener).shutdown(Shutdown::Both);
     drop(listener);
 }
--- a/standins/src/site/store.rs
+++ b/standins/src/site/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: versioned objects with watches, and its faults.
+//! Stand-in for the platform's store: versioned objects, watches and faults.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,27 +14,27 @@
 use super::http::{Request, read_request, reset, until_closed, write_answer};
 use crate::sync::lock;
 
-/// How the store treats calls.
+/// Treatment of calls by the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum StoreMode {
-    /// It answers.
+    /// Answers calls.
     #[default]
     Up,
-    /// It resets every connection.
+    /// Resets every connection.
     Reset,
-    /// It takes calls and never answers.
+    /// Accepts calls and never answers.
     Silent,
-    /// It takes calls of these callers and never answers them.
+    /// Accepts calls of these callers and never answers them.
     SilentTo(Vec<IpAddr>),
-    /// It turns these callers away with 503.
+    /// Rejects calls of these callers with 503.
     Deny(Vec<IpAddr>),
-    /// It never answers the next so many calls, nor anything on their connections, and answers all
+    /// Never answers this number of next calls, nor later calls on their connections; answers all
     /// others.
     HangNext(u32),
-    /// Its answers come so much later.
+    /// Delays answers by this time.
     Delay(Duration),
-    /// Reads show what was there when this began, and watches hear nothing; the history of that
-    /// time is dropped at its end.
+    /// Serves reads from the state at the start of this mode and sends no events to watches. The
+    /// history is compacted when the mode ends.
     Stale,
 }
 
@@ -64,23 +64,23 @@
     mode: StoreMode,
     calls: u64,
     calls_by: BTreeMap<IpAddr, u64>,
-    /// Kinds of the calls that hang and whose callers still wait.
+    /// Object kinds of the hanging calls whose callers still wait.
     hanging: Vec<String>,
     overlapping_calls: u64,
-    /// What reads show while they are stale.
+    /// State that reads see in [`StoreMode::Stale`].
     stale_view: Option<Snapshot>,
-    /// Times that it came back from a copy.
+    /// Number of restores from a snapshot.
     era: u64,
 }
 
-/// A copy of what the store held at one moment.
+/// Copy of the store's contents.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     revision: u64,
     objects: BTreeMap<(String, String), Value>,
 }
 
-/// The store; dropping it ends it.
+/// The store; dropping it stops it.
 #[derive(Debug)]
 pub struct Store {
     addr: SocketAddr,
@@ -102,11 +102,11 @@
 }
 
 impl Store {
-    /// An empty store on `ip`.
+    /// Starts an empty store on `ip`.
     ///
     /// # Errors
     ///
-    /// When no port can be bound there.
+    /// Returns an error when no port can be bound there.
     pub async fn start(ip: IpAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let addr = listener.local_addr()?;
@@ -120,13 +120,13 @@
         })
     }
 
-    /// One more address at which it listens, whose callers all count as `caller`.
+    /// Listens at one more address; its callers are all treated as `caller`.
     ///
-    /// On loopback callers show no address of their own.
+    /// Callers on loopback can't be told apart by their addresses.
     ///
     /// # Errors
     ///
-    /// When no port can be bound.
+    /// Returns an error when no port can be bound.
     pub async fn add_listener(&mut self, caller: IpAddr) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((self.addr.ip(), 0)).await?;
         let addr = listener.local_addr()?;
@@ -135,13 +135,13 @@
         Ok(addr)
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Writes an object as its owner does.
+    /// Writes an object, as its owner would.
     pub fn put(&self, kind: &str, name: &str, spec: &Value) {
         let mut state = lock(&self.shared.state);
         state.revision += 1;
@@ -163,7 +163,7 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// Removes an object.
+    /// Removes an object with an event.
     pub fn remove(&self, kind: &str, name: &str) {
         let mut state = lock(&self.shared.state);
         let key = (kind.to_owned(), name.to_owned());
@@ -183,13 +183,13 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// Removes an object without an event, as when its lease lapsed in an outage.
+    /// Removes an object without an event, as when its lease expires in an outage.
     pub fn expire(&self, kind: &str, name: &str) {
         let key = (kind.to_owned(), name.to_owned());
         lock(&self.shared.state).objects.remove(&key);
     }
 
-    /// Drops the history, so that watches have to list again.
+    /// Drops the event history, so that watches have to list again.
     pub fn compact(&self) {
         let mut state = lock(&self.shared.state);
         state.events.clear();
@@ -199,14 +199,14 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// A copy of what it holds now.
+    /// Returns a snapshot of the contents.
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
         lock(&self.shared.state).snapshot()
     }
 
-    /// Comes back from a copy: what was written since is gone, its revisions are given out again, and
-    /// a watch from one of them has to list.
+    /// Restores a snapshot: later writes are lost, their revisions are assigned again, and a watch from
+    /// one of them has to list.
     pub fn restore(&self, snapshot: Snapshot) {
         let mut state = lock(&self.shared.state);
         state.era += 1;
@@ -218,7 +218,7 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// Treats calls like this from now on.
+    /// Sets the treatment of calls.
     pub fn set_mode(&self, mode: StoreMode) {
         let mut state = lock(&self.shared.state);
         let was_stale = state.stale_view.take().is_some();
@@ -233,19 +233,20 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// Calls so far, refused ones included.
+    /// Returns the number of calls, including rejected ones.
     #[must_use]
     pub fn calls(&self) -> u64 {
         lock(&self.shared.state).calls
     }
 
-    /// Calls that came while another one of the same kind hung and its caller still waited.
+    /// Returns the number of calls that arrived while another one for the same kind hung and its caller
+    /// still waited.
     #[must_use]
     pub fn overlapping_calls(&self) -> u64 {
         lock(&self.shared.state).overlapping_calls
     }
 
-    /// Callers so far, with the number of their calls.
+    /// Returns the number of calls by caller.
     #[must_use]
     pub fn calls_by(&self) -> BTreeMap<IpAddr, u64> {
         lock(&self.shared.state).calls_by.clone()
@@ -295,7 +296,7 @@
     Hang,
 }
 
-/// Answers nothing until the caller has closed the connection.
+/// Holds the call without an answer until the caller closes the connection.
 async fn hold_open(stream: &TcpStream, shared: &Shared, kind: &str) {
     lock(&shared.state).hanging.push(kind.to_owned());
     until_closed(stream).await;
@@ -305,7 +306,7 @@
     }
 }
 
-/// Kind of the objects that a call is about; empty for what is no such call.
+/// Returns the kind of objects that a call reads; empty for any other call.
 fn object_kind(req: &Request) -> &str {
     let path = req.path.split('?').next().unwrap_or_default();
     path.strip_prefix("/v1/objects/").unwrap_or_default()
@@ -321,7 +322,7 @@
         }
     }
     loop {
-        // Registered before the look, so that no change falls between both.
+        // Register before reading the state, so that no change in between is missed.
         let changed = shared.changed.notified();
         match decide(shared, caller, req) {
             Decision::Done(reply) => {
--- a/standins/tests/site_checker.rs
+++ b/standins/tests/site_checker.rs
@@ -1,4 +1,4 @@
-//! The oracle of the soak finds each promise broken when it is.
+//! Tests that the soak's oracle finds each violated guarantee, and none where all hold.
 
 use standins::site::{AnnouncedRate, Attempt, Breach, Evidence, Outcome, RequestKind, Run, RunEnd};
 use std::time::{Duration, Instant};
@@ -42,7 +42,8 @@
     run_left_behind_is_found => assert_breach(&evidence(RequestKind::Log, complete(), vec![left_running()]), Breach::LeftRunning);
 }
 
-/// Runs of an engine whose answers say from second 1 on that it leaves: at 2, and later.
+/// Returns runs of an upstream whose answers carry a leave notice from second 1 on: one at second
+/// 2 and one at `second_start`.
 fn departing(second_start: u64) -> Evidence {
     let runs = vec![run(2, 3), run(second_start, second_start + 1)];
     let mut evidence = evidence(RequestKind::Fetch, complete(), runs);
@@ -50,7 +51,8 @@
     evidence
 }
 
-/// An upstream that names one a second, and so many runs at once after the first.
+/// Returns runs of an upstream that announces one request per second: one run, then `concurrent`
+/// runs at once.
 fn rate_limited(concurrent: usize) -> Evidence {
     let mut runs = vec![run(2, 3)];
     runs.extend((0..concurrent).map(|_| run(4, 5)));
@@ -63,7 +65,7 @@
     evidence
 }
 
-/// The moment from which tests count.
+/// Returns the common start time of all tests.
 fn start_time() -> Instant {
     use std::sync::OnceLock;
     static START: OnceLock<Instant> = OnceLock::new();
@@ -101,7 +103,7 @@
     }
 }
 
-/// Evidence of a run on an upstream whose record a stranger had overwritten from 0 to 8 s.
+/// Returns evidence of a run on an upstream whose record was overwritten from 0 to 8 s.
 fn overwritten(run: Run) -> Evidence {
     Evidence {
         overwritten: vec![("i".to_owned(), at(0), at(8))],
--- a/standins/tests/site_start.rs
+++ b/standins/tests/site_start.rs
@@ -1,4 +1,4 @@
-//! Upstreams of the site that end while processes are being started.
+//! Tests of stopping upstreams of the site while processes are being started.
 
 use standins::site::{Engine, EngineKind, Record};
 use std::process::Command;
@@ -7,14 +7,14 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Engines that end, one after the other.
+/// Engines that are stopped, one after the other.
 const ENGINES: usize = 300;
 
-/// Threads that start processes meanwhile.
+/// Threads that start processes in the meantime.
 const STARTERS: usize = 4;
 
-/// Once its connections are reset, an engine that has ended takes no new one. When its listener was
-/// only dropped, some of 300 did.
+/// Checks that a stopped engine accepts no connection once its open ones are reset. When its listener
+/// was only dropped, some of 300 engines did, since starting processes held a copy of the descriptor.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ended_engine_takes_no_connection_while_processes_start() {
     let over = Arc::new(AtomicBool::new(false));
@@ -35,7 +35,7 @@
         let engine = engine.await.unwrap();
         let mut open = TcpStream::connect(engine.addr()).await.unwrap();
         engine.kill();
-        // Reset or closed: either way the engine is gone.
+        // A reset and a close both mean that the engine has stopped.
         let _ = open.read(&mut [0]).await;
         taken += usize::from(TcpStream::connect(engine.addr()).await.is_ok());
     }
