--- a/standins/src/caller/events.rs
+++ b/standins/src/caller/events.rs
@@ -40,8 +40,8 @@
     /// Returns the next complete event, if there is one.
     pub(super) fn next(&mut self) -> Option<Event> {
         loop {
-            let end = self.buf.iter().position(|byte| *byte == b'\n')?;
-            let line: Vec<u8> = self.buf.drain(..=end).collect();
+            let line_end = self.buf.iter().position(|byte| *byte == b'\n')?;
+            let line: Vec<u8> = self.buf.drain(..=line_end).collect();
             let line = String::from_utf8_lossy(&line);
             if let Some(event) = self.line(line.trim_end_matches(['\r', '\n'])) {
                 return Some(event);
--- a/standins/src/site/http.rs
+++ b/standins/src/site/http.rs
@@ -69,14 +69,14 @@
 
 fn parse_head(head: &str) -> Request {
     let mut lines = head.split("\r\n");
-    let mut first = lines.next().unwrap_or_default().split(' ');
+    let mut start_line = lines.next().unwrap_or_default().split(' ');
     let header = |line: &str| {
         let (name, value) = line.split_once(':')?;
         Some((name.to_ascii_lowercase(), value.trim().to_owned()))
     };
     Request {
-        method: first.next().unwrap_or_default().to_owned(),
-        path: first.next().unwrap_or_default().to_owned(),
+        method: start_line.next().unwrap_or_default().to_owned(),
+        path: start_line.next().unwrap_or_default().to_owned(),
         headers: lines.filter_map(header).collect(),
         body: Vec::new(),
     }
@@ -122,8 +122,8 @@
     let lines = headers
         .iter()
         .map(|(name, value)| format!("{}: {}\r\n", name.as_ref(), value.as_ref()));
-    let first = format!("HTTP/1.1 {status} Status\r\n");
-    first
+    let start_line = format!("HTTP/1.1 {status} Status\r\n");
+    start_line
         .into_bytes()
         .into_iter()
         .chain(lines.flat_map(String::into_bytes))
--- a/standins/tests/site_start.rs
+++ b/standins/tests/site_start.rs
@@ -17,18 +17,18 @@
 /// was only dropped, some of 300 engines did, since starting processes held a copy of the descriptor.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ended_engine_takes_no_connection_while_processes_start() {
-    let over = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let starters: Vec<_> = (0..STARTERS)
         .map(|_| {
-            let over = over.clone();
+            let stop = stop.clone();
             std::thread::spawn(move || {
-                while !over.load(Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     Command::new("true").status().unwrap();
                 }
             })
         })
         .collect();
-    let mut taken = 0;
+    let mut connected = 0;
     for _ in 0..ENGINES {
         let addr = "127.0.0.1:0".parse().unwrap();
         let engine = Engine::start(EngineKind::Plain, "p", addr, Record::default());
@@ -37,11 +37,11 @@
         engine.kill();
         // A reset and a close both mean that the engine has stopped.
         let _ = open.read(&mut [0]).await;
-        taken += usize::from(TcpStream::connect(engine.addr()).await.is_ok());
+        connected += usize::from(TcpStream::connect(engine.addr()).await.is_ok());
     }
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     for starter in starters {
         starter.join().unwrap();
     }
-    assert_eq!(taken, 0, "connections to engines that had ended");
+    assert_eq!(connected, 0, "connections to engines that had ended");
 }
