--- a/standins/src/site/store.rs
+++ b/standins/src/site/store.rs
@@ -33,7 +33,7 @@
     HangNext(u32),
     /// Delays answers by this time.
     Delay(Duration),
-    /// Serves reads from the state at the start of this mode and sends no events to watches. The
+    /// Serves reads from the state at the start of this mode and sends no newer events to watches. The
     /// history is compacted when the mode ends.
     Stale,
 }
