--- a/standins/src/site/store.rs
+++ b/standins/src/site/store.rs
@@ -33,8 +33,8 @@
     HangNext(u32),
     /// Delays answers by this time.
     Delay(Duration),
-    /// Serves reads from the state at the start of this mode and sends no newer events to watches. The
-    /// history is compacted when the mode ends.
+    /// Serves reads from the state at the start of this mode and sends no newer events to watches.
+    /// The history is compacted when the mode ends.
     Stale,
 }
 
@@ -205,8 +205,8 @@
         lock(&self.shared.state).snapshot()
     }
 
-    /// Restores a snapshot: later writes are lost, their revisions are assigned again, and a watch from
-    /// one of them has to list.
+    /// Restores a snapshot: later writes are lost, their revisions are assigned again, and a watch
+    /// from one of them has to list.
     pub fn restore(&self, snapshot: Snapshot) {
         let mut state = lock(&self.shared.state);
         state.era += 1;
@@ -239,8 +239,8 @@
         lock(&self.shared.state).calls
     }
 
-    /// Returns the number of calls that arrived while another one for the same kind hung and its caller
-    /// still waited.
+    /// Returns the number of calls that arrived while another one for the same kind hung and its
+    /// caller still waited.
     #[must_use]
     pub fn overlapping_calls(&self) -> u64 {
         lock(&self.shared.state).overlapping_calls
