--- a/standins/tests/oracle.rs
+++ b/standins/tests/oracle.rs
@@ -79,40 +79,51 @@
 }
 
 breaches! {
-    whole_answer_holds: generations(&["m"]), [outcome(stream(), attempt("n0.m.0 n0.m.1 ", End::Complete))]
-        => [];
-    honest_end_holds: generations(&["m"]), [outcome(stream(), with_delivered(1, attempt("n0.m.0 ", End::Code(3001))))]
-        => [];
-    refusal_holds: generations(&[]), [outcome(stream(), with_delivered(0, attempt("", End::Code(2011))))]
-        => [];
-    token_twice: generations(&["m"]), [outcome(stream(), attempt("n0.m.0 n0.m.0 n0.m.1 ", End::Complete))]
-        => [BreachKind::Tokens(TokenBreach::Sequence(Violation::Repeated))];
+    whole_answer_holds: generations(&["m"]), [
+        outcome(stream(), attempt("n0.m.0 n0.m.1 ", End::Complete))
+    ] => [];
+    honest_end_holds: generations(&["m"]), [
+        outcome(stream(), with_delivered(1, attempt("n0.m.0 ", End::Code(3001))))
+    ] => [];
+    refusal_holds: generations(&[]), [
+        outcome(stream(), with_delivered(0, attempt("", End::Code(2011))))
+    ] => [];
+    token_twice: generations(&["m"]), [
+        outcome(stream(), attempt("n0.m.0 n0.m.0 n0.m.1 ", End::Complete))
+    ] => [BreachKind::Tokens(TokenBreach::Sequence(Violation::Repeated))];
     token_missing: generations(&["m"]), [outcome(stream(), attempt("n0.m.1 ", End::Code(3001)))]
         => [BreachKind::Tokens(TokenBreach::Sequence(Violation::Gap))];
     end_missing: generations(&["m"]), [outcome(stream(), attempt("n0.m.0 ", End::Complete))]
         => [BreachKind::Tokens(TokenBreach::Sequence(Violation::WrongLength))];
-    two_generations: generations(&["m", "m"]), [outcome(stream(), attempt("n0.m.0 n1.m.1 ", End::Complete))]
-        => [BreachKind::Tokens(TokenBreach::Sequence(Violation::OtherGeneration))];
-    answer_of_another: generations(&["m", "o"]), [outcome(stream(), attempt("n1.o.0 n1.o.1 ", End::Complete))]
-        => [BreachKind::Tokens(TokenBreach::Sequence(Violation::OtherRequest))];
-    answer_never_made: generations(&[]), [outcome(stream(), attempt("n9.m.0 n9.m.1 ", End::Complete))]
-        => [BreachKind::Tokens(TokenBreach::UnknownGeneration)];
-    wrong_count: generations(&["m"]), [outcome(stream(), with_delivered(2, attempt("n0.m.0 ", End::Code(3001))))]
-        => [BreachKind::WrongCount { reported: 2, received: 1 }];
+    two_generations: generations(&["m", "m"]), [
+        outcome(stream(), attempt("n0.m.0 n1.m.1 ", End::Complete))
+    ] => [BreachKind::Tokens(TokenBreach::Sequence(Violation::OtherGeneration))];
+    answer_of_another: generations(&["m", "o"]), [
+        outcome(stream(), attempt("n1.o.0 n1.o.1 ", End::Complete))
+    ] => [BreachKind::Tokens(TokenBreach::Sequence(Violation::OtherRequest))];
+    answer_never_made: generations(&[]), [
+        outcome(stream(), attempt("n9.m.0 n9.m.1 ", End::Complete))
+    ] => [BreachKind::Tokens(TokenBreach::UnknownGeneration)];
+    wrong_count: generations(&["m"]), [
+        outcome(stream(), with_delivered(2, attempt("n0.m.0 ", End::Code(3001))))
+    ] => [BreachKind::WrongCount { reported: 2, received: 1 }];
     ran_though_refused: generations(&["m"]), [outcome(stream(), attempt("", End::Code(2013)))]
         => [BreachKind::RanThoughNotRun(1)];
-    keyed_ran_though_refused: generations(&["m"]), [outcome(keyed_stream(), attempt("", End::Code(2015)))]
-        => [BreachKind::RanThoughNotRun(1)];
-    keyed_ran_twice: generations(&["m", "m"]), [outcome(keyed_stream(), attempt("n0.m.0 n0.m.1 ", End::Complete))]
-        => [BreachKind::RanMoreThanOnce(2)];
+    keyed_ran_though_refused: generations(&["m"]), [
+        outcome(keyed_stream(), attempt("", End::Code(2015)))
+    ] => [BreachKind::RanThoughNotRun(1)];
+    keyed_ran_twice: generations(&["m", "m"]), [
+        outcome(keyed_stream(), attempt("n0.m.0 n0.m.1 ", End::Complete))
+    ] => [BreachKind::RanMoreThanOnce(2)];
     keyed_answers_differ: generations(&["m"]), [
         outcome(keyed_stream(), attempt("n0.m.0 n0.m.1 ", End::Complete)),
         outcome(keyed_stream(), attempt("n0.m.0 n0.m.1  ", End::Complete)),
     ] => [BreachKind::AnswersDiffer];
     call_ran_twice: calls("m", 2), [outcome(plain_call(), attempt("[[mark=m]]", End::Complete))]
         => [BreachKind::RanMoreThanOnce(2)];
-    call_answered_for_another: calls("m", 1), [outcome(plain_call(), attempt("[[mark=o]]", End::Complete))]
-        => [BreachKind::WrongRequest];
+    call_answered_for_another: calls("m", 1), [
+        outcome(plain_call(), attempt("[[mark=o]]", End::Complete))
+    ] => [BreachKind::WrongRequest];
     no_end: generations(&["m"]), [outcome(stream(), attempt("n0.m.0 ", End::TimedOut))]
         => [BreachKind::TimedOut];
 }
--- a/standins/tests/site_start.rs
+++ b/standins/tests/site_start.rs
@@ -13,8 +13,9 @@
 /// Threads that start processes in the meantime.
 const STARTERS: usize = 4;
 
-/// Checks that a stopped engine accepts no connection once its open ones are reset. When its listener
-/// was only dropped, some of 300 engines did, since starting processes held a copy of the descriptor.
+/// Checks that a stopped engine accepts no connection once its open ones are reset. When its
+/// listener was only dropped, some of 300 engines did, since starting processes held a copy of the
+/// descriptor.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ended_engine_takes_no_connection_while_processes_start() {
     let stop = Arc::new(AtomicBool::new(false));
