--- a/fireflyd/tests/processes_config.rs
+++ b/fireflyd/tests/processes_config.rs
@@ -277,13 +277,13 @@
     remove_workspace_quotas(&fleet);
     let request = Request::stream("m", REMOVED_KEY, "model-a", 1_500);
     let mut session = fleet.caller().begin(request, 0);
-    assert!(session.until_tokens(3).await);
+    assert!(session.read_until_tokens(3).await);
     let file = inventory_without(&fleet, REMOVED_WORKSPACE);
     let (status, text) = fleet.ctl(&["inventory", "apply", &file, "--wait", "5"]);
     assert_eq!(status, DONE, "{text}");
     assert!(is_removed_at(&fleet, &fleet.entries[0]).await);
     let got = session.finish().await;
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     fleet.assert_guarantees(&[got]);
 }
 
@@ -308,7 +308,7 @@
     let got = fleet
         .call(Request::stream("m", DOSSIERS, "model-a", 30), 0)
         .await;
-    assert!(got.is_whole(), "{got:?}");
+    assert!(got.is_complete(), "{got:?}");
     fleet.assert_guarantees(&[got]);
     monitor.assert_never_lower().await;
 }
--- a/fireflyd/tests/support/fleet.rs
+++ b/fireflyd/tests/support/fleet.rs
@@ -9,8 +9,8 @@
 
 use reqwest::Client;
 use serde_json::{Value, json};
-use standins::caller::{Caller, Got, Request};
-use standins::oracle::{Breach, Runs, judge};
+use standins::caller::{Caller, Request, RequestOutcome};
+use standins::oracle::{Breach, Runs, find_breaches};
 use tokio::net::TcpSocket;
 use tokio::sync::{Semaphore, SemaphorePermit};
 
@@ -390,7 +390,7 @@
     }
 
     /// Runs a request to its end, starting at the entry with index `entry`.
-    pub async fn call(&self, request: Request, entry: usize) -> Got {
+    pub async fn call(&self, request: Request, entry: usize) -> RequestOutcome {
         self.caller().run(request, entry).await
     }
 
@@ -405,15 +405,15 @@
     /// which the latest one started.
     pub async fn engine_of(&self, mark: &str) -> usize {
         until(&format!("{mark} began"), || {
-            std::future::ready(!self.runs().logs_of(mark).is_empty())
+            std::future::ready(!self.runs().log_indexes(mark).is_empty())
         })
         .await;
-        self.runs().logs_of(mark)[0]
+        self.runs().log_indexes(mark)[0]
     }
 
     /// Fails the test if a guarantee was violated for one of these callers.
-    pub fn assert_guarantees(&self, all: &[Got]) {
-        let breaches: Vec<Breach> = judge(&self.runs(), all);
+    pub fn assert_guarantees(&self, all: &[RequestOutcome]) {
+        let breaches: Vec<Breach> = find_breaches(&self.runs(), all);
         assert!(
             breaches.is_empty(),
             "{breaches:#?}\n{all:#?}\nlogs: {}",
--- a/fireflydirect/tests/removals.rs
+++ b/fireflydirect/tests/removals.rs
@@ -80,7 +80,7 @@
 
     upstream_that_a_new_list_lacks_gets_nothing(site: 1) {
         tokio::time::sleep(RELIST_TIME).await;
-        site.store.lapse("servers", "p-0");
+        site.store.expire("servers", "p-0");
         site.store.compact();
         let has_event = |event| has_line(&site, 0, event, "p-0");
         until("the list", || async { has_event("upstream_missing") || has_event("upstream_leaves") }).await;
@@ -93,7 +93,7 @@
         until("one entry not watching", || async { (0..4).any(|e| is_not_watching(&site, e)) }).await;
         let successor = (0..4).find(|e| is_not_watching(&site, *e)).unwrap();
         tokio::time::sleep(RELIST_TIME).await;
-        site.store.lapse("servers", "p-0");
+        site.store.expire("servers", "p-0");
         for entry in (0..4).filter(|e| *e != successor) {
             site.entries[entry].kill();
         }
@@ -108,7 +108,7 @@
         let stream = site.generation(0, "/log/a", 400, &id).send().await.unwrap();
         let engine = site.engine_of(&id).await;
         let backup_holder = &site.engines[1 - engine];
-        site.store.put("servers", &backup_holder.instance(), &backup_holder.entry("models", "draining"));
+        site.store.put("servers", &backup_holder.instance(), &backup_holder.registration("models", "draining"));
         until("the leave notice", || async { has_line(&site, 0, "upstream_leaves", &backup_holder.instance()) }).await;
         tokio::time::sleep(DRAIN_TIMEOUT).await;
         site.engines[engine].kill();
--- a/fireflydirect/tests/soak.rs
+++ b/fireflydirect/tests/soak.rs
@@ -17,7 +17,7 @@
 use soak_parts::callers::Callers;
 use soak_parts::faults::Soak;
 use soak_parts::plan::{Fault, Step, plan, plan_with_conditions, plan_with_drills};
-use standins::site::{Breach, Harm};
+use standins::site::{Breach, ProxyFault};
 use std::time::Duration;
 use support::{KEY, Site, until};
 
@@ -91,13 +91,13 @@
         caller.await.unwrap();
     }
     until("the last run's end", || async {
-        soak.site.record.running() == 0
+        soak.site.record.running_count() == 0
     })
     .await;
     soak.evidence.attempts = callers.attempts();
     soak.evidence.runs = soak.site.record.runs();
     soak.evidence.foreign_memory = soak.site.record.foreign_memory();
-    let breaches = soak.evidence.judge();
+    let breaches = soak.evidence.find_breaches();
     assert!(
         breaches.is_empty(),
         "{}",
@@ -105,7 +105,7 @@
     );
     let complete = soak.evidence.attempts.iter();
     let complete = complete
-        .filter(|a| matches!(a.outcome, standins::site::Outcome::Whole(_)))
+        .filter(|a| matches!(a.outcome, standins::site::Outcome::Complete(_)))
         .count();
     println!(
         "{name}: {} attempts, {complete} whole, {} faults",
@@ -222,7 +222,7 @@
     };
     let silent = Fault::LeaveEngine { announced: false };
     let steps = [
-        step(500, 0, Fault::StoreConnection(Harm::Reset)),
+        step(500, 0, Fault::StoreConnection(ProxyFault::Reset)),
         step(7_050, 1, silent),
         step(7_500, 3, silent),
     ];
--- a/fireflydirect/tests/soak_parts/faults.rs
+++ b/fireflydirect/tests/soak_parts/faults.rs
@@ -2,7 +2,7 @@
 
 use crate::soak_parts::plan::{Fault, Step};
 use crate::support::{KEY, Site};
-use standins::site::{AnswerFault, EngineKind, Evidence, Harm, Snapshot, StoreMode};
+use standins::site::{AnswerFault, EngineKind, Evidence, ProxyFault, Snapshot, StoreMode};
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
@@ -166,7 +166,7 @@
             }
             Fault::LateStore => {
                 self.excuse_failures(step.span);
-                self.site.store.set_mode(StoreMode::Late(STORE_DELAY));
+                self.site.store.set_mode(StoreMode::Delay(STORE_DELAY));
                 self.pending_undos.push((end, Undo::Store));
             }
             Fault::StaleStore => {
@@ -189,7 +189,7 @@
             }
             Fault::StoreConnection(harm) => {
                 self.excuse_failures(step.span);
-                self.site.store_proxy.as_ref().unwrap().set(harm);
+                self.site.store_proxy.as_ref().unwrap().set_fault(harm);
                 self.pending_undos.push((end, Undo::Store));
             }
             Fault::Compact => self.site.store.compact(),
@@ -244,7 +244,7 @@
     fn begin_drill(&mut self, span: Duration) {
         self.excuse_failures(span + REWRITE_DELAY);
         let number = self.copies.len();
-        self.copies.insert(number, self.site.store.copy());
+        self.copies.insert(number, self.site.store.snapshot());
         self.pending_undos
             .push((Instant::now() + span, Undo::Drill(number)));
     }
@@ -252,11 +252,11 @@
     async fn restart(&mut self, engine: usize, silent: bool, end: Instant) {
         if silent {
             self.excuse_failures(end - Instant::now());
-            self.set_harm(EngineKind::Model, engine, Harm::Silence);
+            self.set_harm(EngineKind::Model, engine, ProxyFault::BlockAll);
             let undo = Undo::UpstreamConnection(EngineKind::Model, engine);
             self.pending_undos.push((end, undo));
         }
-        self.site.engines[engine].start_again().await.unwrap();
+        self.site.engines[engine].restart().await.unwrap();
         let instance = self.site.engines[engine].instance();
         let now = Instant::now();
         // The incarnation that stated the rate limit has ended.
@@ -282,7 +282,7 @@
     /// Overwrites the record of an engine, which rewrites its own at `end`.
     fn overwrite_record(&mut self, engine: usize, pick: usize, end: Instant) {
         let instance = self.site.engines[engine].instance();
-        let mut foreign = self.site.engines[engine].entry("models", "ready");
+        let mut foreign = self.site.engines[engine].registration("models", "ready");
         match pick % 4 {
             0 => foreign["state"] = "asleep".into(),
             1 => foreign["service"] = self.foreign_service.into(),
@@ -328,9 +328,9 @@
         }
     }
 
-    fn set_harm(&self, kind: EngineKind, number: usize, harm: Harm) {
+    fn set_harm(&self, kind: EngineKind, number: usize, harm: ProxyFault) {
         let instance = self.upstream(kind, number).instance();
-        self.site.proxies[&instance].set(harm);
+        self.site.proxies[&instance].set_fault(harm);
     }
 
     async fn undo(&mut self, undo: Undo) {
@@ -349,9 +349,13 @@
             Undo::ListLeaving(engine) => self.list_leaving(engine).await,
             Undo::Pause(plain) => self.end_pause(plain),
             Undo::Answers(kind, number) => self.upstream(kind, number).set_fault(AnswerFault::None),
-            Undo::UpstreamConnection(kind, number) => self.set_harm(kind, number, Harm::None),
+            Undo::UpstreamConnection(kind, number) => self.set_harm(kind, number, ProxyFault::None),
             Undo::Store => {
-                self.site.store_proxy.as_ref().unwrap().set(Harm::None);
+                self.site
+                    .store_proxy
+                    .as_ref()
+                    .unwrap()
+                    .set_fault(ProxyFault::None);
                 self.site.store.set_mode(StoreMode::Up);
             }
             Undo::Resume(entry) => {
--- a/fireflydirect/tests/support/mod.rs
+++ b/fireflydirect/tests/support/mod.rs
@@ -131,7 +131,7 @@
             site.store.put(
                 "servers",
                 &plain.instance(),
-                &plain.entry("records", "ready"),
+                &plain.registration("records", "ready"),
             );
             site.plains.push(plain);
         }
@@ -160,8 +160,11 @@
         let engine = self
             .upstream(EngineKind::Model, &instance, 100 + number)
             .await;
-        self.store
-            .put("servers", &instance, &engine.entry("models", "ready"));
+        self.store.put(
+            "servers",
+            &instance,
+            &engine.registration("models", "ready"),
+        );
         self.engines.push(engine);
     }
 
@@ -222,7 +225,7 @@
         };
         let store = match &self.store_proxy {
             Some(proxy) => proxy.addr(),
-            None => self.store.open_door(ip.into()).await.unwrap(),
+            None => self.store.add_listener(ip.into()).await.unwrap(),
         };
         fs::write(&entry.settings, self.settings(&entry, store).to_string()).unwrap();
         entry.start();
@@ -248,13 +251,13 @@
             EngineKind::Plain => (&self.plains[number], "records"),
         };
         let instance = upstream.instance();
-        let mut entry = upstream.entry(service, state);
+        let mut entry = upstream.registration(service, state);
         if !self.proxies.contains_key(&instance) {
             let proxy = Proxy::start(upstream.addr()).await.unwrap();
             self.proxies.insert(instance.clone(), proxy);
         }
         let known_at = self.proxies[&instance].addr();
-        upstream.known_at(known_at);
+        upstream.set_advertised_addr(known_at);
         entry["address"] = json!(known_at.to_string());
         self.store.put("servers", &instance, &entry);
     }
@@ -427,7 +430,7 @@
     /// Moves the second engine and the second plain service to the data centre `b` in region `south`.
     pub(crate) async fn split_data_centres(&self) {
         for (upstream, service) in [(&self.engines[1], "models"), (&self.plains[1], "records")] {
-            let mut entry = upstream.entry(service, "ready");
+            let mut entry = upstream.registration(service, "ready");
             entry["zone"] = json!("b");
             self.store.put("servers", &upstream.instance(), &entry);
         }
--- a/standins/src/caller/session.rs
+++ b/standins/src/caller/session.rs
@@ -1,4 +1,4 @@
-//! Seeing one request to its end over several connections and entries.
+//! Runs one request to its end over several connections and entries.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,83 +8,83 @@
 use serde_json::Value;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use super::attempt::{Attempt, End, Got};
-use super::events::{Reader, Said};
+use super::attempt::{Attempt, End, RequestOutcome};
+use super::events::{Payload, Reader};
 use super::request::Request;
 
-/// Wait before a broken connection is taken up elsewhere.
-const RECONNECT: Duration = Duration::from_millis(50);
-/// Longest wait for a connection.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Wait before a reconnection or a retry after a broken connection.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What all callers of a run share; cloning is cheap.
+/// State shared by all callers of a run; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client,
     entries: Arc<[String]>,
-    patience: Duration,
+    timeout: Duration,
     tokens: Arc<AtomicU64>,
 }
 
-/// One request on its way.
+/// A request in progress.
 #[derive(Debug)]
 pub struct Session {
     caller: Caller,
     request: Request,
     entry: usize,
     attempts: Vec<Attempt>,
-    link: Option<Link>,
+    connection: Option<Connection>,
     last_id: Option<String>,
     deadline: Instant,
 }
 
-/// A stream that is being read.
+/// An open stream.
 #[derive(Debug)]
-struct Link {
+struct Connection {
     res: Response,
     reader: Reader,
 }
 
-/// What is to be done after an answer or a failure.
+/// Next action after an answer or a failure.
 enum Next {
-    /// Go on reading or sending.
-    On,
-    /// Send it anew after that wait.
-    Anew(Duration),
-    /// This is the end.
+    /// Continue reading or sending.
+    Continue,
+    /// Start a new attempt after this wait.
+    Retry(Duration),
+    /// The request ended.
     Ended(End),
 }
 
 impl Caller {
-    /// Callers of these entries (base URLs); each request ends within
-    /// `patience`.
+    /// Creates callers of these entries (base URLs); each request ends within
+    /// `timeout`.
     ///
     /// # Errors
     ///
-    /// When there is no HTTP client to be had.
+    /// Returns an error when the HTTP client can't be built.
     pub fn new(
         entries: impl IntoIterator<Item = String>,
-        patience: Duration,
+        timeout: Duration,
     ) -> reqwest::Result<Self> {
         let client = Client::builder()
             .no_proxy()
-            .connect_timeout(CONNECT)
+            .connect_timeout(CONNECT_TIMEOUT)
             .build()?;
         Ok(Self {
             client,
             entries: entries.into_iter().collect(),
-            patience,
+            timeout,
             tokens: Arc::default(),
         })
     }
 
-    /// Tokens that all callers have got.
+    /// Returns the tokens received by all callers.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         self.tokens.load(Ordering::Relaxed)
     }
 
-    /// Begins a request at the entry of that index.
+    /// Starts a request at the entry with this index.
     #[must_use]
     pub fn begin(&self, request: Request, entry: usize) -> Session {
         let first = Attempt::new(request.mark.clone());
@@ -93,21 +93,22 @@
             request,
             entry,
             attempts: vec![first],
-            link: None,
+            connection: None,
             last_id: None,
-            deadline: Instant::now() + self.patience,
+            deadline: Instant::now() + self.timeout,
         }
     }
 
-    /// Sees a request to its end, from the entry of that index on.
-    pub async fn run(&self, request: Request, entry: usize) -> Got {
+    /// Runs a request to its end, starting at the entry with this index.
+    pub async fn run(&self, request: Request, entry: usize) -> RequestOutcome {
         self.begin(request, entry).finish().await
     }
 }
 
 impl Session {
-    /// Reads until the attempt has `count` tokens; false when it ended first.
-    pub async fn until_tokens(&mut self, count: u64) -> bool {
+    /// Reads until an attempt has `count` tokens; returns false when the request
+    /// ended first.
+    pub async fn read_until_tokens(&mut self, count: u64) -> bool {
         while self.attempt().tokens < count {
             if !self.step().await {
                 return false;
@@ -116,52 +117,52 @@
         true
     }
 
-    /// Sees the request to its end.
-    pub async fn finish(mut self) -> Got {
+    /// Runs the request to its end.
+    pub async fn finish(mut self) -> RequestOutcome {
         while self.step().await {}
-        Got {
+        RequestOutcome {
             request: self.request,
             attempts: self.attempts,
         }
     }
 
-    /// Id of the last event, to come back with.
+    /// Returns the id of the last event, which a reconnection sends.
     #[must_use]
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Tokens of the present attempt.
+    /// Returns the tokens of the current attempt.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         self.attempts.last().map_or(0, |a| a.tokens)
     }
 
-    /// Gives up the connection, as a caller does whose network broke.
-    pub fn hang_up(&mut self) {
-        self.link = None;
+    /// Drops the connection, as on a network failure of the caller.
+    pub fn disconnect(&mut self) {
+        self.connection = None;
     }
 
-    /// Goes on at the entry of that index from the next connection on.
-    pub fn turn_to(&mut self, entry: usize) {
+    /// Uses the entry with this index from the next connection on.
+    pub fn switch_entry(&mut self, entry: usize) {
         self.entry = entry;
     }
 
-    /// Takes one step; false when the request has ended.
+    /// Performs one step; returns false when the request has ended.
     async fn step(&mut self) -> bool {
-        if self.attempt().end != End::Open {
+        if self.attempt().end != End::InProgress {
             return false;
         }
         let deadline = self.deadline;
-        let next = match timeout_at(deadline, self.act()).await {
+        let next = match timeout_at(deadline, self.advance()).await {
             Ok(next) => next,
-            Err(_) => Next::Ended(End::Hung),
+            Err(_) => Next::Ended(End::TimedOut),
         };
         match next {
-            Next::On => true,
-            Next::Anew(wait) => {
+            Next::Continue => true,
+            Next::Retry(wait) => {
                 sleep(wait).await;
-                self.begin_anew();
+                self.start_retry();
                 true
             }
             Next::Ended(end) => {
@@ -171,8 +172,8 @@
         }
     }
 
-    async fn act(&mut self) -> Next {
-        if self.link.is_some() {
+    async fn advance(&mut self) -> Next {
+        if self.connection.is_some() {
             self.read().await
         } else {
             self.send().await
@@ -184,7 +185,7 @@
         &mut self.attempts[last]
     }
 
-    fn begin_anew(&mut self) {
+    fn start_retry(&mut self) {
         let mark = if self.request.keeps_body {
             self.request.mark.clone()
         } else {
@@ -216,23 +217,23 @@
         }
         match req.send().await {
             Ok(res) if is_stream(&res) => {
-                self.attempt().returns += u32::from(self.last_id.is_some());
-                self.link = Some(Link {
+                self.attempt().reconnects += u32::from(self.last_id.is_some());
+                self.connection = Some(Connection {
                     res,
                     reader: Reader::default(),
                 });
-                Next::On
+                Next::Continue
             }
-            Ok(res) => self.take_whole(res).await,
-            Err(err) => self.on_cut(err.is_connect()).await,
+            Ok(res) => self.read_complete(res).await,
+            Err(err) => self.on_disconnect(err.is_connect()).await,
         }
     }
 
-    /// Takes an answer that is no stream.
-    async fn take_whole(&mut self, res: Response) -> Next {
+    /// Reads an answer that isn't streamed.
+    async fn read_complete(&mut self, res: Response) -> Next {
         let ok = res.status().is_success();
         let Ok(value) = res.json::<Value>().await else {
-            return self.on_cut(false).await;
+            return self.on_disconnect(false).await;
         };
         if !ok {
             return self.on_error(&value).await;
@@ -240,7 +241,7 @@
         let content = value["choices"][0]["message"]["content"].as_str();
         let text = content.map_or_else(|| value.to_string(), str::to_owned);
         self.add(&text);
-        Next::Ended(End::Whole)
+        Next::Ended(End::Complete)
     }
 
     fn add(&mut self, text: &str) {
@@ -250,51 +251,52 @@
         self.caller.tokens.fetch_add(more, Ordering::Relaxed);
     }
 
-    /// Takes the next event of a stream.
+    /// Processes the next event of a stream, or reads its next chunk.
     async fn read(&mut self) -> Next {
-        let Some(link) = &mut self.link else {
-            return Next::On;
+        let Some(connection) = &mut self.connection else {
+            return Next::Continue;
         };
-        if let Some(event) = link.reader.next() {
+        if let Some(event) = connection.reader.next() {
             self.last_id = event.id.clone().or(self.last_id.take());
-            return match event.said() {
-                Said::Text(text) => {
+            return match event.payload() {
+                Payload::Text(text) => {
                     self.add(&text);
-                    Next::On
+                    Next::Continue
                 }
-                Said::Done => Next::Ended(End::Whole),
-                Said::Error(value) => {
-                    self.link = None;
+                Payload::Done => Next::Ended(End::Complete),
+                Payload::Error(value) => {
+                    self.connection = None;
                     self.on_error(&value).await
                 }
-                Said::Unreadable => Next::Ended(End::Cut),
+                Payload::Unreadable => Next::Ended(End::Disconnected),
             };
         }
-        match link.res.chunk().await {
+        match connection.res.chunk().await {
             Ok(Some(chunk)) => {
-                link.reader.push(&chunk);
-                Next::On
+                connection.reader.push(&chunk);
+                Next::Continue
             }
-            Ok(None) | Err(_) => self.on_cut(false).await,
+            Ok(None) | Err(_) => self.on_disconnect(false).await,
         }
     }
 
-    /// Comes back to the stream through the next entry, or sends anew.
-    async fn on_cut(&mut self, refused: bool) -> Next {
-        self.link = None;
+    /// Resumes the stream through the next entry, retries, or ends the request.
+    async fn on_disconnect(&mut self, refused: bool) -> Next {
+        self.connection = None;
         if self.last_id.is_some() {
             self.entry += 1;
-            sleep(RECONNECT).await;
-            return Next::On;
+            sleep(RECONNECT_DELAY).await;
+            return Next::Continue;
         }
-        if refused || self.request.is_repeatable() {
-            self.attempt().end = End::Cut;
-            return Next::Anew(RECONNECT);
+        if refused || self.request.is_retryable() {
+            self.attempt().end = End::Disconnected;
+            return Next::Retry(RECONNECT_DELAY);
         }
-        Next::Ended(End::Cut)
+        Next::Ended(End::Disconnected)
     }
 
-    /// Waits where the system says when to come back; else that's the end.
+    /// Waits and retries when the error has a `retry_after`; otherwise ends the
+    /// request.
     async fn on_error(&mut self, value: &Value) -> Next {
         let error = &value["error"];
         let code = error["code"].as_u64().and_then(|c| u32::try_from(c).ok());
@@ -306,18 +308,20 @@
             return Next::Ended(End::Code(code));
         };
         if self.last_id.is_some() {
-            // The stream goes on elsewhere: only this entry won't serve it.
+            // Only this entry refuses the stream; others can continue it.
             self.entry += 1;
             sleep(Duration::from_secs(secs)).await;
-            return Next::On;
+            return Next::Continue;
         }
         self.attempt().end = End::Code(code);
-        Next::Anew(Duration::from_secs(secs))
+        Next::Retry(Duration::from_secs(secs))
     }
 }
 
 fn is_stream(res: &Response) -> bool {
-    let kind = res.headers().get("content-type");
-    let kind = kind.and_then(|v| v.to_str().ok()).unwrap_or_default();
-    res.status().is_success() && kind.starts_with("text/event-stream")
+    let content_type = res.headers().get("content-type");
+    let content_type = content_type
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or_default();
+    res.status().is_success() && content_type.starts_with("text/event-stream")
 }
--- a/standins/src/demo/callers.rs
+++ b/standins/src/demo/callers.rs
@@ -6,7 +6,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::Config;
-use crate::caller::{Caller, Got, Request};
+use crate::caller::{Caller, Request, RequestOutcome};
 
 const COUNTER_KEY: &str = "demo-key-1";
 const DOSSIER_KEY: &str = "demo-key-2";
@@ -27,7 +27,7 @@
 const REQUEST_PAIRS: usize = 2;
 
 /// Starts all callers.
-pub(super) fn start(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller, cfg: &Config) {
+pub(super) fn start(tasks: &mut JoinSet<Vec<RequestOutcome>>, caller: &Caller, cfg: &Config) {
     for n in 0..LONG_STREAMS {
         let dossier = Request::stream(
             &format!("dossier{n}"),
@@ -41,7 +41,7 @@
     }
     let half = cfg.long_tokens / 2;
     for n in 0..REQUEST_PAIRS {
-        let whole = Request::whole(&format!("whole{n}"), DOSSIER_KEY, "model-b", half);
+        let whole = Request::non_streaming(&format!("whole{n}"), DOSSIER_KEY, "model-b", half);
         start_one(tasks, caller, whole, n);
         start_pair(tasks, caller, &grade_request(n));
         start_pair(tasks, caller, &filing_request(n));
@@ -52,29 +52,34 @@
 }
 
 fn grade_request(n: usize) -> Request {
-    Request::whole(&format!("grade{n}"), GRADE_KEY, "model-b", GRADE_TOKENS)
-        .keyed(&format!("reel-{n}"))
+    Request::non_streaming(&format!("grade{n}"), GRADE_KEY, "model-b", GRADE_TOKENS)
+        .with_idempotency_key(&format!("reel-{n}"))
 }
 
 fn filing_request(n: usize) -> Request {
     Request::call(&format!("filing{n}"), COUNTER_KEY, "records", "/file")
-        .keyed(&format!("claim-{n}"))
+        .with_idempotency_key(&format!("claim-{n}"))
 }
 
-fn start_one(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller, request: Request, entry: usize) {
+fn start_one(
+    tasks: &mut JoinSet<Vec<RequestOutcome>>,
+    caller: &Caller,
+    request: Request,
+    entry: usize,
+) {
     let caller = caller.clone();
     tasks.spawn(async move { vec![caller.run(request, entry).await] });
 }
 
 /// Sends the same request, with its idempotency key, through two entries at once.
-fn start_pair(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller, request: &Request) {
+fn start_pair(tasks: &mut JoinSet<Vec<RequestOutcome>>, caller: &Caller, request: &Request) {
     for entry in 0..2 {
         start_one(tasks, caller, request.clone(), entry);
     }
 }
 
 /// Sends short requests one after another for `duration`.
-async fn send_lookups(caller: Caller, entry: usize, duration: Duration) -> Vec<Got> {
+async fn send_lookups(caller: Caller, entry: usize, duration: Duration) -> Vec<RequestOutcome> {
     let end = Instant::now() + duration;
     let mut all = Vec::new();
     while Instant::now() < end {
--- a/standins/src/demo/mod.rs
+++ b/standins/src/demo/mod.rs
@@ -10,8 +10,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-use crate::caller::{Caller, Got};
-use crate::oracle::{Runs, judge};
+use crate::caller::{Caller, RequestOutcome};
+use crate::oracle::{Runs, find_breaches};
 
 /// Time between two progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
@@ -44,7 +44,7 @@
     all.sort_by(|a, b| a.request.mark.cmp(&b.request.mark));
     print!("{}", table::table(&all));
     let runs = Runs::read(&cfg.run_logs)?;
-    let violations = judge(&runs, &all);
+    let violations = find_breaches(&runs, &all);
     for violation in &violations {
         println!("BROKEN {violation}");
     }
@@ -61,11 +61,14 @@
 }
 
 /// Waits for all callers, printing a progress line every [`PROGRESS_INTERVAL`].
-async fn await_callers(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller) -> Vec<Got> {
+async fn await_callers(
+    tasks: &mut JoinSet<Vec<RequestOutcome>>,
+    caller: &Caller,
+) -> Vec<RequestOutcome> {
     let start = Instant::now();
     let mut ticks = interval(PROGRESS_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
-    let mut all: Vec<Got> = Vec::new();
+    let mut all: Vec<RequestOutcome> = Vec::new();
     loop {
         tokio::select! {
             done = tasks.join_next() => match done {
--- a/standins/src/demo/table.rs
+++ b/standins/src/demo/table.rs
@@ -2,17 +2,17 @@
 
 use std::fmt::Write;
 
-use crate::caller::{Attempt, End, Got, Work};
+use crate::caller::{Attempt, End, RequestOutcome, Work};
 use crate::oracle::Runs;
 
 /// Returns a table with a line for each request.
-pub(super) fn table(all: &[Got]) -> String {
+pub(super) fn table(all: &[RequestOutcome]) -> String {
     let mut text = String::from(
         "\nrequest      kind    sent    resumed  tokens            ended\n\
          -----------  ------  ----  ---------  ----------------  -----\n",
     );
     for got in all {
-        let reattachments: u32 = got.attempts.iter().map(|a| a.returns).sum();
+        let reattachments: u32 = got.attempts.iter().map(|a| a.reconnects).sum();
         let _ = writeln!(
             text,
             "{:<11}  {:<6}  {:>4}  {:>9}  {:<16}  {}",
@@ -28,12 +28,12 @@
 }
 
 /// Returns a summary of all requests.
-pub(super) fn summary(runs: &Runs, all: &[Got]) -> String {
-    let whole = all.iter().filter(|g| g.is_whole()).count();
+pub(super) fn summary(runs: &Runs, all: &[RequestOutcome]) -> String {
+    let whole = all.iter().filter(|g| g.is_complete()).count();
     let reattachments: u32 = all
         .iter()
         .flat_map(|g| &g.attempts)
-        .map(|a| a.returns)
+        .map(|a| a.reconnects)
         .sum();
     format!(
         "\n{} requests, {whole} answered completely, {} not; \
@@ -46,7 +46,7 @@
     )
 }
 
-const fn request_kind(got: &Got) -> &'static str {
+const fn request_kind(got: &RequestOutcome) -> &'static str {
     match &got.request.work {
         Work::Generate { stream: true, .. } => "stream",
         Work::Generate { stream: false, .. } => "whole",
@@ -54,7 +54,7 @@
     }
 }
 
-fn format_tokens(got: &Got) -> String {
+fn format_tokens(got: &RequestOutcome) -> String {
     match got.request.tokens() {
         Some(all) => format!("{} of {all}", got.last().tokens),
         None => "-".to_owned(),
@@ -63,10 +63,10 @@
 
 fn format_end(attempt: &Attempt) -> String {
     match &attempt.end {
-        End::Whole => "whole".to_owned(),
+        End::Complete => "whole".to_owned(),
         End::Code(code) => format!("code {code}"),
-        End::Cut => "cut".to_owned(),
-        End::Hung => "hung".to_owned(),
-        End::Open => "open".to_owned(),
+        End::Disconnected => "cut".to_owned(),
+        End::TimedOut => "hung".to_owned(),
+        End::InProgress => "open".to_owned(),
     }
 }
--- a/standins/src/oracle/tokens.rs
+++ b/standins/src/oracle/tokens.rs
@@ -1,34 +1,41 @@
-//! Whether the tokens of an answer come once, in order, of one generation.
+//! Checks that the tokens of an answer come once, in order, from one generation.
 
 use super::runs::Runs;
 use crate::load::{TokenCheck, Violation};
 
-/// What is wrong with the tokens of an answer.
+/// Violated guarantees about the tokens of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
-    /// They break a rule by themselves.
-    Tokens(Violation),
-    /// No engine ran the generation that they say they are of.
-    NeverRan,
+pub enum TokenBreach {
+    /// The token sequence itself is invalid.
+    Sequence(Violation),
+    /// No engine ran the generation that the tokens name.
+    UnknownGeneration,
 }
 
-/// Checks the text of an answer to the request with that mark, and that it has
-/// `whole` tokens, where it is said to be whole.
+/// Checks the text of an answer to the request with this mark, and its number of
+/// tokens when `complete_tokens` is given.
 ///
 /// # Errors
 ///
-/// The first flaw.
-pub fn check_tokens(runs: &Runs, mark: &str, text: &str, whole: Option<u64>) -> Result<(), Flaw> {
-    let mut check = TokenCheck::new(mark);
-    check.push_text(text);
-    if let Some(expected) = whole {
-        check.complete(expected);
+/// Returns the first violation.
+pub fn check_tokens(
+    runs: &Runs,
+    mark: &str,
+    text: &str,
+    complete_tokens: Option<u64>,
+) -> Result<(), TokenBreach> {
+    let mut checker = TokenCheck::new(mark);
+    checker.push_text(text);
+    if let Some(expected) = complete_tokens {
+        checker.complete(expected);
     }
-    if let Some(violation) = check.violation() {
-        return Err(Flaw::Tokens(violation));
+    if let Some(violation) = checker.violation() {
+        return Err(TokenBreach::Sequence(violation));
     }
     match text.split('.').next() {
-        Some(nonce) if !nonce.is_empty() && !runs.has(mark, nonce) => Err(Flaw::NeverRan),
+        Some(nonce) if !nonce.is_empty() && !runs.has_generation(mark, nonce) => {
+            Err(TokenBreach::UnknownGeneration)
+        }
         _ => Ok(()),
     }
 }
--- a/standins/src/site/engine.rs
+++ b/standins/src/site/engine.rs
@@ -1,4 +1,4 @@
-//! An upstream of the site: a model engine with memory to move, or a plain service.
+//! An upstream of the site: a model engine whose runs can migrate, or a plain service.
 
 use std::collections::HashMap;
 use std::io;
@@ -13,44 +13,44 @@
 
 use super::http::{Headers, Request, read_request, reset, until_closed, write_answer};
 use super::record::{CopyKey, Record, RunEnd};
-use super::runs::{Running, generate, move_run, plain, report};
-use super::start::{bind_again, close_port, unix_millis};
+use super::runs::{ActiveRun, answer_plain, migrate_run, send_report, stream_generation};
+use super::start::{bind_with_retries, close_port, unix_millis};
 use crate::sync::lock;
 
-/// What an upstream is.
+/// Kinds of upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineKind {
-    /// It streams generations.
+    /// Streams generations.
     Model,
-    /// It answers calls as a whole.
+    /// Answers calls without streaming.
     Plain,
 }
 
-/// How an upstream spoils the requests to come.
+/// Faults of an upstream's answers to requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AnswerFault {
-    /// It doesn't.
+    /// No fault.
     #[default]
     None,
-    /// It turns them away as not run.
-    Full,
-    /// It runs them and answers 500.
-    Fails,
-    /// It runs them and resets the connection.
-    Loses,
-    /// It breaks off in the middle of the fifth event, or of the body.
-    Tears,
-    /// It sends another request's answer after each one.
-    Doubles,
-    /// It crashes when it begins to run them.
-    Crashes,
-    /// It never answers.
-    Hangs,
-    /// It reads prompts for a second before it answers.
+    /// Rejects requests as not run.
+    Reject,
+    /// Runs requests and answers 500.
+    Error,
+    /// Runs requests and resets the connection.
+    DropAnswer,
+    /// Resets the connection in the middle of the fifth event, or of the body.
+    Truncate,
+    /// Sends another request's answer after each answer.
+    Duplicate,
+    /// Crashes at the start of a run.
+    Crash,
+    /// Never answers.
+    Hang,
+    /// Takes a second to read the prompt before it answers.
     Slow,
 }
 
-/// A running upstream; dropping it ends it.
+/// A running upstream; dropping it stops it.
 #[derive(Debug)]
 pub struct Engine {
     shared: Arc<Shared>,
@@ -61,24 +61,24 @@
 pub(super) struct Shared {
     kind: EngineKind,
     instance: Mutex<String>,
-    /// Unix milliseconds of the start.
+    /// Start time, in Unix milliseconds.
     pub(super) born: u64,
     addr: SocketAddr,
-    /// Address under which others know it: a proxy's, if there is one.
-    pub(super) known_at: Mutex<SocketAddr>,
+    /// Address that others use: the proxy's, if there is one.
+    pub(super) advertised_addr: Mutex<SocketAddr>,
     pub(super) record: Record,
     fault: Mutex<AnswerFault>,
-    /// Requests that it turned away.
-    turned_away: AtomicUsize,
-    /// Headers that all its answers carry beside their own, by name.
-    said: Mutex<HashMap<String, String>>,
-    /// Milliseconds until it is gone, as its report says.
+    /// Number of rejected requests.
+    rejected: AtomicUsize,
+    /// Headers added to all answers to requests, by name.
+    extra_headers: Mutex<HashMap<String, String>>,
+    /// Milliseconds until it leaves, as reported.
     pub(super) leaves_ms: Mutex<Option<u32>>,
-    /// Runs that are to stop for a move, by request.
-    pub(super) stops: Mutex<HashMap<String, Arc<Notify>>>,
+    /// Signals that stop runs for a migration, by request.
+    pub(super) stop_signals: Mutex<HashMap<String, Arc<Notify>>>,
     crash: Notify,
-    /// Handles given out in this life.
-    pub(super) handles: AtomicU64,
+    /// Number of the next handle in this incarnation.
+    pub(super) next_handle: AtomicU64,
 }
 
 impl Shared {
@@ -88,28 +88,28 @@
             instance: Mutex::new(instance.to_owned()),
             born,
             addr,
-            known_at: Mutex::new(addr),
+            advertised_addr: Mutex::new(addr),
             record,
             fault: Mutex::default(),
-            turned_away: AtomicUsize::new(0),
-            said: Mutex::default(),
+            rejected: AtomicUsize::new(0),
+            extra_headers: Mutex::default(),
             leaves_ms: Mutex::default(),
-            stops: Mutex::default(),
+            stop_signals: Mutex::default(),
             crash: Notify::new(),
-            handles: AtomicU64::new(0),
+            next_handle: AtomicU64::new(0),
         }
     }
 
-    /// These headers, and those that all answers carry.
-    pub(super) fn with_said(&self, own: &[(&str, &str)]) -> Headers {
+    /// Returns these headers and the extra headers.
+    pub(super) fn with_extra_headers(&self, own: &[(&str, &str)]) -> Headers {
         let owned = |(name, value): (&str, &str)| (name.to_owned(), value.to_owned());
         let own = own.iter().copied().map(owned);
-        let said = lock(&self.said);
-        let said = said.iter().map(|(n, v)| owned((n, v)));
-        own.chain(said).collect()
+        let extra_headers = lock(&self.extra_headers);
+        let extra_headers = extra_headers.iter().map(|(n, v)| owned((n, v)));
+        own.chain(extra_headers).collect()
     }
 
-    /// Writes a whole answer to a request.
+    /// Writes a complete answer to a request.
     pub(super) async fn answer(
         &self,
         stream: &mut TcpStream,
@@ -117,7 +117,7 @@
         headers: &[(&str, &str)],
         body: &[u8],
     ) -> io::Result<()> {
-        write_answer(stream, status, &self.with_said(headers), body).await
+        write_answer(stream, status, &self.with_extra_headers(headers), body).await
     }
 }
 
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     ///
-    /// When the address can't be bound.
+    /// Returns an error when the address can't be bound.
     pub async fn start(
         kind: EngineKind,
         instance: &str,
@@ -148,91 +148,90 @@
         Self { shared, stop }
     }
 
-    /// Ends it and starts it again at once, under the same id and address: it knows nothing of
-    /// before.
+    /// Kills and restarts the upstream under the same id and address, without its previous state.
     ///
     /// # Errors
     ///
-    /// When the address isn't free within a few seconds.
-    pub async fn start_again(&mut self) -> io::Result<()> {
+    /// Returns an error when the address isn't free within a few seconds.
+    pub async fn restart(&mut self) -> io::Result<()> {
         self.kill();
         let old = &self.shared;
-        let listener = bind_again(old.addr).await?;
+        let listener = bind_with_retries(old.addr).await?;
         let born = unix_millis().max(old.born + 1);
         let record = old.record.clone();
         let shared = Shared::new(old.kind, &self.instance(), old.addr, record, born);
-        *lock(&shared.known_at) = *lock(&old.known_at);
+        *lock(&shared.advertised_addr) = *lock(&old.advertised_addr);
         *self = Self::run(listener, shared);
         Ok(())
     }
 
-    /// When it started, in Unix milliseconds.
+    /// Returns the start time, in Unix milliseconds.
     #[must_use]
     pub fn born(&self) -> u64 {
         self.shared.born
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.shared.addr
     }
 
-    /// Its id.
+    /// Returns the id.
     #[must_use]
     pub fn instance(&self) -> String {
         lock(&self.shared.instance).clone()
     }
 
-    /// The entry that it keeps of itself in the store.
+    /// Returns the record with which the upstream registers in the store.
     #[must_use]
-    pub fn entry(&self, service: &str, state: &str) -> Value {
+    pub fn registration(&self, service: &str, state: &str) -> Value {
         json!({"service": service, "address": self.addr().to_string(), "zone": "a",
             "version": "v1", "slots": 8, "state": state, "cold_remaining_ms": 0, "sequence": 1,
             "born": self.born()})
     }
 
-    /// Spoils the requests to come.
+    /// Sets the fault for subsequent requests.
     pub fn set_fault(&self, fault: AnswerFault) {
         *lock(&self.shared.fault) = fault;
     }
 
-    /// Requests that it has turned away since its start.
+    /// Returns the number of requests rejected since the start.
     #[must_use]
-    pub fn turned_away(&self) -> usize {
-        self.shared.turned_away.load(Ordering::Relaxed)
+    pub fn rejected(&self) -> usize {
+        self.shared.rejected.load(Ordering::Relaxed)
     }
 
-    /// Says so in a header of all answers to requests, or no longer.
-    pub fn say(&self, name: &str, value: Option<&str>) {
-        let mut said = lock(&self.shared.said);
+    /// Sets a header of all answers to requests, or removes it.
+    pub fn set_header(&self, name: &str, value: Option<&str>) {
+        let mut extra_headers = lock(&self.shared.extra_headers);
         match value {
-            Some(value) => said.insert(name.to_owned(), value.to_owned()),
-            None => said.remove(name),
+            Some(value) => extra_headers.insert(name.to_owned(), value.to_owned()),
+            None => extra_headers.remove(name),
         };
     }
 
-    /// Says in its report that it is gone after so many milliseconds.
-    pub fn say_leaving(&self, after_ms: u32) {
+    /// Makes the report announce that it leaves in `after_ms`.
+    pub fn report_leaving(&self, after_ms: u32) {
         *lock(&self.shared.leaves_ms) = Some(after_ms);
     }
 
-    /// Others know it by this address from now on.
-    pub fn known_at(&self, addr: SocketAddr) {
-        *lock(&self.shared.known_at) = addr;
+    /// Sets the address that others use.
+    pub fn set_advertised_addr(&self, addr: SocketAddr) {
+        *lock(&self.shared.advertised_addr) = addr;
     }
 
-    /// Gives the address to another instance, as after a restart.
-    pub fn become_another(&self, instance: &str) {
+    /// Replaces the instance id at this address, as after a restart.
+    pub fn set_instance(&self, instance: &str) {
         instance.clone_into(&mut lock(&self.shared.instance));
     }
 
-    /// Ends it at once: connections are reset, the port is closed.
+    /// Stops it at once: closes the port and resets the connections.
     pub fn kill(&self) {
-        // It may have crashed already.
+        // Fails when the upstream has crashed already.
         let _ = self.stop.send(true);
-        let known_at = lock(&self.shared.known_at).to_string();
-        self.shared.record.drop_copies_at(&known_at);
+        let advertised_addr = lock(&self.shared.advertised_addr).to_string();
+        self.shared.record.drop_copies_at(&advertised_addr);
     }
 }
 
@@ -243,14 +242,15 @@
 }
 
 async fn accept(listener: TcpListener, shared: Arc<Shared>, mut stopped: watch::Receiver<bool>) {
-    // Connections are reset once the port is closed, so that nobody who sees it can connect again.
+    // Close the port before resetting connections, so that a client that sees the reset can't
+    // reconnect.
     let (closing, closed) = watch::channel(false);
-    let mut talks = JoinSet::new();
+    let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 let Ok((stream, _)) = accepted else { return };
-                talks.spawn(talk(stream, shared.clone(), closed.clone()));
+                connections.spawn(serve_connection(stream, shared.clone(), closed.clone()));
             }
             () = shared.crash.notified() => break,
             _ = stopped.wait_for(|s| *s) => break,
@@ -258,10 +258,14 @@
     }
     close_port(listener);
     closing.send_replace(true);
-    talks.shutdown().await;
+    connections.shutdown().await;
 }
 
-async fn talk(mut stream: TcpStream, shared: Arc<Shared>, mut closed: watch::Receiver<bool>) {
+async fn serve_connection(
+    mut stream: TcpStream,
+    shared: Arc<Shared>,
+    mut closed: watch::Receiver<bool>,
+) {
     let mut buf = Vec::new();
     loop {
         let read = tokio::select! {
@@ -270,25 +274,29 @@
         };
         let Ok(Some(req)) = read else { return };
         match answer(&mut stream, &shared, &req).await {
-            Ok(After::Keep) => {}
-            Ok(After::Reset) => return reset(stream),
+            Ok(ConnectionAction::Keep) => {}
+            Ok(ConnectionAction::Reset) => return reset(stream),
             Err(_) => return,
         }
     }
 }
 
-/// What becomes of a connection after a request.
-pub(super) enum After {
+/// Action on a connection after a request.
+pub(super) enum ConnectionAction {
     Keep,
     Reset,
 }
 
-async fn answer(stream: &mut TcpStream, shared: &Shared, req: &Request) -> io::Result<After> {
+async fn answer(
+    stream: &mut TcpStream,
+    shared: &Shared,
+    req: &Request,
+) -> io::Result<ConnectionAction> {
     if req.path == "/v1/kv-move" {
-        return move_run(stream, shared, req).await;
+        return migrate_run(stream, shared, req).await;
     }
     if req.path == "/v1/report" {
-        return report(stream, shared).await;
+        return send_report(stream, shared).await;
     }
     let instance = lock(&shared.instance).clone();
     if req
@@ -297,68 +305,70 @@
     {
         let headers = [("X-Instance-Id", instance.as_str())];
         shared.answer(stream, 421, &headers, b"").await?;
-        return Ok(After::Keep);
+        return Ok(ConnectionAction::Keep);
     }
     let Some(id) = req.header("x-request-id") else {
         shared
             .answer(stream, 400, &[("X-Not-Executed", "1")], b"")
             .await?;
-        return Ok(After::Keep);
+        return Ok(ConnectionAction::Keep);
     };
     let fault = *lock(&shared.fault);
-    if fault == AnswerFault::Full {
-        shared.turned_away.fetch_add(1, Ordering::Relaxed);
+    if fault == AnswerFault::Reject {
+        shared.rejected.fetch_add(1, Ordering::Relaxed);
         shared
             .answer(stream, 503, &[("X-Not-Executed", "1")], b"")
             .await?;
-        return Ok(After::Keep);
+        return Ok(ConnectionAction::Keep);
     }
     let from_memory = req.header("kv-from").is_some();
-    if from_memory && !has_copy(shared, req, id) {
+    if from_memory && !take_matching_copy(shared, req, id) {
         shared
             .answer(stream, 503, &[("X-Not-Executed", "1")], b"")
             .await?;
-        return Ok(After::Keep);
+        return Ok(ConnectionAction::Keep);
     }
-    let run = Running::begin(shared, req, id, &instance);
+    let run = ActiveRun::begin(shared, req, id, &instance);
     match fault {
-        AnswerFault::Crashes => {
+        AnswerFault::Crash => {
             shared.crash.notify_one();
             std::future::pending().await
         }
-        AnswerFault::Hangs => {
+        AnswerFault::Hang => {
             until_closed(stream).await;
-            Ok(After::Reset)
+            Ok(ConnectionAction::Reset)
         }
-        AnswerFault::Loses => {
+        AnswerFault::DropAnswer => {
             run.end(RunEnd::Broken);
-            Ok(After::Reset)
+            Ok(ConnectionAction::Reset)
         }
-        AnswerFault::Fails => {
+        AnswerFault::Error => {
             let headers = [("X-Request-Id", id), ("X-Response-Seal", "seal")];
             shared.answer(stream, 500, &headers, b"failed").await?;
             run.end(RunEnd::Complete);
-            Ok(After::Keep)
+            Ok(ConnectionAction::Keep)
+        }
+        _ if shared.kind == EngineKind::Plain => {
+            answer_plain(stream, shared, req, id, fault, &run).await
         }
-        _ if shared.kind == EngineKind::Plain => plain(stream, shared, req, id, fault, &run).await,
-        _ => generate(stream, shared, req, id, fault, &run).await,
+        _ => stream_generation(stream, shared, req, id, fault, &run).await,
     }
 }
 
-/// Takes the copy that a request names, if it lies here and is its own.
-fn has_copy(shared: &Shared, req: &Request, id: &str) -> bool {
-    let Some((named_by, handle)) = req.header("kv-from").and_then(|from| from.split_once('/'))
-    else {
+/// Removes the copy of memory named by a request; returns whether it was stored here for this
+/// request.
+fn take_matching_copy(shared: &Shared, req: &Request, id: &str) -> bool {
+    let Some((issuer, handle)) = req.header("kv-from").and_then(|from| from.split_once('/')) else {
         return false;
     };
-    let copy_of = shared.record.take_copy(&CopyKey {
-        at: lock(&shared.known_at).to_string(),
-        named_by: named_by.to_owned(),
+    let owner = shared.record.take_copy(&CopyKey {
+        holder: lock(&shared.advertised_addr).to_string(),
+        issuer: issuer.to_owned(),
         handle: handle.to_owned(),
     });
-    if copy_of.as_deref().is_some_and(|of| of != id) {
-        // The real engine doesn't compare, and would go on from the other's memory.
-        shared.record.note_foreign_memory(id);
+    if owner.as_deref().is_some_and(|of| of != id) {
+        // The real engine doesn't compare ids and would resume from the other request's memory.
+        shared.record.record_foreign_memory(id);
     }
-    copy_of.is_some_and(|of| of == id)
+    owner.is_some_and(|of| of == id)
 }
--- a/standins/src/site/proxy.rs
+++ b/standins/src/site/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms the connections through it.
+//! Loopback proxy that injects faults into its connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,31 +11,31 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinHandle;
 
-/// Bytes passed on at a time.
-const PIECE: usize = 4_096;
+/// Most bytes forwarded at a time.
+const BUFFER_BYTES: usize = 4_096;
 
-/// What a proxy does to what passes through it.
+/// Faults of the connections through a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Harm {
-    /// Nothing.
+pub enum ProxyFault {
+    /// No fault.
     #[default]
     None,
-    /// Each piece comes so much later.
+    /// Delays each forwarded piece by this time.
     Delay(Duration),
-    /// Answers are held back; requests pass.
-    OneWay,
-    /// Nothing passes either way, and nothing says so.
-    Silence,
-    /// New connections are reset, and open ones at once.
+    /// Holds back answers and forwards requests.
+    BlockAnswers,
+    /// Holds back both directions and keeps connections open.
+    BlockAll,
+    /// Resets open connections at once, and new ones on arrival.
     Reset,
 }
 
-/// A proxy before one address; dropping it ends it.
+/// A proxy to one address; dropping it stops it.
 #[derive(Debug)]
 pub struct Proxy {
     addr: SocketAddr,
-    harm: watch::Sender<Harm>,
-    cut: Arc<Notify>,
+    fault: watch::Sender<ProxyFault>,
+    reset_signal: Arc<Notify>,
     task: JoinHandle<()>,
 }
 
@@ -46,36 +46,41 @@
 }
 
 impl Proxy {
-    /// Starts a proxy at the IP of `to`, on a port of its own.
+    /// Starts a proxy at the IP of `to`, on a free port.
     ///
     /// # Errors
     ///
-    /// When no port can be bound there.
+    /// Returns an error when no port can be bound there.
     pub async fn start(to: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((to.ip(), 0)).await?;
         let addr = listener.local_addr()?;
-        let harm = watch::Sender::new(Harm::None);
-        let cut = Arc::new(Notify::new());
-        let task = tokio::spawn(accept(listener, to, harm.subscribe(), cut.clone()));
+        let fault = watch::Sender::new(ProxyFault::None);
+        let reset_signal = Arc::new(Notify::new());
+        let task = tokio::spawn(accept(
+            listener,
+            to,
+            fault.subscribe(),
+            reset_signal.clone(),
+        ));
         Ok(Self {
             addr,
-            harm,
-            cut,
+            fault,
+            reset_signal,
             task,
         })
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Harms what passes from now on.
-    pub fn set(&self, harm: Harm) {
-        self.harm.send_replace(harm);
-        if harm == Harm::Reset {
-            self.cut.notify_waiters();
+    /// Sets the fault of all connections.
+    pub fn set_fault(&self, fault: ProxyFault) {
+        self.fault.send_replace(fault);
+        if fault == ProxyFault::Reset {
+            self.reset_signal.notify_waiters();
         }
     }
 }
@@ -83,57 +88,63 @@
 async fn accept(
     listener: TcpListener,
     to: SocketAddr,
-    harm: watch::Receiver<Harm>,
-    cut: Arc<Notify>,
+    fault: watch::Receiver<ProxyFault>,
+    reset_signal: Arc<Notify>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        if *harm.borrow() == Harm::Reset {
+        if *fault.borrow() == ProxyFault::Reset {
             super::http::reset(stream);
             continue;
         }
-        tokio::spawn(pass(stream, to, harm.clone(), cut.clone()));
+        tokio::spawn(forward(stream, to, fault.clone(), reset_signal.clone()));
     }
 }
 
-async fn pass(stream: TcpStream, to: SocketAddr, harm: watch::Receiver<Harm>, cut: Arc<Notify>) {
+async fn forward(
+    stream: TcpStream,
+    to: SocketAddr,
+    fault: watch::Receiver<ProxyFault>,
+    reset_signal: Arc<Notify>,
+) {
     let Ok(upstream) = TcpStream::connect(to).await else {
         return super::http::reset(stream);
     };
-    // The harm of a reset is to be seen as one.
+    // Closing the socket after a `Reset` fault must reset the connection.
     let _ = stream.set_zero_linger();
     let (from_caller, to_caller) = stream.into_split();
     let (from_upstream, to_upstream) = upstream.into_split();
     let is_answer = true;
-    let there = carry(from_caller, to_upstream, harm.clone(), !is_answer);
-    let back = carry(from_upstream, to_caller, harm, is_answer);
+    let requests = copy_one_way(from_caller, to_upstream, fault.clone(), !is_answer);
+    let answers = copy_one_way(from_upstream, to_caller, fault, is_answer);
     tokio::select! {
-        () = there => {}
-        () = back => {}
-        () = cut.notified() => {}
+        () = requests => {}
+        () = answers => {}
+        () = reset_signal.notified() => {}
     }
 }
 
-async fn carry(
+async fn copy_one_way(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut harm: watch::Receiver<Harm>,
+    mut fault: watch::Receiver<ProxyFault>,
     is_answer: bool,
 ) {
-    let mut buf = vec![0; PIECE];
+    let mut buf = vec![0; BUFFER_BYTES];
     loop {
         let read = from.read(&mut buf).await;
-        let holds = |h: &Harm| match h {
-            Harm::Silence => true,
-            Harm::OneWay => is_answer,
-            Harm::None | Harm::Delay(_) | Harm::Reset => false,
+        let is_blocked = |fault: &ProxyFault| match fault {
+            ProxyFault::BlockAll => true,
+            ProxyFault::BlockAnswers => is_answer,
+            ProxyFault::None | ProxyFault::Delay(_) | ProxyFault::Reset => false,
         };
-        // The end of a connection is held back like its bytes. The sender lives as long as the proxy.
-        let _ = harm.wait_for(|h| !holds(h)).await;
+        // The end of a connection is held back like its bytes. The wait fails only when the proxy
+        // is dropped.
+        let _ = fault.wait_for(|fault| !is_blocked(fault)).await;
         let Ok(len @ 1..) = read else {
             return;
         };
-        let delay = match *harm.borrow() {
-            Harm::Delay(delay) => delay,
+        let delay = match *fault.borrow() {
+            ProxyFault::Delay(delay) => delay,
             _ => Duration::ZERO,
         };
         tokio::time::sleep(delay).await;
