--- a/standins/src/engine/events.rs
+++ b/standins/src/engine/events.rs
@@ -12,7 +12,7 @@
 use crate::sync::lock;
 
 /// Events kept for readers.
-const EVENTS_KEPT: usize = 8_192;
+const MAX_RETAINED_EVENTS: usize = 8_192;
 
 /// One cache event.
 #[derive(Clone, Debug, Serialize)]
@@ -24,7 +24,7 @@
 
 /// A page of events.
 #[derive(Debug, Serialize)]
-pub(super) struct Events {
+pub(super) struct EventPage {
     seq: u64,
     events: Vec<CacheEvent>,
 }
@@ -34,12 +34,12 @@
 pub(super) struct EventLog {
     lag: Duration,
     gap: u64,
-    kept: Mutex<Kept>,
+    retained: Mutex<RetainedEvents>,
     added: Notify,
 }
 
 #[derive(Debug, Default)]
-struct Kept {
+struct RetainedEvents {
     seq: u64,
     events: VecDeque<(Instant, CacheEvent)>,
 }
@@ -49,7 +49,7 @@
         Self {
             lag,
             gap,
-            kept: Mutex::default(),
+            retained: Mutex::default(),
             added: Notify::new(),
         }
     }
@@ -59,57 +59,57 @@
         if changes.is_empty() {
             return;
         }
-        let at = Instant::now() + self.lag;
-        let mut kept = lock(&self.kept);
+        let visible_at = Instant::now() + self.lag;
+        let mut retained = lock(&self.retained);
         for (kind, prefix) in changes {
-            kept.seq += 1;
+            retained.seq += 1;
             let event = CacheEvent {
-                seq: kept.seq,
+                seq: retained.seq,
                 kind,
                 prefix: format!("{prefix:016x}"),
             };
-            if !kept.seq.is_multiple_of(self.gap) {
-                kept.push(at, event);
+            if !retained.seq.is_multiple_of(self.gap) {
+                retained.push(visible_at, event);
             }
         }
         self.added.notify_waiters();
     }
 
     /// Events after `since`, as soon as there are any, or none on a timeout.
-    pub(super) async fn since(&self, since: u64, timeout: Duration) -> Events {
-        let end = Instant::now() + timeout;
+    pub(super) async fn since(&self, since: u64, timeout: Duration) -> EventPage {
+        let deadline = Instant::now() + timeout;
         loop {
             let added = self.added.notified();
-            let events = lock(&self.kept).visible(since);
-            if !events.events.is_empty() || Instant::now() >= end {
+            let events = lock(&self.retained).visible(since);
+            if !events.events.is_empty() || Instant::now() >= deadline {
                 return events;
             }
-            let next = lock(&self.kept).next_visible(since);
+            let next = lock(&self.retained).next_visible(since);
             tokio::select! {
                 () = added => {}
-                () = sleep_until(next.map_or(end, |next| next.min(end))) => {}
+                () = sleep_until(next.map_or(deadline, |next| next.min(deadline))) => {}
             }
         }
     }
 }
 
-impl Kept {
-    fn push(&mut self, at: Instant, event: CacheEvent) {
-        if self.events.len() == EVENTS_KEPT {
+impl RetainedEvents {
+    fn push(&mut self, visible_at: Instant, event: CacheEvent) {
+        if self.events.len() == MAX_RETAINED_EVENTS {
             self.events.pop_front();
         }
-        self.events.push_back((at, event));
+        self.events.push_back((visible_at, event));
     }
 
-    fn visible(&self, since: u64) -> Events {
+    fn visible(&self, since: u64) -> EventPage {
         let now = Instant::now();
         let events: Vec<_> = self
             .events
             .iter()
-            .filter(|(at, event)| *at <= now && event.seq > since)
+            .filter(|(visible_at, event)| *visible_at <= now && event.seq > since)
             .map(|(_, event)| event.clone())
             .collect();
-        Events {
+        EventPage {
             seq: events.last().map_or(since, |event| event.seq),
             events,
         }
@@ -118,6 +118,6 @@
     /// When the next event after `since` may be shown.
     fn next_visible(&self, since: u64) -> Option<Instant> {
         let mut later = self.events.iter().filter(|(_, event)| event.seq > since);
-        later.next().map(|(at, _)| *at)
+        later.next().map(|(visible_at, _)| *visible_at)
     }
 }
--- a/standins/src/engine/load.rs
+++ b/standins/src/engine/load.rs
@@ -48,7 +48,10 @@
         let now = Instant::now();
         let mut loads = lock(&self.loads);
         loads.push_back((now, load));
-        while loads.get(1).is_some_and(|(at, _)| *at + self.lag <= now) {
+        while loads
+            .get(1)
+            .is_some_and(|(recorded_at, _)| *recorded_at + self.lag <= now)
+        {
             loads.pop_front();
         }
     }
@@ -57,7 +60,10 @@
     pub(super) fn report(&self) -> Load {
         let now = Instant::now();
         let loads = lock(&self.loads);
-        let visible = loads.iter().rev().find(|(at, _)| *at + self.lag <= now);
+        let visible = loads
+            .iter()
+            .rev()
+            .find(|(recorded_at, _)| *recorded_at + self.lag <= now);
         let (_, load) = visible
             .or(loads.front())
             .copied()
--- a/standins/src/engine/prompt.rs
+++ b/standins/src/engine/prompt.rs
@@ -76,7 +76,7 @@
         let mut directives = Directives::default();
         let mut text = String::new();
         for message in messages {
-            strip(message, &mut text, &mut directives);
+            strip_directives(message, &mut text, &mut directives);
             text.push(' ');
         }
         let digest = hash::fnv(text.as_bytes());
@@ -91,15 +91,15 @@
 }
 
 /// Appends the text of a message without its directives, which it applies.
-fn strip(message: &str, text: &mut String, directives: &mut Directives) {
+fn strip_directives(message: &str, text: &mut String, directives: &mut Directives) {
     let mut rest = message;
     while let Some((before, after)) = rest.split_once("[[") {
-        let Some((directive, behind)) = after.split_once("]]") else {
+        let Some((directive, after_directive)) = after.split_once("]]") else {
             break;
         };
         text.push_str(before);
         directives.apply(directive);
-        rest = behind;
+        rest = after_directive;
     }
     text.push_str(rest);
 }
@@ -108,21 +108,21 @@
 fn tokens(text: &str, digest: u64, directives: &Directives) -> Vec<u64> {
     let mut tokens = Vec::new();
     if let Some((name, length)) = &directives.prefix {
-        fill(&mut tokens, hash::fnv(name.as_bytes()), *length);
+        pad_tokens(&mut tokens, hash::fnv(name.as_bytes()), *length);
     }
     tokens.extend(
         text.split_whitespace()
             .map(|word| hash::fnv(word.as_bytes())),
     );
-    let wanted = directives.prompt.unwrap_or(tokens.len() as u64).max(1);
-    fill(&mut tokens, digest, wanted);
-    tokens.truncate(usize::try_from(wanted).unwrap_or(usize::MAX));
+    let target_len = directives.prompt.unwrap_or(tokens.len() as u64).max(1);
+    pad_tokens(&mut tokens, digest, target_len);
+    tokens.truncate(usize::try_from(target_len).unwrap_or(usize::MAX));
     tokens
 }
 
 /// Adds tokens derived from `digest` until there are `wanted`.
-fn fill(tokens: &mut Vec<u64>, digest: u64, wanted: u64) {
-    for index in tokens.len() as u64..wanted {
+fn pad_tokens(tokens: &mut Vec<u64>, digest: u64, target_len: u64) {
+    for index in tokens.len() as u64..target_len {
         tokens.push(hash::extend(digest, &index.to_le_bytes()));
     }
 }
