--- a/standins/src/acceptor.rs
+++ b/standins/src/acceptor.rs
@@ -11,9 +11,9 @@
 ///
 /// A token is a small write; held back until the last one is acknowledged, it
 /// may come 40 ms late.
-pub(crate) struct PromptAcceptor(pub(crate) TcpAcceptor);
+pub(crate) struct NoDelayAcceptor(pub(crate) TcpAcceptor);
 
-impl Acceptor for PromptAcceptor {
+impl Acceptor for NoDelayAcceptor {
     type Io = TcpStream;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
--- a/standins/src/clock.rs
+++ b/standins/src/clock.rs
@@ -15,16 +15,16 @@
 /// The end of the wait is slept on a thread of the blocking pool. What is due
 /// already, or almost, only lets other tasks run.
 pub(crate) async fn wait_until(due: Instant) {
-    let early = due.checked_sub(TIMER_SLACK).unwrap_or(due);
-    if early > Instant::now() {
-        sleep_until(early).await;
+    let timer_due = due.checked_sub(TIMER_SLACK).unwrap_or(due);
+    if timer_due > Instant::now() {
+        sleep_until(timer_due).await;
     }
-    let rest = due.saturating_duration_since(Instant::now());
-    if rest < MIN_SLEEP {
+    let remaining = due.saturating_duration_since(Instant::now());
+    if remaining < MIN_SLEEP {
         return tokio::task::yield_now().await;
     }
-    let slept = tokio::task::spawn_blocking(move || std::thread::sleep(rest));
-    if let Err(err) = slept.await {
+    let sleeper = tokio::task::spawn_blocking(move || std::thread::sleep(remaining));
+    if let Err(err) = sleeper.await {
         log::error!("event=sleep-failed error={err}");
     }
 }
--- a/standins/src/plain/api.rs
+++ b/standins/src/plain/api.rs
@@ -13,13 +13,13 @@
 use crate::{hash, reply};
 
 /// Header that names the request across systems.
-const REQUEST_ID: &str = "x-request-id";
+const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// Header by which a caller marks the repeats of one request.
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// Marks a caller's tag in a body.
-const MARK: &str = "[[mark=";
+const MARK_DIRECTIVE: &str = "[[mark=";
 
 /// A record, the same for each read of an id.
 #[derive(Serialize)]
@@ -94,18 +94,18 @@
             pages: 1 + hash::fnv(id.as_bytes()) % 40,
             id,
         }),
-        None => gone(),
+        None => crashed_response(),
     }
 }
 
 #[handler]
 async fn file(Data(state): Data<&Arc<State>>, headers: &HeaderMap, body: String) -> Response {
-    post_once(state, "/file", headers, body, |state| &state.filed).await
+    run_post(state, "/file", headers, body, |state| &state.filed).await
 }
 
 #[handler]
 async fn grade(Data(state): Data<&Arc<State>>, headers: &HeaderMap, body: String) -> Response {
-    post_once(state, "/grade", headers, body, |state| &state.graded).await
+    run_post(state, "/grade", headers, body, |state| &state.graded).await
 }
 
 #[handler]
@@ -123,7 +123,7 @@
     })
 }
 
-async fn post_once(
+async fn run_post(
     state: &Arc<State>,
     path: &str,
     headers: &HeaderMap,
@@ -133,23 +133,23 @@
     let call = Call::new(path.to_owned(), body.clone(), headers);
     match run(state, call, counter).await {
         Some(number) => reply::ok(&Receipt { number, echo: body }),
-        None => gone(),
+        None => crashed_response(),
     }
 }
 
 /// The answer of a service that is going down; its connection is cut.
-fn gone() -> Response {
+fn crashed_response() -> Response {
     reply::failure(StatusCode::INTERNAL_SERVER_ERROR, "crashed")
 }
 
 /// Runs a call to its end, even when the caller goes away meanwhile.
 async fn run(state: &Arc<State>, call: Call, counter: fn(&State) -> &AtomicU64) -> Option<u64> {
     let state = Arc::clone(state);
-    let task = tokio::spawn(async move { run_now(&state, &call, counter).await });
+    let task = tokio::spawn(async move { execute(&state, &call, counter).await });
     task.await.ok().flatten()
 }
 
-async fn run_now(state: &State, call: &Call, counter: fn(&State) -> &AtomicU64) -> Option<u64> {
+async fn execute(state: &State, call: &Call, counter: fn(&State) -> &AtomicU64) -> Option<u64> {
     sleep(state.cfg.delay).await;
     let crash_on = state.cfg.crash_on.as_deref();
     let crashes = crash_on.is_some_and(|text| call.body.contains(text));
@@ -157,7 +157,7 @@
         return crash(state, call).await;
     }
     let number = counter(state).fetch_add(1, Ordering::Relaxed) + 1;
-    call.tell(state, number);
+    call.log_run(state, number);
     if crashes {
         return crash(state, call).await;
     }
@@ -186,12 +186,12 @@
         Self {
             path,
             body,
-            request_id: text(REQUEST_ID),
-            idempotency_key: text(IDEMPOTENCY_KEY),
+            request_id: text(REQUEST_ID_HEADER),
+            idempotency_key: text(IDEMPOTENCY_KEY_HEADER),
         }
     }
 
-    fn tell(&self, state: &State, number: u64) {
+    fn log_run(&self, state: &State, number: u64) {
         state.cfg.run_log.append(&RunEvent::Ran {
             path: &self.path,
             number,
@@ -205,6 +205,6 @@
 
 /// The caller's tag in a body.
 fn mark(body: &str) -> Option<&str> {
-    let (_, rest) = body.split_once(MARK)?;
+    let (_, rest) = body.split_once(MARK_DIRECTIVE)?;
     rest.split_once("]]").map(|(mark, _)| mark)
 }
--- a/standins/src/reply.rs
+++ b/standins/src/reply.rs
@@ -6,7 +6,7 @@
 
 /// An answer with a message for the reader of an error.
 #[derive(Serialize)]
-struct Failure<'a> {
+struct ErrorBody<'a> {
     error: &'a str,
 }
 
@@ -30,5 +30,5 @@
 
 /// An answer of `status` that says why.
 pub(crate) fn failure(status: StatusCode, error: &str) -> Response {
-    json(status, &Failure { error })
+    json(status, &ErrorBody { error })
 }
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 use tokio::task::{JoinHandle, JoinSet};
 
-use crate::acceptor::PromptAcceptor;
+use crate::acceptor::NoDelayAcceptor;
 
 /// A server in progress. Dropping it stops the server and cuts its connections.
 #[derive(Debug)]
@@ -80,7 +80,7 @@
     E::Endpoint: 'static,
 {
     let addr = listener.local_addr()?;
-    let acceptor = PromptAcceptor(TcpAcceptor::from_tokio(listener)?);
+    let acceptor = NoDelayAcceptor(TcpAcceptor::from_tokio(listener)?);
     let ep = ep.into_endpoint();
     let signal = stop.clone();
     let server = tokio::spawn(async move {
