--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -16,31 +16,31 @@
     tokens_with_mark => tokens_in_order("[[len=5]][[mark=m]] hello", 5, "stop");
     tokens_up_to_the_limit => tokens_in_order("[[len=900]] hello", 64, "length");
     drawn_length_repeats => drawn_length_repeats();
-    words_instead_of_checked_tokens => words();
+    words_instead_of_checked_tokens => plain_words();
     whole_answer => whole_answer();
     unknown_model => refused(&j!({ "model": "other" }), 404);
     prompt_too_long => refused(&j!({ "messages": [{ "role": "user", "content": "[[prompt=300]]" }] }), 400);
-    full_memory_preempts_and_loses_no_token => preempts();
+    full_memory_preempts_and_loses_no_token => full_memory_preempts();
     higher_priority_keeps_its_memory => priority_keeps_memory();
-    one_sequence_beyond_memory_ends => overgrown();
+    one_sequence_beyond_memory_ends => exceeds_memory();
     resume_goes_on => resume();
     resume_after_the_end => resume_after_end();
-    abandoned_stream_is_cancelled => abandoned();
+    abandoned_stream_is_cancelled => abandoned_stream();
     cancel_ends_stream => cancel();
     stream_id_in_use => stream_id_in_use();
-    stream_ids_begin_again_after_restart => ids_again();
-    old_fence_refused => fence(true, 409);
-    old_fence_ignored => fence(false, 200);
+    stream_ids_begin_again_after_restart => stream_ids_after_restart();
+    old_fence_refused => stale_fence(true, 409);
+    old_fence_ignored => stale_fence(false, 200);
     loads_and_unloads => loads_and_unloads();
     crash_cuts_all_connections => crash();
     cache_events_with_gaps => cache_events();
     prefix_is_shared => prefix_is_shared();
     load_report => load_report();
-    frozen_engine_goes_on_later => frozen();
+    frozen_engine_goes_on_later => frozen_engine();
 }
 
 /// An engine that is quick, logged and answers reports at once.
-fn quick() -> Config {
+fn fast_config() -> Config {
     Config {
         time_scale: 50.0,
         capacity_tokens: 256,
@@ -54,15 +54,15 @@
 }
 
 /// The same, with steps so long that requests meet before they end.
-fn slow() -> Config {
+fn slow_config() -> Config {
     Config {
         slow_factor: 1_000.0,
-        ..quick()
+        ..fast_config()
     }
 }
 
 /// Ends the slowness.
-async fn hurry(running: &Running) {
+async fn restore_speed(running: &Running) {
     let url = format!("{}/standin/faults", running.url());
     assert_eq!(post(url, &j!({ "slow_factor": 1.0 })).await.0, 200);
 }
@@ -94,7 +94,7 @@
     Events::new(send(running, &request(text, extra)).await)
 }
 
-async fn resumed(running: &Running, id: &str, from: usize) -> Events {
+async fn resume_from(running: &Running, id: &str, from: usize) -> Events {
     let url = format!("{}/v1/streams/{id}?from={from}", running.url());
     Events::new(reqwest::get(url).await.unwrap())
 }
@@ -106,23 +106,23 @@
 
 /// Checks that the events hold the tokens from `from` on, all of one nonce,
 /// and returns the nonce.
-fn check(events: &[Value], from: usize) -> String {
+fn check_tokens(events: &[Value], from: usize) -> String {
     let nonce = content(&events[0]).split('.').next().unwrap().to_owned();
-    for (place, event) in events.iter().enumerate() {
+    for (offset, event) in events.iter().enumerate() {
         let token = content(event).trim_end();
         let (first, last) = (token.split('.').next(), token.split('.').next_back());
         assert_eq!(first, Some(&*nonce));
-        assert_eq!(last, Some(&*(from + place).to_string()));
+        assert_eq!(last, Some(&*(from + offset).to_string()));
     }
     nonce
 }
 
 async fn tokens_in_order(text: &str, tokens: usize, reason: &str) {
-    let cfg = quick();
+    let cfg = fast_config();
     let running = start(&cfg).await;
     let events = generate(&running, text, &Value::Null).await.rest().await;
     assert_eq!(events.len(), tokens);
-    let nonce = check(&events, 0);
+    let nonce = check_tokens(&events, 0);
     let last = &events[tokens - 1];
     assert_eq!(last["choices"][0]["finish_reason"], reason);
     let usage = j!({ "prompt_tokens": 1, "completion_tokens": tokens, "preemptions": 0 });
@@ -132,7 +132,7 @@
 }
 
 async fn drawn_length_repeats() {
-    let running = start(&quick()).await;
+    let running = start(&fast_config()).await;
     let extra = j!({ "max_tokens": 200 });
     let mut lengths = Vec::new();
     for _ in 0..2 {
@@ -145,8 +145,8 @@
     assert_eq!(lengths[0], lengths[1]);
 }
 
-async fn words() {
-    let running = start(&quick()).await;
+async fn plain_words() {
+    let running = start(&fast_config()).await;
     let mut events = generate(&running, "[[words]][[len=8]]", &Value::Null).await;
     for event in events.rest().await {
         let word = content(&event).trim_end();
@@ -155,26 +155,26 @@
 }
 
 async fn whole_answer() {
-    let running = start(&quick()).await;
+    let running = start(&fast_config()).await;
     let req = request("[[len=3]]", &j!({ "stream": false }));
     let (status, answer) = json(send(&running, &req).await).await;
     assert_eq!(status, 200);
     let text = answer["choices"][0]["message"]["content"].as_str().unwrap();
-    let places: Vec<_> = text.split_whitespace().map(|token| &token[9..]).collect();
-    assert_eq!(places, ["0", "1", "2"]);
+    let indices: Vec<_> = text.split_whitespace().map(|token| &token[9..]).collect();
+    assert_eq!(indices, ["0", "1", "2"]);
     assert_eq!(answer["choices"][0]["finish_reason"], "stop");
 }
 
 async fn refused(extra: &Value, status: u16) {
-    let cfg = quick();
+    let cfg = fast_config();
     let running = start(&cfg).await;
     let res = send(&running, &request("[[len=3]]", extra)).await;
     assert_eq!(res.status(), status);
     assert!(logged(&cfg, "started").is_empty());
 }
 
-async fn preempts() {
-    let cfg = slow();
+async fn full_memory_preempts() {
+    let cfg = slow_config();
     let running = start(&cfg).await;
     let extra = j!({ "max_tokens": 150 });
     let mut streams = Vec::new();
@@ -182,12 +182,12 @@
         let text = format!("[[len=150]][[mark={number}]]");
         streams.push(generate(&running, &text, &extra).await);
     }
-    hurry(&running).await;
+    restore_speed(&running).await;
     let mut preemptions = 0;
     for mut stream in streams {
         let events = stream.rest().await;
         assert_eq!(events.len(), 150);
-        check(&events, 0);
+        check_tokens(&events, 0);
         preemptions += events[149]["usage"]["preemptions"].as_u64().unwrap();
     }
     assert!(preemptions > 0);
@@ -195,58 +195,58 @@
 }
 
 async fn priority_keeps_memory() {
-    let running = start(&slow()).await;
+    let running = start(&slow_config()).await;
     let low = j!({ "max_tokens": 200, "priority": 0 });
     let high = j!({ "max_tokens": 200, "priority": 1 });
     let mut first = generate(&running, "[[len=200]]", &low).await;
     let mut second = generate(&running, "[[len=200]]", &high).await;
-    hurry(&running).await;
+    restore_speed(&running).await;
     let (first, second) = (first.rest().await, second.rest().await);
     assert!(first[199]["usage"]["preemptions"].as_u64() > Some(0));
     assert_eq!(second[199]["usage"]["preemptions"], 0);
 }
 
-async fn overgrown() {
-    let running = start(&quick()).await;
+async fn exceeds_memory() {
+    let running = start(&fast_config()).await;
     let extra = j!({ "max_tokens": 1_000 });
     let mut events = generate(&running, "[[len=1000]]", &extra).await;
     let events = events.rest().await;
     // The end comes with the last token, or alone when that is out already.
     assert!(events.len() == 255 || content(&events[255]).is_empty());
-    check(&events[..255], 0);
+    check_tokens(&events[..255], 0);
     let last = events.last().unwrap();
     assert_eq!(last["choices"][0]["finish_reason"], "length");
     assert_eq!(last["usage"]["completion_tokens"], 255);
 }
 
 async fn resume() {
-    let cfg = quick();
+    let cfg = fast_config();
     let running = start(&cfg).await;
     let mut events = generate(&running, "[[len=60]]", &Value::Null).await;
     let first = [events.token().await, events.token().await];
     drop(events);
-    let rest = resumed(&running, "s1", 2).await.rest().await;
+    let rest = resume_from(&running, "s1", 2).await.rest().await;
     assert_eq!(rest.len(), 58);
-    assert_eq!(check(&first, 0), check(&rest, 2));
+    assert_eq!(check_tokens(&first, 0), check_tokens(&rest, 2));
     assert_eq!(logged(&cfg, "started").len(), 1);
 }
 
 async fn resume_after_end() {
-    let running = start(&quick()).await;
+    let running = start(&fast_config()).await;
     generate(&running, "[[len=5]]", &j!({ "stream_id": "a" }))
         .await
         .rest()
         .await;
-    let rest = resumed(&running, "a", 5).await.rest().await;
+    let rest = resume_from(&running, "a", 5).await.rest().await;
     assert_eq!(rest.len(), 1);
     assert_eq!(content(&rest[0]), "");
     assert_eq!(rest[0]["usage"]["completion_tokens"], 5);
 }
 
-async fn abandoned() {
+async fn abandoned_stream() {
     let cfg = Config {
         resume_window: Duration::ZERO,
-        ..slow()
+        ..slow_config()
     };
     let running = start(&cfg).await;
     let mut events = generate(&running, "[[len=60]]", &Value::Null).await;
@@ -258,7 +258,7 @@
 }
 
 async fn cancel() {
-    let cfg = slow();
+    let cfg = slow_config();
     let running = start(&cfg).await;
     let extra = j!({ "stream_id": "mine" });
     let mut events = generate(&running, "[[len=64]]", &extra).await;
@@ -273,7 +273,7 @@
 }
 
 async fn stream_id_in_use() {
-    let cfg = slow();
+    let cfg = slow_config();
     let running = start(&cfg).await;
     let req = request("[[len=64]]", &j!({ "stream_id": "a" }));
     let first = send(&running, &req).await;
@@ -281,8 +281,8 @@
     drop(first);
 }
 
-async fn ids_again() {
-    let cfg = quick();
+async fn stream_ids_after_restart() {
+    let cfg = fast_config();
     let mut nonces = Vec::new();
     for _ in 0..2 {
         let running = start(&cfg).await;
@@ -290,17 +290,17 @@
             .await
             .rest()
             .await;
-        let events = resumed(&running, "s1", 0).await.rest().await;
-        nonces.push(check(&events, 0));
+        let events = resume_from(&running, "s1", 0).await.rest().await;
+        nonces.push(check_tokens(&events, 0));
         running.kill().await;
     }
     assert_ne!(nonces[0], nonces[1]);
 }
 
-async fn fence(check_fence: bool, status: u16) {
+async fn stale_fence(check_fence: bool, status: u16) {
     let cfg = Config {
         check_fence,
-        ..quick()
+        ..fast_config()
     };
     let running = start(&cfg).await;
     let url = format!("{}/v1/orders", running.url());
@@ -317,7 +317,7 @@
 }
 
 async fn loads_and_unloads() {
-    let running = start(&quick()).await;
+    let running = start(&fast_config()).await;
     let url = format!("{}/v1/orders", running.url());
     let load = j!({ "fence": 1, "order": "load", "model": "large" });
     let unload = j!({ "fence": 2, "order": "unload", "model": "small" });
@@ -335,13 +335,13 @@
 }
 
 async fn crash() {
-    let cfg = slow();
+    let cfg = slow_config();
     let mut running = start(&cfg).await;
     let extra = j!({ "max_tokens": 240 });
     let mut other = generate(&running, "[[len=240]]", &extra).await;
     let text = "[[crash]][[crash_after=3]][[mark=bad]]";
     let mut bad = generate(&running, text, &Value::Null).await;
-    hurry(&running).await;
+    restore_speed(&running).await;
     while bad.next().await != Event::Cut {}
     loop {
         match other.next().await {
@@ -358,7 +358,7 @@
 async fn cache_events() {
     let cfg = Config {
         event_gap: 3,
-        ..quick()
+        ..fast_config()
     };
     let running = start(&cfg).await;
     generate(&running, "[[prompt=128]][[len=1]]", &Value::Null)
@@ -378,7 +378,7 @@
 }
 
 async fn prefix_is_shared() {
-    let running = start(&quick()).await;
+    let running = start(&fast_config()).await;
     for text in [
         "[[prefix=p/64]] one [[len=1]]",
         "[[prefix=p/64]] two [[len=1]]",
@@ -391,7 +391,7 @@
 }
 
 async fn load_report() {
-    let running = start(&quick()).await;
+    let running = start(&fast_config()).await;
     let url = format!("{}/v1/load", running.url());
     generate(&running, "[[len=3]]", &Value::Null)
         .await
@@ -403,15 +403,15 @@
     assert_eq!(load["capacity_tokens"], 256);
 }
 
-async fn frozen() {
-    let running = start(&slow()).await;
+async fn frozen_engine() {
+    let running = start(&slow_config()).await;
     let mut events = generate(&running, "[[len=64]]", &Value::Null).await;
     let first = events.token().await;
     let url = format!("{}/standin/faults", running.url());
     assert_eq!(post(url, &j!({ "freeze_ms": 100 })).await.0, 200);
-    hurry(&running).await;
+    restore_speed(&running).await;
     let mut all = vec![first];
     all.extend(events.rest().await);
-    check(&all, 0);
+    check_tokens(&all, 0);
     assert_eq!(all.len(), 64);
 }
