--- a/standins/src/engine/api.rs
+++ b/standins/src/engine/api.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use tokio::time::sleep_until;
 
-use super::core::{Refusal, Submission};
+use super::core::{Submission, SubmitError};
 use super::orders::FencedOrder;
 use super::prompt::Prompt;
 use super::sse;
@@ -18,16 +18,16 @@
 use crate::sync::lock;
 
 /// Paths of the stand-in's own switches, which work in a frozen engine too.
-const SWITCHES: &str = "/standin/";
+const CONTROL_PATH_PREFIX: &str = "/standin/";
 
 /// Header that names the request across systems.
-const REQUEST_ID: &str = "x-request-id";
+const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// Limit of tokens when a request sets none.
 const DEFAULT_MAX_TOKENS: u64 = 16_384;
 
 /// How long a question for events waits when it doesn't say, in milliseconds.
-const DEFAULT_EVENTS_MS: u64 = 10_000;
+const DEFAULT_EVENTS_TIMEOUT_MS: u64 = 10_000;
 
 /// A request for a generation.
 #[derive(Debug, Deserialize)]
@@ -70,7 +70,7 @@
 
 /// The routes of the engine.
 pub(super) fn endpoint(state: Arc<State>) -> impl IntoEndpoint<Endpoint: 'static> {
-    let frozen = Arc::clone(&state);
+    let frozen_state = Arc::clone(&state);
     Route::new()
         .at("/v1/chat/completions", post(chat))
         .at("/v1/streams/:id", get(resume))
@@ -82,12 +82,12 @@
         .at("/health", get(health))
         .at("/standin/faults", post(faults))
         .data(state)
-        .before(move |req| thaw(Arc::clone(&frozen), req))
+        .before(move |req| wait_while_frozen(Arc::clone(&frozen_state), req))
 }
 
 /// Holds up a call for as long as the engine is frozen.
-async fn thaw(state: Arc<State>, req: Request) -> poem::Result<Request> {
-    if !req.uri().path().starts_with(SWITCHES) {
+async fn wait_while_frozen(state: Arc<State>, req: Request) -> poem::Result<Request> {
+    if !req.uri().path().starts_with(CONTROL_PATH_PREFIX) {
         sleep_until(state.frozen_until()).await;
     }
     Ok(req)
@@ -101,14 +101,16 @@
 ) -> Response {
     let stream = req.stream;
     match state.submit(submission(req, headers)) {
-        Ok(reader) if stream => sse::events(reader, 0),
-        Ok(reader) => sse::whole(reader).await,
-        Err(refusal) => refused(refusal),
+        Ok(reader) if stream => sse::stream_response(reader, 0),
+        Ok(reader) => sse::completion_response(reader).await,
+        Err(err) => refusal_response(err),
     }
 }
 
 fn submission(req: ChatRequest, headers: &HeaderMap) -> Submission {
-    let request_id = headers.get(REQUEST_ID).and_then(|id| id.to_str().ok());
+    let request_id = headers
+        .get(REQUEST_ID_HEADER)
+        .and_then(|id| id.to_str().ok());
     Submission {
         prompt: Prompt::parse(req.messages.iter().map(|message| &*message.content)),
         model: req.model,
@@ -119,11 +121,11 @@
     }
 }
 
-fn refused(refusal: Refusal) -> Response {
-    match refusal {
-        Refusal::UnknownModel => reply::failure(StatusCode::NOT_FOUND, "model not loaded"),
-        Refusal::PromptTooLong => reply::failure(StatusCode::BAD_REQUEST, "prompt too long"),
-        Refusal::StreamIdTaken => reply::failure(StatusCode::CONFLICT, "stream id in use"),
+fn refusal_response(err: SubmitError) -> Response {
+    match err {
+        SubmitError::UnknownModel => reply::failure(StatusCode::NOT_FOUND, "model not loaded"),
+        SubmitError::PromptTooLong => reply::failure(StatusCode::BAD_REQUEST, "prompt too long"),
+        SubmitError::StreamIdTaken => reply::failure(StatusCode::CONFLICT, "stream id in use"),
     }
 }
 
@@ -134,7 +136,7 @@
     Query(query): Query<ResumeQuery>,
 ) -> Response {
     match state.stream(&id) {
-        Some(stream) => sse::events(stream.attach(), query.from),
+        Some(stream) => sse::stream_response(stream.attach(), query.from),
         None => reply::failure(StatusCode::NOT_FOUND, "no such stream"),
     }
 }
@@ -152,7 +154,7 @@
 
 #[handler]
 async fn events(Data(state): Data<&Arc<State>>, Query(query): Query<EventsQuery>) -> Response {
-    let timeout = Duration::from_millis(query.timeout_ms.unwrap_or(DEFAULT_EVENTS_MS));
+    let timeout = Duration::from_millis(query.timeout_ms.unwrap_or(DEFAULT_EVENTS_TIMEOUT_MS));
     reply::ok(&state.events.since(query.since, timeout).await)
 }
 
@@ -168,9 +170,9 @@
 
 #[handler]
 fn order(Data(state): Data<&Arc<State>>, Json(order): Json<FencedOrder>) -> Response {
-    match state.order(&order) {
+    match state.apply_order(&order) {
         Ok(()) => reply::ok(&order),
-        Err(fenced) => reply::json(StatusCode::CONFLICT, &fenced),
+        Err(stale_fence) => reply::json(StatusCode::CONFLICT, &stale_fence),
     }
 }
 
--- a/standins/src/engine/batch.rs
+++ b/standins/src/engine/batch.rs
@@ -15,7 +15,7 @@
 pub(super) type SeqKey = u64;
 
 /// Place in the waiting queue: higher priority first, then earlier arrival.
-type Place = (Reverse<i64>, SeqKey);
+type QueuePosition = (Reverse<i64>, SeqKey);
 
 /// One generation as the scheduler sees it.
 #[derive(Clone, Debug)]
@@ -33,18 +33,18 @@
 }
 
 impl Sequence {
-    fn memory(&self) -> u64 {
+    fn memory_tokens(&self) -> u64 {
         self.prompt_tokens + self.generated
     }
 
-    fn place(&self) -> Place {
+    fn queue_position(&self) -> QueuePosition {
         (Reverse(self.priority), self.key)
     }
 }
 
 /// What the next step will do.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub(super) struct Plan {
+pub(super) struct StepPlan {
     /// Sequences that run.
     pub(super) batch: usize,
     /// Tokens to compute for the sequences that join.
@@ -52,12 +52,12 @@
     /// Sequences that lost their memory.
     pub(super) preempted: Vec<SeqKey>,
     /// Sequences that ended because memory can't hold one more token.
-    pub(super) overgrown: Vec<SeqKey>,
+    pub(super) out_of_memory: Vec<SeqKey>,
 }
 
 /// What a step did.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub(super) struct Committed {
+pub(super) struct StepResult {
     /// Sequences that got a token, with their count of tokens.
     pub(super) tokens: Vec<(SeqKey, u64)>,
     /// Sequences among them that are complete.
@@ -78,7 +78,7 @@
 pub(super) struct Batch {
     limits: Limits,
     running: Vec<Sequence>,
-    waiting: BTreeMap<Place, Sequence>,
+    waiting: BTreeMap<QueuePosition, Sequence>,
     preemptions: u64,
 }
 
@@ -94,7 +94,7 @@
 
     /// Puts a sequence into the waiting queue.
     pub(super) fn push(&mut self, seq: Sequence) {
-        self.waiting.insert(seq.place(), seq);
+        self.waiting.insert(seq.queue_position(), seq);
     }
 
     /// Takes a sequence out, wherever it is; returns its count of tokens.
@@ -102,22 +102,24 @@
         if let Some(index) = self.running.iter().position(|seq| seq.key == key) {
             return Some(self.running.remove(index).generated);
         }
-        let place = *self.waiting.keys().find(|(_, waiting)| *waiting == key)?;
-        self.waiting.remove(&place).map(|seq| seq.generated)
+        let queue_position = *self.waiting.keys().find(|(_, waiting)| *waiting == key)?;
+        self.waiting
+            .remove(&queue_position)
+            .map(|seq| seq.generated)
     }
 
     /// Decides who runs in the next step.
-    pub(super) fn plan(&mut self, cache: &mut PrefixCache) -> Plan {
-        let mut plan = Plan::default();
-        self.make_room(&mut plan);
+    pub(super) fn plan(&mut self, cache: &mut PrefixCache) -> StepPlan {
+        let mut plan = StepPlan::default();
+        self.preempt_to_fit(&mut plan);
         self.admit(&mut plan, cache);
         plan.batch = self.running.len();
         plan
     }
 
     /// Gives each running sequence its token.
-    pub(super) fn commit(&mut self) -> Committed {
-        let mut committed = Committed::default();
+    pub(super) fn commit(&mut self) -> StepResult {
+        let mut committed = StepResult::default();
         for seq in &mut self.running {
             if seq.crash_after == Some(seq.generated) {
                 committed.crashed = Some(seq.key);
@@ -151,7 +153,7 @@
 
     /// Tokens that running sequences hold.
     pub(super) fn used_tokens(&self) -> u64 {
-        self.running.iter().map(Sequence::memory).sum()
+        self.running.iter().map(Sequence::memory_tokens).sum()
     }
 
     /// Tokens held at the end of the next step.
@@ -159,13 +161,13 @@
         self.used_tokens() + self.running.len() as u64
     }
 
-    fn make_room(&mut self, plan: &mut Plan) {
+    fn preempt_to_fit(&mut self, plan: &mut StepPlan) {
         while self.used_after_step() > self.limits.capacity_tokens {
             let Some(victim) = self.take_victim() else {
                 return;
             };
             if self.running.is_empty() {
-                plan.overgrown.push(victim.key);
+                plan.out_of_memory.push(victim.key);
             } else {
                 self.preemptions += 1;
                 plan.preempted.push(victim.key);
@@ -175,23 +177,27 @@
     }
 
     fn take_victim(&mut self) -> Option<Sequence> {
-        let places = self.running.iter().map(Sequence::place).enumerate();
-        let (index, _) = places.max_by_key(|(_, place)| *place)?;
+        let queue_positions = self
+            .running
+            .iter()
+            .map(Sequence::queue_position)
+            .enumerate();
+        let (index, _) = queue_positions.max_by_key(|(_, queue_position)| *queue_position)?;
         Some(self.running.remove(index))
     }
 
-    fn admit(&mut self, plan: &mut Plan, cache: &mut PrefixCache) {
+    fn admit(&mut self, plan: &mut StepPlan, cache: &mut PrefixCache) {
         while self.running.len() < self.limits.max_batch
             && let Some(entry) = self.waiting.first_entry()
         {
-            let grown = entry.get().memory() + 1;
-            let used: u64 = self.running.iter().map(|seq| seq.memory() + 1).sum();
-            if used + grown > self.limits.capacity_tokens {
+            let required = entry.get().memory_tokens() + 1;
+            let used: u64 = self.running.iter().map(|seq| seq.memory_tokens() + 1).sum();
+            if used + required > self.limits.capacity_tokens {
                 return;
             }
             let seq = entry.remove();
-            let cached = cache.pass(&seq.prefixes);
-            plan.prefill_tokens += seq.memory().saturating_sub(cached);
+            let cached = cache.lookup_and_insert(&seq.prefixes);
+            plan.prefill_tokens += seq.memory_tokens().saturating_sub(cached);
             self.running.push(seq);
         }
     }
--- a/standins/src/engine/cache.rs
+++ b/standins/src/engine/cache.rs
@@ -21,8 +21,8 @@
 pub(super) struct PrefixCache {
     max_blocks: usize,
     clock: u64,
-    used: HashMap<u64, u64>,
-    order: BTreeMap<u64, u64>,
+    last_used: HashMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
     changes: Vec<(CacheChange, u64)>,
 }
 
@@ -32,17 +32,17 @@
         Self {
             max_blocks: usize::try_from(max_blocks).unwrap_or(usize::MAX),
             clock: 0,
-            used: HashMap::new(),
-            order: BTreeMap::new(),
+            last_used: HashMap::new(),
+            by_last_use: BTreeMap::new(),
             changes: Vec::new(),
         }
     }
 
     /// Runs a prompt through the cache; returns the tokens that it held.
-    pub(super) fn pass(&mut self, prefixes: &[u64]) -> u64 {
+    pub(super) fn lookup_and_insert(&mut self, prefixes: &[u64]) -> u64 {
         let hits = prefixes
             .iter()
-            .take_while(|prefix| self.used.contains_key(*prefix))
+            .take_while(|prefix| self.last_used.contains_key(*prefix))
             .count();
         // The longest prefix goes first, so that it is evicted first.
         for prefix in prefixes.iter().take(self.max_blocks).rev() {
@@ -59,21 +59,21 @@
 
     fn touch(&mut self, prefix: u64) {
         self.clock += 1;
-        match self.used.insert(prefix, self.clock) {
-            Some(before) => {
-                self.order.remove(&before);
+        match self.last_used.insert(prefix, self.clock) {
+            Some(previous_use) => {
+                self.by_last_use.remove(&previous_use);
             }
             None => self.changes.push((CacheChange::Stored, prefix)),
         }
-        self.order.insert(self.clock, prefix);
+        self.by_last_use.insert(self.clock, prefix);
     }
 
     fn evict(&mut self) {
-        while self.used.len() > self.max_blocks {
-            let Some((_, prefix)) = self.order.pop_first() else {
+        while self.last_used.len() > self.max_blocks {
+            let Some((_, prefix)) = self.by_last_use.pop_first() else {
                 return;
             };
-            self.used.remove(&prefix);
+            self.last_used.remove(&prefix);
             self.changes.push((CacheChange::Evicted, prefix));
         }
     }
--- a/standins/src/engine/core.rs
+++ b/standins/src/engine/core.rs
@@ -5,14 +5,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::batch::{Batch, Committed, Limits, Plan, SeqKey, Sequence};
+use super::batch::{Batch, Limits, SeqKey, Sequence, StepPlan, StepResult};
 use super::cache::{CacheChange, PrefixCache};
 use super::config::Config;
 use super::length;
 use super::load::Load;
 use super::log::RunEvent;
 use super::prompt::Prompt;
-use super::stream::{Reader, Reason, Stream, StreamParts};
+use super::stream::{EndReason, Reader, Stream, StreamParts};
 use super::text::TokenText;
 
 /// A request that passed the checks of its form.
@@ -28,7 +28,7 @@
 
 /// Why a request isn't taken.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Refusal {
+pub(super) enum SubmitError {
     /// The model isn't loaded.
     UnknownModel,
     /// The prompt is longer than the engine can hold.
@@ -46,7 +46,7 @@
     by_id: HashMap<Arc<str>, Arc<Stream>>,
     next_key: SeqKey,
     nonces: RandomState,
-    step: Duration,
+    step_duration: Duration,
 }
 
 impl Core {
@@ -61,7 +61,7 @@
             by_id: HashMap::new(),
             next_key: 1,
             nonces: RandomState::new(),
-            step: Duration::ZERO,
+            step_duration: Duration::ZERO,
         }
     }
 
@@ -70,19 +70,19 @@
         &mut self,
         cfg: &Config,
         submission: Submission,
-    ) -> Result<Reader, Refusal> {
+    ) -> Result<Reader, SubmitError> {
         let key = self.next_key;
         let id = submission
             .stream_id
             .clone()
             .unwrap_or_else(|| format!("s{key}").into());
-        if self.in_progress(&id) {
-            return Err(Refusal::StreamIdTaken);
+        if self.is_in_progress(&id) {
+            return Err(SubmitError::StreamIdTaken);
         }
         self.next_key += 1;
         let stream = Arc::new(self.new_stream(cfg, key, id, &submission));
         let reader = stream.attach();
-        tell_started(cfg, &stream, &submission);
+        log_started(cfg, &stream, &submission);
         self.streams.insert(key, Arc::clone(&stream));
         self.by_id
             .insert(Arc::clone(&stream.id), Arc::clone(&stream));
@@ -90,7 +90,7 @@
         Ok(reader)
     }
 
-    fn in_progress(&self, id: &str) -> bool {
+    fn is_in_progress(&self, id: &str) -> bool {
         let stream = self.by_id.get(id);
         stream.is_some_and(|stream| stream.progress().end.is_none())
     }
@@ -120,7 +120,7 @@
     }
 
     /// Decides who runs in the next step and tells of those who don't.
-    pub(super) fn plan(&mut self, cfg: &Config) -> Plan {
+    pub(super) fn plan(&mut self, cfg: &Config) -> StepPlan {
         let plan = self.batch.plan(&mut self.cache);
         for key in &plan.preempted {
             if let Some(stream) = self.streams.get(key) {
@@ -130,12 +130,12 @@
                 cfg.run_log.append(&RunEvent::Preempted { id, tokens });
             }
         }
-        for key in &plan.overgrown {
+        for key in &plan.out_of_memory {
             let generated = self
                 .streams
                 .get(key)
                 .map(|stream| stream.progress().generated);
-            self.finish(cfg, *key, generated.unwrap_or_default(), Reason::Length);
+            self.finish(cfg, *key, generated.unwrap_or_default(), EndReason::Length);
         }
         plan
     }
@@ -144,7 +144,7 @@
     pub(super) fn commit(&mut self, cfg: &Config) -> bool {
         let committed = self.batch.commit();
         for (key, generated) in &committed.tokens {
-            self.hand_out(cfg, *key, *generated, &committed);
+            self.deliver_token(cfg, *key, *generated, &committed);
         }
         let crashed = committed.crashed.and_then(|key| self.streams.get(&key));
         if let Some(stream) = crashed {
@@ -157,7 +157,7 @@
     }
 
     /// Shows a token to the readers, together with the end if it is the last.
-    fn hand_out(&mut self, cfg: &Config, key: SeqKey, generated: u64, committed: &Committed) {
+    fn deliver_token(&mut self, cfg: &Config, key: SeqKey, generated: u64, committed: &StepResult) {
         let Some(stream) = self.streams.get(&key) else {
             return;
         };
@@ -173,7 +173,7 @@
         }
     }
 
-    fn finish(&mut self, cfg: &Config, key: SeqKey, tokens: u64, reason: Reason) {
+    fn finish(&mut self, cfg: &Config, key: SeqKey, tokens: u64, reason: EndReason) {
         let Some(stream) = self.streams.remove(&key) else {
             return;
         };
@@ -196,7 +196,7 @@
             stream_id: &stream.id,
             tokens,
         });
-        stream.finish(tokens, Reason::Cancelled);
+        stream.finish(tokens, EndReason::Cancelled);
     }
 
     /// Cancels streams without a reader for the window, and forgets ended ones.
@@ -205,7 +205,7 @@
     pub(super) fn sweep(&mut self, cfg: &Config, window: Duration) -> bool {
         let streams = self.by_id.values();
         let idle: Vec<_> = streams
-            .filter(|stream| stream.idle(window))
+            .filter(|stream| stream.is_idle(window))
             .cloned()
             .collect();
         for stream in &idle {
@@ -229,8 +229,8 @@
     }
 
     /// Notes how long the step in progress lasts.
-    pub(super) fn set_step(&mut self, step: Duration) {
-        self.step = step;
+    pub(super) fn set_step_duration(&mut self, step_duration: Duration) {
+        self.step_duration = step_duration;
     }
 
     /// The load of now.
@@ -242,7 +242,7 @@
             capacity_tokens: cfg.capacity_tokens,
             max_batch: cfg.max_batch,
             preemptions_total: self.batch.preemptions(),
-            step_ms: self.step.as_secs_f64() * 1e3,
+            step_ms: self.step_duration.as_secs_f64() * 1e3,
         }
     }
 }
@@ -255,11 +255,11 @@
     }
 
     /// Why the generation ends when nothing gets into its way.
-    fn natural_end(&self, cfg: &Config) -> Reason {
+    fn natural_end(&self, cfg: &Config) -> EndReason {
         if self.length(cfg) > self.max_tokens {
-            Reason::Length
+            EndReason::Length
         } else {
-            Reason::Stop
+            EndReason::Stop
         }
     }
 }
@@ -276,7 +276,7 @@
     }
 }
 
-fn tell_started(cfg: &Config, stream: &Stream, submission: &Submission) {
+fn log_started(cfg: &Config, stream: &Stream, submission: &Submission) {
     cfg.run_log.append(&RunEvent::Started {
         id: &stream.request,
         stream_id: &stream.id,
--- a/standins/src/engine/log.rs
+++ b/standins/src/engine/log.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 use super::orders::FencedOrder;
-use super::stream::Reason;
+use super::stream::EndReason;
 
 /// One event.
 #[derive(Serialize)]
@@ -28,7 +28,7 @@
     Finished {
         id: &'a str,
         tokens: u64,
-        reason: Reason,
+        reason: EndReason,
     },
     /// A generation was cancelled after so many tokens.
     Cancelled {
--- a/standins/src/engine/orders.rs
+++ b/standins/src/engine/orders.rs
@@ -38,7 +38,7 @@
 
 /// An order refused for its number, with the highest number seen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
-pub(super) struct Fenced {
+pub(super) struct StaleFence {
     pub(super) fence: u64,
 }
 
@@ -74,7 +74,7 @@
     load_time: Duration,
     fence: u64,
     role: Arc<str>,
-    ready: BTreeMap<Arc<str>, Instant>,
+    ready_at: BTreeMap<Arc<str>, Instant>,
 }
 
 impl Orders {
@@ -85,7 +85,7 @@
             load_time,
             fence: 0,
             role: Arc::from("mixed"),
-            ready: models
+            ready_at: models
                 .iter()
                 .map(|model| (Arc::clone(model), now))
                 .collect(),
@@ -93,15 +93,15 @@
     }
 
     /// Carries out an order, unless its number is old and numbers are checked.
-    pub(super) fn apply(&mut self, order: &FencedOrder) -> Result<(), Fenced> {
+    pub(super) fn apply(&mut self, order: &FencedOrder) -> Result<(), StaleFence> {
         if self.check_fence && order.fence < self.fence {
-            return Err(Fenced { fence: self.fence });
+            return Err(StaleFence { fence: self.fence });
         }
         self.fence = self.fence.max(order.fence);
         match &order.order {
             Order::Load { model } => self.load(model),
             Order::Unload { model } => {
-                self.ready.remove(model);
+                self.ready_at.remove(model);
             }
             Order::Role { role } => self.role = Arc::clone(role),
         }
@@ -110,14 +110,14 @@
 
     /// Whether requests for a model are taken.
     pub(super) fn serves(&self, model: &str) -> bool {
-        self.ready
+        self.ready_at
             .get(model)
             .is_some_and(|at| *at <= Instant::now())
     }
 
     /// All models with their states.
     pub(super) fn models(&self) -> ModelList {
-        let models = self.ready.keys().map(|name| Model {
+        let models = self.ready_at.keys().map(|name| Model {
             name: Arc::clone(name),
             state: self.state(name),
         });
@@ -129,8 +129,8 @@
     }
 
     fn load(&mut self, model: &Arc<str>) {
-        let ready = Instant::now() + self.load_time;
-        self.ready.entry(Arc::clone(model)).or_insert(ready);
+        let ready_at = Instant::now() + self.load_time;
+        self.ready_at.entry(Arc::clone(model)).or_insert(ready_at);
     }
 
     fn state(&self, model: &str) -> ModelState {
--- a/standins/src/engine/sse.rs
+++ b/standins/src/engine/sse.rs
@@ -8,14 +8,14 @@
 use poem::{Body, Response};
 use serde::Serialize;
 
-use super::stream::{Progress, Reader, Reason, Stream};
+use super::stream::{EndReason, Progress, Reader, Stream};
 use crate::reply;
 
 /// Header that names the stream for resumption.
-const STREAM_ID: &str = "x-stream-id";
+const STREAM_ID_HEADER: &str = "x-stream-id";
 
 /// The last event of a stream.
-const DONE: &str = "data: [DONE]\n\n";
+const DONE_EVENT: &str = "data: [DONE]\n\n";
 
 /// One event of a stream.
 #[derive(Serialize)]
@@ -31,7 +31,7 @@
 struct ChunkChoice {
     index: u64,
     delta: Delta,
-    finish_reason: Option<Reason>,
+    finish_reason: Option<EndReason>,
 }
 
 #[derive(Serialize)]
@@ -53,7 +53,7 @@
 struct Choice {
     index: u64,
     message: Message,
-    finish_reason: Option<Reason>,
+    finish_reason: Option<EndReason>,
 }
 
 #[derive(Serialize)]
@@ -81,7 +81,7 @@
 }
 
 /// Answers with the tokens from `from` on, as they come.
-pub(super) fn events(reader: Reader, from: u64) -> Response {
+pub(super) fn stream_response(reader: Reader, from: u64) -> Response {
     let id = Arc::clone(&reader.stream.id);
     let cursor = Cursor {
         reader,
@@ -89,17 +89,17 @@
         done: false,
     };
     let chunks = stream::unfold(cursor, |mut cursor| async move {
-        let chunk = cursor.chunk().await?;
+        let chunk = cursor.next_chunk().await?;
         Some((Ok::<_, io::Error>(chunk), cursor))
     });
     Response::builder()
         .content_type("text/event-stream")
-        .header(STREAM_ID, &*id)
+        .header(STREAM_ID_HEADER, &*id)
         .body(Body::from_bytes_stream(chunks))
 }
 
 /// Answers with the whole text once it is complete.
-pub(super) async fn whole(mut reader: Reader) -> Response {
+pub(super) async fn completion_response(mut reader: Reader) -> Response {
     let ended = reader.progress.wait_for(|progress| progress.end.is_some());
     let progress = ended.await.map(|progress| *progress).unwrap_or_default();
     let stream = &reader.stream;
@@ -110,14 +110,14 @@
             index: 0,
             message: Message {
                 role: "assistant",
-                content: stream.text.whole(progress.generated),
+                content: stream.text.text_before(progress.generated),
             },
             finish_reason: progress.end,
         }],
         usage: Usage::new(stream, progress),
     });
     if let Ok(id) = stream.id.parse() {
-        res.headers_mut().insert(STREAM_ID, id);
+        res.headers_mut().insert(STREAM_ID_HEADER, id);
     }
     res
 }
@@ -131,10 +131,10 @@
 
 impl Cursor {
     /// All events that are there, waiting for at least one.
-    async fn chunk(&mut self) -> Option<String> {
+    async fn next_chunk(&mut self) -> Option<String> {
         while !self.done {
             let progress = *self.reader.progress.borrow_and_update();
-            let chunk = self.events(progress);
+            let chunk = self.render_events(progress);
             if !chunk.is_empty() {
                 return Some(chunk);
             }
@@ -143,36 +143,36 @@
         None
     }
 
-    fn events(&mut self, progress: Progress) -> String {
+    fn render_events(&mut self, progress: Progress) -> String {
         let mut buf = String::new();
         while self.next < progress.generated {
-            self.token(&mut buf, progress);
+            self.write_token(&mut buf, progress);
             self.next += 1;
         }
         if progress.end.is_some() {
-            self.finish(&mut buf, progress);
+            self.write_end(&mut buf, progress);
         }
         buf
     }
 
-    fn token(&mut self, buf: &mut String, progress: Progress) {
-        let last = self.next + 1 == progress.generated && natural(progress.end);
+    fn write_token(&mut self, buf: &mut String, progress: Progress) {
+        let last = self.next + 1 == progress.generated && ended_with_token(progress.end);
         let content = self.reader.stream.text.token(self.next);
         let _ = writeln!(buf, "id: {}", self.next);
-        self.data(buf, content, progress, last);
+        self.write_data(buf, content, progress, last);
         self.done = last;
     }
 
     /// Closes the stream, with an event of its own when no token carried the end.
-    fn finish(&mut self, buf: &mut String, progress: Progress) {
+    fn write_end(&mut self, buf: &mut String, progress: Progress) {
         if !self.done {
-            self.data(buf, String::new(), progress, true);
+            self.write_data(buf, String::new(), progress, true);
         }
         self.done = true;
-        buf.push_str(DONE);
+        buf.push_str(DONE_EVENT);
     }
 
-    fn data(&self, buf: &mut String, content: String, progress: Progress, last: bool) {
+    fn write_data(&self, buf: &mut String, content: String, progress: Progress, last: bool) {
         let stream = &self.reader.stream;
         let chunk = Chunk {
             id: &stream.request,
@@ -190,6 +190,6 @@
 }
 
 /// Whether a stream ended with a token.
-fn natural(end: Option<Reason>) -> bool {
-    matches!(end, Some(Reason::Stop | Reason::Length))
+fn ended_with_token(end: Option<EndReason>) -> bool {
+    matches!(end, Some(EndReason::Stop | EndReason::Length))
 }
--- a/standins/src/engine/state.rs
+++ b/standins/src/engine/state.rs
@@ -7,13 +7,13 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use super::batch::Plan;
+use super::batch::StepPlan;
 use super::config::Config;
-use super::core::{Core, Refusal, Submission};
+use super::core::{Core, Submission, SubmitError};
 use super::events::EventLog;
 use super::load::LoadHistory;
 use super::log::RunEvent;
-use super::orders::{Fenced, FencedOrder, Orders};
+use super::orders::{FencedOrder, Orders, StaleFence};
 use super::stream::{Reader, Stream};
 use crate::server::Stop;
 use crate::sync::lock;
@@ -36,7 +36,7 @@
     pub(super) events: EventLog,
     pub(super) load: LoadHistory,
     pub(super) stop: Stop,
-    pub(super) work: Notify,
+    pub(super) work_added: Notify,
     core: Mutex<Core>,
     pace: Mutex<PaceFaults>,
 }
@@ -61,7 +61,7 @@
             events: EventLog::new(cfg.scaled(cfg.event_lag), cfg.event_gap),
             load: LoadHistory::new(cfg.scaled(cfg.load_lag), first),
             stop,
-            work: Notify::new(),
+            work_added: Notify::new(),
             core: Mutex::new(core),
             pace: Mutex::new(PaceFaults {
                 slow_factor: cfg.slow_factor,
@@ -72,17 +72,17 @@
     }
 
     /// Takes a request into the waiting queue and begins to read its stream.
-    pub(super) fn submit(&self, submission: Submission) -> Result<Reader, Refusal> {
+    pub(super) fn submit(&self, submission: Submission) -> Result<Reader, SubmitError> {
         if !lock(&self.orders).serves(&submission.model) {
-            return Err(Refusal::UnknownModel);
+            return Err(SubmitError::UnknownModel);
         }
         let longest = self.cfg.max_prompt_tokens.min(self.cfg.capacity_tokens - 1);
         if submission.prompt.tokens > longest {
-            return Err(Refusal::PromptTooLong);
+            return Err(SubmitError::PromptTooLong);
         }
         let reader = lock(&self.core).submit(&self.cfg, submission)?;
         self.record_load();
-        self.work.notify_one();
+        self.work_added.notify_one();
         Ok(reader)
     }
 
@@ -114,7 +114,7 @@
             return None;
         }
         let step = self.step_time(&plan);
-        core.set_step(step);
+        core.set_step_duration(step);
         Some(step)
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Carries out an order, and tells the run log either way.
-    pub(super) fn order(&self, order: &FencedOrder) -> Result<(), Fenced> {
+    pub(super) fn apply_order(&self, order: &FencedOrder) -> Result<(), StaleFence> {
         let mut orders = lock(&self.orders);
         let result = orders.apply(order);
         self.cfg.run_log.append(&RunEvent::Order {
@@ -158,7 +158,7 @@
     }
 
     #[expect(clippy::cast_precision_loss, reason = "counts stay small")]
-    fn step_time(&self, plan: &Plan) -> Duration {
+    fn step_time(&self, plan: &StepPlan) -> Duration {
         let cfg = &self.cfg;
         let ms = cfg.step_base_ms
             + cfg.step_per_seq_ms * plan.batch as f64
--- a/standins/src/engine/stream.rs
+++ b/standins/src/engine/stream.rs
@@ -14,7 +14,7 @@
 /// Why a generation ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub(super) enum Reason {
+pub(super) enum EndReason {
     /// The model stopped by itself.
     Stop,
     /// The limit of tokens or memory was reached.
@@ -31,7 +31,7 @@
     /// How often it lost its memory.
     pub(super) preemptions: u64,
     /// Why it ended, if it did.
-    pub(super) end: Option<Reason>,
+    pub(super) end: Option<EndReason>,
 }
 
 /// A generation.
@@ -45,7 +45,7 @@
     pub(super) model: Arc<str>,
     pub(super) prompt_tokens: u64,
     /// Why it ends when nothing gets into its way.
-    pub(super) natural_end: Reason,
+    pub(super) natural_end: EndReason,
     pub(super) text: TokenText,
     progress: watch::Sender<Progress>,
     readers: Mutex<Readers>,
@@ -66,7 +66,7 @@
     pub(super) key: SeqKey,
     pub(super) model: Arc<str>,
     pub(super) prompt_tokens: u64,
-    pub(super) natural_end: Reason,
+    pub(super) natural_end: EndReason,
     pub(super) text: TokenText,
 }
 
@@ -99,7 +99,7 @@
     }
 
     /// Shows the last tokens together with the end.
-    pub(super) fn finish(&self, generated: u64, reason: Reason) {
+    pub(super) fn finish(&self, generated: u64, reason: EndReason) {
         self.update(|progress| {
             progress.generated = generated;
             progress.end = Some(reason);
@@ -117,7 +117,7 @@
     }
 
     /// Whether nobody has read for at least `window`.
-    pub(super) fn idle(&self, window: Duration) -> bool {
+    pub(super) fn is_idle(&self, window: Duration) -> bool {
         let readers = lock(&self.readers);
         readers.count == 0 && readers.idle_since.elapsed() >= window
     }
--- a/standins/src/engine/text.rs
+++ b/standins/src/engine/text.rs
@@ -63,13 +63,13 @@
     }
 
     /// The text of all tokens before `end`.
-    pub(super) fn whole(&self, end: u64) -> String {
+    pub(super) fn text_before(&self, end: u64) -> String {
         (0..end).map(|index| self.token(index)).collect()
     }
 
     fn word(&self, index: u64) -> String {
         let state = hash::extend(u64::from(self.nonce), &index.to_le_bytes());
-        let place = (state >> 32) as usize % WORDS.len();
-        format!("{} ", WORDS[place])
+        let word_index = (state >> 32) as usize % WORDS.len();
+        format!("{} ", WORDS[word_index])
     }
 }
