--- a/standins/src/engine/batch.rs
+++ b/standins/src/engine/batch.rs
@@ -1,9 +1,9 @@
-//! The scheduler of continuous batching, without clock or sockets.
+//! A scheduler for continuous batching, without clock or I/O.
 //!
-//! A step is planned, lasts as long as the plan says, and is then committed:
-//! each running sequence gets one token. When the running sequences and their
-//! next tokens exceed the memory, the one of lowest priority, and of these the
-//! latest to arrive, loses its memory and waits to be computed again.
+//! A step is planned, runs for a duration derived from the plan, and is then
+//! committed: each running sequence gets one token. When the running sequences
+//! and their next tokens exceed the memory, the sequence of lowest priority, and
+//! among those the latest arrival, is preempted and recomputed later.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,24 +11,24 @@
 
 use super::cache::PrefixCache;
 
-/// Names a sequence by its place in the order of arrival.
+/// Identifies a sequence by its arrival number.
 pub(super) type SeqKey = u64;
 
-/// Place in the waiting queue: higher priority first, then earlier arrival.
+/// Position in the waiting queue: higher priority first, then earlier arrival.
 type QueuePosition = (Reverse<i64>, SeqKey);
 
-/// One generation as the scheduler sees it.
+/// Scheduling state of one generation.
 #[derive(Clone, Debug)]
 pub(super) struct Sequence {
     pub(super) key: SeqKey,
     pub(super) priority: i64,
     pub(super) prompt_tokens: u64,
     pub(super) prefixes: Arc<[u64]>,
-    /// Tokens made so far.
+    /// Tokens generated so far.
     pub(super) generated: u64,
     /// Tokens after which the sequence ends.
     pub(super) target: u64,
-    /// Tokens after which the engine crashes.
+    /// Generated tokens after which the engine crashes.
     pub(super) crash_after: Option<u64>,
 }
 
@@ -42,38 +42,38 @@
     }
 }
 
-/// What the next step will do.
+/// The plan of the next step.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(super) struct StepPlan {
-    /// Sequences that run.
+    /// Number of running sequences.
     pub(super) batch: usize,
-    /// Tokens to compute for the sequences that join.
+    /// Tokens to prefill for newly admitted sequences.
     pub(super) prefill_tokens: u64,
-    /// Sequences that lost their memory.
+    /// Preempted sequences.
     pub(super) preempted: Vec<SeqKey>,
-    /// Sequences that ended because memory can't hold one more token.
+    /// Sequences ended because the memory can't hold one more token.
     pub(super) out_of_memory: Vec<SeqKey>,
 }
 
-/// What a step did.
+/// The result of a step.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(super) struct StepResult {
-    /// Sequences that got a token, with their count of tokens.
+    /// Sequences that got a token, with their token counts.
     pub(super) tokens: Vec<(SeqKey, u64)>,
-    /// Sequences among them that are complete.
+    /// Sequences in `tokens` that are complete.
     pub(super) finished: Vec<SeqKey>,
     /// The sequence that crashed the engine.
     pub(super) crashed: Option<SeqKey>,
 }
 
-/// Sizes of the scheduler.
+/// Limits of the scheduler.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
     pub(super) capacity_tokens: u64,
     pub(super) max_batch: usize,
 }
 
-/// The sequences that run and wait.
+/// The running and waiting sequences.
 #[derive(Debug)]
 pub(super) struct Batch {
     limits: Limits,
@@ -92,12 +92,12 @@
         }
     }
 
-    /// Puts a sequence into the waiting queue.
+    /// Adds a sequence to the waiting queue.
     pub(super) fn push(&mut self, seq: Sequence) {
         self.waiting.insert(seq.queue_position(), seq);
     }
 
-    /// Takes a sequence out, wherever it is; returns its count of tokens.
+    /// Removes a running or waiting sequence and returns its token count.
     pub(super) fn remove(&mut self, key: SeqKey) -> Option<u64> {
         if let Some(index) = self.running.iter().position(|seq| seq.key == key) {
             return Some(self.running.remove(index).generated);
@@ -108,7 +108,7 @@
             .map(|seq| seq.generated)
     }
 
-    /// Decides who runs in the next step.
+    /// Selects the sequences that run in the next step.
     pub(super) fn plan(&mut self, cache: &mut PrefixCache) -> StepPlan {
         let mut plan = StepPlan::default();
         self.preempt_to_fit(&mut plan);
@@ -117,7 +117,7 @@
         plan
     }
 
-    /// Gives each running sequence its token.
+    /// Adds a token to each running sequence, up to one that crashes the engine.
     pub(super) fn commit(&mut self) -> StepResult {
         let mut committed = StepResult::default();
         for seq in &mut self.running {
@@ -151,12 +151,12 @@
         self.preemptions
     }
 
-    /// Tokens that running sequences hold.
+    /// Returns the tokens held by running sequences.
     pub(super) fn used_tokens(&self) -> u64 {
         self.running.iter().map(Sequence::memory_tokens).sum()
     }
 
-    /// Tokens held at the end of the next step.
+    /// Returns the tokens held after the next step.
     fn used_after_step(&self) -> u64 {
         self.used_tokens() + self.running.len() as u64
     }
--- a/standins/src/engine/cache.rs
+++ b/standins/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache: blocks of prompts, least recently used first out.
+//! An LRU cache of prompt prefixes in blocks.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,17 +6,17 @@
 
 use super::prompt::BLOCK_TOKENS;
 
-/// What happened to a block.
+/// A change of a cached block.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum CacheChange {
-    /// Taken in.
+    /// The block was stored.
     Stored,
-    /// Thrown out.
+    /// The block was evicted.
     Evicted,
 }
 
-/// A cache of blocks, each named by the digest of the prefix it ends.
+/// A cache of blocks, each identified by the digest of the prefix that it ends.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     max_blocks: usize,
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Runs a prompt through the cache; returns the tokens that it held.
+    /// Stores the prefixes of a prompt; returns the tokens that were already cached.
     pub(super) fn lookup_and_insert(&mut self, prefixes: &[u64]) -> u64 {
         let hits = prefixes
             .iter()
             .take_while(|prefix| self.last_used.contains_key(*prefix))
             .count();
-        // The longest prefix goes first, so that it is evicted first.
+        // Touches the longest prefix first, so that it is evicted first.
         for prefix in prefixes.iter().take(self.max_blocks).rev() {
             self.touch(*prefix);
         }
@@ -52,7 +52,7 @@
         (hits * BLOCK_TOKENS) as u64
     }
 
-    /// The changes since the last call.
+    /// Returns the changes since the last call.
     pub(super) fn take_changes(&mut self) -> Vec<(CacheChange, u64)> {
         std::mem::take(&mut self.changes)
     }
--- a/standins/src/engine/config.rs
+++ b/standins/src/engine/config.rs
@@ -8,43 +8,43 @@
 /// Settings of an engine. All durations are divided by `time_scale`.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Models loaded from the start.
+    /// Models loaded at startup.
     pub models: Vec<Arc<str>>,
-    /// Seed of drawn output lengths.
+    /// Seed of random output lengths.
     pub seed: u64,
-    /// Milliseconds of a decode step for itself.
+    /// Base duration of a decode step, in milliseconds.
     pub step_base_ms: f64,
-    /// Milliseconds that each running sequence adds to a step.
+    /// Duration that each running sequence adds to a step, in milliseconds.
     pub step_per_seq_ms: f64,
-    /// Milliseconds that each prompt token to compute adds to a step.
+    /// Duration that each prefilled token adds to a step, in milliseconds.
     pub prefill_per_token_ms: f64,
-    /// How many times faster than the model of time the engine runs.
+    /// Speed of the engine relative to simulated time.
     pub time_scale: f64,
-    /// How many times slower than usual the steps are.
+    /// Multiplier of step durations.
     pub slow_factor: f64,
-    /// Tokens that the memory of running sequences holds.
+    /// Memory capacity for running sequences, in tokens.
     pub capacity_tokens: u64,
-    /// Sequences that run at once.
+    /// Maximum number of running sequences.
     pub max_batch: usize,
-    /// Longest prompt, in tokens.
+    /// Maximum prompt length, in tokens.
     pub max_prompt_tokens: u64,
-    /// Tokens that the prefix cache holds.
+    /// Prefix cache capacity, in tokens.
     pub cache_tokens: u64,
-    /// How late cache events are published.
+    /// Delay of cache events.
     pub event_lag: Duration,
-    /// Every so many cache events one is lost; 0 for none.
+    /// Interval between dropped cache events, in events; 0 for none.
     pub event_gap: u64,
-    /// How late load reports are.
+    /// Delay of load reports.
     pub load_lag: Duration,
-    /// How long a stream outlives its connection or its end.
+    /// Retention of a stream without readers, in progress or ended.
     pub resume_window: Duration,
-    /// How long it takes to load a model.
+    /// Duration of loading a model.
     pub load_time: Duration,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with a stale fencing number are rejected.
     pub check_fence: bool,
-    /// Whether a crash aborts the process, or only stops the server.
+    /// Whether a crash aborts the process instead of stopping the server.
     pub crash_aborts: bool,
-    /// Where generations that ran are told.
+    /// Log of generations and orders.
     pub run_log: Arc<RunLog>,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl Config {
-    /// A duration of the model of time as it passes on the clock.
+    /// Converts a simulated duration to clock time.
     pub(super) fn scaled(&self, duration: Duration) -> Duration {
         duration.div_f64(self.time_scale)
     }
--- a/standins/src/engine/events.rs
+++ b/standins/src/engine/events.rs
@@ -1,4 +1,4 @@
-//! Publishing cache events: late, and with gaps.
+//! Publishing cache events with a delay and with gaps.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -11,10 +11,10 @@
 use super::cache::CacheChange;
 use crate::sync::lock;
 
-/// Events kept for readers.
+/// Maximum number of retained events.
 const MAX_RETAINED_EVENTS: usize = 8_192;
 
-/// One cache event.
+/// A numbered cache event.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct CacheEvent {
     seq: u64,
@@ -22,14 +22,14 @@
     prefix: String,
 }
 
-/// A page of events.
+/// A page of events and the number of the last one.
 #[derive(Debug, Serialize)]
 pub(super) struct EventPage {
     seq: u64,
     events: Vec<CacheEvent>,
 }
 
-/// The events of the past.
+/// The log of past events.
 #[derive(Debug)]
 pub(super) struct EventLog {
     lag: Duration,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Numbers and keeps changes, except for those lost on the way.
+    /// Numbers and retains changes, dropping every `gap`th one.
     pub(super) fn publish(&self, changes: Vec<(CacheChange, u64)>) {
         if changes.is_empty() {
             return;
@@ -75,7 +75,7 @@
         self.added.notify_waiters();
     }
 
-    /// Events after `since`, as soon as there are any, or none on a timeout.
+    /// Waits for events after `since`; returns an empty page on a timeout.
     pub(super) async fn since(&self, since: u64, timeout: Duration) -> EventPage {
         let deadline = Instant::now() + timeout;
         loop {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// When the next event after `since` may be shown.
+    /// Returns when the next event after `since` becomes visible.
     fn next_visible(&self, since: u64) -> Option<Instant> {
         let mut later = self.events.iter().filter(|(_, event)| event.seq > since);
         later.next().map(|(visible_at, _)| *visible_at)
--- a/standins/src/engine/load.rs
+++ b/standins/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! Load reports, which show the state of a while ago.
+//! Delayed load reports.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -12,23 +12,23 @@
 /// The load of an engine.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Load {
-    /// Sequences that run.
+    /// Number of running sequences.
     pub running: usize,
-    /// Sequences that wait.
+    /// Number of waiting sequences.
     pub waiting: usize,
-    /// Tokens that running sequences hold.
+    /// Tokens held by running sequences.
     pub used_tokens: u64,
-    /// Tokens that the memory holds.
+    /// Memory capacity, in tokens.
     pub capacity_tokens: u64,
-    /// Sequences that may run at once.
+    /// Maximum number of running sequences.
     pub max_batch: usize,
-    /// Preemptions since the start.
+    /// Preemptions since startup.
     pub preemptions_total: u64,
-    /// Milliseconds of the last step, on the clock.
+    /// Clock time of the last step, in milliseconds.
     pub step_ms: f64,
 }
 
-/// The loads of the past, as far as a report may need them.
+/// Past loads that a report may still show.
 #[derive(Debug)]
 pub(super) struct LoadHistory {
     lag: Duration,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes in the load of now and drops what no report will show again.
+    /// Records the current load and drops loads that no report can show any more.
     pub(super) fn record(&self, load: Load) {
         let now = Instant::now();
         let mut loads = lock(&self.loads);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The load as it was a lag ago.
+    /// Returns the load from `lag` ago.
     pub(super) fn report(&self) -> Load {
         let now = Instant::now();
         let loads = lock(&self.loads);
--- a/standins/src/engine/orders.rs
+++ b/standins/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to load models or change role, and the fencing numbers they carry.
+//! Orders to load or unload models or change the role, with fencing numbers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,51 +15,51 @@
     pub(super) order: Order,
 }
 
-/// What an order asks for.
+/// The action of an order.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(tag = "order", rename_all = "snake_case")]
 pub(super) enum Order {
-    /// Load a model.
+    /// Loads a model.
     Load {
         /// Its name.
         model: Arc<str>,
     },
-    /// Unload a model; generations in progress go on.
+    /// Unloads a model; generations in progress continue.
     Unload {
         /// Its name.
         model: Arc<str>,
     },
-    /// Take another role.
+    /// Changes the role.
     Role {
         /// Its name.
         role: Arc<str>,
     },
 }
 
-/// An order refused for its number, with the highest number seen.
+/// Rejection of a stale fencing number, with the highest number seen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub(super) struct StaleFence {
     pub(super) fence: u64,
 }
 
-/// How far a model is loaded.
+/// The loading state of a model.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum ModelState {
-    /// On its way into memory.
+    /// Being loaded.
     Loading,
     /// Ready for requests.
     Loaded,
 }
 
-/// A model as an answer shows it.
+/// A model in a [`ModelList`].
 #[derive(Debug, Serialize)]
 struct Model {
     name: Arc<str>,
     state: ModelState,
 }
 
-/// The answer to a question for models.
+/// The response to a query for models.
 #[derive(Debug, Serialize)]
 pub(super) struct ModelList {
     models: Vec<Model>,
@@ -67,7 +67,7 @@
     fence: u64,
 }
 
-/// What orders have brought about.
+/// The models, role and fencing number set by orders.
 #[derive(Debug)]
 pub(super) struct Orders {
     check_fence: bool,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Carries out an order, unless its number is old and numbers are checked.
+    /// Applies an order, or rejects a stale fencing number if they are checked.
     pub(super) fn apply(&mut self, order: &FencedOrder) -> Result<(), StaleFence> {
         if self.check_fence && order.fence < self.fence {
             return Err(StaleFence { fence: self.fence });
@@ -108,14 +108,14 @@
         Ok(())
     }
 
-    /// Whether requests for a model are taken.
+    /// Returns whether a model is loaded.
     pub(super) fn serves(&self, model: &str) -> bool {
         self.ready_at
             .get(model)
             .is_some_and(|at| *at <= Instant::now())
     }
 
-    /// All models with their states.
+    /// Returns all models with their states.
     pub(super) fn models(&self) -> ModelList {
         let models = self.ready_at.keys().map(|name| Model {
             name: Arc::clone(name),
--- a/standins/src/engine/prompt.rs
+++ b/standins/src/engine/prompt.rs
@@ -1,7 +1,7 @@
-//! The prompt: its tokens and the directives hidden in its text.
+//! Prompt parsing: tokens, and directives embedded in the text.
 //!
-//! A token is a word, counted by its digest. Directives stand in double square
-//! brackets anywhere in a message and are no tokens themselves.
+//! A token is a word, represented by its digest. Directives stand in double
+//! square brackets anywhere in a message and don't count as tokens.
 
 use std::sync::Arc;
 
@@ -10,45 +10,45 @@
 /// Tokens in a block of the prefix cache.
 pub(super) const BLOCK_TOKENS: usize = 32;
 
-/// A prompt as the engine runs it.
+/// A parsed prompt.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Prompt {
     /// Number of tokens, at least 1.
     pub(super) tokens: u64,
-    /// Digests of the prefixes that end with a whole block.
+    /// Digests of the prefixes that end at a block boundary.
     pub(super) prefixes: Arc<[u64]>,
-    /// Digest of the text.
+    /// Digest of the text without directives.
     pub(super) digest: u64,
-    /// What the directives ask for.
+    /// Settings from the directives.
     pub(super) directives: Directives,
 }
 
-/// What the directives of a prompt ask for.
+/// Settings from the directives of a prompt.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Directives {
-    /// Tokens until the model would stop by itself.
+    /// Output length without a token limit, in tokens.
     pub(super) len: Option<u64>,
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt, in tokens.
     pub(super) prompt: Option<u64>,
-    /// Name and length in tokens of a shared prefix before the text.
+    /// Name and length, in tokens, of a shared prefix before the text.
     pub(super) prefix: Option<(Arc<str>, u64)>,
-    /// The caller's tag.
+    /// Tag set by the caller.
     pub(super) mark: Option<Arc<str>>,
-    /// Whether the engine crashes.
+    /// Whether the prompt crashes the engine.
     crash: bool,
-    /// Tokens produced before it does.
+    /// Generated tokens before the crash.
     crash_after: u64,
-    /// Whether tokens are words.
+    /// Whether the output consists of words instead of checkable tokens.
     pub(super) words: bool,
 }
 
 impl Directives {
-    /// Tokens after which the engine crashes, if it does.
+    /// Returns the generated tokens after which the engine crashes, if it does.
     pub(super) fn crash_after(&self) -> Option<u64> {
         self.crash.then_some(self.crash_after)
     }
 
-    /// Takes over one directive; an unknown one is ignored.
+    /// Applies a directive, ignoring an unknown one.
     fn apply(&mut self, text: &str) {
         let (name, value) = text.split_once('=').unwrap_or((text, ""));
         match name {
@@ -64,14 +64,14 @@
     }
 }
 
-/// The name and length of a shared prefix, as in `NAME/TOKENS`.
+/// Parses a shared prefix of the form `NAME/TOKENS`.
 fn prefix(value: &str) -> Option<(Arc<str>, u64)> {
     let (name, tokens) = value.split_once('/')?;
     Some((Arc::from(name), tokens.parse().ok()?))
 }
 
 impl Prompt {
-    /// Reads the messages of a request.
+    /// Parses the messages of a request.
     pub(super) fn parse<'a>(messages: impl IntoIterator<Item = &'a str>) -> Self {
         let mut directives = Directives::default();
         let mut text = String::new();
@@ -90,7 +90,7 @@
     }
 }
 
-/// Appends the text of a message without its directives, which it applies.
+/// Appends the text of a message without its directives, and applies those.
 fn strip_directives(message: &str, text: &mut String, directives: &mut Directives) {
     let mut rest = message;
     while let Some((before, after)) = rest.split_once("[[") {
@@ -104,7 +104,7 @@
     text.push_str(rest);
 }
 
-/// The digest of each token: shared prefix, words, then filling.
+/// Returns the digest of each token: shared prefix, words, then padding.
 fn tokens(text: &str, digest: u64, directives: &Directives) -> Vec<u64> {
     let mut tokens = Vec::new();
     if let Some((name, length)) = &directives.prefix {
@@ -120,14 +120,14 @@
     tokens
 }
 
-/// Adds tokens derived from `digest` until there are `wanted`.
+/// Appends tokens derived from `digest` up to a length of `target_len`.
 fn pad_tokens(tokens: &mut Vec<u64>, digest: u64, target_len: u64) {
     for index in tokens.len() as u64..target_len {
         tokens.push(hash::extend(digest, &index.to_le_bytes()));
     }
 }
 
-/// The digest of each prefix that ends with a whole block.
+/// Returns the digest of each prefix that ends at a block boundary.
 fn prefixes(tokens: &[u64]) -> Arc<[u64]> {
     tokens
         .chunks_exact(BLOCK_TOKENS)
