--- a/standins/src/engine/api.rs
+++ b/standins/src/engine/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP calls of the engine.
+//! HTTP endpoints of the engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 use crate::reply;
 use crate::sync::lock;
 
-/// Paths of the stand-in's own switches, which work in a frozen engine too.
+/// Prefix of the stand-in's control paths, which a frozen engine serves too.
 const CONTROL_PATH_PREFIX: &str = "/standin/";
 
-/// Header that names the request across systems.
+/// Header of the request id shared by all systems.
 const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Limit of tokens when a request sets none.
+/// Default token limit of a request.
 const DEFAULT_MAX_TOKENS: u64 = 16_384;
 
-/// How long a question for events waits when it doesn't say, in milliseconds.
+/// Default timeout of an events query, in milliseconds.
 const DEFAULT_EVENTS_TIMEOUT_MS: u64 = 10_000;
 
-/// A request for a generation.
+/// Body of a generation request.
 #[derive(Debug, Deserialize)]
 struct ChatRequest {
     model: Arc<str>,
@@ -53,14 +53,14 @@
     DEFAULT_MAX_TOKENS
 }
 
-/// Where a resumption begins.
+/// Query of a resumption, with the index of its first token.
 #[derive(Deserialize)]
 struct ResumeQuery {
     #[serde(default)]
     from: u64,
 }
 
-/// Where events begin and how long to wait for them.
+/// Query for the events after `since`, with an optional timeout.
 #[derive(Deserialize)]
 struct EventsQuery {
     #[serde(default)]
@@ -68,7 +68,7 @@
     timeout_ms: Option<u64>,
 }
 
-/// The routes of the engine.
+/// Returns the routes of the engine.
 pub(super) fn endpoint(state: Arc<State>) -> impl IntoEndpoint<Endpoint: 'static> {
     let frozen_state = Arc::clone(&state);
     Route::new()
@@ -85,7 +85,7 @@
         .before(move |req| wait_while_frozen(Arc::clone(&frozen_state), req))
 }
 
-/// Holds up a call for as long as the engine is frozen.
+/// Delays a call until the engine is no longer frozen.
 async fn wait_while_frozen(state: Arc<State>, req: Request) -> poem::Result<Request> {
     if !req.uri().path().starts_with(CONTROL_PATH_PREFIX) {
         sleep_until(state.frozen_until()).await;
--- a/standins/src/engine/core.rs
+++ b/standins/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! The scheduler together with the streams that it feeds.
+//! The scheduler and the streams that receive its tokens.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
@@ -15,7 +15,7 @@
 use super::stream::{EndReason, Reader, Stream, StreamParts};
 use super::text::TokenText;
 
-/// A request that passed the checks of its form.
+/// A parsed generation request.
 #[derive(Debug)]
 pub(super) struct Submission {
     pub(super) model: Arc<str>,
@@ -26,18 +26,18 @@
     pub(super) request_id: Option<Arc<str>>,
 }
 
-/// Why a request isn't taken.
+/// The reason for rejecting a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum SubmitError {
     /// The model isn't loaded.
     UnknownModel,
-    /// The prompt is longer than the engine can hold.
+    /// The prompt exceeds the length limit or the memory.
     PromptTooLong,
-    /// A generation in progress has the stream id.
+    /// A generation in progress uses the stream id.
     StreamIdTaken,
 }
 
-/// The scheduler with the streams it feeds.
+/// The scheduler, the prefix cache and the streams.
 #[derive(Debug)]
 pub(super) struct Core {
     batch: Batch,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes a request into the waiting queue.
+    /// Adds a request to the waiting queue.
     pub(super) fn submit(
         &mut self,
         cfg: &Config,
@@ -119,7 +119,7 @@
         })
     }
 
-    /// Decides who runs in the next step and tells of those who don't.
+    /// Plans the next step; logs preemptions and ends sequences that exceed the memory.
     pub(super) fn plan(&mut self, cfg: &Config) -> StepPlan {
         let plan = self.batch.plan(&mut self.cache);
         for key in &plan.preempted {
@@ -140,7 +140,7 @@
         plan
     }
 
-    /// Hands out the tokens of a step; returns whether the engine crashed.
+    /// Delivers the tokens of a step; returns whether the engine crashed.
     pub(super) fn commit(&mut self, cfg: &Config) -> bool {
         let committed = self.batch.commit();
         for (key, generated) in &committed.tokens {
@@ -156,7 +156,7 @@
         committed.crashed.is_some()
     }
 
-    /// Shows a token to the readers, together with the end if it is the last.
+    /// Delivers a token to the readers, together with the end if it is the last.
     fn deliver_token(&mut self, cfg: &Config, key: SeqKey, generated: u64, committed: &StepResult) {
         let Some(stream) = self.streams.get(&key) else {
             return;
@@ -185,7 +185,7 @@
         stream.finish(tokens, reason);
     }
 
-    /// Ends a generation in progress.
+    /// Cancels a generation in progress.
     pub(super) fn cancel(&mut self, cfg: &Config, stream: &Stream) {
         let Some(tokens) = self.batch.remove(stream.key) else {
             return;
@@ -199,9 +199,9 @@
         stream.finish(tokens, EndReason::Cancelled);
     }
 
-    /// Cancels streams without a reader for the window, and forgets ended ones.
+    /// Cancels streams that had no reader for `window`, and drops ended ones.
     ///
-    /// Returns whether there were any.
+    /// Returns whether there were any such streams.
     pub(super) fn sweep(&mut self, cfg: &Config, window: Duration) -> bool {
         let streams = self.by_id.values();
         let idle: Vec<_> = streams
@@ -218,22 +218,22 @@
         !idle.is_empty()
     }
 
-    /// A stream by its id.
+    /// Returns a stream by its id.
     pub(super) fn stream(&self, id: &str) -> Option<Arc<Stream>> {
         self.by_id.get(id).cloned()
     }
 
-    /// The changes of the cache since the last call.
+    /// Returns the cache changes since the last call.
     pub(super) fn take_cache_changes(&mut self) -> Vec<(CacheChange, u64)> {
         self.cache.take_changes()
     }
 
-    /// Notes how long the step in progress lasts.
+    /// Records the duration of the current step.
     pub(super) fn set_step_duration(&mut self, step_duration: Duration) {
         self.step_duration = step_duration;
     }
 
-    /// The load of now.
+    /// Returns the current load.
     pub(super) fn load(&self, cfg: &Config) -> Load {
         Load {
             running: self.batch.running(),
@@ -248,13 +248,13 @@
 }
 
 impl Submission {
-    /// Tokens until the model would stop by itself.
+    /// Returns the output length without a token limit.
     fn length(&self, cfg: &Config) -> u64 {
         let drawn = || length::draw(cfg.seed, self.prompt.digest);
         self.prompt.directives.len.unwrap_or_else(drawn).max(1)
     }
 
-    /// Why the generation ends when nothing gets into its way.
+    /// Returns the end reason of an uninterrupted generation.
     fn natural_end(&self, cfg: &Config) -> EndReason {
         if self.length(cfg) > self.max_tokens {
             EndReason::Length
--- a/standins/src/engine/log.rs
+++ b/standins/src/engine/log.rs
@@ -1,15 +1,15 @@
-//! What the run log of an engine tells.
+//! Events in the run log of an engine.
 
 use serde::Serialize;
 
 use super::orders::FencedOrder;
 use super::stream::EndReason;
 
-/// One event.
+/// An event in the run log.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub(super) enum RunEvent<'a> {
-    /// A generation was taken into the queue.
+    /// A generation was queued.
     Started {
         id: &'a str,
         stream_id: &'a str,
@@ -20,9 +20,9 @@
         prompt_tokens: u64,
         priority: i64,
     },
-    /// A generation has its first token.
+    /// A generation produced its first token.
     FirstToken { id: &'a str },
-    /// A generation lost its memory after so many tokens.
+    /// A generation was preempted after `tokens` tokens.
     Preempted { id: &'a str, tokens: u64 },
     /// A generation ended.
     Finished {
@@ -30,7 +30,7 @@
         tokens: u64,
         reason: EndReason,
     },
-    /// A generation was cancelled after so many tokens.
+    /// A generation was cancelled after `tokens` tokens.
     Cancelled {
         id: &'a str,
         stream_id: &'a str,
--- a/standins/src/engine/mod.rs
+++ b/standins/src/engine/mod.rs
@@ -1,8 +1,8 @@
-//! A stand-in for a model engine that batches continuously.
+//! A stand-in for a model engine with continuous batching.
 //!
-//! Each decode step gives every running sequence one token. Memory fills while
-//! sequences grow; then one is preempted and computed again later. Streams
-//! outlive their connections for a while, so that a reader can come back.
+//! Each decode step adds one token to every running sequence. When the growing
+//! sequences exceed the memory, one is preempted and recomputed later. Streams
+//! outlive their connections for a limited time, so that a reader can reconnect.
 
 mod api;
 mod batch;
--- a/standins/src/engine/runner.rs
+++ b/standins/src/engine/runner.rs
@@ -1,4 +1,4 @@
-//! The clock of an engine: steps at an absolute schedule.
+//! Running the steps of an engine on an absolute schedule.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 use super::state::State;
 use crate::clock::wait_until;
 
-/// How often idle streams are looked for, at most.
+/// Minimum interval between sweeps of idle streams.
 const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(1);
 
-/// How far the schedule may be behind before the rest is given up.
+/// Maximum lag of the schedule; any further lag is skipped.
 const MAX_SCHEDULE_LAG: Duration = Duration::from_millis(200);
 
-/// How often idle streams are looked for, at least.
+/// Maximum interval between sweeps of idle streams.
 const MAX_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Runs steps until the engine crashes.
@@ -35,7 +35,7 @@
     }
 }
 
-/// Cancels and forgets streams that nobody reads, for ever.
+/// Cancels or drops idle streams periodically, without end.
 pub(super) async fn sweep(state: Arc<State>) {
     let window = state.cfg.scaled(state.cfg.resume_window);
     let mut ticks = interval((window / 4).clamp(MIN_SWEEP_INTERVAL, MAX_SWEEP_INTERVAL));
--- a/standins/src/engine/sse.rs
+++ b/standins/src/engine/sse.rs
@@ -1,4 +1,4 @@
-//! Streams as server-sent events, and whole answers.
+//! Responses as server-sent events or as one JSON document.
 
 use std::fmt::Write;
 use std::io;
@@ -11,13 +11,13 @@
 use super::stream::{EndReason, Progress, Reader, Stream};
 use crate::reply;
 
-/// Header that names the stream for resumption.
+/// Header of the stream id for resumption.
 const STREAM_ID_HEADER: &str = "x-stream-id";
 
-/// The last event of a stream.
+/// The final event of a stream.
 const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// One event of a stream.
+/// A token event of a stream.
 #[derive(Serialize)]
 struct Chunk<'a> {
     id: &'a str,
@@ -40,7 +40,7 @@
     content: String,
 }
 
-/// A whole answer.
+/// A complete, non-streamed response.
 #[derive(Serialize)]
 struct Completion<'a> {
     id: &'a str,
@@ -62,7 +62,7 @@
     content: String,
 }
 
-/// What a generation took.
+/// Token usage of a generation.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct Usage {
     prompt_tokens: u64,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Answers with the tokens from `from` on, as they come.
+/// Streams the tokens from index `from` on.
 pub(super) fn stream_response(reader: Reader, from: u64) -> Response {
     let id = Arc::clone(&reader.stream.id);
     let cursor = Cursor {
@@ -98,7 +98,7 @@
         .body(Body::from_bytes_stream(chunks))
 }
 
-/// Answers with the whole text once it is complete.
+/// Waits for the end of a generation and returns its whole text.
 pub(super) async fn completion_response(mut reader: Reader) -> Response {
     let ended = reader.progress.wait_for(|progress| progress.end.is_some());
     let progress = ended.await.map(|progress| *progress).unwrap_or_default();
@@ -122,7 +122,7 @@
     res
 }
 
-/// A reader's place in a stream.
+/// A reader's position in a stream.
 struct Cursor {
     reader: Reader,
     next: u64,
@@ -130,7 +130,7 @@
 }
 
 impl Cursor {
-    /// All events that are there, waiting for at least one.
+    /// Waits for at least one event and returns all available ones.
     async fn next_chunk(&mut self) -> Option<String> {
         while !self.done {
             let progress = *self.reader.progress.borrow_and_update();
@@ -163,7 +163,7 @@
         self.done = last;
     }
 
-    /// Closes the stream, with an event of its own when no token carried the end.
+    /// Ends the stream, with an extra event if no token carried the end reason.
     fn write_end(&mut self, buf: &mut String, progress: Progress) {
         if !self.done {
             self.write_data(buf, String::new(), progress, true);
@@ -189,7 +189,7 @@
     }
 }
 
-/// Whether a stream ended with a token.
+/// Returns whether a stream ended with a token.
 fn ended_with_token(end: Option<EndReason>) -> bool {
     matches!(end, Some(EndReason::Stop | EndReason::Length))
 }
--- a/standins/src/engine/state.rs
+++ b/standins/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What the calls and the steps of an engine share.
+//! Shared state of the endpoints and the steps of an engine.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -18,13 +18,13 @@
 use crate::server::Stop;
 use crate::sync::lock;
 
-/// A change of the faults; fields left out stay as they are.
+/// A change of the faults; omitted fields keep their values.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(super) struct FaultPatch {
-    /// How many times slower than usual the steps are.
+    /// Multiplier of step durations.
     pub(super) slow_factor: Option<f64>,
-    /// Milliseconds on the clock for which the engine does nothing at all.
+    /// Clock time for which the engine is frozen, in milliseconds.
     pub(super) freeze_ms: Option<u64>,
 }
 
@@ -41,7 +41,7 @@
     pace: Mutex<PaceFaults>,
 }
 
-/// Faults of the engine's speed.
+/// Faults that affect the engine's pace.
 #[derive(Clone, Copy, Debug)]
 struct PaceFaults {
     slow_factor: f64,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes a request into the waiting queue and begins to read its stream.
+    /// Adds a request to the waiting queue and attaches a reader to its stream.
     pub(super) fn submit(&self, submission: Submission) -> Result<Reader, SubmitError> {
         if !lock(&self.orders).serves(&submission.model) {
             return Err(SubmitError::UnknownModel);
@@ -86,18 +86,18 @@
         Ok(reader)
     }
 
-    /// A stream by its id.
+    /// Returns a stream by its id.
     pub(super) fn stream(&self, id: &str) -> Option<Arc<Stream>> {
         lock(&self.core).stream(id)
     }
 
-    /// Ends a generation in progress.
+    /// Cancels a generation in progress.
     pub(super) fn cancel(&self, stream: &Stream) {
         lock(&self.core).cancel(&self.cfg, stream);
         self.record_load();
     }
 
-    /// Cancels streams that nobody came back for and forgets those that ended.
+    /// Cancels idle streams in progress and drops idle ended ones.
     pub(super) fn sweep(&self) {
         let window = self.cfg.scaled(self.cfg.resume_window);
         if lock(&self.core).sweep(&self.cfg, window) {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Plans a step; returns how long it lasts, or none when there is no work.
+    /// Plans a step; returns its duration, or `None` if there is no work.
     pub(super) fn begin_step(&self) -> Option<Duration> {
         let mut core = lock(&self.core);
         let plan = core.plan(&self.cfg);
@@ -118,14 +118,14 @@
         Some(step)
     }
 
-    /// Hands out the tokens of a step; returns whether the engine crashed.
+    /// Delivers the tokens of a step; returns whether the engine crashed.
     pub(super) fn end_step(&self) -> bool {
         let crashed = lock(&self.core).commit(&self.cfg);
         self.record_load();
         crashed
     }
 
-    /// Carries out an order, and tells the run log either way.
+    /// Applies an order and logs it, accepted or not.
     pub(super) fn apply_order(&self, order: &FencedOrder) -> Result<(), StaleFence> {
         let mut orders = lock(&self.orders);
         let result = orders.apply(order);
@@ -136,7 +136,7 @@
         result
     }
 
-    /// Puts new faults in force.
+    /// Applies a change of the faults.
     pub(super) fn patch_faults(&self, patch: FaultPatch) {
         let mut pace = lock(&self.pace);
         if let Some(factor) = patch.slow_factor {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Until when the engine does nothing.
+    /// Returns the end of the latest freeze.
     pub(super) fn frozen_until(&self) -> Instant {
         lock(&self.pace).frozen_until
     }
--- a/standins/src/engine/stream.rs
+++ b/standins/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! One generation as its readers see it.
+//! The stream of a generation and its readers.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -11,54 +11,54 @@
 use super::text::TokenText;
 use crate::sync::lock;
 
-/// Why a generation ended.
+/// The end reason of a generation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum EndReason {
-    /// The model stopped by itself.
+    /// The model ended its output.
     Stop,
-    /// The limit of tokens or memory was reached.
+    /// The token or memory limit was reached.
     Length,
-    /// Someone cancelled it, or nobody came back for it.
+    /// The generation was cancelled, or had no reader for too long.
     Cancelled,
 }
 
-/// How far a generation is.
+/// The progress of a generation.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Progress {
-    /// Tokens made so far.
+    /// Tokens generated so far.
     pub(super) generated: u64,
-    /// How often it lost its memory.
+    /// Number of preemptions.
     pub(super) preemptions: u64,
-    /// Why it ended, if it did.
+    /// End reason, if the generation ended.
     pub(super) end: Option<EndReason>,
 }
 
-/// A generation.
+/// The stream of a generation.
 #[derive(Debug)]
 pub(super) struct Stream {
-    /// Name for resumption, unique only until a restart.
+    /// Id for resumption, unique only until a restart.
     pub(super) id: Arc<str>,
-    /// Name of the request in the run log.
+    /// Request id in the run log.
     pub(super) request: Arc<str>,
     pub(super) key: SeqKey,
     pub(super) model: Arc<str>,
     pub(super) prompt_tokens: u64,
-    /// Why it ends when nothing gets into its way.
+    /// End reason of an uninterrupted generation.
     pub(super) natural_end: EndReason,
     pub(super) text: TokenText,
     progress: watch::Sender<Progress>,
     readers: Mutex<Readers>,
 }
 
-/// Who reads a stream.
+/// The number of readers, and when the last one left or the generation ended.
 #[derive(Debug)]
 struct Readers {
     count: usize,
     idle_since: Instant,
 }
 
-/// What a new stream is made from.
+/// The fields of a new stream.
 #[derive(Debug)]
 pub(super) struct StreamParts {
     pub(super) id: Arc<str>,
@@ -88,17 +88,17 @@
         }
     }
 
-    /// How far it is now.
+    /// Returns the current progress.
     pub(super) fn progress(&self) -> Progress {
         *self.progress.borrow()
     }
 
-    /// Changes the progress and wakes the readers.
+    /// Updates the progress and wakes the readers.
     pub(super) fn update(&self, change: impl FnOnce(&mut Progress)) {
         self.progress.send_modify(change);
     }
 
-    /// Shows the last tokens together with the end.
+    /// Publishes the last tokens together with the end.
     pub(super) fn finish(&self, generated: u64, reason: EndReason) {
         self.update(|progress| {
             progress.generated = generated;
@@ -107,7 +107,7 @@
         lock(&self.readers).idle_since = Instant::now();
     }
 
-    /// Begins to read.
+    /// Attaches a reader.
     pub(super) fn attach(self: &Arc<Self>) -> Reader {
         lock(&self.readers).count += 1;
         Reader {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Whether nobody has read for at least `window`.
+    /// Returns whether the stream has had no reader for at least `window`.
     pub(super) fn is_idle(&self, window: Duration) -> bool {
         let readers = lock(&self.readers);
         readers.count == 0 && readers.idle_since.elapsed() >= window
--- a/standins/src/engine/text.rs
+++ b/standins/src/engine/text.rs
@@ -1,10 +1,10 @@
-//! The text of tokens, which tells an oracle where each came from.
+//! The text of tokens, from which an oracle derives the origin of each.
 
 use std::sync::Arc;
 
 use crate::hash;
 
-/// Words of readable answers.
+/// Words of readable output.
 const WORDS: [&str; 32] = [
     "the",
     "archive",
@@ -40,19 +40,19 @@
     "made",
 ];
 
-/// How the tokens of one generation read.
+/// The format of the tokens of one generation.
 #[derive(Clone, Debug)]
 pub(super) struct TokenText {
-    /// Number drawn for the generation.
+    /// Random number of the generation.
     pub(super) nonce: u32,
-    /// The caller's tag.
+    /// Tag set by the caller.
     pub(super) mark: Option<Arc<str>>,
-    /// Whether tokens are words instead of the checked form.
+    /// Whether tokens are words instead of checkable text.
     pub(super) words: bool,
 }
 
 impl TokenText {
-    /// The text of the token at `index`.
+    /// Returns the text of the token at `index`.
     pub(super) fn token(&self, index: u64) -> String {
         let nonce = self.nonce;
         match &self.mark {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The text of all tokens before `end`.
+    /// Returns the text of all tokens before `end`.
     pub(super) fn text_before(&self, end: u64) -> String {
         (0..end).map(|index| self.token(index)).collect()
     }
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -39,7 +39,7 @@
     frozen_engine_goes_on_later => frozen_engine();
 }
 
-/// An engine that is quick, logged and answers reports at once.
+/// A configuration with short steps, a run log and immediate reports.
 fn fast_config() -> Config {
     Config {
         time_scale: 50.0,
@@ -53,7 +53,7 @@
     }
 }
 
-/// The same, with steps so long that requests meet before they end.
+/// [`fast_config`] with steps long enough that requests overlap.
 fn slow_config() -> Config {
     Config {
         slow_factor: 1_000.0,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Ends the slowness.
+/// Removes the slowdown of [`slow_config`].
 async fn restore_speed(running: &Running) {
     let url = format!("{}/standin/faults", running.url());
     assert_eq!(post(url, &j!({ "slow_factor": 1.0 })).await.0, 200);
@@ -71,7 +71,7 @@
     engine::serve(cfg.clone(), listener().await).unwrap()
 }
 
-/// A request for a stream, with the fields of `extra` set.
+/// Returns a streaming request with the additional fields of `extra`.
 fn request(text: &str, extra: &Value) -> Value {
     let mut req = j!({
         "model": "small",
@@ -104,8 +104,8 @@
     events.filter(|found| found["event"] == event).collect()
 }
 
-/// Checks that the events hold the tokens from `from` on, all of one nonce,
-/// and returns the nonce.
+/// Checks that the events contain the consecutive tokens from index `from` on,
+/// all with the same nonce, and returns the nonce.
 fn check_tokens(events: &[Value], from: usize) -> String {
     let nonce = content(&events[0]).split('.').next().unwrap().to_owned();
     for (offset, event) in events.iter().enumerate() {
@@ -211,7 +211,7 @@
     let extra = j!({ "max_tokens": 1_000 });
     let mut events = generate(&running, "[[len=1000]]", &extra).await;
     let events = events.rest().await;
-    // The end comes with the last token, or alone when that is out already.
+    // The end comes with the last token, or alone if that was already sent.
     assert!(events.len() == 255 || content(&events[255]).is_empty());
     check_tokens(&events[..255], 0);
     let last = events.last().unwrap();
