--- a/standins/src/acceptor.rs
+++ b/standins/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepting connections that send each write at once.
+//! A TCP acceptor that disables Nagle's algorithm.
 
 use std::io;
 
@@ -7,10 +7,10 @@
 use poem::web::{LocalAddr, RemoteAddr};
 use tokio::net::TcpStream;
 
-/// Accepts TCP connections without Nagle's delay.
+/// Accepts TCP connections with `TCP_NODELAY` set.
 ///
-/// A token is a small write; held back until the last one is acknowledged, it
-/// may come 40 ms late.
+/// Tokens are small writes: Nagle's algorithm holds each back until the previous
+/// one is acknowledged, up to 40 ms.
 pub(crate) struct NoDelayAcceptor(pub(crate) TcpAcceptor);
 
 impl Acceptor for NoDelayAcceptor {
@@ -22,7 +22,7 @@
 
     async fn accept(&mut self) -> io::Result<(TcpStream, LocalAddr, RemoteAddr, Scheme)> {
         let accepted = self.0.accept().await?;
-        // A connection that is gone already fails at its first read.
+        // On a closed connection this fails, and so does its first read.
         let _ = accepted.0.set_nodelay(true);
         Ok(accepted)
     }
--- a/standins/src/bin/standin-engine.rs
+++ b/standins/src/bin/standin-engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in model engine as a process.
+//! Runs the stand-in model engine as a process.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,84 +19,88 @@
     let cfg = Config::default();
     cli::command(
         "standin-engine",
-        "Stand-in for a model engine that batches continuously",
+        "Stand-in for a model engine with continuous batching",
     )
     .arg(flag(
         "models",
         &cfg.models.join(","),
-        "Models loaded from the start, with commas between",
+        "Models loaded at startup, comma-separated",
     ))
-    .arg(flag("seed", &cfg.seed, "Seed of drawn output lengths"))
+    .arg(flag("seed", &cfg.seed, "Seed of random output lengths"))
     .arg(flag(
         "step-base-ms",
         &cfg.step_base_ms,
-        "Milliseconds of a decode step for itself",
+        "Base duration of a decode step, in milliseconds",
     ))
     .arg(flag(
         "step-per-seq-ms",
         &cfg.step_per_seq_ms,
-        "Milliseconds that each sequence adds to a step",
+        "Duration that each sequence adds to a step, in milliseconds",
     ))
     .arg(flag(
         "prefill-per-token-ms",
         &cfg.prefill_per_token_ms,
-        "Milliseconds that each prompt token adds to a step",
+        "Duration that each prompt token adds to a step, in milliseconds",
+    ))
+    .arg(flag(
+        "time-scale",
+        &cfg.time_scale,
+        "Divisor of all durations",
     ))
-    .arg(flag("time-scale", &cfg.time_scale, "Divides all durations"))
     .arg(flag(
         "slow-factor",
         &cfg.slow_factor,
-        "Multiplies the time of steps",
+        "Multiplier of step durations",
     ))
     .arg(flag(
         "capacity-tokens",
         &cfg.capacity_tokens,
-        "Tokens that the memory holds",
+        "Memory capacity, in tokens",
     ))
     .arg(flag(
         "max-batch",
         &cfg.max_batch,
-        "Sequences that run at once",
+        "Maximum number of running sequences",
     ))
     .arg(flag(
         "max-prompt-tokens",
         &cfg.max_prompt_tokens,
-        "Longest prompt, in tokens",
+        "Maximum prompt length, in tokens",
     ))
     .arg(flag(
         "cache-tokens",
         &cfg.cache_tokens,
-        "Tokens that the prefix cache holds",
+        "Prefix cache capacity, in tokens",
     ))
     .arg(flag(
         "event-lag-ms",
         &cfg.event_lag.as_millis(),
-        "Milliseconds by which cache events are late",
+        "Delay of cache events, in milliseconds",
     ))
     .arg(flag(
         "event-gap",
         &cfg.event_gap,
-        "Every so many cache events one is lost; 0 for none",
+        "Interval between dropped cache events, in events; 0 for none",
     ))
     .arg(flag(
         "load-lag-ms",
         &cfg.load_lag.as_millis(),
-        "Milliseconds by which load reports are late",
+        "Delay of load reports, in milliseconds",
     ))
     .arg(flag(
         "resume-window-ms",
         &cfg.resume_window.as_millis(),
-        "Milliseconds that a stream outlives its connection or end",
+        "Retention of a stream without readers, in milliseconds",
     ))
     .arg(flag(
         "load-ms",
         &cfg.load_time.as_millis(),
-        "Milliseconds to load a model",
+        "Duration of loading a model, in milliseconds",
     ))
     .arg(flag(
         "check-fence",
         &cfg.check_fence,
-        "Whether orders with an old fencing number are refused",
+        "Whether to reject orders with a stale fencing number",
     ))
 }
 
--- a/standins/src/bin/standin-plain.rs
+++ b/standins/src/bin/standin-plain.rs
@@ -1,4 +1,4 @@
-//! A stand-in plain service as a process.
+//! Runs the stand-in plain service as a process.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,15 +10,19 @@
 async fn main() -> anyhow::Result<()> {
     cli::init_logging();
     let matches = cli::command("standin-plain", "Stand-in for a plain service")
-        .arg(cli::flag("delay-ms", &0, "Milliseconds that a call takes"))
+        .arg(cli::flag(
+            "delay-ms",
+            &0,
+            "Duration of a call, in milliseconds",
+        ))
         .arg(cli::optional(
             "crash-on",
-            "Text in a body that aborts the process",
+            "Request body text that aborts the process",
         ))
         .arg(cli::flag(
             "crash-point",
             "before",
-            "Abort before or after the call has run",
+            "Whether to abort `before` or `after` the call takes effect",
         ))
         .get_matches();
     let cfg = Config {
--- a/standins/src/clock.rs
+++ b/standins/src/clock.rs
@@ -1,19 +1,19 @@
-//! Sleeping more precisely than the timer of the runtime, which counts milliseconds.
+//! Sleeping more precisely than the millisecond timer of the Tokio runtime.
 
 use std::time::Duration;
 
 use tokio::time::{Instant, sleep_until};
 
-/// How late the timer of the runtime may be.
+/// Maximum delay of the runtime's timer.
 const TIMER_SLACK: Duration = Duration::from_millis(2);
 
-/// Shortest sleep that is worth a thread switch.
+/// Shortest sleep worth a thread switch.
 const MIN_SLEEP: Duration = Duration::from_micros(100);
 
-/// Waits until `due`, to about a tenth of a millisecond.
+/// Waits until `due`, accurate to about 0.1 ms.
 ///
-/// The end of the wait is slept on a thread of the blocking pool. What is due
-/// already, or almost, only lets other tasks run.
+/// The last part of the wait is a sleep on a thread of the blocking pool. If less
+/// than [`MIN_SLEEP`] remains, yields to other tasks instead.
 pub(crate) async fn wait_until(due: Instant) {
     let timer_due = due.checked_sub(TIMER_SLACK).unwrap_or(due);
     if timer_due > Instant::now() {
--- a/standins/src/plain/api.rs
+++ b/standins/src/plain/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP calls of the plain service.
+//! HTTP endpoints of the plain service.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,16 +12,16 @@
 use super::{CrashPoint, State};
 use crate::{hash, reply};
 
-/// Header that names the request across systems.
+/// Header of the request id shared by all systems.
 const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Header by which a caller marks the repeats of one request.
+/// Header of the key shared by all attempts of one request.
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Marks a caller's tag in a body.
+/// Start of a directive with the caller's tag in a body.
 const MARK_DIRECTIVE: &str = "[[mark=";
 
-/// A record, the same for each read of an id.
+/// A record with content derived from its id.
 #[derive(Serialize)]
 struct Record {
     id: String,
@@ -29,14 +29,14 @@
     pages: u64,
 }
 
-/// The answer to a call that ran.
+/// The response to a completed call.
 #[derive(Serialize)]
 struct Receipt {
     number: u64,
     echo: String,
 }
 
-/// Calls run so far, by path.
+/// Number of completed calls by path.
 #[derive(Serialize)]
 struct Counts {
     filed: u64,
@@ -44,11 +44,11 @@
     read: u64,
 }
 
-/// What the run log tells.
+/// An event in the run log.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum RunEvent<'a> {
-    /// A call that took effect.
+    /// A call took effect.
     Ran {
         path: &'a str,
         number: u64,
@@ -57,11 +57,11 @@
         digest: String,
         mark: Option<&'a str>,
     },
-    /// The end of the service by the crash text.
+    /// The crash text stopped the service.
     Crashed { path: &'a str },
 }
 
-/// A call with what the run log needs of it.
+/// A call with the fields for the run log.
 struct Call {
     path: String,
     body: String,
@@ -69,7 +69,7 @@
     idempotency_key: Option<String>,
 }
 
-/// The routes of the plain service.
+/// Returns the routes of the plain service.
 pub(super) fn endpoint(state: Arc<State>) -> impl IntoEndpoint<Endpoint: 'static> {
     Route::new()
         .at("/records/:id", get(record))
@@ -137,12 +137,12 @@
     }
 }
 
-/// The answer of a service that is going down; its connection is cut.
+/// Returns the response of a crashing service, whose connection is cut.
 fn crashed_response() -> Response {
     reply::failure(StatusCode::INTERNAL_SERVER_ERROR, "crashed")
 }
 
-/// Runs a call to its end, even when the caller goes away meanwhile.
+/// Runs a call to completion, even if the caller disconnects.
 async fn run(state: &Arc<State>, call: Call, counter: fn(&State) -> &AtomicU64) -> Option<u64> {
     let state = Arc::clone(state);
     let task = tokio::spawn(async move { execute(&state, &call, counter).await });
@@ -164,7 +164,7 @@
     Some(number)
 }
 
-/// Brings the service down; the call is never answered.
+/// Crashes the service without a response to the call.
 async fn crash(state: &State, call: &Call) -> Option<u64> {
     state
         .cfg
@@ -203,7 +203,7 @@
     }
 }
 
-/// The caller's tag in a body.
+/// Returns the caller's tag in a body.
 fn mark(body: &str) -> Option<&str> {
     let (_, rest) = body.split_once(MARK_DIRECTIVE)?;
     rest.split_once("]]").map(|(mark, _)| mark)
--- a/standins/src/plain/mod.rs
+++ b/standins/src/plain/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service: records, and calls that may run once only.
+//! A stand-in for a plain service with idempotent reads and non-idempotent calls.
 
 mod api;
 
@@ -14,13 +14,13 @@
 use crate::server::{self, Stop};
 use crate::{RunLog, Running};
 
-/// When a call that carries the crash text brings the service down.
+/// The point at which a call with the crash text crashes the service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum CrashPoint {
-    /// Before the call has taken effect.
+    /// Before the call takes effect.
     #[default]
     Before,
-    /// After it has, and before it is answered.
+    /// After the call takes effect, before the response.
     After,
 }
 
@@ -30,7 +30,7 @@
 
 impl std::fmt::Display for UnknownCrashPoint {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("a crash point is \"before\" or \"after\"")
+        f.write_str("crash point must be \"before\" or \"after\"")
     }
 }
 
@@ -51,15 +51,15 @@
 /// Settings of a plain service.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Time that a call takes before its effect.
+    /// Delay before a call takes effect.
     pub delay: Duration,
-    /// Text in a body that brings the service down.
+    /// Text in a request body that crashes the service.
     pub crash_on: Option<Arc<str>>,
-    /// When it does.
+    /// Point of the crash within the call.
     pub crash_point: CrashPoint,
-    /// Whether a crash aborts the process, or only stops the server.
+    /// Whether a crash aborts the process instead of stopping the server.
     pub crash_aborts: bool,
-    /// Where calls that ran are told.
+    /// Log of completed calls and crashes.
     pub run_log: Arc<RunLog>,
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// What the calls share.
+/// Shared state of the endpoints.
 #[derive(Debug)]
 struct State {
     cfg: Config,
--- a/standins/src/reply.rs
+++ b/standins/src/reply.rs
@@ -1,16 +1,16 @@
-//! Short forms for JSON answers.
+//! Helpers for JSON responses.
 
 use poem::http::StatusCode;
 use poem::{Body, Response};
 use serde::Serialize;
 
-/// An answer with a message for the reader of an error.
+/// Body of an error response.
 #[derive(Serialize)]
 struct ErrorBody<'a> {
     error: &'a str,
 }
 
-/// An answer of `status` with `value` as its JSON body.
+/// Returns a response with `status` and `value` as its JSON body.
 pub(crate) fn json(status: StatusCode, value: &impl Serialize) -> Response {
     match Body::from_json(value) {
         Ok(body) => Response::builder()
@@ -23,12 +23,12 @@
     }
 }
 
-/// An answer of 200 with `value` as its JSON body.
+/// Returns a response with status 200 and `value` as its JSON body.
 pub(crate) fn ok(value: &impl Serialize) -> Response {
     json(StatusCode::OK, value)
 }
 
-/// An answer of `status` that says why.
+/// Returns an error response with `status` and a message.
 pub(crate) fn failure(status: StatusCode, error: &str) -> Response {
     json(status, &ErrorBody { error })
 }
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping an HTTP server inside a process.
+//! Starting and stopping an HTTP server within a process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 use crate::acceptor::NoDelayAcceptor;
 
-/// A server in progress. Dropping it stops the server and cuts its connections.
+/// A running server. Dropping it stops the server and closes its connections.
 #[derive(Debug)]
 pub struct Running {
     addr: SocketAddr,
@@ -22,7 +22,7 @@
     _tasks: JoinSet<()>,
 }
 
-/// A switch that stops a server and cuts its connections.
+/// A signal that stops a server and closes its connections.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Stop(Arc<Notify>);
 
@@ -34,25 +34,25 @@
 }
 
 impl Running {
-    /// The bound address.
+    /// Returns the bound address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// The base URL, without a final slash.
+    /// Returns the base URL without a trailing slash.
     #[must_use]
     pub fn url(&self) -> String {
         format!("http://{}", self.addr)
     }
 
-    /// Stops serving, cuts all connections and waits for the end.
+    /// Stops the server, closes all connections and waits for termination.
     pub async fn kill(mut self) {
         self.stop.stop();
         self.stopped().await;
     }
 
-    /// Waits until the server has stopped by itself.
+    /// Waits until the server has stopped.
     pub async fn stopped(&mut self) {
         match (&mut self.server).await {
             Ok(Ok(())) => {}
@@ -68,7 +68,7 @@
     }
 }
 
-/// Serves `ep` on `listener` until `stop`; `tasks` end with the handle.
+/// Serves `ep` on `listener` until `stop`; dropping the handle aborts `tasks`.
 pub(crate) fn start<E>(
     listener: TcpListener,
     ep: E,
