--- a/standins/src/engine/load.rs
+++ b/standins/src/engine/load.rs
@@ -36,10 +36,10 @@
 }
 
 impl LoadHistory {
-    pub(super) fn new(lag: Duration, first: Load) -> Self {
+    pub(super) fn new(lag: Duration, initial: Load) -> Self {
         Self {
             lag,
-            loads: Mutex::new(VecDeque::from([(Instant::now(), first)])),
+            loads: Mutex::new(VecDeque::from([(Instant::now(), initial)])),
         }
     }
 
--- a/standins/src/engine/state.rs
+++ b/standins/src/engine/state.rs
@@ -51,7 +51,7 @@
 impl State {
     pub(super) fn new(cfg: Config, stop: Stop) -> Self {
         let core = Core::new(&cfg);
-        let first = core.load(&cfg);
+        let initial_load = core.load(&cfg);
         Self {
             orders: Mutex::new(Orders::new(
                 &cfg.models,
@@ -59,7 +59,7 @@
                 cfg.scaled(cfg.load_time),
             )),
             events: EventLog::new(cfg.scaled(cfg.event_lag), cfg.event_gap),
-            load: LoadHistory::new(cfg.scaled(cfg.load_lag), first),
+            load: LoadHistory::new(cfg.scaled(cfg.load_lag), initial_load),
             stop,
             work_added: Notify::new(),
             core: Mutex::new(core),
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -18,8 +18,8 @@
     drawn_length_repeats => drawn_length_repeats();
     words_instead_of_checked_tokens => plain_words();
     whole_answer => whole_answer();
-    unknown_model => refused(&j!({ "model": "other" }), 404);
-    prompt_too_long => refused(&j!({ "messages": [{ "role": "user", "content": "[[prompt=300]]" }] }), 400);
+    unknown_model => request_refused(&j!({ "model": "other" }), 404);
+    prompt_too_long => request_refused(&j!({ "messages": [{ "role": "user", "content": "[[prompt=300]]" }] }), 400);
     full_memory_preempts_and_loses_no_token => full_memory_preempts();
     higher_priority_keeps_its_memory => priority_keeps_memory();
     one_sequence_beyond_memory_ends => exceeds_memory();
@@ -99,7 +99,7 @@
     Events::new(reqwest::get(url).await.unwrap())
 }
 
-fn logged(cfg: &Config, event: &str) -> Vec<Value> {
+fn logged_events(cfg: &Config, event: &str) -> Vec<Value> {
     let events = cfg.run_log.events().into_iter();
     events.filter(|found| found["event"] == event).collect()
 }
@@ -127,8 +127,8 @@
     assert_eq!(last["choices"][0]["finish_reason"], reason);
     let usage = j!({ "prompt_tokens": 1, "completion_tokens": tokens, "preemptions": 0 });
     assert_eq!(last["usage"], usage);
-    assert_eq!(logged(&cfg, "started")[0]["nonce"], nonce);
-    assert_eq!(logged(&cfg, "finished")[0]["tokens"], tokens);
+    assert_eq!(logged_events(&cfg, "started")[0]["nonce"], nonce);
+    assert_eq!(logged_events(&cfg, "finished")[0]["tokens"], tokens);
 }
 
 async fn drawn_length_repeats() {
@@ -165,12 +165,12 @@
     assert_eq!(answer["choices"][0]["finish_reason"], "stop");
 }
 
-async fn refused(extra: &Value, status: u16) {
+async fn request_refused(extra: &Value, status: u16) {
     let cfg = fast_config();
     let running = start(&cfg).await;
     let res = send(&running, &request("[[len=3]]", extra)).await;
     assert_eq!(res.status(), status);
-    assert!(logged(&cfg, "started").is_empty());
+    assert!(logged_events(&cfg, "started").is_empty());
 }
 
 async fn full_memory_preempts() {
@@ -191,7 +191,7 @@
         preemptions += events[149]["usage"]["preemptions"].as_u64().unwrap();
     }
     assert!(preemptions > 0);
-    assert_eq!(logged(&cfg, "preempted").len() as u64, preemptions);
+    assert_eq!(logged_events(&cfg, "preempted").len() as u64, preemptions);
 }
 
 async fn priority_keeps_memory() {
@@ -228,7 +228,7 @@
     let rest = resume_from(&running, "s1", 2).await.rest().await;
     assert_eq!(rest.len(), 58);
     assert_eq!(check_tokens(&first, 0), check_tokens(&rest, 2));
-    assert_eq!(logged(&cfg, "started").len(), 1);
+    assert_eq!(logged_events(&cfg, "started").len(), 1);
 }
 
 async fn resume_after_end() {
@@ -252,7 +252,7 @@
     let mut events = generate(&running, "[[len=60]]", &Value::Null).await;
     events.token().await;
     drop(events);
-    until(|| async { logged(&cfg, "cancelled").len() == 1 }).await;
+    until(|| async { logged_events(&cfg, "cancelled").len() == 1 }).await;
     let url = format!("{}/v1/streams/s1", running.url());
     until(|| async { get(&url).await.0 == 404 }).await;
 }
@@ -268,8 +268,8 @@
     let rest = events.rest().await;
     let last = rest.last().unwrap();
     assert_eq!(last["choices"][0]["finish_reason"], "cancelled");
-    assert!(logged(&cfg, "finished").is_empty());
-    assert_eq!(logged(&cfg, "cancelled")[0]["stream_id"], "mine");
+    assert!(logged_events(&cfg, "finished").is_empty());
+    assert_eq!(logged_events(&cfg, "cancelled")[0]["stream_id"], "mine");
 }
 
 async fn stream_id_in_use() {
@@ -313,7 +313,7 @@
         (&models["fence"], &models["role"]),
         (&j!(7), &j!("prefill"))
     );
-    assert_eq!(logged(&cfg, "order")[1]["accepted"], status == 200);
+    assert_eq!(logged_events(&cfg, "order")[1]["accepted"], status == 200);
 }
 
 async fn loads_and_unloads() {
@@ -351,7 +351,7 @@
         }
     }
     soon(running.stopped()).await;
-    assert_eq!(logged(&cfg, "crashed")[0]["mark"], "bad");
+    assert_eq!(logged_events(&cfg, "crashed")[0]["mark"], "bad");
     assert!(reqwest::get(running.url()).await.is_err());
 }
 
--- a/standins/tests/plain.rs
+++ b/standins/tests/plain.rs
@@ -25,14 +25,14 @@
     plain::serve(cfg.clone(), listener).unwrap()
 }
 
-fn logged() -> Config {
+fn logged_config() -> Config {
     Config {
         run_log: Arc::new(RunLog::memory()),
         ..Config::default()
     }
 }
 
-fn ran(cfg: &Config) -> Vec<Value> {
+fn logged_calls(cfg: &Config) -> Vec<Value> {
     let events = cfg.run_log.events().into_iter();
     events.filter(|event| event["event"] == "ran").collect()
 }
@@ -46,7 +46,7 @@
 }
 
 async fn counts_up(path: &str, counter: &str) {
-    let cfg = logged();
+    let cfg = logged_config();
     let running = start(&cfg, listener().await);
     for number in 1..=3 {
         let body = format!("[[mark=m{number}]]");
@@ -57,7 +57,7 @@
     }
     let counts = get(format!("{}/standin/calls", running.url())).await.1;
     assert_eq!(counts[counter], 3);
-    let third = ran(&cfg).pop().unwrap();
+    let third = logged_calls(&cfg).pop().unwrap();
     assert_eq!(third["mark"], "m3");
     assert_eq!(third["request_id"], "q");
 }
@@ -70,7 +70,7 @@
 async fn call_outlives_its_caller() {
     let cfg = Config {
         delay: Duration::from_millis(50),
-        ..logged()
+        ..logged_config()
     };
     let running = start(&cfg, listener().await);
     let stream = tokio::net::TcpStream::connect(running.addr())
@@ -80,19 +80,19 @@
     tokio::io::AsyncWriteExt::write_all(&mut { stream }, req)
         .await
         .unwrap();
-    until(|| async { ran(&cfg).len() == 1 }).await;
+    until(|| async { logged_calls(&cfg).len() == 1 }).await;
 }
 
 async fn crash(point: CrashPoint, runs: usize) {
     let cfg = Config {
         crash_on: Some(Arc::from("boom")),
         crash_point: point,
-        ..logged()
+        ..logged_config()
     };
     let mut running = start(&cfg, listener().await);
     let req = Client::new().post(format!("{}/file", running.url()));
     assert!(soon(req.body("a boom").send()).await.is_err());
     soon(running.stopped()).await;
-    assert_eq!(ran(&cfg).len(), runs);
+    assert_eq!(logged_calls(&cfg).len(), runs);
     assert!(reqwest::get(running.url()).await.is_err());
 }
