--- a/standins/src/engine/batch.rs
+++ b/standins/src/engine/batch.rs
@@ -1,9 +1,9 @@
-//! The scheduler of continuous batching, without clock or sockets.
+//! A scheduler for continuous batching, without clock or I/O.
 //!
-//! A step is planned, lasts as long as the plan says, and is then committed:
-//! each running sequence gets one token. When the running sequences and their
-//! next tokens exceed the memory, the one of lowest priority, and of these the
-//! latest to arrive, loses its memory and waits to be computed again.
+//! A step is planned, runs for a duration derived from the plan, and is then
+//! committed: each running sequence gets one token. When the running sequences
+//! and their next tokens exceed the memory, the sequence of lowest priority, and
+//! among those the latest arrival, is preempted and recomputed later.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,74 +11,74 @@
 
 use super::cache::PrefixCache;
 
-/// Names a sequence by its place in the order of arrival.
+/// Identifies a sequence by its arrival number.
 pub(super) type SeqKey = u64;
 
-/// Place in the waiting queue: higher priority first, then earlier arrival.
-type Place = (Reverse<i64>, SeqKey);
+/// Position in the waiting queue: higher priority first, then earlier arrival.
+type QueuePosition = (Reverse<i64>, SeqKey);
 
-/// One generation as the scheduler sees it.
+/// Scheduling state of one generation.
 #[derive(Clone, Debug)]
 pub(super) struct Sequence {
     pub(super) key: SeqKey,
     pub(super) priority: i64,
     pub(super) prompt_tokens: u64,
     pub(super) prefixes: Arc<[u64]>,
-    /// Tokens made so far.
+    /// Tokens generated so far.
     pub(super) generated: u64,
     /// Tokens after which the sequence ends.
     pub(super) target: u64,
-    /// Tokens after which the engine crashes.
+    /// Generated tokens after which the engine crashes.
     pub(super) crash_after: Option<u64>,
 }
 
 impl Sequence {
-    fn memory(&self) -> u64 {
+    fn memory_tokens(&self) -> u64 {
         self.prompt_tokens + self.generated
     }
 
-    fn place(&self) -> Place {
+    fn queue_position(&self) -> QueuePosition {
         (Reverse(self.priority), self.key)
     }
 }
 
-/// What the next step will do.
+/// The plan of the next step.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub(super) struct Plan {
-    /// Sequences that run.
+pub(super) struct StepPlan {
+    /// Number of running sequences.
     pub(super) batch: usize,
-    /// Tokens to compute for the sequences that join.
+    /// Tokens to prefill for newly admitted sequences.
     pub(super) prefill_tokens: u64,
-    /// Sequences that lost their memory.
+    /// Preempted sequences.
     pub(super) preempted: Vec<SeqKey>,
-    /// Sequences that ended because memory can't hold one more token.
-    pub(super) overgrown: Vec<SeqKey>,
+    /// Sequences ended because the memory can't hold one more token.
+    pub(super) out_of_memory: Vec<SeqKey>,
 }
 
-/// What a step did.
+/// The result of a step.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub(super) struct Committed {
-    /// Sequences that got a token, with their count of tokens.
+pub(super) struct StepResult {
+    /// Sequences that got a token, with their token counts.
     pub(super) tokens: Vec<(SeqKey, u64)>,
-    /// Sequences among them that are complete.
+    /// Sequences in `tokens` that are complete.
     pub(super) finished: Vec<SeqKey>,
     /// The sequence that crashed the engine.
     pub(super) crashed: Option<SeqKey>,
 }
 
-/// Sizes of the scheduler.
+/// Limits of the scheduler.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
     pub(super) capacity_tokens: u64,
     pub(super) max_batch: usize,
 }
 
-/// The sequences that run and wait.
+/// The running and waiting sequences.
 #[derive(Debug)]
 pub(super) struct Batch {
     limits: Limits,
     running: Vec<Sequence>,
-    waiting: BTreeMap<Place, Sequence>,
+    waiting: BTreeMap<QueuePosition, Sequence>,
     preemptions: u64,
 }
 
@@ -92,32 +92,34 @@
         }
     }
 
-    /// Puts a sequence into the waiting queue.
+    /// Adds a sequence to the waiting queue.
     pub(super) fn push(&mut self, seq: Sequence) {
-        self.waiting.insert(seq.place(), seq);
+        self.waiting.insert(seq.queue_position(), seq);
     }
 
-    /// Takes a sequence out, wherever it is; returns its count of tokens.
+    /// Removes a running or waiting sequence and returns its token count.
     pub(super) fn remove(&mut self, key: SeqKey) -> Option<u64> {
         if let Some(index) = self.running.iter().position(|seq| seq.key == key) {
             return Some(self.running.remove(index).generated);
         }
-        let place = *self.waiting.keys().find(|(_, waiting)| *waiting == key)?;
-        self.waiting.remove(&place).map(|seq| seq.generated)
+        let queue_position = *self.waiting.keys().find(|(_, waiting)| *waiting == key)?;
+        self.waiting
+            .remove(&queue_position)
+            .map(|seq| seq.generated)
     }
 
-    /// Decides who runs in the next step.
-    pub(super) fn plan(&mut self, cache: &mut PrefixCache) -> Plan {
-        let mut plan = Plan::default();
-        self.make_room(&mut plan);
+    /// Selects the sequences that run in the next step.
+    pub(super) fn plan(&mut self, cache: &mut PrefixCache) -> StepPlan {
+        let mut plan = StepPlan::default();
+        self.preempt_to_fit(&mut plan);
         self.admit(&mut plan, cache);
         plan.batch = self.running.len();
         plan
     }
 
-    /// Gives each running sequence its token.
-    pub(super) fn commit(&mut self) -> Committed {
-        let mut committed = Committed::default();
+    /// Adds a token to each running sequence, up to one that crashes the engine.
+    pub(super) fn commit(&mut self) -> StepResult {
+        let mut committed = StepResult::default();
         for seq in &mut self.running {
             if seq.crash_after == Some(seq.generated) {
                 committed.crashed = Some(seq.key);
@@ -149,23 +151,23 @@
         self.preemptions
     }
 
-    /// Tokens that running sequences hold.
+    /// Returns the tokens held by running sequences.
     pub(super) fn used_tokens(&self) -> u64 {
-        self.running.iter().map(Sequence::memory).sum()
+        self.running.iter().map(Sequence::memory_tokens).sum()
     }
 
-    /// Tokens held at the end of the next step.
+    /// Returns the tokens held after the next step.
     fn used_after_step(&self) -> u64 {
         self.used_tokens() + self.running.len() as u64
     }
 
-    fn make_room(&mut self, plan: &mut Plan) {
+    fn preempt_to_fit(&mut self, plan: &mut StepPlan) {
         while self.used_after_step() > self.limits.capacity_tokens {
             let Some(victim) = self.take_victim() else {
                 return;
             };
             if self.running.is_empty() {
-                plan.overgrown.push(victim.key);
+                plan.out_of_memory.push(victim.key);
             } else {
                 self.preemptions += 1;
                 plan.preempted.push(victim.key);
@@ -175,23 +177,27 @@
     }
 
     fn take_victim(&mut self) -> Option<Sequence> {
-        let places = self.running.iter().map(Sequence::place).enumerate();
-        let (index, _) = places.max_by_key(|(_, place)| *place)?;
+        let queue_positions = self
+            .running
+            .iter()
+            .map(Sequence::queue_position)
+            .enumerate();
+        let (index, _) = queue_positions.max_by_key(|(_, queue_position)| *queue_position)?;
         Some(self.running.remove(index))
     }
 
-    fn admit(&mut self, plan: &mut Plan, cache: &mut PrefixCache) {
+    fn admit(&mut self, plan: &mut StepPlan, cache: &mut PrefixCache) {
         while self.running.len() < self.limits.max_batch
             && let Some(entry) = self.waiting.first_entry()
         {
-            let grown = entry.get().memory() + 1;
-            let used: u64 = self.running.iter().map(|seq| seq.memory() + 1).sum();
-            if used + grown > self.limits.capacity_tokens {
+            let required = entry.get().memory_tokens() + 1;
+            let used: u64 = self.running.iter().map(|seq| seq.memory_tokens() + 1).sum();
+            if used + required > self.limits.capacity_tokens {
                 return;
             }
             let seq = entry.remove();
-            let cached = cache.pass(&seq.prefixes);
-            plan.prefill_tokens += seq.memory().saturating_sub(cached);
+            let cached = cache.lookup_and_insert(&seq.prefixes);
+            plan.prefill_tokens += seq.memory_tokens().saturating_sub(cached);
             self.running.push(seq);
         }
     }
--- a/standins/src/engine/cache.rs
+++ b/standins/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache: blocks of prompts, least recently used first out.
+//! An LRU cache of prompt prefixes in blocks.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,23 +6,23 @@
 
 use super::prompt::BLOCK_TOKENS;
 
-/// What happened to a block.
+/// A change of a cached block.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum CacheChange {
-    /// Taken in.
+    /// The block was stored.
     Stored,
-    /// Thrown out.
+    /// The block was evicted.
     Evicted,
 }
 
-/// A cache of blocks, each named by the digest of the prefix it ends.
+/// A cache of blocks, each identified by the digest of the prefix that it ends.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     max_blocks: usize,
     clock: u64,
-    used: HashMap<u64, u64>,
-    order: BTreeMap<u64, u64>,
+    last_used: HashMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
     changes: Vec<(CacheChange, u64)>,
 }
 
@@ -32,19 +32,19 @@
         Self {
             max_blocks: usize::try_from(max_blocks).unwrap_or(usize::MAX),
             clock: 0,
-            used: HashMap::new(),
-            order: BTreeMap::new(),
+            last_used: HashMap::new(),
+            by_last_use: BTreeMap::new(),
             changes: Vec::new(),
         }
     }
 
-    /// Runs a prompt through the cache; returns the tokens that it held.
-    pub(super) fn pass(&mut self, prefixes: &[u64]) -> u64 {
+    /// Stores the prefixes of a prompt; returns the tokens that were already cached.
+    pub(super) fn lookup_and_insert(&mut self, prefixes: &[u64]) -> u64 {
         let hits = prefixes
             .iter()
-            .take_while(|prefix| self.used.contains_key(*prefix))
+            .take_while(|prefix| self.last_used.contains_key(*prefix))
             .count();
-        // The longest prefix goes first, so that it is evicted first.
+        // Touches the longest prefix first, so that it is evicted first.
         for prefix in prefixes.iter().take(self.max_blocks).rev() {
             self.touch(*prefix);
         }
@@ -52,28 +52,28 @@
         (hits * BLOCK_TOKENS) as u64
     }
 
-    /// The changes since the last call.
+    /// Returns the changes since the last call.
     pub(super) fn take_changes(&mut self) -> Vec<(CacheChange, u64)> {
         std::mem::take(&mut self.changes)
     }
 
     fn touch(&mut self, prefix: u64) {
         self.clock += 1;
-        match self.used.insert(prefix, self.clock) {
-            Some(before) => {
-                self.order.remove(&before);
+        match self.last_used.insert(prefix, self.clock) {
+            Some(previous_use) => {
+                self.by_last_use.remove(&previous_use);
             }
             None => self.changes.push((CacheChange::Stored, prefix)),
         }
-        self.order.insert(self.clock, prefix);
+        self.by_last_use.insert(self.clock, prefix);
     }
 
     fn evict(&mut self) {
-        while self.used.len() > self.max_blocks {
-            let Some((_, prefix)) = self.order.pop_first() else {
+        while self.last_used.len() > self.max_blocks {
+            let Some((_, prefix)) = self.by_last_use.pop_first() else {
                 return;
             };
-            self.used.remove(&prefix);
+            self.last_used.remove(&prefix);
             self.changes.push((CacheChange::Evicted, prefix));
         }
     }
