--- a/standins/src/bin/firefly-overhead.rs
+++ b/standins/src/bin/firefly-overhead.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 
 /// Longest time that is told apart, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
+const MAX_LATENCY_US: u64 = 60_000_000;
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 0.999];
 
 /// Where calls go, and with which key.
@@ -23,11 +23,11 @@
 }
 
 /// What one side showed.
-struct Side {
-    first: Histogram<u64>,
-    between: Histogram<u64>,
+struct Samples {
+    first_token: Histogram<u64>,
+    between_tokens: Histogram<u64>,
     tokens: u64,
-    spent: Duration,
+    elapsed: Duration,
 }
 
 #[tokio::main(flavor = "multi_thread", worker_threads = 2)]
@@ -36,19 +36,19 @@
     let streams = number(&args, "streams")?;
     let rounds = number(&args, "rounds")?;
     let length = number(&args, "length")?;
-    let straight = target(&args, "straight", "none")?;
-    let through = target(&args, "through", &text(&args, "key")?)?;
+    let direct = target(&args, "straight", "none")?;
+    let via_entry = target(&args, "through", &text(&args, "key")?)?;
     let http = reqwest::Client::builder()
         .no_proxy()
         .tcp_nodelay(true)
         .build()?;
-    let mut sides = [Side::new()?, Side::new()?];
+    let mut samples = [Samples::new()?, Samples::new()?];
     for _ in 0..rounds {
-        for (side, target) in sides.iter_mut().zip([&straight, &through]) {
-            run_round(&http, target, streams, length, side).await?;
+        for (target_samples, target) in samples.iter_mut().zip([&direct, &via_entry]) {
+            run_round(&http, target, streams, length, target_samples).await?;
         }
     }
-    println!("{}", record(&sides, streams, rounds, length));
+    println!("{}", report(&samples, streams, rounds, length));
     Ok(())
 }
 
@@ -95,31 +95,33 @@
     })
 }
 
-impl Side {
+impl Samples {
     fn new() -> anyhow::Result<Self> {
         Ok(Self {
-            first: Histogram::new_with_bounds(1, LONGEST_US, 3)?,
-            between: Histogram::new_with_bounds(1, LONGEST_US, 3)?,
+            first_token: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?,
+            between_tokens: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?,
             tokens: 0,
-            spent: Duration::ZERO,
+            elapsed: Duration::ZERO,
         })
     }
 
     fn add(&mut self, times: &[Duration]) {
-        let Some((first, rest)) = times.split_first() else {
+        let Some((first_token, rest)) = times.split_first() else {
             return;
         };
-        self.first.saturating_record(micros(*first));
+        self.first_token.saturating_record(micros(*first_token));
         for (earlier, later) in times.iter().zip(rest) {
-            self.between
+            self.between_tokens
                 .saturating_record(micros(later.saturating_sub(*earlier)));
         }
         self.tokens += times.len() as u64;
     }
 }
 
-fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX).max(1)
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros())
+        .unwrap_or(u64::MAX)
+        .max(1)
 }
 
 async fn run_round(
@@ -127,9 +129,9 @@
     target: &Target,
     streams: usize,
     length: usize,
-    side: &mut Side,
+    target_samples: &mut Samples,
 ) -> anyhow::Result<()> {
-    let began = Instant::now();
+    let started = Instant::now();
     let calls = (0..streams).map(|_| {
         let http = http.clone();
         let target = target.clone();
@@ -137,9 +139,9 @@
     });
     let calls: Vec<_> = calls.collect();
     for call in calls {
-        side.add(&call.await??);
+        target_samples.add(&call.await??);
     }
-    side.spent += began.elapsed();
+    target_samples.elapsed += started.elapsed();
     Ok(())
 }
 
@@ -164,13 +166,13 @@
         .await?
         .error_for_status()?;
     let mut times = Vec::with_capacity(length);
-    let mut rest = Vec::new();
+    let mut buffer = Vec::new();
     while let Some(chunk) = res.chunk().await? {
         let at = sent.elapsed();
-        rest.extend_from_slice(&chunk);
-        while let Some(end) = rest.windows(2).position(|w| w == b"\n\n") {
-            let event: Vec<u8> = rest.drain(..end + 2).collect();
-            if holds_token(&event) {
+        buffer.extend_from_slice(&chunk);
+        while let Some(end) = buffer.windows(2).position(|w| w == b"\n\n") {
+            let event: Vec<u8> = buffer.drain(..end + 2).collect();
+            if contains_token(&event) {
                 times.push(at);
             }
         }
@@ -183,32 +185,32 @@
     Ok(times)
 }
 
-fn holds_token(event: &[u8]) -> bool {
+fn contains_token(event: &[u8]) -> bool {
     let text = String::from_utf8_lossy(event);
     let data = text.lines().find_map(|line| line.strip_prefix("data: "));
     let parsed: Option<Value> = data.and_then(|d| serde_json::from_str(d).ok());
     parsed.is_some_and(|v| v["choices"][0]["delta"]["content"].is_string())
 }
 
-fn record(sides: &[Side; 2], streams: usize, rounds: usize, length: usize) -> Value {
+fn report(samples: &[Samples; 2], streams: usize, rounds: usize, length: usize) -> Value {
     json!({
         "streams": streams,
         "rounds": rounds,
         "length": length,
-        "straight": side_record(&sides[0]),
-        "through": side_record(&sides[1]),
+        "straight": samples_report(&samples[0]),
+        "through": samples_report(&samples[1]),
     })
 }
 
-fn side_record(side: &Side) -> Value {
+fn samples_report(target_samples: &Samples) -> Value {
     let quantiles = |h: &Histogram<u64>| -> Vec<u64> {
         QUANTILES.iter().map(|q| h.value_at_quantile(*q)).collect()
     };
     #[allow(clippy::cast_precision_loss)]
-    let rate = side.tokens as f64 / side.spent.as_secs_f64();
+    let rate = target_samples.tokens as f64 / target_samples.elapsed.as_secs_f64();
     json!({
-        "first_token_us_p50_p95_p99_p999": quantiles(&side.first),
-        "between_us_p50_p95_p99_p999": quantiles(&side.between),
+        "first_token_us_p50_p95_p99_p999": quantiles(&target_samples.first_token),
+        "between_us_p50_p95_p99_p999": quantiles(&target_samples.between_tokens),
         "tokens_per_s": rate.round(),
     })
 }
--- a/standins/src/platform/api.rs
+++ b/standins/src/platform/api.rs
@@ -22,20 +22,20 @@
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// Objects in a page when the call names no limit.
-const DEFAULT_PAGE: usize = 100;
+const DEFAULT_PAGE_OBJECTS: usize = 100;
 
 /// How long a watch waits when the call doesn't say, in milliseconds.
 const DEFAULT_WATCH_MS: u64 = 30_000;
 
 /// The answer to a write.
 #[derive(Serialize)]
-struct Version {
+struct VersionReply {
     version: u64,
 }
 
 /// The page of a list that a call asks for.
 #[derive(Deserialize)]
-struct Page {
+struct PageQuery {
     #[serde(default)]
     after: String,
     limit: Option<usize>,
@@ -43,7 +43,7 @@
 
 /// One page of objects.
 #[derive(Serialize)]
-struct Objects {
+struct ObjectPage {
     revision: u64,
     objects: Vec<Object>,
 }
@@ -98,15 +98,15 @@
 async fn list(
     Data(state): Data<&Arc<State>>,
     Path(kind): Path<String>,
-    page: Query<Page>,
+    page: Query<PageQuery>,
 ) -> Response {
     if let Err(refusal) = state.admit(CallKind::Read).await {
         return refusal;
     }
     let at = state.read_instant();
-    let limit = page.limit.unwrap_or(DEFAULT_PAGE);
+    let limit = page.limit.unwrap_or(DEFAULT_PAGE_OBJECTS);
     let store = lock(&state.store);
-    reply::ok(&Objects {
+    reply::ok(&ObjectPage {
         revision: store.revision(),
         objects: store.list(&kind, &page.after, limit, at),
     })
@@ -148,12 +148,12 @@
         return reply::failure(StatusCode::BAD_REQUEST, "wrong condition");
     };
     let state = Arc::clone(state);
-    let task = tokio::spawn(async move { apply_now(&state, &key, value, condition).await });
+    let task = tokio::spawn(async move { apply_write(&state, &key, value, condition).await });
     task.await
         .unwrap_or_else(|err| reply::failure(StatusCode::INTERNAL_SERVER_ERROR, &err.to_string()))
 }
 
-async fn apply_now(
+async fn apply_write(
     state: &State,
     key: &Key,
     value: Option<Value>,
@@ -166,12 +166,12 @@
         Ok(written) if written.answer_lost => {
             reply::failure(StatusCode::GATEWAY_TIMEOUT, "answer lost")
         }
-        Ok(written) => reply::ok(&Version {
+        Ok(written) => reply::ok(&VersionReply {
             version: written.version,
         }),
         Err(conflict) => reply::json(
             StatusCode::CONFLICT,
-            &Version {
+            &VersionReply {
                 version: conflict.version,
             },
         ),
@@ -198,12 +198,12 @@
     Path(kind): Path<String>,
     query: Query<WatchQuery>,
 ) -> Response {
-    let _guard = state.calls.watching();
+    let _guard = state.calls.start_watch();
     if let Err(refusal) = state.admit(CallKind::Watch).await {
         return refusal;
     }
     let timeout = Duration::from_millis(query.timeout_ms.unwrap_or(DEFAULT_WATCH_MS));
-    let wait = first_changes(state, &kind, query.since);
+    let wait = await_changes(state, &kind, query.since);
     let changes = tokio::time::timeout(timeout, wait).await;
     let revision = lock(&state.store).revision();
     tokio::time::sleep(state.faults().watch_lag).await;
@@ -217,11 +217,11 @@
 }
 
 /// Waits until an object of the kind has changed after `since`.
-async fn first_changes(state: &State, kind: &str, since: u64) -> Changes {
+async fn await_changes(state: &State, kind: &str, since: u64) -> Changes {
     let mut revisions = state.subscribe();
     loop {
         revisions.mark_unchanged();
-        if let Some(changes) = changes_now(state, kind, since) {
+        if let Some(changes) = current_changes(state, kind, since) {
             return changes;
         }
         if revisions.changed().await.is_err() {
@@ -230,7 +230,7 @@
     }
 }
 
-fn changes_now(state: &State, kind: &str, since: u64) -> Option<Changes> {
+fn current_changes(state: &State, kind: &str, since: u64) -> Option<Changes> {
     let store = lock(&state.store);
     let changes = store.changes_since(kind, since);
     (!changes.is_empty()).then(|| Changes {
--- a/standins/src/platform/calls.rs
+++ b/standins/src/platform/calls.rs
@@ -17,7 +17,7 @@
 
 /// Counters of calls since the start.
 #[derive(Debug, Default)]
-pub(super) struct Calls {
+pub(super) struct CallCounters {
     reads: AtomicU64,
     writes: AtomicU64,
     watches: AtomicU64,
@@ -45,9 +45,9 @@
 
 /// A watch in progress; counted until dropped.
 #[derive(Debug)]
-pub(super) struct WatchGuard<'a>(&'a Calls);
+pub(super) struct WatchGuard<'a>(&'a CallCounters);
 
-impl Calls {
+impl CallCounters {
     pub(super) fn count(&self, kind: CallKind) {
         let counter = match kind {
             CallKind::Read => &self.reads,
@@ -65,7 +65,7 @@
         self.failed.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(super) fn watching(&self) -> WatchGuard<'_> {
+    pub(super) fn start_watch(&self) -> WatchGuard<'_> {
         self.watches_waiting.fetch_add(1, Ordering::Relaxed);
         WatchGuard(self)
     }
--- a/standins/src/platform/limit.rs
+++ b/standins/src/platform/limit.rs
@@ -6,19 +6,19 @@
 
 /// A bucket that holds at most one second's worth of calls.
 #[derive(Debug)]
-pub(super) struct Bucket {
+pub(super) struct TokenBucket {
     per_second: f64,
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket; a rate of 0 calls a second stands for no limit.
     pub(super) fn new(per_second: f64) -> Self {
         Self {
             per_second,
             tokens: per_second,
-            filled: Instant::now(),
+            refilled_at: Instant::now(),
         }
     }
 
@@ -27,9 +27,9 @@
         if self.per_second <= 0.0 {
             return Ok(());
         }
-        let gained = now.duration_since(self.filled).as_secs_f64() * self.per_second;
-        self.tokens = (self.tokens + gained).min(self.per_second.max(1.0));
-        self.filled = now;
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * self.per_second;
+        self.tokens = (self.tokens + refill).min(self.per_second.max(1.0));
+        self.refilled_at = now;
         if self.tokens < 1.0 {
             let wait = (1.0 - self.tokens) / self.per_second;
             return Err(Duration::from_secs_f64(wait));
--- a/standins/src/platform/state.rs
+++ b/standins/src/platform/state.rs
@@ -11,9 +11,9 @@
 use tokio::time::Instant;
 
 use super::Config;
-use super::calls::{CallKind, Calls};
+use super::calls::{CallCounters, CallKind};
 use super::faults::{FaultPatch, Faults};
-use super::limit::Bucket;
+use super::limit::TokenBucket;
 use super::store::{Condition, Conflict, Key, Store};
 use super::vms::VmHistory;
 use crate::sync::lock;
@@ -24,11 +24,11 @@
 pub(super) struct State {
     pub(super) store: Mutex<Store>,
     pub(super) vms: Mutex<VmHistory>,
-    pub(super) calls: Calls,
+    pub(super) calls: CallCounters,
     faults: Mutex<Faults>,
-    reads: Mutex<Bucket>,
-    writes: Mutex<Bucket>,
-    changed: watch::Sender<u64>,
+    reads: Mutex<TokenBucket>,
+    writes: Mutex<TokenBucket>,
+    revision_sender: watch::Sender<u64>,
     run_log: Arc<RunLog>,
 }
 
@@ -53,11 +53,11 @@
         Self {
             store: Mutex::default(),
             vms: Mutex::new(VmHistory::new(Instant::now())),
-            calls: Calls::default(),
+            calls: CallCounters::default(),
             faults: Mutex::default(),
-            reads: Mutex::new(Bucket::new(cfg.reads_per_second)),
-            writes: Mutex::new(Bucket::new(cfg.writes_per_second)),
-            changed: watch::channel(0).0,
+            reads: Mutex::new(TokenBucket::new(cfg.reads_per_second)),
+            writes: Mutex::new(TokenBucket::new(cfg.writes_per_second)),
+            revision_sender: watch::channel(0).0,
             run_log: Arc::clone(&cfg.run_log),
         }
     }
@@ -77,7 +77,7 @@
         let taken = lock(bucket).take(Instant::now());
         taken.map_err(|wait| {
             self.calls.count_limited();
-            too_many(wait)
+            rate_limited_response(wait)
         })
     }
 
@@ -109,7 +109,7 @@
             deleted,
             answer_lost,
         });
-        self.changed.send_replace(version);
+        self.revision_sender.send_replace(version);
         Ok(Written {
             version,
             answer_lost,
@@ -122,13 +122,13 @@
         self.run_log.append(&RunEvent::Faults { patch });
         if let Some(revision) = patch.restore_to_revision {
             lock(&self.store).restore(revision);
-            self.changed.send_replace(revision);
+            self.revision_sender.send_replace(revision);
         }
     }
 
     /// Follows the revision.
     pub(super) fn subscribe(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.revision_sender.subscribe()
     }
 }
 
@@ -139,7 +139,7 @@
 }
 
 /// The answer to a call beyond the rate limit.
-fn too_many(wait: Duration) -> Response {
+fn rate_limited_response(wait: Duration) -> Response {
     let seconds = wait.as_secs() + 1;
     let mut res = reply::failure(StatusCode::TOO_MANY_REQUESTS, "rate limit");
     res.headers_mut()
--- a/standins/src/platform/store.rs
+++ b/standins/src/platform/store.rs
@@ -9,10 +9,10 @@
 use tokio::time::Instant;
 
 /// Past versions kept of each object.
-const HISTORY_VERSIONS: usize = 256;
+const MAX_VERSIONS_PER_OBJECT: usize = 256;
 
 /// Changes kept for watches.
-const CHANGES_KEPT: usize = 65_536;
+const MAX_CHANGES: usize = 65_536;
 
 /// The place of an object.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -67,9 +67,9 @@
 
 /// One version of an object; no value stands for a deletion.
 #[derive(Debug)]
-struct Entry {
+struct ObjectVersion {
     version: u64,
-    at: Instant,
+    written_at: Instant,
     value: Option<Arc<Value>>,
 }
 
@@ -77,7 +77,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Store {
     revision: u64,
-    objects: BTreeMap<Key, Vec<Entry>>,
+    objects: BTreeMap<Key, Vec<ObjectVersion>>,
     changes: BTreeMap<u64, Key>,
 }
 
@@ -95,36 +95,39 @@
         condition: Condition,
         now: Instant,
     ) -> Result<u64, Conflict> {
-        let version = self.version(&key);
-        let holds = match condition {
+        let version = self.current_version(&key);
+        let is_met = match condition {
             Condition::Always => true,
             Condition::Absent => version == 0,
             Condition::Version(wanted) => version == wanted && version != 0,
         };
-        if !holds {
+        if !is_met {
             return Err(Conflict { version });
         }
         self.revision += 1;
         self.changes.insert(self.revision, key.clone());
-        let entries = self.objects.entry(key).or_default();
-        entries.push(Entry {
+        let versions = self.objects.entry(key).or_default();
+        versions.push(ObjectVersion {
             version: self.revision,
-            at: now,
+            written_at: now,
             value: value.map(Arc::new),
         });
-        self.trim();
+        self.trim_history();
         Ok(self.revision)
     }
 
     /// The object as it was at the instant `at`.
     pub(super) fn get(&self, key: &Key, at: Instant) -> Option<Object> {
-        let entries = self.objects.get(key)?;
-        let entry = entries.iter().rev().find(|entry| entry.at <= at)?;
+        let versions = self.objects.get(key)?;
+        let found = versions
+            .iter()
+            .rev()
+            .find(|version| version.written_at <= at)?;
         Some(Object {
             kind: key.kind.clone(),
             name: key.name.clone(),
-            version: entry.version,
-            value: entry.value.clone()?,
+            version: found.version,
+            value: found.value.clone()?,
         })
     }
 
@@ -149,7 +152,7 @@
         self.changes
             .range((Bound::Excluded(since), Bound::Unbounded))
             .filter(|(_, key)| &*key.kind == kind)
-            .filter_map(|(revision, key)| self.change(*revision, key))
+            .filter_map(|(revision, key)| self.newest_change(*revision, key))
             .collect()
     }
 
@@ -157,43 +160,43 @@
     pub(super) fn restore(&mut self, revision: u64) {
         self.revision = self.revision.min(revision);
         self.changes.retain(|changed, _| *changed <= revision);
-        for entries in self.objects.values_mut() {
-            entries.retain(|entry| entry.version <= revision);
+        for versions in self.objects.values_mut() {
+            versions.retain(|object| object.version <= revision);
         }
-        self.objects.retain(|_, entries| !entries.is_empty());
+        self.objects.retain(|_, versions| !versions.is_empty());
     }
 
     /// The change of `revision`, unless a newer one of the same object follows.
-    fn change(&self, revision: u64, key: &Key) -> Option<Change> {
-        let entry = self.objects.get(key)?.last()?;
-        (entry.version == revision).then(|| Change {
+    fn newest_change(&self, revision: u64, key: &Key) -> Option<Change> {
+        let newest = self.objects.get(key)?.last()?;
+        (newest.version == revision).then(|| Change {
             name: key.name.clone(),
-            version: entry.version,
-            deleted: entry.value.is_none(),
-            value: entry.value.clone(),
+            version: newest.version,
+            deleted: newest.value.is_none(),
+            value: newest.value.clone(),
         })
     }
 
     /// The present version, 0 for none.
-    fn version(&self, key: &Key) -> u64 {
+    fn current_version(&self, key: &Key) -> u64 {
         self.objects
             .get(key)
-            .and_then(|entries| entries.last())
-            .filter(|entry| entry.value.is_some())
-            .map_or(0, |entry| entry.version)
+            .and_then(|versions| versions.last())
+            .filter(|newest| newest.value.is_some())
+            .map_or(0, |newest| newest.version)
     }
 
     /// Forgets the oldest history beyond the limits.
-    fn trim(&mut self) {
-        if let Some(entries) = self
+    fn trim_history(&mut self) {
+        if let Some(versions) = self
             .changes
             .last_key_value()
             .and_then(|(_, key)| self.objects.get_mut(key))
-            && entries.len() > HISTORY_VERSIONS
+            && versions.len() > MAX_VERSIONS_PER_OBJECT
         {
-            entries.remove(0);
+            versions.remove(0);
         }
-        if self.changes.len() > CHANGES_KEPT {
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_first();
         }
     }
--- a/standins/src/platform/vms.rs
+++ b/standins/src/platform/vms.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 /// Past lists kept.
-const LISTS_KEPT: usize = 1_024;
+const MAX_LISTS: usize = 1_024;
 
 /// What a VM is for.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -68,7 +68,7 @@
 
     /// Puts a new list in force.
     pub(super) fn replace(&mut self, list: VmList, now: Instant) {
-        if self.lists.len() == LISTS_KEPT {
+        if self.lists.len() == MAX_LISTS {
             self.lists.remove(0);
         }
         self.lists.push((now, Arc::new(list)));
--- a/standins/tests/common/mod.rs
+++ b/standins/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 
 /// Longest wait for anything that must come.
-const PATIENCE: Duration = Duration::from_secs(20);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Names each case and gives it the call that checks it.
 #[macro_export]
@@ -37,18 +37,18 @@
 }
 
 /// Waits for something that must come.
-pub(crate) async fn soon<T>(wait: impl Future<Output = T>) -> T {
-    tokio::time::timeout(PATIENCE, wait)
+pub(crate) async fn within_timeout<T>(wait: impl Future<Output = T>) -> T {
+    tokio::time::timeout(EVENT_TIMEOUT, wait)
         .await
         .expect("came too late")
 }
 
 /// Asks again until `check` holds.
-pub(crate) async fn until<F>(mut check: impl FnMut() -> F)
+pub(crate) async fn wait_until<F>(mut check: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
 {
-    soon(async {
+    within_timeout(async {
         while !check().await {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
@@ -94,7 +94,7 @@
     /// The mark at the end.
     Done,
     /// The connection broke or ended.
-    Cut,
+    Disconnected,
 }
 
 impl Events {
@@ -110,12 +110,12 @@
     /// The next event.
     pub(crate) async fn next(&mut self) -> Event {
         loop {
-            if let Some(event) = self.take() {
+            if let Some(event) = self.pop_event() {
                 return event;
             }
-            match soon(self.res.next()).await {
+            match within_timeout(self.res.next()).await {
                 Some(Some(chunk)) => self.buf.extend(chunk),
-                Some(None) | None => return Event::Cut,
+                Some(None) | None => return Event::Disconnected,
             }
         }
     }
@@ -135,12 +135,12 @@
             match self.next().await {
                 Event::Data(value) => values.push(value),
                 Event::Done => return values,
-                Event::Cut => panic!("cut after {} events", values.len()),
+                Event::Disconnected => panic!("cut after {} events", values.len()),
             }
         }
     }
 
-    fn take(&mut self) -> Option<Event> {
+    fn pop_event(&mut self) -> Option<Event> {
         let end = self.buf.windows(2).position(|pair| pair == b"\n\n")?;
         let block: Vec<u8> = self.buf.drain(..end + 2).collect();
         let text = String::from_utf8(block).unwrap();
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{Event, Events, content, get, json, listener, post, soon, until};
+use common::{Event, Events, content, get, json, listener, post, wait_until, within_timeout};
 use reqwest::{Client, Response};
 use serde_json::{Value, json as j};
 use standins::engine::{self, Config};
@@ -252,9 +252,9 @@
     let mut events = generate(&running, "[[len=60]]", &Value::Null).await;
     events.token().await;
     drop(events);
-    until(|| async { logged_events(&cfg, "cancelled").len() == 1 }).await;
+    wait_until(|| async { logged_events(&cfg, "cancelled").len() == 1 }).await;
     let url = format!("{}/v1/streams/s1", running.url());
-    until(|| async { get(&url).await.0 == 404 }).await;
+    wait_until(|| async { get(&url).await.0 == 404 }).await;
 }
 
 async fn cancel() {
@@ -342,15 +342,15 @@
     let text = "[[crash]][[crash_after=3]][[mark=bad]]";
     let mut bad = generate(&running, text, &Value::Null).await;
     restore_speed(&running).await;
-    while bad.next().await != Event::Cut {}
+    while bad.next().await != Event::Disconnected {}
     loop {
         match other.next().await {
             Event::Data(_) => {}
             Event::Done => panic!("not cut"),
-            Event::Cut => break,
+            Event::Disconnected => break,
         }
     }
-    soon(running.stopped()).await;
+    within_timeout(running.stopped()).await;
     assert_eq!(logged_events(&cfg, "crashed")[0]["mark"], "bad");
     assert!(reqwest::get(running.url()).await.is_err());
 }
@@ -397,7 +397,7 @@
         .await
         .rest()
         .await;
-    until(|| async { get(&url).await.1["running"] == 0 }).await;
+    wait_until(|| async { get(&url).await.1["running"] == 0 }).await;
     let load = get(&url).await.1;
     assert_eq!((&load["waiting"], &load["used_tokens"]), (&j!(0), &j!(0)));
     assert_eq!(load["capacity_tokens"], 256);
--- a/standins/tests/load.rs
+++ b/standins/tests/load.rs
@@ -97,13 +97,13 @@
         ..config(&[&running])
     };
     let run = tokio::spawn(load::run(cfg));
-    common::until(|| async {
+    common::wait_until(|| async {
         let load = common::get(format!("{}/v1/load", running.url())).await.1;
         load["running"].as_u64() > Some(4)
     })
     .await;
     crash(&running.url()).await;
-    common::soon(running.stopped()).await;
+    common::within_timeout(running.stopped()).await;
     let record = run.await.unwrap().unwrap();
     assert!(sum(&record, |class| ClassRecord::total(&class.broken)) > 0);
     assert!(sum(&record, |class| class.wasted_tokens) > 0);
@@ -121,7 +121,11 @@
         "priority": 100,
     });
     let req = reqwest::Client::new().post(format!("{url}/v1/chat/completions"));
-    assert!(common::soon(req.json(&body).send()).await.is_err());
+    assert!(
+        common::within_timeout(req.json(&body).send())
+            .await
+            .is_err()
+    );
 }
 
 async fn run_ends() {
--- a/standins/tests/plain.rs
+++ b/standins/tests/plain.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{get, json, listener, soon, until};
+use common::{get, json, listener, wait_until, within_timeout};
 use reqwest::Client;
 use serde_json::{Value, json as j};
 use standins::plain::{self, Config, CrashPoint};
@@ -80,7 +80,7 @@
     tokio::io::AsyncWriteExt::write_all(&mut { stream }, req)
         .await
         .unwrap();
-    until(|| async { logged_calls(&cfg).len() == 1 }).await;
+    wait_until(|| async { logged_calls(&cfg).len() == 1 }).await;
 }
 
 async fn crash(point: CrashPoint, runs: usize) {
@@ -91,8 +91,8 @@
     };
     let mut running = start(&cfg, listener().await);
     let req = Client::new().post(format!("{}/file", running.url()));
-    assert!(soon(req.body("a boom").send()).await.is_err());
-    soon(running.stopped()).await;
+    assert!(within_timeout(req.body("a boom").send()).await.is_err());
+    within_timeout(running.stopped()).await;
     assert_eq!(logged_calls(&cfg).len(), runs);
     assert!(reqwest::get(running.url()).await.is_err());
 }
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{get, json, listener, post, until};
+use common::{get, json, listener, post, wait_until};
 use reqwest::{Client, Method};
 use serde_json::{Value, json as j};
 use standins::platform::{self, CallCounts, Config};
@@ -72,7 +72,7 @@
     assert_eq!(status, 200);
 }
 
-async fn fault(running: &Running, patch: Value) {
+async fn set_faults(running: &Running, patch: Value) {
     let url = format!("{}/standin/faults", running.url());
     assert_eq!(post(url, &patch).await.0, 200);
 }
@@ -147,7 +147,7 @@
 
 async fn lost_answer() {
     let running = start().await;
-    fault(&running, j!({ "lose_write_answers": 1 })).await;
+    set_faults(&running, j!({ "lose_write_answers": 1 })).await;
     let create = Some(("if-none-match", "*"));
     let first = call(Method::PUT, object(&running, "x"), create, &j!("first")).await;
     let second = call(Method::PUT, object(&running, "x"), create, &j!("second")).await;
@@ -158,21 +158,21 @@
 async fn stale_read() {
     let running = start().await;
     put(&running, "x", j!("old")).await;
-    fault(&running, j!({ "stale_read_ms": 600_000 })).await;
+    set_faults(&running, j!({ "stale_read_ms": 600_000 })).await;
     assert_eq!(get(object(&running, "x")).await.0, 404);
-    fault(&running, j!({ "stale_read_ms": 0 })).await;
+    set_faults(&running, j!({ "stale_read_ms": 0 })).await;
     assert_eq!(get(object(&running, "x")).await.1["value"], "old");
 }
 
 async fn outage() {
     let running = start().await;
-    fault(&running, j!({ "outage": true })).await;
+    set_faults(&running, j!({ "outage": true })).await;
     let url = object(&running, "x");
     assert_eq!(get(&url).await.0, 503);
     assert_eq!(call(Method::PUT, url, None, &j!(1)).await.0, 503);
     assert_eq!(get(format!("{}/v1/vms", running.url())).await.0, 503);
     assert_eq!(counts(&running).await.failed, 3);
-    fault(&running, j!({ "outage": false })).await;
+    set_faults(&running, j!({ "outage": false })).await;
     assert_eq!(get(object(&running, "x")).await.0, 404);
 }
 
@@ -181,7 +181,7 @@
     let first = put(&running, "x", j!("first")).await;
     let second = put(&running, "x", j!("second")).await;
     put(&running, "y", j!("later")).await;
-    fault(&running, j!({ "restore_to_revision": first })).await;
+    set_faults(&running, j!({ "restore_to_revision": first })).await;
     assert_eq!(get(object(&running, "x")).await.1["value"], "first");
     assert_eq!(get(object(&running, "y")).await.0, 404);
     assert_eq!(put(&running, "x", j!("other")).await, second);
@@ -192,9 +192,9 @@
     let before = put(&running, "x", j!(1)).await;
     let url = format!("{}/v1/watch/config?since={before}", running.url());
     let watch = tokio::spawn(get(url));
-    until(|| async { counts(&running).await.watches_waiting == 1 }).await;
+    wait_until(|| async { counts(&running).await.watches_waiting == 1 }).await;
     let after = put(&running, "y", j!(2)).await;
-    let (_, seen) = common::soon(watch).await.unwrap();
+    let (_, seen) = common::within_timeout(watch).await.unwrap();
     assert_eq!(seen["revision"], after);
     let change = j!({ "name": "y", "version": after, "deleted": false, "value": 2 });
     assert_eq!(seen["changes"], j!([change]));
@@ -215,12 +215,12 @@
     let running = start().await;
     let url = format!("{}/v1/watch/config?since=0", running.url());
     let watches = [tokio::spawn(get(url.clone())), tokio::spawn(get(url))];
-    until(|| async { counts(&running).await.watches_waiting == 2 }).await;
+    wait_until(|| async { counts(&running).await.watches_waiting == 2 }).await;
     put(&running, "x", j!(1)).await;
     for watch in watches {
-        assert_eq!(common::soon(watch).await.unwrap().0, 200);
+        assert_eq!(common::within_timeout(watch).await.unwrap().0, 200);
     }
-    until(|| async { counts(&running).await.watches_waiting == 0 }).await;
+    wait_until(|| async { counts(&running).await.watches_waiting == 0 }).await;
     assert_eq!(counts(&running).await.watches, 2);
 }
 
@@ -231,12 +231,12 @@
         "role": "agent", "state": "live",
     });
     let list = j!({ "vms": [vm] });
-    fault(&running, j!({ "vm_lag_ms": 600_000 })).await;
+    set_faults(&running, j!({ "vm_lag_ms": 600_000 })).await;
     let url = format!("{}/standin/vms", running.url());
     assert_eq!(post(url, &list).await.0, 200);
     let vms = format!("{}/v1/vms", running.url());
     assert_eq!(get(&vms).await.1, j!({ "vms": [] }));
-    fault(&running, j!({ "vm_lag_ms": 0 })).await;
+    set_faults(&running, j!({ "vm_lag_ms": 0 })).await;
     assert_eq!(get(&vms).await.1, list);
 }
 
@@ -256,12 +256,12 @@
 
 async fn hung_write() {
     let running = start().await;
-    fault(&running, j!({ "hang_ms": 50 })).await;
+    set_faults(&running, j!({ "hang_ms": 50 })).await;
     let url = object(&running, "x");
     let write = tokio::spawn(async move { call(Method::PUT, url, None, &j!(1)).await });
-    until(|| async { counts(&running).await.writes == 1 }).await;
+    wait_until(|| async { counts(&running).await.writes == 1 }).await;
     write.abort();
-    until(|| async { get(object(&running, "x")).await.0 == 200 }).await;
+    wait_until(|| async { get(object(&running, "x")).await.0 == 200 }).await;
 }
 
 async fn run_log() {
@@ -271,7 +271,7 @@
         ..Config::default()
     };
     let running = start_with(cfg).await;
-    fault(&running, j!({ "lose_write_answers": 1 })).await;
+    set_faults(&running, j!({ "lose_write_answers": 1 })).await;
     call(Method::PUT, object(&running, "x"), None, &j!(1)).await;
     let events = log.events();
     assert_eq!(events[0]["event"], "faults");
