--- a/standins/src/bin/firefly-overhead.rs
+++ b/standins/src/bin/firefly-overhead.rs
@@ -1,8 +1,8 @@
-//! What entry and agent add to a stream, against the engine called straight.
+//! Measures the overhead of entry and agent against direct engine calls.
 //!
-//! Both are called in turn in one run, with as many streams at once as asked,
-//! and compared at the caller: time to the first token, time between tokens,
-//! tokens a second.
+//! Each round calls the engine directly, then through the entry, with the given
+//! number of concurrent streams. Measured at the caller: time to first token, time
+//! between tokens and tokens per second.
 
 use std::time::{Duration, Instant};
 
@@ -11,18 +11,18 @@
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-/// Longest time that is told apart, in microseconds.
+/// Upper bound of the histograms; longer times count as this one.
 const MAX_LATENCY_US: u64 = 60_000_000;
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 0.999];
 
-/// Where calls go, and with which key.
+/// URL and API key of the calls.
 #[derive(Clone)]
 struct Target {
     url: String,
     key: String,
 }
 
-/// What one side showed.
+/// Measurements of one target.
 struct Samples {
     first_token: Histogram<u64>,
     between_tokens: Histogram<u64>,
@@ -57,7 +57,7 @@
         Arg::new(name).long(name).default_value(default).help(help)
     };
     Command::new("firefly-overhead")
-        .about("Measures what entry and agent add to a stream")
+        .about("Measures the overhead of entry and agent per stream")
         .arg(
             Arg::new("straight")
                 .long("straight")
@@ -70,10 +70,10 @@
                 .required(true)
                 .help("Base URL of an entry"),
         )
-        .arg(arg("key", "demo-key-1", "Key for the entry"))
-        .arg(arg("streams", "8", "Streams at once"))
-        .arg(arg("rounds", "20", "Rounds, each of both sides"))
-        .arg(arg("length", "100", "Tokens of each answer"))
+        .arg(arg("key", "demo-key-1", "API key for the entry"))
+        .arg(arg("streams", "8", "Concurrent streams"))
+        .arg(arg("rounds", "20", "Rounds; each calls both targets"))
+        .arg(arg("length", "100", "Tokens per response"))
 }
 
 fn text(args: &ArgMatches, name: &str) -> anyhow::Result<String> {
@@ -145,7 +145,7 @@
     Ok(())
 }
 
-/// Times of the tokens of one stream, from the send.
+/// Returns the arrival time of each token of one stream, relative to the send.
 async fn time_tokens(
     http: &reqwest::Client,
     target: &Target,
@@ -179,7 +179,7 @@
     }
     anyhow::ensure!(
         times.len() == length,
-        "{} tokens in place of {length}",
+        "expected {length} tokens, received {}",
         times.len()
     );
     Ok(times)
--- a/standins/src/bin/standin-platform.rs
+++ b/standins/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in platform as a process.
+//! Runs the stand-in platform as a process.
 
 use standins::cli;
 use standins::platform::{self, Config, READS_PER_SECOND, WRITES_PER_SECOND};
@@ -10,12 +10,12 @@
         .arg(cli::flag(
             "reads-per-second",
             &READS_PER_SECOND,
-            "Reads allowed a second; 0 for no limit",
+            "Maximum reads and watches per second; 0 for no limit",
         ))
         .arg(cli::flag(
             "writes-per-second",
             &WRITES_PER_SECOND,
-            "Writes allowed a second; 0 for no limit",
+            "Maximum writes per second; 0 for no limit",
         ))
         .get_matches();
     let cfg = Config {
--- a/standins/src/platform/api.rs
+++ b/standins/src/platform/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP calls of the platform.
+//! HTTP handlers of the stand-in platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,22 +18,22 @@
 use crate::reply;
 use crate::sync::lock;
 
-/// Largest value, in bytes.
+/// Maximum size of an object's JSON value.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Objects in a page when the call names no limit.
+/// Objects per page when the request has no `limit`.
 const DEFAULT_PAGE_OBJECTS: usize = 100;
 
-/// How long a watch waits when the call doesn't say, in milliseconds.
+/// Watch timeout when the request has no `timeout_ms`.
 const DEFAULT_WATCH_MS: u64 = 30_000;
 
-/// The answer to a write.
+/// Response body of a write.
 #[derive(Serialize)]
 struct VersionReply {
     version: u64,
 }
 
-/// The page of a list that a call asks for.
+/// Query parameters of a list request.
 #[derive(Deserialize)]
 struct PageQuery {
     #[serde(default)]
@@ -48,7 +48,7 @@
     objects: Vec<Object>,
 }
 
-/// Where a watch begins and how long it waits.
+/// Query parameters of a watch: start revision and timeout.
 #[derive(Deserialize)]
 struct WatchQuery {
     #[serde(default)]
@@ -56,14 +56,14 @@
     timeout_ms: Option<u64>,
 }
 
-/// What a watch saw.
+/// Response body of a watch.
 #[derive(Serialize)]
 struct Changes {
     revision: u64,
     changes: Vec<Change>,
 }
 
-/// The routes of the platform.
+/// Returns the routes of the platform.
 pub(super) fn endpoint(state: Arc<State>) -> impl IntoEndpoint<Endpoint: 'static> {
     Route::new()
         .at("/v1/objects/:kind", get(list))
@@ -137,7 +137,7 @@
     apply(state, Key::new(kind, name), None, headers).await
 }
 
-/// Runs a write to its end, even when the caller goes away meanwhile.
+/// Runs a write to completion, even if the caller disconnects.
 async fn apply(
     state: &Arc<State>,
     key: Key,
@@ -178,7 +178,7 @@
     }
 }
 
-/// The condition that the headers set, or none when they make no sense.
+/// Parses the condition headers; returns `None` if they are invalid.
 fn condition(headers: &HeaderMap) -> Option<Condition> {
     let text = |name| headers.get(name).map(|value| value.to_str().unwrap_or(""));
     match (text(header::IF_NONE_MATCH), text(header::IF_MATCH)) {
@@ -216,7 +216,7 @@
     }))
 }
 
-/// Waits until an object of the kind has changed after `since`.
+/// Waits until an object of `kind` has changed after revision `since`.
 async fn await_changes(state: &State, kind: &str, since: u64) -> Changes {
     let mut revisions = state.subscribe();
     loop {
--- a/standins/src/platform/calls.rs
+++ b/standins/src/platform/calls.rs
@@ -1,21 +1,21 @@
-//! Counts of calls, as the platform would bill them.
+//! Call counters, as the platform would bill them.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use serde::{Deserialize, Serialize};
 
-/// What a call counts as.
+/// Billing category of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum CallKind {
-    /// A read of an object, a page of a list or the VM list.
+    /// Read of an object, a list page or the VM list.
     Read,
-    /// A write or a deletion.
+    /// Write or deletion.
     Write,
-    /// A watch.
+    /// Long poll for changes.
     Watch,
 }
 
-/// Counters of calls since the start.
+/// Atomic call counters since the start.
 #[derive(Debug, Default)]
 pub(super) struct CallCounters {
     reads: AtomicU64,
@@ -26,24 +26,24 @@
     failed: AtomicU64,
 }
 
-/// The counters as an answer shows them.
+/// Snapshot of the call counters, as served in JSON.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CallCounts {
-    /// Reads, refused ones included.
+    /// Reads, including refused ones.
     pub reads: u64,
-    /// Writes and deletions, refused ones included.
+    /// Writes and deletions, including refused ones.
     pub writes: u64,
-    /// Watches begun.
+    /// Watches started, including refused ones.
     pub watches: u64,
-    /// Watches in progress now.
+    /// Watches in progress.
     pub watches_waiting: u64,
-    /// Calls refused by a rate limit.
+    /// Calls refused by the rate limit.
     pub limited: u64,
-    /// Calls that failed in an outage.
+    /// Calls that failed because of an injected outage.
     pub failed: u64,
 }
 
-/// A watch in progress; counted until dropped.
+/// Guard of a watch in progress; counted in `watches_waiting` until dropped.
 #[derive(Debug)]
 pub(super) struct WatchGuard<'a>(&'a CallCounters);
 
--- a/standins/src/platform/faults.rs
+++ b/standins/src/platform/faults.rs
@@ -1,37 +1,37 @@
-//! Faults that a test switches on and off.
+//! Fault injection.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A change of the faults in force; fields left out stay as they are.
+/// Partial update of the active faults; omitted fields stay unchanged.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultPatch {
     /// Whether every call fails with 503.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub outage: Option<bool>,
-    /// Milliseconds by which each call is held up before it runs.
+    /// Delay of each call before it runs, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hang_ms: Option<u64>,
-    /// Writes that will take effect and be answered with 504.
+    /// Number of next writes that take effect but return 504.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub lose_write_answers: Option<u64>,
-    /// Milliseconds by which reads are behind.
+    /// Staleness of reads, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub stale_read_ms: Option<u64>,
-    /// Milliseconds by which answers of watches are held back.
+    /// Delay of watch responses, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub watch_lag_ms: Option<u64>,
-    /// Milliseconds by which the VM list is behind.
+    /// Staleness of the VM list, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub vm_lag_ms: Option<u64>,
-    /// Revision to go back to, at once.
+    /// Revision to restore immediately.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub restore_to_revision: Option<u64>,
 }
 
-/// The faults in force.
+/// Active faults.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Faults {
     pub(super) outage: bool,
@@ -43,7 +43,7 @@
 }
 
 impl Faults {
-    /// Takes over the fields that `patch` holds.
+    /// Applies the fields set in `patch`.
     pub(super) fn apply(&mut self, patch: &FaultPatch) {
         set(&mut self.outage, patch.outage);
         set(&mut self.lose_write_answers, patch.lose_write_answers);
@@ -59,7 +59,7 @@
         set(&mut self.vm_lag, patch.vm_lag_ms.map(Duration::from_millis));
     }
 
-    /// Whether the answer to the write that just took effect is lost.
+    /// Consumes one lost write response; returns `false` if none is left.
     pub(super) fn lose_answer(&mut self) -> bool {
         let lost = self.lose_write_answers > 0;
         self.lose_write_answers = self.lose_write_answers.saturating_sub(1);
--- a/standins/src/platform/limit.rs
+++ b/standins/src/platform/limit.rs
@@ -1,10 +1,10 @@
-//! A token bucket for the calls of one kind.
+//! Token bucket for the calls of one kind.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// A bucket that holds at most one second's worth of calls.
+/// Token bucket that holds one second's worth of calls, but at least one call.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     per_second: f64,
@@ -13,7 +13,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket; a rate of 0 calls a second stands for no limit.
+    /// Creates a bucket with one second's worth of calls; a rate of 0 means no limit.
     pub(super) fn new(per_second: f64) -> Self {
         Self {
             per_second,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Takes one call, or says how long to wait for one.
+    /// Takes a token, or returns the time until one is available.
     pub(super) fn take(&mut self, now: Instant) -> Result<(), Duration> {
         if self.per_second <= 0.0 {
             return Ok(());
--- a/standins/src/platform/mod.rs
+++ b/standins/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! A stand-in for the platform: versioned objects, watches and the VM list.
+//! Stand-in for the platform: versioned objects, watches and the VM list.
 //!
-//! Everything is held in memory. Faults are switched by calls below `/standin`,
-//! which neither count nor fail themselves.
+//! All state is in memory. Faults are set by calls under `/standin`, which are
+//! not counted and are not subject to faults.
 
 mod api;
 mod calls;
@@ -24,20 +24,20 @@
 use crate::server::{self, Stop};
 use crate::{RunLog, Running};
 
-/// Reads a second that the platform allows by default.
+/// Default limit of reads and watches per second.
 pub const READS_PER_SECOND: f64 = 2_000.0;
 
-/// Writes a second that the platform allows by default.
+/// Default limit of writes per second.
 pub const WRITES_PER_SECOND: f64 = 500.0;
 
-/// Settings of a platform.
+/// Settings of a stand-in platform.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Reads and watches allowed a second; 0 for no limit.
+    /// Maximum reads and watches per second; 0 for no limit.
     pub reads_per_second: f64,
-    /// Writes allowed a second; 0 for no limit.
+    /// Maximum writes per second; 0 for no limit.
     pub writes_per_second: f64,
-    /// Where writes that took effect are told.
+    /// Log of the writes that took effect and of fault changes.
     pub run_log: Arc<RunLog>,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Serves an empty platform on `listener`.
+/// Starts an empty platform on `listener`.
 ///
 /// # Errors
 ///
--- a/standins/src/platform/state.rs
+++ b/standins/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! What the calls of the platform share.
+//! Shared state of the platform's handlers.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use crate::sync::lock;
 use crate::{RunLog, reply};
 
-/// The whole state of a platform.
+/// State of a stand-in platform.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) store: Mutex<Store>,
@@ -32,11 +32,11 @@
     run_log: Arc<RunLog>,
 }
 
-/// What the run log tells.
+/// Run log events.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum RunEvent<'a> {
-    /// A write or deletion that took effect.
+    /// Write or deletion that took effect.
     Written {
         kind: &'a str,
         name: &'a str,
@@ -44,7 +44,7 @@
         deleted: bool,
         answer_lost: bool,
     },
-    /// A change of the faults.
+    /// Fault update.
     Faults { patch: &'a FaultPatch },
 }
 
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Counts a call and lets it pass, or gives the answer that refuses it.
+    /// Counts a call and admits it, or returns the error response.
     pub(super) async fn admit(&self, kind: CallKind) -> Result<(), Response> {
         self.calls.count(kind);
         tokio::time::sleep(self.faults().hang).await;
@@ -81,18 +81,18 @@
         })
     }
 
-    /// A copy of the faults in force.
+    /// Returns a copy of the active faults.
     pub(super) fn faults(&self) -> Faults {
         lock(&self.faults).clone()
     }
 
-    /// The instant whose state a read shows.
+    /// Returns the instant whose state reads return, in the past with stale reads.
     pub(super) fn read_instant(&self) -> Instant {
         let now = Instant::now();
         now.checked_sub(self.faults().stale_read).unwrap_or(now)
     }
 
-    /// Writes, tells the watches and says whether the answer is lost.
+    /// Writes an object, logs the write and wakes the watches.
     pub(super) fn write(
         &self,
         key: &Key,
@@ -116,7 +116,7 @@
         })
     }
 
-    /// Puts new faults in force, and goes back to an older revision if told so.
+    /// Updates the active faults, and restores an older revision if `patch` names one.
     pub(super) fn patch_faults(&self, patch: &FaultPatch) {
         lock(&self.faults).apply(patch);
         self.run_log.append(&RunEvent::Faults { patch });
@@ -126,19 +126,19 @@
         }
     }
 
-    /// Follows the revision.
+    /// Returns a receiver of the store's revision.
     pub(super) fn subscribe(&self) -> watch::Receiver<u64> {
         self.revision_sender.subscribe()
     }
 }
 
-/// A write that took effect.
+/// Write that took effect.
 pub(super) struct Written {
     pub(super) version: u64,
     pub(super) answer_lost: bool,
 }
 
-/// The answer to a call beyond the rate limit.
+/// Returns the response to a call above the rate limit.
 fn rate_limited_response(wait: Duration) -> Response {
     let seconds = wait.as_secs() + 1;
     let mut res = reply::failure(StatusCode::TOO_MANY_REQUESTS, "rate limit");
--- a/standins/src/platform/store.rs
+++ b/standins/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The objects, with the history that stale reads and restores need.
+//! Versioned objects, with the history needed by stale reads and restores.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -8,13 +8,13 @@
 use serde_json::Value;
 use tokio::time::Instant;
 
-/// Past versions kept of each object.
+/// Maximum versions kept per object.
 const MAX_VERSIONS_PER_OBJECT: usize = 256;
 
-/// Changes kept for watches.
+/// Maximum changes kept for watches.
 const MAX_CHANGES: usize = 65_536;
 
-/// The place of an object.
+/// Kind and name of an object.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct Key {
     pub(super) kind: Arc<str>,
@@ -30,10 +30,10 @@
     }
 }
 
-/// What must hold for a write to take effect.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Condition {
-    /// Nothing.
+    /// No precondition.
     Always,
     /// The object doesn't exist.
     Absent,
@@ -41,13 +41,13 @@
     Version(u64),
 }
 
-/// A write whose condition didn't hold, with the version found (0 for none).
+/// Failed precondition, with the current version (0 for none).
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct Conflict {
     pub(super) version: u64,
 }
 
-/// An object as an answer shows it.
+/// Object as served in JSON.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Object {
     pub(super) kind: Arc<str>,
@@ -56,7 +56,7 @@
     pub(super) value: Arc<Value>,
 }
 
-/// The newest state of an object that changed.
+/// Newest state of a changed object.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Change {
     pub(super) name: Arc<str>,
@@ -65,7 +65,7 @@
     pub(super) value: Option<Arc<Value>>,
 }
 
-/// One version of an object; no value stands for a deletion.
+/// Version of an object; no value means a deletion.
 #[derive(Debug)]
 struct ObjectVersion {
     version: u64,
@@ -73,7 +73,7 @@
     value: Option<Arc<Value>>,
 }
 
-/// All objects under one rising revision.
+/// Object store with one increasing revision.
 #[derive(Debug, Default)]
 pub(super) struct Store {
     revision: u64,
@@ -82,12 +82,12 @@
 }
 
 impl Store {
-    /// The revision of the newest change.
+    /// Returns the revision of the newest change.
     pub(super) fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Writes a value, or deletes with none, and returns the new version.
+    /// Writes a value, or deletes the object if `value` is `None`; returns the new version.
     pub(super) fn write(
         &mut self,
         key: Key,
@@ -116,7 +116,7 @@
         Ok(self.revision)
     }
 
-    /// The object as it was at the instant `at`.
+    /// Returns the object as of the instant `at`.
     pub(super) fn get(&self, key: &Key, at: Instant) -> Option<Object> {
         let versions = self.objects.get(key)?;
         let found = versions
@@ -131,7 +131,7 @@
         })
     }
 
-    /// At most `limit` objects of a kind after the name `after`, as of `at`.
+    /// Returns up to `limit` objects of `kind` after the name `after`, as of `at`.
     pub(super) fn list(&self, kind: &str, after: &str, limit: usize, at: Instant) -> Vec<Object> {
         let start = Key::new(kind, after);
         let bound = if after.is_empty() {
@@ -147,7 +147,7 @@
             .collect()
     }
 
-    /// The newest state of each object of a kind that changed after `since`.
+    /// Returns the newest state of each object of `kind` that changed after `since`.
     pub(super) fn changes_since(&self, kind: &str, since: u64) -> Vec<Change> {
         self.changes
             .range((Bound::Excluded(since), Bound::Unbounded))
@@ -156,7 +156,7 @@
             .collect()
     }
 
-    /// Goes back to `revision`; later writes use the numbers after it again.
+    /// Restores `revision`; later writes reuse the revisions after it.
     pub(super) fn restore(&mut self, revision: u64) {
         self.revision = self.revision.min(revision);
         self.changes.retain(|changed, _| *changed <= revision);
@@ -166,7 +166,7 @@
         self.objects.retain(|_, versions| !versions.is_empty());
     }
 
-    /// The change of `revision`, unless a newer one of the same object follows.
+    /// Returns the change of `revision`, unless the same object has a newer one.
     fn newest_change(&self, revision: u64, key: &Key) -> Option<Change> {
         let newest = self.objects.get(key)?.last()?;
         (newest.version == revision).then(|| Change {
@@ -177,7 +177,7 @@
         })
     }
 
-    /// The present version, 0 for none.
+    /// Returns the current version of an object, 0 if absent or deleted.
     fn current_version(&self, key: &Key) -> u64 {
         self.objects
             .get(key)
@@ -186,7 +186,7 @@
             .map_or(0, |newest| newest.version)
     }
 
-    /// Forgets the oldest history beyond the limits.
+    /// Drops the oldest history above the limits, for the object written last.
     fn trim_history(&mut self) {
         if let Some(versions) = self
             .changes
--- a/standins/src/platform/vms.rs
+++ b/standins/src/platform/vms.rs
@@ -1,4 +1,4 @@
-//! The VM list and the past of it that a lagging answer shows.
+//! VM list, with the history needed by lagging responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,54 +6,54 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// Past lists kept.
+/// Maximum VM lists kept, including the current one.
 const MAX_LISTS: usize = 1_024;
 
-/// What a VM is for.
+/// Role of a VM.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Takes calls from callers.
+    /// Accepts requests from callers.
     Entry,
-    /// Runs beside an upstream.
+    /// Runs next to an upstream.
     Agent,
-    /// Runs the work itself.
+    /// Executes the requests.
     Upstream,
 }
 
-/// Whether a VM stays.
+/// Lifecycle state of a VM.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     /// In service.
     Live,
-    /// About to go.
+    /// Announced as about to be removed.
     Leaving,
 }
 
-/// One VM of the list.
+/// VM in the list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Vm {
     /// Unique name.
     pub name: Arc<str>,
-    /// IP number and port.
+    /// IP address and port.
     pub address: Arc<str>,
-    /// Data centre that holds it.
+    /// Data centre of the VM.
     pub data_centre: Arc<str>,
-    /// What it is for.
+    /// Role of the VM.
     pub role: Role,
-    /// Whether it stays.
+    /// Lifecycle state.
     pub state: State,
 }
 
-/// A whole VM list, as calls carry it.
+/// Complete VM list, as sent and received in JSON.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmList {
-    /// All VMs, in the order they were given.
+    /// All VMs, in the given order.
     pub vms: Vec<Vm>,
 }
 
-/// The lists of the past, newest last.
+/// Current and past VM lists, newest last.
 #[derive(Debug)]
 pub(super) struct VmHistory {
     lists: Vec<(Instant, Arc<VmList>)>,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Puts a new list in force.
+    /// Replaces the current list.
     pub(super) fn replace(&mut self, list: VmList, now: Instant) {
         if self.lists.len() == MAX_LISTS {
             self.lists.remove(0);
@@ -74,7 +74,7 @@
         self.lists.push((now, Arc::new(list)));
     }
 
-    /// The list as it was `lag` ago, or the oldest one known.
+    /// Returns the list as of `lag` ago, or the oldest one kept.
     pub(super) fn lagging(&self, lag: Duration, now: Instant) -> Arc<VmList> {
         self.lists
             .iter()
--- a/standins/tests/common/mod.rs
+++ b/standins/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests share: naming cases, calling, and reading streams.
+//! Shared test helpers: case declarations, HTTP calls and stream readers.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses a subset")]
 
 use std::future::Future;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use serde_json::Value;
 use tokio::net::TcpListener;
 
-/// Longest wait for anything that must come.
+/// Timeout of every expected event.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Names each case and gives it the call that checks it.
+/// Declares named test cases, each with its check function and arguments.
 #[macro_export]
 macro_rules! cases {
     ($($name:ident => $check:ident($($arg:expr),* $(,)?);)*) => {
@@ -31,19 +31,19 @@
     };
 }
 
-/// A listener on a port of the system's choice.
+/// Binds a listener to a free port.
 pub(crate) async fn listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").await.unwrap()
 }
 
-/// Waits for something that must come.
+/// Awaits an expected event; panics after [`EVENT_TIMEOUT`].
 pub(crate) async fn within_timeout<T>(wait: impl Future<Output = T>) -> T {
     tokio::time::timeout(EVENT_TIMEOUT, wait)
         .await
-        .expect("came too late")
+        .expect("timed out")
 }
 
-/// Asks again until `check` holds.
+/// Polls `check` until it returns true.
 pub(crate) async fn wait_until<F>(mut check: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
@@ -56,12 +56,12 @@
     .await;
 }
 
-/// Gets JSON with its status.
+/// Sends a GET request; returns the status and JSON body.
 pub(crate) async fn get(url: impl AsRef<str>) -> (u16, Value) {
     json(Client::new().get(url.as_ref()).send().await.unwrap()).await
 }
 
-/// Posts JSON and gets JSON with its status.
+/// Posts JSON; returns the status and JSON body.
 pub(crate) async fn post(url: impl AsRef<str>, body: &Value) -> (u16, Value) {
     json(
         Client::new()
@@ -74,31 +74,31 @@
     .await
 }
 
-/// The status and JSON body of a response.
+/// Returns the status and JSON body of a response.
 pub(crate) async fn json(res: Response) -> (u16, Value) {
     let status = res.status().as_u16();
     (status, res.json().await.unwrap_or(Value::Null))
 }
 
-/// Server-sent events as they come.
+/// Reader of server-sent events.
 pub(crate) struct Events {
     res: std::pin::Pin<Box<dyn futures_util::Stream<Item = Option<Vec<u8>>> + Send>>,
     buf: Vec<u8>,
 }
 
-/// One event of a stream.
+/// Event of a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Event {
-    /// A JSON event.
+    /// JSON event.
     Data(Value),
-    /// The mark at the end.
+    /// `[DONE]` end marker.
     Done,
-    /// The connection broke or ended.
+    /// Connection broken or closed.
     Disconnected,
 }
 
 impl Events {
-    /// Reads the body of `res`.
+    /// Creates a reader of the body of `res`.
     pub(crate) fn new(res: Response) -> Self {
         assert_eq!(res.status(), 200);
         Self {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The next event.
+    /// Returns the next event.
     pub(crate) async fn next(&mut self) -> Event {
         loop {
             if let Some(event) = self.pop_event() {
@@ -120,15 +120,15 @@
         }
     }
 
-    /// The next token with its index.
+    /// Returns the next JSON event; panics on anything else.
     pub(crate) async fn token(&mut self) -> Value {
         match self.next().await {
             Event::Data(value) => value,
-            other => panic!("no token but {other:?}"),
+            other => panic!("expected a token, received {other:?}"),
         }
     }
 
-    /// All JSON events up to the end mark.
+    /// Returns the remaining JSON events; panics if the end marker is missing.
     pub(crate) async fn rest(&mut self) -> Vec<Value> {
         let mut values = Vec::new();
         loop {
@@ -152,7 +152,7 @@
     }
 }
 
-/// The text of a token event.
+/// Returns the text of a token event.
 pub(crate) fn content(event: &Value) -> &str {
     event["choices"][0]["delta"]["content"]
         .as_str()
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -82,8 +82,8 @@
     serde_json::from_value(counts).unwrap()
 }
 
-/// After `before` (an empty text deletes), a write under the condition of
-/// `header` gets `status` and `version`, and only takes effect with 200.
+/// Applies the writes in `before` (an empty text deletes), then checks that a write
+/// with `header` returns `status` and `version`, and takes effect only with 200.
 async fn write_case(before: &[&str], header: Option<(&str, &str)>, status: u16, version: u64) {
     let running = start().await;
     for text in before {
