--- a/fireflycroft-wire/tests/generated.rs
+++ b/fireflycroft-wire/tests/generated.rs
@@ -1,4 +1,4 @@
-//! The committed types are those of the schema.
+//! Checks that the committed types match the schema.
 
 #[test]
 fn generated_types_are_current() {
