--- a/fireflycroft/src/admission_limit.rs
+++ b/fireflycroft/src/admission_limit.rs
@@ -62,7 +62,7 @@
 const MAX_RATIO: f64 = 8.0;
 
 /// Consecutive generations of a kind with less than 1/[`MAX_RATIO`] of the mean memory time after which
-/// the means are computed anew.
+/// the means are reset.
 const FAR_BELOW_LIMIT: u8 = 3;
 
 /// Number of kinds at which all means are cleared.
--- a/fireflycroft/src/admit.rs
+++ b/fireflycroft/src/admit.rs
@@ -123,7 +123,7 @@
 /// 1/64.
 const PREFILL_RISE_SMOOTHING: u32 = 64;
 
-/// Wait, in steps, after which a batch request's prefill no longer holds it back.
+/// Wait, in steps, after which a batch request may start whatever its prefill delays.
 const MAX_PREFILL_DELAY_STEPS: u32 = 192;
 
 /// Steps by which prefill may delay interactive answers.
--- a/fireflycroft/src/agent.rs
+++ b/fireflycroft/src/agent.rs
@@ -125,11 +125,11 @@
     Stay,
     /// Models that the upstream holds now.
     Serves(Vec<Name>),
-    /// The fencing number in force, from the platform.
+    /// The current fencing number, from the platform.
     Fence(u64),
     /// The upstream's answer to the forwarded order.
     OrderSettled(Code),
-    /// A configuration came into force here.
+    /// A configuration became active here.
     Config(ConfigVersion),
     /// Timer tick.
     Tick,
--- a/fireflycroft/src/await_config.rs
+++ b/fireflycroft/src/await_config.rs
@@ -1,6 +1,6 @@
 //! Calls that wait until entry and agent have the same configuration version.
 //!
-//! An agent accepts an offer only if both have the same version in force. The
+//! An agent accepts an offer only if both have the same active version. The
 //! older side pulls the newer version, which takes one or a few round trips.
 //! Meanwhile the call waits; then it is checked against the new configuration
 //! and offered again. It fails only if this exceeds a time limit.
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Offers all waiting calls again after a configuration came into force.
+    /// Offers all waiting calls again after a configuration became active.
     pub(crate) fn retry_awaiting_config(&mut self, now: Time, out: &mut Vec<EntryAction>) {
         if self.config.is_lagging() {
             return;
--- a/fireflycroft/src/catalog.rs
+++ b/fireflycroft/src/catalog.rs
@@ -1,6 +1,6 @@
 //! The published configuration of a direct entry, indexed for look-ups.
 //!
-//! A catalog is immutable. A request uses the catalog that was in force when its head was read, so
+//! A catalog is immutable. A request uses the catalog that was active when its head was read, so
 //! a configuration change never affects a request half-way.
 
 use crate::ids::Name;
@@ -164,7 +164,7 @@
     pub workspaces: Option<Vec<WorkspaceSpec>>,
 }
 
-/// Indexed configuration in force.
+/// Published configuration, indexed for look-ups.
 #[derive(Clone, Debug)]
 pub struct Catalog {
     version: u64,
--- a/fireflycroft/src/claim.rs
+++ b/fireflycroft/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys: at most one run per key, whoever resends it.
+//! Claims of idempotency keys: at most one run per key, however often it is sent.
 //!
 //! A claim is made after an agent has reserved capacity and before the start,
 //! so that the record names the one reservation that may run. It is an object
--- a/fireflycroft/src/code.rs
+++ b/fireflycroft/src/code.rs
@@ -58,7 +58,7 @@
     ConfigConflict = 1003, 409, "the configuration was changed by another operator";
     /// The platform did not answer an operator's action.
     PlatformUnavailable = 1004, 503, "the platform did not answer";
-    /// An order came before the agent knew the fencing number in force.
+    /// An order came before the agent knew the current fencing number.
     OrderTooEarly = 1005, 503, "the fencing number in force is not known yet";
     /// An order had a fencing number lower than one seen before.
     OrderFenced = 1006, 409, "the order has an old fencing number";
--- a/fireflycroft/src/compile.rs
+++ b/fireflycroft/src/compile.rs
@@ -2,7 +2,7 @@
 //!
 //! Items are read one by one as they are stored in the parts, and only what look-ups
 //! need is kept, so that a process never holds a large document. Validation continues
-//! after a fault, so that an operator sees all faults at once. Faulty items are kept as
+//! after a fault, so that an operator sees all faults at once. Invalid items are kept as
 //! far as possible, so that one fault does not cause others. Keys are never shown in a
 //! fault, as a key may have been entered in place of its digest.
 
--- a/fireflycroft/src/config_transfer.rs
+++ b/fireflycroft/src/config_transfer.rs
@@ -19,7 +19,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Consecutive parts of lower versions after which a collection is given up.
+/// Consecutive parts of lower versions after which a collection is abandoned.
 const MAX_LOWER_PARTS_IN_A_ROW: u32 = 3;
 
 /// A part as a peer sent it.
@@ -220,7 +220,7 @@
             .unwrap_or(0)
     }
 
-    /// Gives up the current collection, as its peer stopped answering.
+    /// Abandons the current collection, as its peer stopped answering.
     pub fn abandon(&mut self) {
         self.collecting = None;
     }
@@ -246,7 +246,7 @@
     }
 
     /// Returns whether a higher version than the part's is being collected. After several
-    /// lower ones in a row no peer has that version any more, and it is given up.
+    /// lower ones in a row no peer has that version any more, and it is abandoned.
     fn is_superseded(&mut self, part: &ReceivedPart) -> bool {
         let Some(collecting) = &mut self.collecting else {
             return false;
--- a/fireflycroft/src/deliver.rs
+++ b/fireflycroft/src/deliver.rs
@@ -398,7 +398,7 @@
     /// `alive` are lost; or, without `alive`, an agent believed dead.
     ///
     /// An agent believed dead may only be paused and come back. Calls that can
-    /// restart elsewhere are given up; the others wait for the long silence.
+    /// restart elsewhere are abandoned; the others wait for the long silence.
     pub(crate) fn on_agent_gone(
         &mut self,
         now: Time,
@@ -458,7 +458,7 @@
         matches!(&self.phase, Phase::Reading(r) if r.origin == Origin::Own)
     }
 
-    /// Returns the silence after which the agent is given up. It is longer where
+    /// Returns the silence after which the agent is abandoned. It is longer where
     /// no other agent can take over, since this one may only be paused.
     fn silence_timeout(&self, limits: &EntryLimits) -> Duration {
         let joined =
--- a/fireflycroft/src/dispatch.rs
+++ b/fireflycroft/src/dispatch.rs
@@ -77,7 +77,7 @@
         out.push(EntryAction::LogEvent(event.count(u64::from(call.attempt))));
     }
 
-    /// Fails a call that no agent accepted, with the reason and a retry time.
+    /// Fails a call that no agent accepted, with the reason and a retry delay.
     fn refuse_call(&mut self, id: CallId, out: &mut Vec<EntryAction>) {
         let Some(call) = self.calls.get(&id) else {
             return;
--- a/fireflycroft/src/entry.rs
+++ b/fireflycroft/src/entry.rs
@@ -105,7 +105,7 @@
     pub(crate) tried: Vec<Name>,
     /// Offers counted in the current round; a restart or a move between queues begins a new one.
     pub(crate) offers: usize,
-    /// Retry time to report if no agent accepts.
+    /// Retry delay to report if no agent accepts.
     pub(crate) retry_after: Option<Duration>,
     /// Reason to report if no agent accepts; an overload outranks others.
     pub(crate) refusal: Option<Code>,
@@ -180,19 +180,19 @@
         }
     }
 
-    /// Returns the version of the configuration in force.
+    /// Returns the version of the active configuration.
     #[must_use]
     pub fn config_version(&self) -> ConfigVersion {
         self.config.version()
     }
 
-    /// Returns the configuration in force.
+    /// Returns the active configuration.
     #[must_use]
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.config.get()
     }
 
-    /// Returns whether a higher version is known to be in force elsewhere.
+    /// Returns whether a higher version is known to be active elsewhere.
     #[must_use]
     pub fn is_lagging(&self) -> bool {
         self.config.is_lagging()
--- a/fireflycroft/src/entry_announcement.rs
+++ b/fireflycroft/src/entry_announcement.rs
@@ -27,7 +27,7 @@
     pub data_centre: Name,
     /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Configuration version in force at the sender; zero for none.
+    /// Active configuration version of the sender; zero for none.
     pub config: u64,
     /// Live entries known to the sender, itself included.
     pub entries: u32,
--- a/fireflycroft/src/entry_io.rs
+++ b/fireflycroft/src/entry_io.rs
@@ -50,7 +50,7 @@
     pub max_calls: usize,
     /// Time for which an agent's report that it is leaving is valid.
     pub leaving_report_ttl: Duration,
-    /// Shortest retry time sent to a refused caller.
+    /// Shortest retry delay sent to a refused caller.
     pub min_retry_after: Duration,
 }
 
--- a/fireflycroft/src/evacuation.rs
+++ b/fireflycroft/src/evacuation.rs
@@ -1,8 +1,8 @@
 //! Evacuated data centres: their upstreams get no new work until the evacuation ends.
 //!
 //! The operator writes the list; entries that read the platform's store announce
-//! the whole list with its revision, and the newest one is in force. After the
-//! store was restored from a backup, earlier evacuations stay in force until their
+//! the whole list with its revision, and the newest one is active. After the
+//! store was restored from a backup, earlier evacuations stay active until their
 //! writer has had the time to write them again. An evacuated upstream hasn't left:
 //! its runs continue to their end, and its record stays on the list.
 
@@ -42,7 +42,7 @@
         &self.evacuations
     }
 
-    /// Applies a list of evacuated data centres if it is newer than the one in force; returns whether
+    /// Applies a list of evacuated data centres if it is newer than the active one; returns whether
     /// the set of data centres changed.
     pub fn apply_evacuations(&mut self, now: Time, received: Evacuations) -> bool {
         let held = &self.evacuations;
--- a/fireflycroft/src/loads.rs
+++ b/fireflycroft/src/loads.rs
@@ -15,13 +15,14 @@
 };
 use std::time::Duration;
 
-/// Time for which an upstream is avoided if its owner knows it to leave; the announcement follows.
+/// Time for which an upstream is avoided if its owner reports that it doesn't serve; the
+/// announcement of a departure follows.
 const AVOID_LEAVING: Duration = Duration::from_secs(1);
 
 /// Time for which an unreachable upstream counts as gone; then it is tried again.
 const UNREACHABLE_FOR: Duration = Duration::from_millis(1_500);
 
-/// Entries that must find an upstream unreachable before others are told so: a single one may be
+/// Entries that must find an upstream unreachable before this is reported: a single one may be
 /// partitioned from it.
 const MIN_WITNESSES: usize = 2;
 
--- a/fireflycroft/src/log_event.rs
+++ b/fireflycroft/src/log_event.rs
@@ -1,4 +1,4 @@
-//! Events that the core reports for the carrier to log and count.
+//! Events that the core reports for the daemon to log and count.
 
 use crate::code::Code;
 use crate::ids::{Name, RequestId};
--- a/fireflycroft/src/mechanism.rs
+++ b/fireflycroft/src/mechanism.rs
@@ -31,7 +31,7 @@
     Failing,
     /// Hedged calls to the store ([`crate::HedgedCall`]).
     Hedging,
-    /// Longer retry times for callers in an outage ([`crate::unconfigured_retry_after`]).
+    /// Longer retry delays for callers in an outage ([`crate::unconfigured_retry_after`]).
     Outage,
     /// Load queries to the owners of upstreams ([`crate::owners_of`]).
     Owners,
--- a/fireflycroft/src/member.rs
+++ b/fireflycroft/src/member.rs
@@ -27,7 +27,7 @@
 use std::time::Duration;
 
 /// Most members held at once. When the table is full, a newcomer replaces the
-/// longest dead member, or is rejected with the note `members_full`.
+/// longest dead member, or is rejected with the log event `members_full`.
 pub const MAX_MEMBERS: usize = 4_096;
 
 /// Time for which a member stays suspect before it is dead.
--- a/fireflycroft/src/message.rs
+++ b/fireflycroft/src/message.rs
@@ -24,7 +24,7 @@
 pub struct Envelope {
     /// Sender.
     pub from: Peer,
-    /// Configuration in force at the sender.
+    /// Active configuration version of the sender.
     pub config: ConfigVersion,
     /// Load of the sender's upstream, from agents only.
     pub load: Option<Load>,
--- a/fireflycroft/src/missing.rs
+++ b/fireflycroft/src/missing.rs
@@ -1,6 +1,6 @@
 //! Upstreams that the list lacks: removed, or missing until the store has answered for long enough.
 //!
-//! The reader of the store passes in what it read and when the store answered. Whether an unlisted
+//! The reader of the store passes in what it read and when the store answered. Whether a missing
 //! upstream is gone is decided here, by [`StoreConnectivity`]. A removal announced by another entry
 //! is applied at once, since that entry has confirmed it in the same way.
 
@@ -33,7 +33,7 @@
         self.store_connectivity.record_answer(at)
     }
 
-    /// Records that the store was restored from a copy.
+    /// Records that the store was restored from a backup.
     pub const fn record_store_restored(&mut self, at: Time) {
         self.store_connectivity.record_restored(at);
     }
--- a/fireflycroft/src/objective.rs
+++ b/fireflycroft/src/objective.rs
@@ -1,8 +1,8 @@
 //! Checks whether a request met its brand's objective, for the burn report.
 //!
-//! Measured where the entry delivers tokens to the front: a request meets its objective if it ended
-//! properly, its first token arrived in time, and 95 % of its tokens followed the previous one in
-//! time. Errors of the caller are not counted at all.
+//! Measured where the entry delivers tokens to the HTTP front end: a request meets its objective if
+//! it ended properly, its first token arrived in time, and 95 % of its tokens followed the previous
+//! one in time. Errors of the caller are not counted at all.
 
 use crate::code::Code;
 use crate::ids::Name;
@@ -81,7 +81,7 @@
     }
 }
 
-/// Returns whether a finished request met its goal.
+/// Returns whether a finished request met its objective.
 pub(crate) fn met_objective(
     code: Code,
     timing: &TokenTiming,
--- a/fireflycroft/src/overview.rs
+++ b/fireflycroft/src/overview.rs
@@ -15,7 +15,7 @@
     pub ready: bool,
     /// Stage of its shutdown, as a word.
     pub stage: String,
-    /// Configuration version in force; zero for none.
+    /// Active configuration version; zero for none.
     pub config: u64,
     /// Milliseconds since that version was adopted; absent without a configuration.
     pub config_age_ms: Option<u64>,
@@ -26,7 +26,7 @@
     /// Evacuated data centres.
     #[serde(default)]
     pub evacuated: Vec<Name>,
-    /// Known number of times that the store was restored from a copy.
+    /// Known number of times that the store was restored from a backup.
     #[serde(default)]
     pub store_era: u64,
     /// Calls in progress.
@@ -58,7 +58,7 @@
     /// Remaining milliseconds for which it is cold.
     #[serde(default)]
     pub cold_ms: u64,
-    /// Rate limit that it currently names, in requests per second from all entries.
+    /// Rate limit that it currently states, in requests per second from all entries.
     #[serde(default)]
     pub rate_limit: Option<f64>,
     /// Requests running there, of all entries.
--- a/fireflycroft/src/placement.rs
+++ b/fireflycroft/src/placement.rs
@@ -28,7 +28,7 @@
     pub load_gap: Duration,
     /// Time after which an unanswered order is resent.
     pub resend_after: Duration,
-    /// Time after which an unanswered order is given up.
+    /// Time after which an unanswered order is abandoned.
     pub give_up_after: Duration,
     /// Largest number of models on one engine.
     pub models_per_engine: usize,
--- a/fireflycroft/src/pool.rs
+++ b/fireflycroft/src/pool.rs
@@ -54,7 +54,7 @@
     /// Requests per second that a cold upstream can take, by service.
     pub(crate) cold_rate_of: HashMap<Name, f64>,
     pub(crate) evacuations: Evacuations,
-    /// Data centres evacuated before the store was restored from a copy that doesn't list them.
+    /// Data centres evacuated before the store was restored from a backup that doesn't list them.
     pub(crate) unconfirmed_evacuations: BTreeSet<Name>,
 }
 
@@ -263,7 +263,7 @@
         of_service.copied().unwrap_or_default()
     }
 
-    /// Excludes an upstream from choices for `span` if there is another.
+    /// Avoids an upstream for `span`, unless there is no other to choose.
     pub fn avoid(&mut self, now: Time, ix: UpstreamIx, span: Duration) {
         let u = &mut self.upstreams[ix.0];
         u.avoid_until = u.avoid_until.max(now + span);
--- a/fireflycroft/src/probe.rs
+++ b/fireflycroft/src/probe.rs
@@ -33,7 +33,7 @@
 /// Pings to a suspect member within [`SUSPECT_TIMEOUT`].
 const SUSPECT_ATTEMPTS: u32 = 4;
 
-/// Members asked to relay a ping.
+/// Members that relay a ping.
 const ROUTINE_RELAYS: usize = 2;
 const SUSPECT_RELAYS: usize = 1;
 
--- a/fireflycroft/src/rate_limit.rs
+++ b/fireflycroft/src/rate_limit.rs
@@ -162,7 +162,7 @@
         Some((ix, change))
     }
 
-    /// Returns the rate limits to announce now: those in force or lifted recently, the least recently
+    /// Returns the rate limits to announce now: those active or lifted recently, the least recently
     /// announced first.
     pub fn rates_to_announce(&mut self, now: Time) -> Vec<ToldRate> {
         let known = self.upstreams.iter_mut().filter(|u| !u.removed);
--- a/fireflycroft/src/region.rs
+++ b/fireflycroft/src/region.rs
@@ -1,8 +1,8 @@
-//! Regions, and the home regions of requests.
+//! Regions, and the allowed regions of requests.
 //!
-//! A route or a workspace may name home regions; the homes of both apply to a
+//! A route or a workspace may name allowed regions; those of both apply to a
 //! request. Upstreams for its run, a memory backup or a migration are chosen
-//! only from its homes.
+//! only from regions that both allow.
 
 use crate::ids::Name;
 use crate::pool::Pool;
@@ -75,8 +75,8 @@
         self.regions = regions;
     }
 
-    /// Returns the regions in which a request of a route and a workspace with these homes may run;
-    /// none where neither has any.
+    /// Returns the regions in which a request of a route and a workspace with these allowed regions
+    /// may run; `None` if neither names any.
     #[must_use]
     pub fn homes(&self, of_route: &[Name], of_workspace: &[Name]) -> Option<RegionSet> {
         let both = [
--- a/fireflycroft/src/returning_callers.rs
+++ b/fireflycroft/src/returning_callers.rs
@@ -12,7 +12,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time for which a refused caller is remembered: longer than the retry time it was given.
+/// Time for which a refused caller is remembered: longer than the retry delay it was given.
 const REMEMBER_FOR: Duration = Duration::from_secs(4);
 
 /// Time for which a refusal is included in reports: two reports, one of which may be lost.
@@ -50,7 +50,7 @@
 }
 
 impl ReturningCallers {
-    /// Records a refusal with a retry time; only the first one of a caller counts.
+    /// Records a refusal with a retry delay; only the first one of a caller counts.
     pub fn record_refusal(&mut self, now: Time, content: Digest) {
         let refused = Refused {
             since: now,
--- a/fireflycroft/src/revision.rs
+++ b/fireflycroft/src/revision.rs
@@ -1,7 +1,7 @@
 //! Revisions of the platform's store, ordered across its eras.
 //!
-//! A store restored from a copy has lost its newest changes and reuses their revision numbers; its
-//! era rises by one then. Revisions in this project carry the era in their upper bits, so that
+//! A store restored from a backup has lost its newest changes and reuses their revision numbers;
+//! its era rises by one then. Revisions in this project carry the era in their upper bits, so that
 //! everything read in a later era is newer than everything read before.
 
 /// Bits for the number of a change within its era.
--- a/fireflycroft/src/store_connectivity.rs
+++ b/fireflycroft/src/store_connectivity.rs
@@ -5,7 +5,7 @@
 //! return. An upstream missing right after an outage may therefore be alive. One missing later is
 //! gone, and so is one missing when no outage was long enough for a record to expire.
 //!
-//! A store restored from a copy lacks the records written since the copy was made; these are
+//! A store restored from a backup lacks the records written since it was made; these are
 //! written again as well and are missing until then.
 //!
 //! The grace period ends for all records at one time, counted from the store's return. It must not
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Records that the store was restored from a copy, which lacks the newest records.
+    /// Records that the store was restored from a backup, which lacks the newest records.
     ///
     /// Their upstreams write them again, as after an outage.
     pub const fn record_restored(&mut self, at: Time) {
--- a/fireflycroft/src/upstream.rs
+++ b/fireflycroft/src/upstream.rs
@@ -54,7 +54,7 @@
     pub slots: u32,
     /// Whether it takes new work.
     pub state: UpstreamState,
-    /// Remaining time for which it is slow after its start.
+    /// Remaining time for which it is cold after its start.
     pub cold_for: Duration,
     /// Revision of the list at which the record was written.
     pub revision: u64,
--- a/fireflycroft/src/watchers.rs
+++ b/fireflycroft/src/watchers.rs
@@ -35,7 +35,7 @@
 
 /// Longest pause of the top-ranked entries between calls to a store that doesn't answer.
 ///
-/// A configuration must be in force two seconds after the store accepted it; these entries receive
+/// A configuration must be active two seconds after the store accepted it; these entries receive
 /// it and announce it to the others.
 const TOP_RANKED_MAX_PAUSE: Duration = Duration::from_millis(700);
 
