--- a/fireflyd/src/acceptor.rs
+++ b/fireflyd/src/acceptor.rs
@@ -10,7 +10,7 @@
 /// Accepts TCP connections with `TCP_NODELAY` set.
 ///
 /// A token is a small write: Nagle's algorithm with delayed acknowledgements
-/// may hold it back for 40 ms.
+/// may delay it by 40 ms.
 pub(crate) struct NoDelayAcceptor(pub(crate) TcpAcceptor);
 
 impl Acceptor for NoDelayAcceptor {
--- a/fireflyd/src/frontend.rs
+++ b/fireflyd/src/frontend.rs
@@ -42,7 +42,7 @@
     Event(EntryEvent),
 }
 
-/// HTTP frontend of one entry; clones share its state.
+/// HTTP front end of one entry; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Frontend {
     tx: mpsc::Sender<FrontendEvent>,
@@ -68,7 +68,7 @@
 }
 
 impl Frontend {
-    /// Creates a frontend that sends its calls to `tx`.
+    /// Creates a front end that sends its calls to `tx`.
     #[must_use]
     pub fn new(tx: mpsc::Sender<FrontendEvent>, metrics: Metrics) -> Self {
         Self {
--- a/fireflyd/src/grace_period.rs
+++ b/fireflyd/src/grace_period.rs
@@ -1,7 +1,7 @@
 //! Grace period between refusing new work and leaving.
 //!
 //! Load balancers and peers still send work until they learn of the stop; it
-//! is refused with a reason instead of meeting a closed port.
+//! is refused with a reason instead of finding a closed port.
 
 use std::time::{Duration, Instant};
 
--- a/fireflydirect/src/config_read.rs
+++ b/fireflydirect/src/config_read.rs
@@ -14,7 +14,7 @@
 /// Pause before each of these retries.
 const FIRST_CONFIG_PAUSE: Duration = Duration::from_millis(600);
 
-/// Time without progress after which reading a configuration is given up. When all entries read a
+/// Time without progress after which reading a configuration is abandoned. When all entries read a
 /// large one at once, its first byte comes after several hundred kilobytes on links of 10 Mbit/s;
 /// with a shorter timeout it would be fetched from peers, whose links are as slow.
 const CONFIG_TIMEOUT: Duration = Duration::from_secs(2);
--- a/fireflydirect/src/crash.rs
+++ b/fireflydirect/src/crash.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Crashes after which content is refused: enough to tell it from other content on a crashed
+/// Crashes after which content is refused: enough to distinguish it from other content on a crashed
 /// upstream, and no more than users allow.
 const CRASH_LIMIT: u8 = 3;
 
--- a/fireflydirect/src/exchange.rs
+++ b/fireflydirect/src/exchange.rs
@@ -78,7 +78,7 @@
 ///
 /// # Errors
 ///
-/// See [`Unanswered`].
+/// See [`SendError`].
 pub async fn send(
     job: &Job,
     ix: UpstreamIx,
--- a/fireflydirect/src/feed.rs
+++ b/fireflydirect/src/feed.rs
@@ -3,7 +3,7 @@
 //!
 //! Each kind of object is listed once and then watched from the revision of the list. It is
 //! listed again only when the store has dropped its history, or was restored from a backup and
-//! assigns its revisions anew.
+//! reuses its revision numbers.
 //!
 //! An entry that doesn't watch reads all objects once when it starts, from any replica of the
 //! store, and receives later changes from other entries.
@@ -72,7 +72,7 @@
 /// Interval between checks whether another feed of this entry is answered again.
 const CONNECTIVITY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time without a byte after which the only attempt of an unhedged call is given up.
+/// Time without a byte after which the only attempt of an unhedged call is abandoned.
 const NO_PROGRESS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Reader of one kind of object in the store.
--- a/fireflydirect/src/links.rs
+++ b/fireflydirect/src/links.rs
@@ -1,6 +1,6 @@
 //! Connections to upstreams, kept alive between requests.
 //!
-//! Dropping a [`Link`] closes its connection at once, which tells the upstream
+//! Dropping a [`Link`] closes its connection at once, which shows the upstream
 //! that the response is no longer wanted. A link is returned for reuse only
 //! after a complete response.
 
--- a/fireflydirect/src/node.rs
+++ b/fireflydirect/src/node.rs
@@ -386,7 +386,7 @@
         self.report_due.notify_one();
     }
 
-    /// Records that a caller was refused for lack of capacity and told to return.
+    /// Records that a caller was refused for lack of capacity, with a retry delay.
     pub fn record_refusal(&self, content: Digest) {
         let now = self.now();
         self.returning_callers
--- a/fireflydirect/src/owner_queries.rs
+++ b/fireflydirect/src/owner_queries.rs
@@ -1,7 +1,7 @@
 //! Queries to owners, and replies to the queries of other entries.
 //!
 //! See [`fireflycroft::owners_of`] for the assignment of owners. A query ends when all queried
-//! owners have replied, or after [`REPLY_TIMEOUT`]; replies until then are applied, and the
+//! owners have replied, or after `REPLY_TIMEOUT`; replies until then are applied, and the
 //! requester uses its own state for the rest.
 
 use crate::node::Node;
--- a/fireflydirect/src/page_server.rs
+++ b/fireflydirect/src/page_server.rs
@@ -39,7 +39,7 @@
         let answer = page(&req);
         async move { Ok::<_, Infallible>(answer) }
     });
-    // Clients repeat the request when their connection breaks.
+    // Clients retry the request when their connection breaks.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
--- a/fireflydirect/src/peers.rs
+++ b/fireflydirect/src/peers.rs
@@ -43,8 +43,8 @@
 /// announcements and some margin.
 const WATCHER_SILENT_INTERVALS: f64 = 3.2;
 
-/// Time without a datagram after a query, after which an entry counts as silent and is passed
-/// over.
+/// Time without a datagram after a query, after which an entry counts as silent and is
+/// skipped.
 ///
 /// Replies arrive within milliseconds; a small VM whose processor share is used up waits for up
 /// to a tenth of a second.
@@ -76,7 +76,7 @@
 const OWN_CALLS_GRACE: Duration = Duration::from_secs(1);
 
 /// Time per known entry over which fetches of state that all lack are spread, so that the first
-/// to fetch it pass it on to the others.
+/// to fetch it forward it to the others.
 const SPREAD_PER_PEER: Duration = Duration::from_millis(3);
 
 /// Mean number of entries of a data centre that fetch from another data centre at a time.
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Returns the number of available other entries that were heard from.
+    /// Returns the number of available other entries that have sent a datagram.
     #[must_use]
     pub fn count(&self, now: Time) -> usize {
         let counts = |k: &&PeerRecord| k.last_received.is_some() && k.is_available(now);
@@ -429,8 +429,8 @@
         }
     }
 
-    /// Returns the entries to announce to: all, or a random sample; unheard seeds are always
-    /// included.
+    /// Returns the entries to announce to: all, or a random sample; seeds that aren't known
+    /// yet are always included.
     pub(crate) fn targets(&mut self, now: Time, all: bool) -> Vec<Ipv4Addr> {
         self.introductions_left = ANNOUNCE_FANOUT;
         self.known
@@ -444,7 +444,7 @@
         targets
     }
 
-    /// Returns the available entries that were heard from.
+    /// Returns the available entries that have sent a datagram.
     pub(crate) fn available(&self, now: Time) -> Vec<Ipv4Addr> {
         let available = |k: &PeerRecord| k.last_received.is_some() && k.is_available(now);
         let available = self.known.iter().filter(|(_, k)| available(k));
--- a/fireflydirect/src/receive.rs
+++ b/fireflydirect/src/receive.rs
@@ -23,7 +23,7 @@
 /// Pause after a receive error, whose cause is brief.
 const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(15);
 
-/// Time without a byte after which fetching a peer's state is given up: the next announcement
+/// Time without a byte after which fetching a peer's state is abandoned: the next announcement
 /// starts it again, perhaps from another peer. A response in progress over a slow link may take
 /// any time.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(900);
--- a/fireflydirect/src/state_page.rs
+++ b/fireflydirect/src/state_page.rs
@@ -40,8 +40,8 @@
     pub complete_to: u64,
     /// Digest of the list.
     pub digest: u64,
-    /// Whether the store has been connected for long enough that an upstream absent from the list
-    /// has left.
+    /// Whether the store has been connected for long enough that an upstream missing from the list
+    /// is gone.
     #[serde(rename = "sure")]
     pub confirmed: bool,
     /// Available entries, as far as the sender knows.
--- a/fireflydirect/src/store_connectivity.rs
+++ b/fireflydirect/src/store_connectivity.rs
@@ -94,7 +94,7 @@
         unbroken.map(|span| span.as_millis())
     }
 
-    /// Returns whether an upstream absent from the known list has left for certain, rather than
+    /// Returns whether an upstream absent from the known list is confirmed to be gone, rather than
     /// being missing or not yet read.
     #[must_use]
     pub fn has_settled_list(&self) -> bool {
