--- a/fireflycroft/tests/mutants.rs
+++ b/fireflycroft/tests/mutants.rs
@@ -1,4 +1,4 @@
-//! Mutation tests of the oracle: it reports each seeded fault under its point.
+//! Mutation tests of the oracle: it reports each seeded fault under its guarantee.
 
 mod support;
 
--- a/fireflycroft/tests/point1_tokens.rs
+++ b/fireflycroft/tests/point1_tokens.rs
@@ -1,4 +1,4 @@
-//! Point 1: tokens are delivered exactly once, in order, from one generation.
+//! Guarantee 1: tokens are delivered exactly once, in order, from one generation.
 
 mod support;
 
@@ -113,7 +113,7 @@
         assert_eq!(world.runs(call), 1);
     }
 
-    /// The entry gives up mid-stream without splicing in another generation; the
+    /// The entry ends the stream without splicing in another generation; the
     /// caller may resume.
     agent_link_cut_for_good_then_resumed(world) {
         let call = world.submit(0, long()).unwrap();
--- a/fireflycroft/tests/point2_own_answer.rs
+++ b/fireflycroft/tests/point2_own_answer.rs
@@ -1,4 +1,4 @@
-//! Point 2: each caller gets the answer to its own request and no other.
+//! Guarantee 2: each caller gets the answer to its own request and no other.
 
 mod support;
 
--- a/fireflycroft/tests/point3_not_run.rs
+++ b/fireflycroft/tests/point3_not_run.rs
@@ -1,4 +1,4 @@
-//! Point 3: work reported as not run has not run and never will.
+//! Guarantee 3: work reported as not run has not run and never will.
 
 mod support;
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// As above, but the agent thaws in time to report it.
+    /// As above, but the agent resumes in time to report it.
     agent_thaws_and_says_that_it_never_started(world) {
         let spec = CallSpec { kind: Kind::Service, ..CallSpec::default() };
         let call = world.submit(0, spec).unwrap();
--- a/fireflycroft/tests/point4_once.rs
+++ b/fireflycroft/tests/point4_once.rs
@@ -1,4 +1,4 @@
-//! Point 4: a request that must not be retried runs at most once.
+//! Guarantee 4: a request that must not be retried runs at most once.
 
 mod support;
 
--- a/fireflycroft/tests/point5_leaving.rs
+++ b/fireflycroft/tests/point5_leaving.rs
@@ -1,4 +1,4 @@
-//! Point 5, in the core: a leaving agent accepts no new work.
+//! Guarantee 5, in the core: a leaving agent accepts no new work.
 
 mod support;
 
--- a/fireflycroft/tests/point6_stop.rs
+++ b/fireflycroft/tests/point6_stop.rs
@@ -1,4 +1,4 @@
-//! Point 6, in the core: a planned stop interrupts nothing in progress.
+//! Guarantee 6, in the core: a planned stop interrupts nothing in progress.
 
 mod support;
 
--- a/fireflycroft/tests/point7_config.rs
+++ b/fireflycroft/tests/point7_config.rs
@@ -1,4 +1,4 @@
-//! Point 7, in the core: an active configuration is never replaced by an older one.
+//! Guarantee 7, in the core: an active configuration is never replaced by an older one.
 
 mod support;
 
@@ -28,7 +28,7 @@
     }
 
     /// An entry that knows of a later version runs nothing until it has that version, then
-    /// serves the requests that it held back.
+    /// serves the requests that waited.
     entry_behind_serves_when_it_caught_up(world) {
         world.configure(Proc::Agent(0), &fleet::config(2, false));
         world.configure(Proc::Agent(1), &fleet::config(2, false));
--- a/fireflycroft/tests/region.rs
+++ b/fireflycroft/tests/region.rs
@@ -1,4 +1,4 @@
-//! Requests whose route or workspace has home regions.
+//! Requests whose route or workspace has allowed regions.
 
 #[macro_use]
 #[path = "support/cases.rs"]
--- a/fireflycroft/tests/restored.rs
+++ b/fireflycroft/tests/restored.rs
@@ -1,7 +1,7 @@
-//! A store restored from a copy: the order of revisions across its eras, and the grace period.
+//! A store restored from a backup: the order of revisions across its eras, and the grace period.
 //!
 //! Guards against two failures: an engine that gives its leave notice again, at a revision below
-//! its last one, keeps receiving requests; engines started after the copy was made are considered
+//! its last one, keeps receiving requests; engines started after the backup was made are considered
 //! gone, and their runs are migrated.
 
 #[macro_use]
@@ -86,7 +86,7 @@
     assert!(serves(&pool, "a"));
 }
 
-/// Restores the store from a copy that has only the first engine.
+/// Restores the store from a backup that has only the first engine.
 fn restore_without_b(pool: &mut Pool) {
     pool.record_store_restored(at(9_000));
     let copied = vec![serving("a", revision_in(2, 900))];
--- a/fireflycroft/tests/support/oracle.rs
+++ b/fireflycroft/tests/support/oracle.rs
@@ -1,7 +1,7 @@
 //! The oracle: a record of callers' requests, upstreams' runs and replies to callers.
 //!
 //! It is independent of the core. Each report is checked at once against the
-//! seven guarantees (points 1 to 7); each breach is kept as a [`Violation`].
+//! seven guarantees (1 to 7); each breach is kept as a [`Violation`].
 
 use super::fleet::{self, CallSpec, Proc};
 use super::link::MS;
@@ -61,7 +61,7 @@
     pub(crate) run: Option<usize>,
     pub(crate) point: Option<ResumePoint>,
     pub(crate) outcome: Option<Outcome>,
-    /// Retry time in the failure reply.
+    /// Retry delay in the failure reply.
     pub(crate) retry_after: Option<Duration>,
     pub(crate) runs: Vec<usize>,
     pub(crate) request: Option<RequestId>,
@@ -108,7 +108,7 @@
     format!("{run}:{index}:{:pad$}", "").into_bytes()
 }
 
-/// Returns whether a refusal is temporary, so that it must carry a retry time.
+/// Returns whether a refusal is temporary, so that it must carry a retry delay.
 fn is_temporary(code: Code) -> bool {
     use Code::{ClaimUnavailable, ConfigOutdated, Leaving, NoUpstream, NotReady, Overloaded};
     let temporary = [
@@ -401,7 +401,7 @@
         }
     }
 
-    /// Records the configuration in force at an incarnation of a process.
+    /// Records the active configuration of an incarnation of a process.
     pub(crate) fn record_config(
         &mut self,
         proc: Proc,
--- a/fireflycroft/tests/support/world/callers.rs
+++ b/fireflycroft/tests/support/world/callers.rs
@@ -13,7 +13,7 @@
         self.oracle.calls[call].outcome
     }
 
-    /// Returns the retry time that the call was sent.
+    /// Returns the retry delay that the call was sent.
     pub(crate) fn retry_after(&self, call: usize) -> Option<Duration> {
         self.oracle.calls[call].retry_after
     }
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Returns the configuration version in force at the process.
+    /// Returns the active configuration version of the process.
     pub(crate) fn version(&self, proc: Proc) -> u64 {
         self.config_of(proc).0
     }
 
-    /// Returns the digest of the configuration in force at the process.
+    /// Returns the digest of the active configuration of the process.
     pub(crate) fn digest(&self, proc: Proc) -> Option<Digest> {
         match proc {
             Proc::Entry(i) => self.entries[i].core.config().map(|c| c.digest),
--- a/fireflycroft/tests/support/world/services.rs
+++ b/fireflycroft/tests/support/world/services.rs
@@ -71,7 +71,7 @@
         self.upstreams[agent].pause = millis;
     }
 
-    /// Returns the maximum over all entries of the bytes held back.
+    /// Returns the maximum over all entries of the buffered bytes.
     pub(crate) fn max_held(&self) -> usize {
         let held = self.entries.iter().map(|e| e.core.buffered_bytes());
         held.max().unwrap_or(0)
--- a/fireflycroft/tests/unconfigured.rs
+++ b/fireflycroft/tests/unconfigured.rs
@@ -1,4 +1,4 @@
-//! Retry times for callers of an entry without a configuration, and their effect.
+//! Retry delays for callers of an entry without a configuration, and their effect.
 
 #[macro_use]
 #[path = "support/cases.rs"]
--- a/fireflyd/tests/processes_claims.rs
+++ b/fireflyd/tests/processes_claims.rs
@@ -337,7 +337,7 @@
     assert_eq!(fleet.runs().count("m"), 1);
 }
 
-/// A request that a rule makes non-repeatable isn't run without a key.
+/// A request that a rule makes non-retryable isn't run without a key.
 async fn rule_without_key() {
     let fleet = Fleet::start(Spec::default()).await;
     let res = post(&fleet, 0, "m", GRADES).await;
--- a/fireflydirect/tests/processes_home.rs
+++ b/fireflydirect/tests/processes_home.rs
@@ -1,4 +1,4 @@
-//! An entry process with home regions of routes and workspaces.
+//! An entry process with allowed regions of routes and workspaces.
 
 mod support;
 
--- a/fireflydirect/tests/processes_owners.rs
+++ b/fireflydirect/tests/processes_owners.rs
@@ -16,7 +16,7 @@
         .sum()
 }
 
-/// Waits until every entry has heard from all others.
+/// Waits until every entry has received datagrams from all others.
 async fn until_all_are_known(site: &Site) {
     let others = site.entries.len() - 1;
     for entry in 0..site.entries.len() {
--- a/fireflydirect/tests/processes_pause.rs
+++ b/fireflydirect/tests/processes_pause.rs
@@ -1,4 +1,4 @@
-//! Entry processes with upstreams that reject requests and ask for a pause.
+//! Entry processes with upstreams that reject requests with a pause.
 
 mod support;
 
--- a/fireflydirect/tests/processes_restored.rs
+++ b/fireflydirect/tests/processes_restored.rs
@@ -3,7 +3,7 @@
 //!
 //! Without the store's era an entry compares revisions that were assigned twice: an engine that
 //! announces its departure again, at a revision below its known one, keeps getting requests, and
-//! one that started after the backup is taken for removed.
+//! one that started after the backup is considered removed.
 
 mod support;
 
--- a/fireflydirect/tests/soak_parts/conditions.rs
+++ b/fireflydirect/tests/soak_parts/conditions.rs
@@ -69,7 +69,7 @@
         self.pending_undos.push((end, Undo::EndEngine(engine)));
     }
 
-    /// Makes a plain upstream reject requests and ask for pauses until `end`.
+    /// Makes a plain upstream reject requests with a pause until `end`.
     pub(super) fn request_pause(&mut self, plain: usize, end: Instant) {
         let upstream = &self.site.plains[plain];
         upstream.set_header(RETRY_AFTER, Some(PAUSE_SECONDS));
--- a/fireflydirect/tests/soak_parts/plan.rs
+++ b/fireflydirect/tests/soak_parts/plan.rs
@@ -55,7 +55,7 @@
     StateRateLimit,
     /// Responses of a model engine carry leave notices; the store shows it later.
     SendLeaveNotice,
-    /// A plain upstream rejects requests and asks for a pause.
+    /// A plain upstream rejects requests with a pause.
     RequestPause,
 }
 
--- a/fireflydirect/tests/support/mod.rs
+++ b/fireflydirect/tests/support/mod.rs
@@ -65,9 +65,9 @@
     version: u64,
     /// Rate limit of cold engines per second in the next configuration; zero for none.
     pub(crate) cold_per_s: f64,
-    /// Home regions of all routes of the next configuration.
+    /// Allowed regions of all routes of the next configuration.
     pub(crate) route_homes: Vec<&'static str>,
-    /// Home regions of `brand-a`.
+    /// Allowed regions of `brand-a`.
     pub(crate) workspace_homes: Vec<&'static str>,
     folder: PathBuf,
     ids: AtomicU64,
