--- a/fireflycroft/src/agent_orders.rs
+++ b/fireflycroft/src/agent_orders.rs
@@ -38,8 +38,8 @@
         let Some(order) = self.orders.settle(code) else {
             return;
         };
-        let note = LogEvent::new("order_settled").request(order.id).code(code);
-        out.push(AgentAction::LogEvent(note));
+        let event = LogEvent::new("order_settled").request(order.id).code(code);
+        out.push(AgentAction::LogEvent(event));
         if let Some(issuer) = self.issuer.take() {
             out.push(self.order_answer(issuer, order.id, code));
         }
--- a/fireflycroft/src/config_transfer.rs
+++ b/fireflycroft/src/config_transfer.rs
@@ -256,11 +256,11 @@
             return false;
         }
         collecting.lower_in_a_row += 1;
-        let given_up = collecting.lower_in_a_row >= MAX_LOWER_PARTS_IN_A_ROW;
-        if given_up {
+        let abandoned = collecting.lower_in_a_row >= MAX_LOWER_PARTS_IN_A_ROW;
+        if abandoned {
             self.collecting = None;
         }
-        !given_up
+        !abandoned
     }
 
     fn collecting_version(&self) -> ConfigVersion {
--- a/fireflycroft/src/deliver.rs
+++ b/fireflycroft/src/deliver.rs
@@ -191,10 +191,10 @@
             }
             out.push(EntryAction::Reply(id, Reply::Tokens(answer)));
         }
-        let note = LogEvent::new("request_done")
+        let event = LogEvent::new("request_done")
             .request(call.request)
             .code(Code::Ok);
-        out.push(EntryAction::LogEvent(note.count(finish.total)));
+        out.push(EntryAction::LogEvent(event.count(finish.total)));
         out.push(EntryAction::Reply(id, Reply::End(finish)));
     }
 
--- a/fireflycroft/src/member.rs
+++ b/fireflycroft/src/member.rs
@@ -290,8 +290,8 @@
         }
         let name = record.peer.name.clone();
         let Some(ix) = self.roster.insert(now, record) else {
-            let note = LogEvent::new("members_full").peer(&name);
-            out.push(MemberAction::LogEvent(note));
+            let event = LogEvent::new("members_full").peer(&name);
+            out.push(MemberAction::LogEvent(event));
             return None;
         };
         self.prober.add(ix, |bound| self.ids.draw_below(bound));
@@ -338,10 +338,10 @@
             MemberState::Leaving => "member_leaving",
             MemberState::Dead => "member_dead",
         };
-        let note = LogEvent::new(event)
+        let event = LogEvent::new(event)
             .peer(&record.peer.name)
             .count(record.revision);
-        out.push(MemberAction::LogEvent(note));
+        out.push(MemberAction::LogEvent(event));
         out.push(MemberAction::Changed(record));
         self.count_entries(out);
     }
@@ -376,8 +376,8 @@
             return;
         }
         self.replaced = true;
-        let note = LogEvent::new("member_replaced").peer(&by.name);
-        out.push(MemberAction::LogEvent(note));
+        let event = LogEvent::new("member_replaced").peer(&by.name);
+        out.push(MemberAction::LogEvent(event));
     }
 
     /// Removes members that have been dead for [`DEAD_RETENTION`].
--- a/fireflycroft/src/rate_limit.rs
+++ b/fireflycroft/src/rate_limit.rs
@@ -141,10 +141,10 @@
         now: Time,
         ix: UpstreamIx,
         sent: Time,
-        named: Option<RateLimit>,
+        stated: Option<RateLimit>,
     ) -> Option<RateChange> {
-        let as_of = if named.is_some() { now } else { sent };
-        self.upstreams[ix.0].rate.apply(now, as_of, named)
+        let as_of = if stated.is_some() { now } else { sent };
+        self.upstreams[ix.0].rate.apply(now, as_of, stated)
     }
 
     /// Applies a rate limit that another entry announced; returns the change, if any.
--- a/fireflycroft/src/stream.rs
+++ b/fireflycroft/src/stream.rs
@@ -102,8 +102,8 @@
         let count = offset.saturating_sub(self.held.offset);
         self.held.skip(count);
         let kept = self.held.lens.len();
-        let gone = self.starts.len().saturating_sub(kept);
-        self.starts.drain(..gone);
+        let dropped = self.starts.len().saturating_sub(kept);
+        self.starts.drain(..dropped);
         let base = self.starts.first().copied().unwrap_or(0);
         for start in &mut self.starts {
             *start -= base;
--- a/fireflydirect/src/conditions.rs
+++ b/fireflydirect/src/conditions.rs
@@ -37,9 +37,9 @@
     }
 }
 
-fn apply_rate_limit(node: &Node, ix: UpstreamIx, sent_at: Time, named: Option<RateLimit>) {
+fn apply_rate_limit(node: &Node, ix: UpstreamIx, sent_at: Time, stated: Option<RateLimit>) {
     let mut pool = node.pool.borrow_mut();
-    let change = pool.record_rate_limit(node.now(), ix, sent_at, named);
+    let change = pool.record_rate_limit(node.now(), ix, sent_at, stated);
     drop(pool);
     if let Some(change) = change {
         log_rate_change(node, ix, change, "answer");
--- a/fireflydirect/src/ingest.rs
+++ b/fireflydirect/src/ingest.rs
@@ -50,10 +50,10 @@
     /// Applies a complete list of evacuations or upstreams.
     pub fn apply_list(&mut self, objects: &[StoreObject], revision: u64) {
         if self.kind == Kind::Evacuations {
-            let in_force = objects.iter().filter(|o| !o.deleting);
+            let active = objects.iter().filter(|o| !o.deleting);
             let listed = Evacuations {
                 revision,
-                data_centres: in_force.map(|o| o.name.clone()).collect(),
+                data_centres: active.map(|o| o.name.clone()).collect(),
             };
             self.node.apply_evacuations(listed, "store");
         }
--- a/fireflydirect/src/peers.rs
+++ b/fireflydirect/src/peers.rs
@@ -421,8 +421,8 @@
     }
 
     /// Returns the time until the next announcement.
-    pub(crate) fn announce_interval(&self, relied_on: bool) -> Duration {
-        if relied_on {
+    pub(crate) fn announce_interval(&self, is_primary: bool) -> Duration {
+        if is_primary {
             self.watcher_interval()
         } else {
             ANNOUNCE_INTERVAL
@@ -435,8 +435,8 @@
         self.introductions_left = ANNOUNCE_FANOUT;
         self.known
             .retain(|_, k| now.since(k.last_received.unwrap_or(k.known_since)) < PEER_RETENTION);
-        let unheard = |ip: &&Ipv4Addr| !self.known.contains_key(*ip);
-        let seeds: Vec<Ipv4Addr> = self.seeds.iter().filter(unheard).copied().collect();
+        let unknown = |ip: &&Ipv4Addr| !self.known.contains_key(*ip);
+        let seeds: Vec<Ipv4Addr> = self.seeds.iter().filter(unknown).copied().collect();
         let known: Vec<Ipv4Addr> = self.known.keys().copied().collect();
         let most = if all { known.len() } else { ANNOUNCE_FANOUT };
         let mut targets: Vec<Ipv4Addr> = known.sample(&mut rand::rng(), most).copied().collect();
