--- a/fireflyd/src/agent.rs
+++ b/fireflyd/src/agent.rs
@@ -1,4 +1,4 @@
-//! The loop of an agent: sockets and timers round its core.
+//! Event loop of an agent: connects its core to sockets and timers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,28 +13,28 @@
 
 use crate::admin::Readiness;
 use crate::config_feed::ConfigFeed;
-use crate::fleet::{Fleet, News};
+use crate::fleet::{Fleet, FleetChanges};
 use crate::node::{Node, TICK};
 use crate::runner::Runner;
 use crate::status::Status;
 
-/// Events taken in one turn before messages go out.
-const TURN: usize = 256;
+/// Maximum number of events handled before queued messages are sent.
+const MAX_EVENTS_PER_TURN: usize = 256;
 
-/// What reaches the loop from beside peers.
+/// Local input of the loop, as opposed to messages from peers.
 #[derive(Debug)]
 pub enum AgentInput {
-    /// For the core.
+    /// Event for the core.
     Core(AgentEvent),
-    /// A configuration was read.
+    /// New configuration.
     Config(Arc<Config>),
-    /// The VM list was read.
+    /// Current VM list.
     Vms(Vec<Vm>),
-    /// The agent is to stop.
+    /// Request to drain and stop.
     Leave,
 }
 
-/// The agent's loop and what it owns.
+/// Event loop of an agent and the state that it owns.
 pub struct AgentLoop {
     core: Agent,
     node: Node,
@@ -49,7 +49,7 @@
 }
 
 impl AgentLoop {
-    /// A loop that will take its own inputs from the other end of `tx`.
+    /// Creates a loop; its tasks report through `tx`, whose receiver goes to [`Self::run`].
     #[must_use]
     pub fn new(
         setup: AgentSetup,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Runs until a planned stop has ended the last generation.
+    /// Runs until the agent has drained after a planned stop.
     pub async fn run(
         mut self,
         mut mail: mpsc::Receiver<Vec<u8>>,
@@ -88,7 +88,7 @@
                 Some(input) = inputs.recv() => self.on_input(input),
                 _ = tick.tick() => self.on_tick(),
             }
-            for _ in 0..TURN {
+            for _ in 0..MAX_EVENTS_PER_TURN {
                 if let Ok(buf) = mail.try_recv() {
                     self.on_mail(&buf);
                 } else if let Ok(input) = inputs.try_recv() {
@@ -110,11 +110,11 @@
             return;
         };
         let now = self.node.now();
-        let news = self
+        let changes = self
             .node
             .fleet
-            .on_heard(now, &header.from, &mut self.node.outbox);
-        self.learn(&news);
+            .on_received(now, &header.from, &mut self.node.outbox);
+        self.apply_fleet_changes(&changes);
         for message in messages {
             self.on_message(Envelope {
                 from: header.from.clone(),
@@ -129,13 +129,13 @@
         let now = self.node.now();
         self.config.observe_version(envelope.config);
         match &envelope.body {
-            message if Fleet::is_own(message) => {
+            message if Fleet::is_membership_message(message) => {
                 let message = message.clone();
-                let news =
+                let changes =
                     self.node
                         .fleet
                         .on_message(now, &envelope.from, message, &mut self.node.outbox);
-                self.learn(&news);
+                self.apply_fleet_changes(&changes);
                 self.drive(AgentEvent::Message(Box::new(envelope)));
             }
             Message::ConfigPull { .. } | Message::ConfigPart { .. } => {
@@ -165,57 +165,59 @@
                 self.config.adopt(config);
                 let have = self.config.version();
                 self.drive(AgentEvent::Config(have));
-                self.show();
+                self.publish_state();
                 if have > before {
                     let message = Message::ConfigPull { have, part: 0 };
-                    self.node.fleet.tell_some(&message, &mut self.node.outbox);
+                    self.node
+                        .fleet
+                        .announce_to_some(&message, &mut self.node.outbox);
                 }
             }
             AgentInput::Vms(vms) => {
                 let now = self.node.now();
-                let news = self.node.fleet.on_vms(now, vms, &mut self.node.outbox);
-                self.learn(&news);
+                let changes = self.node.fleet.on_vms(now, vms, &mut self.node.outbox);
+                self.apply_fleet_changes(&changes);
             }
             AgentInput::Leave => {
                 self.node.grace.begin();
                 let now = self.node.now();
                 self.node.fleet.leave(now, &mut self.node.outbox);
                 self.drive(AgentEvent::Leave);
-                self.show();
+                self.publish_state();
             }
         }
     }
 
     fn on_tick(&mut self) {
         let now = self.node.now();
-        let news = self.node.fleet.on_tick(now, &mut self.node.outbox);
-        self.learn(&news);
+        let changes = self.node.fleet.on_tick(now, &mut self.node.outbox);
+        self.apply_fleet_changes(&changes);
         self.drive(AgentEvent::Tick);
         self.node
             .fleet
             .set_serves(now, self.core.serves(), &mut self.node.outbox);
-        self.tell_state();
-        if self.node.begin_upkeep(now) {
-            self.keep_up();
+        self.update_readiness();
+        if self.node.start_maintenance(now) {
+            self.run_maintenance();
         }
     }
 
-    /// Does what goes over all members, less often than each tick.
-    fn keep_up(&mut self) {
+    /// Runs the work that iterates over all members, less often than each tick.
+    fn run_maintenance(&mut self) {
         self.feed.set_watching(self.node.fleet.is_watcher());
-        self.node.count_members();
+        self.node.update_member_counts();
         self.status.set(self.status_json());
     }
 
-    /// Shows the state at once; readiness goes before the status.
-    fn show(&self) {
-        self.tell_state();
+    /// Publishes readiness, then the status, without waiting for the next tick.
+    fn publish_state(&self) {
+        self.update_readiness();
         self.status.set(self.status_json());
     }
 
-    /// An agent minds only whether it is to leave itself.
-    fn learn(&mut self, news: &News) {
-        if news.leave {
+    /// Handles only the request to leave; an agent ignores changes of other members.
+    fn apply_fleet_changes(&mut self, changes: &FleetChanges) {
+        if changes.leave {
             self.on_input(AgentInput::Leave);
         }
     }
@@ -225,11 +227,11 @@
         let now = self.node.now();
         self.core.on_event(now, event, &mut out);
         for action in out {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(&mut self, action: AgentAction) {
+    fn execute(&mut self, action: AgentAction) {
         match action {
             AgentAction::Send(to, message) => self.node.outbox.push(to, message),
             AgentAction::Broadcast(message) => {
@@ -266,10 +268,10 @@
             AgentAction::Order(order) => {
                 let runner = self.runner.clone();
                 let tx = self.tx.clone();
-                tokio::spawn(async move { runner.carry_out(&order, &tx).await });
+                tokio::spawn(async move { runner.execute_order(&order, &tx).await });
             }
             AgentAction::PullConfig(from) => self.feed.pull(from, &mut self.node.outbox),
-            AgentAction::LogEvent(note) => self.node.note(&note),
+            AgentAction::LogEvent(note) => self.node.record_event(&note),
         }
     }
 
@@ -283,7 +285,7 @@
         );
     }
 
-    fn tell_state(&self) {
+    fn update_readiness(&self) {
         let reason = if self.core.is_leaving() {
             Some("leaving")
         } else if !self.upstream_up {
--- a/fireflyd/src/front.rs
+++ b/fireflyd/src/frontend.rs
@@ -1,8 +1,8 @@
-//! The callers' interface over HTTP.
+//! HTTP server for callers.
 //!
-//! A handler reads a request, gives it to the entry's loop and turns the
-//! replies into a response. What a caller has taken is told back, so that the
-//! agent sends no more than the caller reads.
+//! A handler parses a request, submits it to the entry's loop and turns the
+//! replies into a response. It reports the tokens consumed by the caller, so
+//! that the agent sends no faster than the caller reads.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,32 +23,34 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::acceptor::PromptAcceptor;
+use crate::acceptor::NoDelayAcceptor;
 use crate::answer::{self, Failure};
 use crate::metrics::Metrics;
-use crate::request::{BadRequest, MAX_BODY, Parsed, check_headers, parse_call, parse_chat};
+use crate::request::{
+    BadRequest, MAX_BODY_BYTES, ParsedRequest, check_headers, parse_call, parse_chat,
+};
 
-/// Tokens that a caller takes between two notices to the entry.
-const TAKEN_STEP: u64 = 128;
+/// Tokens consumed by a caller between two reports to the entry.
+const CONSUMED_STEP_TOKENS: u64 = 128;
 
-/// What the front gives to the entry's loop.
+/// Input of the entry's loop from the HTTP server.
 #[derive(Debug)]
-pub enum FrontEvent {
-    /// A new call, and where its replies go.
+pub enum FrontendEvent {
+    /// A new call and the channel for its replies.
     Open(CallId, mpsc::UnboundedSender<Reply>),
     /// An event of a call.
     Event(EntryEvent),
 }
 
-/// The callers' side of one entry; cloning shares it.
+/// HTTP frontend of one entry; clones share its state.
 #[derive(Clone, Debug)]
-pub struct Front {
-    tx: mpsc::Sender<FrontEvent>,
+pub struct Frontend {
+    tx: mpsc::Sender<FrontendEvent>,
     next_call: Arc<AtomicU64>,
     metrics: Metrics,
 }
 
-/// TLS towards callers.
+/// TLS certificate and key of the callers' address.
 #[derive(Clone, Debug)]
 pub struct Tls {
     /// Certificate chain, PEM.
@@ -57,18 +59,18 @@
     pub key: Vec<u8>,
 }
 
-/// A call that the entry knows of; dropping it says that the caller is gone.
+/// A call registered at the entry; dropping it before its end reports that the caller disconnected.
 struct OpenCall {
     id: CallId,
-    tx: mpsc::Sender<FrontEvent>,
+    tx: mpsc::Sender<FrontendEvent>,
     rx: mpsc::UnboundedReceiver<Reply>,
     done: bool,
 }
 
-impl Front {
-    /// Front that gives its calls to `tx`.
+impl Frontend {
+    /// Creates a frontend that sends its calls to `tx`.
     #[must_use]
-    pub fn new(tx: mpsc::Sender<FrontEvent>, metrics: Metrics) -> Self {
+    pub fn new(tx: mpsc::Sender<FrontendEvent>, metrics: Metrics) -> Self {
         Self {
             tx,
             next_call: Arc::new(AtomicU64::new(1)),
@@ -83,7 +85,8 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound or the certificate not read.
+    /// Returns an error when the address cannot be bound or the certificate
+    /// cannot be read.
     pub async fn bind(
         self,
         listen: SocketAddr,
@@ -93,12 +96,12 @@
         let listener = TcpListener::bind(listen).await;
         let listener = TcpAcceptor::from_tokio(listener.context("callers' address")?)?;
         let acceptor = match tls {
-            None => PromptAcceptor(listener).boxed(),
+            None => NoDelayAcceptor(listener).boxed(),
             Some(tls) => {
                 let cert = RustlsCertificate::new().cert(tls.cert).key(tls.key);
                 let config = RustlsConfig::new().fallback(cert);
                 let configs = config.into_stream().context("TLS")?;
-                PromptAcceptor(listener).rustls(configs).boxed()
+                NoDelayAcceptor(listener).rustls(configs).boxed()
             }
         };
         let bound = acceptor
@@ -111,7 +114,7 @@
             .at("/services/:service/*path", serve_call)
             .data(self);
         let stopped = async move {
-            // A sender that is gone stops it, too.
+            // A dropped sender stops the server, too.
             let _ = stop.await;
         };
         let server = Server::new_with_acceptor(acceptor);
@@ -124,11 +127,11 @@
         let (tx, rx) = mpsc::unbounded_channel();
         let stopped = |_| Failure::of(Code::Leaving);
         self.tx
-            .send(FrontEvent::Open(id, tx))
+            .send(FrontendEvent::Open(id, tx))
             .await
             .map_err(stopped)?;
         self.tx
-            .send(FrontEvent::Event(event(id)))
+            .send(FrontendEvent::Event(event(id)))
             .await
             .map_err(stopped)?;
         Ok(OpenCall {
@@ -148,32 +151,32 @@
         reply
     }
 
-    fn tell_taken(&self, next: u64) {
-        // A full queue loses no more than the pace: the next notice says more.
+    fn report_consumed(&self, next: u64) {
+        // A report lost to a full queue only delays the agent: the next one replaces it.
         let event = EntryEvent::Consumed(self.id, next);
-        let _ = self.tx.try_send(FrontEvent::Event(event));
+        let _ = self.tx.try_send(FrontendEvent::Event(event));
     }
 }
 
-/// A whole answer, as a call came to its good end.
+/// Complete answer of a successful call.
 struct WholeAnswer {
-    point: Option<ResumePoint>,
+    resume_point: Option<ResumePoint>,
     chunk: Chunk,
     finish: Finish,
 }
 
 impl OpenCall {
-    /// Waits for the whole answer, or for why there is none.
+    /// Waits for the complete answer or the failure.
     async fn collect(&mut self) -> Result<WholeAnswer, Failure> {
-        let mut point = None;
+        let mut resume_point = None;
         let mut chunk = Chunk::default();
         loop {
             match self.next().await {
-                Some(Reply::Begin(begun)) => point = Some(begun),
+                Some(Reply::Begin(begun)) => resume_point = Some(begun),
                 Some(Reply::Tokens(next)) => append(&mut chunk, &next),
                 Some(Reply::End(finish)) => {
                     return Ok(WholeAnswer {
-                        point,
+                        resume_point,
                         chunk,
                         finish,
                     });
@@ -201,7 +204,7 @@
         if self.done {
             return;
         }
-        let event = FrontEvent::Event(EntryEvent::CallerGone(self.id));
+        let event = FrontendEvent::Event(EntryEvent::CallerGone(self.id));
         if let Err(mpsc::error::TrySendError::Full(event)) = self.tx.try_send(event) {
             let tx = self.tx.clone();
             tokio::spawn(async move { tx.send(event).await });
@@ -210,14 +213,14 @@
 }
 
 #[handler]
-async fn serve_chat(req: &Request, body: Body, front: Data<&Front>) -> Response {
+async fn serve_chat(req: &Request, body: Body, frontend: Data<&Frontend>) -> Response {
     let parsed = match read_body(req, body).await {
         Ok(buf) => parse_chat(req.headers(), buf),
         Err(bad) => Err(bad),
     };
     match parsed {
-        Ok(parsed) => front.serve_chat(parsed).await,
-        Err(bad) => refuse(front.0, bad),
+        Ok(parsed) => frontend.serve_chat(parsed).await,
+        Err(bad) => refuse(frontend.0, bad),
     }
 }
 
@@ -226,7 +229,7 @@
     req: &Request,
     body: Body,
     Path((service, path)): Path<(String, String)>,
-    front: Data<&Front>,
+    frontend: Data<&Frontend>,
 ) -> Response {
     let path = match req.uri().query() {
         Some(query) => format!("/{path}?{query}"),
@@ -237,14 +240,14 @@
         Err(bad) => Err(bad),
     };
     match parsed {
-        Ok(parsed) => front.serve_call(parsed).await,
-        Err(bad) => refuse(front.0, bad),
+        Ok(parsed) => frontend.serve_call(parsed).await,
+        Err(bad) => refuse(frontend.0, bad),
     }
 }
 
 async fn read_body(req: &Request, body: Body) -> Result<Vec<u8>, BadRequest> {
     check_headers(req.headers())?;
-    body.into_bytes_limit(MAX_BODY)
+    body.into_bytes_limit(MAX_BODY_BYTES)
         .await
         .map(Vec::from)
         .map_err(|e| BadRequest {
@@ -256,8 +259,8 @@
         })
 }
 
-fn refuse(front: &Front, bad: BadRequest) -> Response {
-    front.count_unreadable(bad.code);
+fn refuse(frontend: &Frontend, bad: BadRequest) -> Response {
+    frontend.count_unreadable(bad.code);
     log::info!(event = "request_unreadable", code = bad.code.number(), detail:% = bad.detail; "");
     answer::error_response(&Failure {
         detail: Some(bad.detail),
@@ -265,8 +268,8 @@
     })
 }
 
-impl Front {
-    /// Counts a request that the core never saw.
+impl Frontend {
+    /// Counts a request refused before it reached the core.
     fn count_unreadable(&self, code: Code) {
         let code = code.number().to_string();
         self.metrics
@@ -275,9 +278,9 @@
             .inc();
     }
 
-    async fn serve_chat(&self, parsed: Parsed) -> Response {
-        let class = class_of(&parsed);
-        let Parsed { submission, target } = parsed;
+    async fn serve_chat(&self, parsed: ParsedRequest) -> Response {
+        let class_label = class_label(&parsed);
+        let ParsedRequest { submission, target } = parsed;
         let delivery = submission.delivery;
         let received = Instant::now();
         let opened = self
@@ -288,14 +291,14 @@
             Err(failure) => return answer::error_response(&failure),
         };
         let relay = Relay {
-            front: self.clone(),
+            frontend: self.clone(),
             call,
             model: target,
-            class,
-            point: None,
+            class_label,
+            resume_point: None,
             received,
-            last: None,
-            taken: 0,
+            last_chunk_at: None,
+            consumed: 0,
         };
         match delivery {
             Delivery::Stream => relay.stream().await,
@@ -303,8 +306,8 @@
         }
     }
 
-    async fn serve_call(&self, parsed: Parsed) -> Response {
-        let Parsed { submission, .. } = parsed;
+    async fn serve_call(&self, parsed: ParsedRequest) -> Response {
+        let ParsedRequest { submission, .. } = parsed;
         let opened = self
             .open(|id| EntryEvent::Submit(id, Box::new(submission)))
             .await;
@@ -313,7 +316,9 @@
             Err(failure) => return answer::error_response(&failure),
         };
         match call.collect().await {
-            Ok(whole) => answer::call_response(whole.point.as_ref(), whole.chunk, &whole.finish),
+            Ok(whole) => {
+                answer::call_response(whole.resume_point.as_ref(), whole.chunk, &whole.finish)
+            }
             Err(failure) => answer::error_response(&failure),
         }
     }
@@ -325,7 +330,7 @@
     }
 }
 
-fn class_of(parsed: &Parsed) -> &'static str {
+fn class_label(parsed: &ParsedRequest) -> &'static str {
     match parsed.submission.priority {
         Some(fireflycroft::Priority::Interactive) => "interactive",
         Some(fireflycroft::Priority::Batch) => "batch",
@@ -333,20 +338,20 @@
     }
 }
 
-/// One call on its way from the entry's replies to the caller.
+/// Relays the replies of one call to its caller.
 struct Relay {
-    front: Front,
+    frontend: Frontend,
     call: OpenCall,
     model: Name,
-    class: &'static str,
-    point: Option<ResumePoint>,
+    class_label: &'static str,
+    resume_point: Option<ResumePoint>,
     received: Instant,
-    last: Option<Instant>,
-    taken: u64,
+    last_chunk_at: Option<Instant>,
+    consumed: u64,
 }
 
 impl Relay {
-    /// Answers with a stream, or with an error status when nothing came.
+    /// Responds with a stream, or with an error status if the call failed before its first event.
     async fn stream(mut self) -> Response {
         let Some(first) = self.next_events().await else {
             return answer::error_response(&Failure::of(Code::OutcomeUnknown));
@@ -355,7 +360,7 @@
             Ok(events) => events,
             Err(failure) => return answer::error_response(&failure),
         };
-        let request = self.point.as_ref().map(|p| p.request.to_string());
+        let request = self.resume_point.as_ref().map(|p| p.request.to_string());
         let body = Body::from_bytes_stream(self.into_stream(first));
         Response::builder()
             .content_type("text/event-stream")
@@ -381,22 +386,26 @@
         })
     }
 
-    /// Bytes of the next events; `None` after the end.
+    /// Returns the bytes of the next events; `None` after the end.
     async fn next_events(&mut self) -> Option<Result<Bytes, Failure>> {
         loop {
             if self.call.done {
                 return None;
             }
             match self.call.next().await {
-                Some(Reply::Begin(point)) => self.point = Some(point),
+                Some(Reply::Begin(resume_point)) => self.resume_point = Some(resume_point),
                 Some(Reply::Tokens(chunk)) => {
                     self.observe(&chunk);
-                    let point = self.point.as_ref()?;
-                    return Some(Ok(answer::token_events(point, &self.model, &chunk)));
+                    let resume_point = self.resume_point.as_ref()?;
+                    return Some(Ok(answer::token_events(resume_point, &self.model, &chunk)));
                 }
                 Some(Reply::End(finish)) => {
-                    let point = self.point.as_ref()?;
-                    return Some(Ok(answer::end_events(point, &self.model, &finish)));
+                    let resume_point = self.resume_point.as_ref()?;
+                    return Some(Ok(answer::finish_events(
+                        resume_point,
+                        &self.model,
+                        &finish,
+                    )));
                 }
                 Some(Reply::Fail {
                     code,
@@ -417,37 +426,39 @@
 
     fn observe(&mut self, chunk: &Chunk) {
         let now = Instant::now();
-        let metrics = &self.front.metrics;
-        match self.last.replace(now) {
+        let metrics = &self.frontend.metrics;
+        match self.last_chunk_at.replace(now) {
             None => {
                 let wait = now.duration_since(self.received).as_secs_f64();
                 metrics
                     .first_token_seconds
-                    .with_label_values(&[self.class])
+                    .with_label_values(&[self.class_label])
                     .observe(wait);
             }
-            Some(last) => {
-                let gap = now.duration_since(last).as_secs_f64();
+            Some(last_chunk_at) => {
+                let gap = now.duration_since(last_chunk_at).as_secs_f64();
                 metrics
                     .between_token_seconds
-                    .with_label_values(&[self.class])
+                    .with_label_values(&[self.class_label])
                     .observe(gap);
             }
         }
-        if chunk.end() >= self.taken + TAKEN_STEP {
-            self.taken = chunk.end();
-            self.call.tell_taken(self.taken);
+        if chunk.end() >= self.consumed + CONSUMED_STEP_TOKENS {
+            self.consumed = chunk.end();
+            self.call.report_consumed(self.consumed);
         }
     }
 
-    /// Answers with the whole, or with an error status.
+    /// Responds with the complete answer or an error status.
     async fn whole(mut self) -> Response {
         let whole = match self.call.collect().await {
             Ok(whole) => whole,
             Err(failure) => return answer::error_response(&failure),
         };
-        match &whole.point {
-            Some(point) => answer::whole_response(point, &self.model, &whole.chunk, &whole.finish),
+        match &whole.resume_point {
+            Some(resume_point) => {
+                answer::completion_response(resume_point, &self.model, &whole.chunk, &whole.finish)
+            }
             None => answer::error_response(&Failure::of(Code::OutcomeUnknown)),
         }
     }
--- a/fireflyd/src/lib.rs
+++ b/fireflyd/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon of the fleet: sockets, files and timers round the core, one file for each job.
+//! The fleet daemon: connects the core to sockets, files and timers, one module per task.
 
 mod acceptor;
 pub mod admin;
@@ -10,8 +10,8 @@
 pub mod entry;
 mod flags;
 pub mod fleet;
-pub mod front;
-pub mod grace;
+pub mod frontend;
+pub mod grace_period;
 pub mod journal;
 pub mod keyring;
 pub mod leader;
--- a/fireflyd/src/link.rs
+++ b/fireflyd/src/link.rs
@@ -1,19 +1,18 @@
-//! The sending side of the mailbox: one queue and one `nng` push socket for each peer.
+//! Sending side of the mailbox: one queue and one `nng` push socket for each peer.
 //!
-//! No task stands behind a peer. At most one frame is in the hands of `nng`, and the completion of
-//! that one hands over the next.
+//! A peer has no task of its own. `nng` holds at most one of its frames, and the completion of
+//! that send starts the next.
 //!
-//! The push socket of this `nng` release has two faults that would touch freed memory, and the
-//! code is laid out to stay clear of them:
+//! The push socket of this `nng` release has two use-after-free faults, which this code avoids:
 //!
 //! - A connection that ends just as a send completes may stay in the socket's list of ready
-//!   connections after it is freed. So a socket serves one connection only: the notice of its end,
-//!   which comes before it is freed, takes the socket out of use and closes the dialer.
-//! - A send that begins while the socket is closed is forgotten, until its timeout finds the
-//!   socket gone. So a send begins only under the lock that holds the socket, and a socket that
-//!   was taken out is closed only when its operation has been cancelled and freed.
+//!   connections after it is freed. So a socket serves one connection only: the pipe event before
+//!   the connection is freed retires the socket and closes the dialer.
+//! - A send that starts while the socket is closing is forgotten until its timeout, which then
+//!   accesses the freed socket. So a send starts only under the lock that holds the socket, and a
+//!   retired socket is closed only after its operation has been cancelled and freed.
 //!
-//! Closing waits for callbacks, so it is never done in one: a thread of the mailbox does it, see
+//! Closing waits for callbacks, so no callback may do it: a thread of the mailbox does, see
 //! [`run_janitor`].
 
 use std::collections::VecDeque;
@@ -28,55 +27,55 @@
 use crate::mailbox::Limits;
 use crate::metrics::MailboxMetrics;
 
-/// First wait before a refused connection is dialled again.
+/// Initial delay before a refused connection is dialled again.
 const RECONNECT_MIN: Duration = Duration::from_millis(50);
-/// Longest wait before a refused connection is dialled again.
+/// Longest delay before a refused connection is dialled again.
 const RECONNECT_MAX: Duration = Duration::from_secs(1);
-/// Wait before a connection that ended is replaced.
-const RELINK_WAIT: Duration = Duration::from_millis(50);
+/// Delay before an ended connection is replaced.
+const REPLACE_DELAY: Duration = Duration::from_millis(50);
 
-/// A link taken out of use, for the janitor.
-pub(crate) struct Lost {
+/// A retired link, to be closed and replaced by the janitor.
+pub(crate) struct RetiredLink {
     peer: Weak<Peer>,
     link: Option<Link>,
 }
 
-/// An address sent to, with the frames that wait for it.
+/// A destination address with its queued frames and link.
 pub(crate) struct Peer {
     to: SocketAddr,
     limits: Limits,
     metrics: MailboxMetrics,
-    lost: Sender<Lost>,
+    retired: Sender<RetiredLink>,
     state: Mutex<State>,
 }
 
 struct State {
-    frames: VecDeque<Waiting>,
-    /// Length of all waiting frames.
+    frames: VecDeque<QueuedFrame>,
+    /// Total length of the queued frames in bytes.
     bytes: usize,
-    /// Length of the frame in the hands of `nng`, if there is one.
+    /// Length in bytes of the frame being sent by `nng`, if any.
     in_flight: Option<usize>,
     last_push: Instant,
     link: Option<Link>,
-    /// Number of the newest link.
+    /// Serial number of the newest link.
     serial: u64,
-    /// Whether the janitor is to look for a new link.
-    relinking: bool,
+    /// Whether a new link waits for the janitor.
+    reconnecting: bool,
 }
 
-struct Waiting {
-    since: Instant,
+struct QueuedFrame {
+    queued_at: Instant,
     frame: Vec<u8>,
 }
 
 impl State {
-    fn pop(&mut self) -> Option<Waiting> {
+    fn pop(&mut self) -> Option<QueuedFrame> {
         let next = self.frames.pop_front()?;
         self.bytes -= next.frame.len();
         Some(next)
     }
 
-    fn holds(&self, serial: u64) -> bool {
+    fn is_current(&self, serial: u64) -> bool {
         self.link.as_ref().is_some_and(|link| link.serial == serial)
     }
 }
@@ -86,14 +85,14 @@
         to: SocketAddr,
         limits: Limits,
         metrics: MailboxMetrics,
-        lost: Sender<Lost>,
+        retired: Sender<RetiredLink>,
     ) -> Self {
         metrics.peers.inc();
         Self {
             to,
             limits,
             metrics,
-            lost,
+            retired,
             state: Mutex::new(State {
                 frames: VecDeque::new(),
                 bytes: 0,
@@ -101,16 +100,16 @@
                 last_push: Instant::now(),
                 link: None,
                 serial: 0,
-                relinking: false,
+                reconnecting: false,
             }),
         }
     }
 
-    /// Queues a frame, or drops it when the queue is full.
+    /// Queues a frame, or drops it if the queue is full.
     pub(crate) fn push(self: &Arc<Self>, frame: Vec<u8>) {
         let mut state = self.state();
-        let since = Instant::now();
-        state.last_push = since;
+        let queued_at = Instant::now();
+        state.last_push = queued_at;
         let full = state.frames.len() >= self.limits.peer_messages
             || state.bytes + frame.len() > self.limits.peer_bytes;
         if full {
@@ -118,15 +117,15 @@
             return;
         }
         state.bytes += frame.len();
-        state.frames.push_back(Waiting { since, frame });
+        state.frames.push_back(QueuedFrame { queued_at, frame });
         self.advance(&mut state);
     }
 
-    /// Whether nothing was queued for the idle time.
+    /// Returns whether nothing is queued and no frame was pushed for [`Limits::idle`].
     pub(crate) fn is_idle(&self, now: Instant) -> bool {
         let state = self.state();
-        let rests = state.in_flight.is_none() && state.frames.is_empty();
-        rests && now.duration_since(state.last_push) >= self.limits.idle
+        let is_drained = state.in_flight.is_none() && state.frames.is_empty();
+        is_drained && now.duration_since(state.last_push) >= self.limits.idle
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -137,18 +136,18 @@
         self.metrics.dropped.with_label_values(&[cause]).inc();
     }
 
-    /// Looks for a new link when frames wait for one.
-    fn relink(self: &Arc<Self>) {
+    /// Dials a new link if frames are queued.
+    fn reconnect(self: &Arc<Self>) {
         let mut state = self.state();
-        state.relinking = false;
+        state.reconnecting = false;
         if !state.frames.is_empty() {
             self.advance(&mut state);
         }
     }
 
-    /// Hands over the next frame, over a new link if there is none.
+    /// Sends the next frame, on a new link if there is none.
     fn advance(self: &Arc<Self>, state: &mut State) {
-        if state.relinking {
+        if state.reconnecting {
             return;
         }
         if state.link.is_none() {
@@ -157,30 +156,30 @@
                 Ok(link) => state.link = Some(link),
                 Err(e) => {
                     log::warn!(event = "mailbox_dial_failed", peer:% = self.to, cause:% = e; "");
-                    let link = self.take_link(state);
+                    let link = self.retire_link(state);
                     self.dispose(link);
                     return;
                 }
             }
         }
-        self.hand_over(state);
+        self.send_next(state);
     }
 
-    /// Gives the next frame that is young enough to the link.
-    fn hand_over(&self, state: &mut State) {
+    /// Starts sending the next frame that is within [`Limits::max_age`].
+    fn send_next(&self, state: &mut State) {
         while state.in_flight.is_none() {
             let Some(next) = state.pop() else {
                 return;
             };
-            let left = self.limits.max_age.saturating_sub(next.since.elapsed());
-            if left.is_zero() {
+            let remaining = self.limits.max_age.saturating_sub(next.queued_at.elapsed());
+            if remaining.is_zero() {
                 self.count_drop("too_old");
                 continue;
             }
             let sent = state
                 .link
                 .as_ref()
-                .is_some_and(|link| link.start_send(&next.frame, left).is_ok());
+                .is_some_and(|link| link.start_send(&next.frame, remaining).is_ok());
             if sent {
                 state.in_flight = Some(next.frame.len());
             } else {
@@ -189,10 +188,10 @@
         }
     }
 
-    /// The frame in the hands of link `serial` has gone its way.
+    /// Handles the completion of a send on link `serial`.
     fn on_sent(&self, serial: u64, res: &AioResult) {
         let mut state = self.state();
-        if !state.holds(serial) {
+        if !state.is_current(serial) {
             return;
         }
         let len = state.in_flight.take().unwrap_or_default();
@@ -204,18 +203,18 @@
             AioResult::Send(Err((_, nng::Error::TimedOut))) => self.count_drop("too_old"),
             _ => self.count_drop("link"),
         }
-        self.hand_over(&mut state);
+        self.send_next(&mut state);
     }
 
-    /// The connection of link `serial` has ended and is about to be freed.
-    fn on_end(self: &Arc<Self>, serial: u64, pipe: Pipe) {
+    /// Handles the end of the connection of link `serial`, before it is freed.
+    fn on_pipe_removed(self: &Arc<Self>, serial: u64, pipe: Pipe) {
         let mut state = self.state();
-        if !state.holds(serial) {
-            // The socket is being closed, and its dialer with it.
+        if !state.is_current(serial) {
+            // The socket is being closed together with its dialer.
             return;
         }
-        let link = self.take_link(&mut state);
-        // Closing a dialer takes a lock of the socket that callbacks hold while they wait for ours.
+        let link = self.retire_link(&mut state);
+        // Closing a dialer takes a socket lock that callbacks hold while they wait for this one.
         drop(state);
         if let Some(dialer) = pipe.dialer() {
             dialer.close();
@@ -223,18 +222,18 @@
         self.dispose(link);
     }
 
-    /// Takes the link out of use until the janitor has been.
-    fn take_link(&self, state: &mut State) -> Option<Link> {
+    /// Removes the link; no new one is dialled until the janitor calls [`Self::reconnect`].
+    fn retire_link(&self, state: &mut State) -> Option<Link> {
         if state.in_flight.take().is_some() {
             self.count_drop("link");
         }
-        state.relinking = true;
+        state.reconnecting = true;
         state.link.take()
     }
 
     fn dispose(self: &Arc<Self>, link: Option<Link>) {
         let peer = Arc::downgrade(self);
-        hand_to_janitor(&self.lost, Lost { peer, link });
+        send_to_janitor(&self.retired, RetiredLink { peer, link });
     }
 }
 
@@ -243,22 +242,22 @@
         self.metrics.peers.dec();
         let link = self.state().link.take();
         let peer = Weak::new();
-        hand_to_janitor(&self.lost, Lost { peer, link });
+        send_to_janitor(&self.retired, RetiredLink { peer, link });
     }
 }
 
-fn hand_to_janitor(lost: &Sender<Lost>, link: Lost) {
-    if let Err(refused) = lost.send(link) {
-        // The janitor is gone; this may be a callback, which must not close a socket.
+fn send_to_janitor(retired: &Sender<RetiredLink>, link: RetiredLink) {
+    if let Err(refused) = retired.send(link) {
+        // The janitor has stopped. This may be a callback, which must not close a socket.
         std::thread::spawn(move || drop(refused));
     }
 }
 
-/// A socket for one connection; its drop closes it and must not happen in a callback.
+/// A socket for one connection; dropping it closes it, which no callback may do.
 struct Link {
     serial: u64,
     socket: Socket,
-    /// Present until the drop.
+    /// `Some` until the drop.
     aio: Option<Aio>,
 }
 
@@ -284,9 +283,9 @@
         Ok(link)
     }
 
-    fn start_send(&self, frame: &[u8], left: Duration) -> nng::Result<()> {
+    fn start_send(&self, frame: &[u8], remaining: Duration) -> nng::Result<()> {
         let aio = self.aio.as_ref().ok_or(nng::Error::Closed)?;
-        aio.set_timeout(Some(left))?;
+        aio.set_timeout(Some(remaining))?;
         self.socket.send_async(aio, frame).map_err(|(_, e)| e)
     }
 }
@@ -304,46 +303,46 @@
         return;
     }
     if let Some(peer) = peer.upgrade() {
-        peer.on_end(serial, pipe);
+        peer.on_pipe_removed(serial, pipe);
     }
 }
 
-/// Ends the operation of `aio`, frees it, and only then closes its socket.
+/// Cancels the operation of `aio`, frees it, and only then closes its socket.
 ///
-/// Waits for callbacks, so it must not be called from one; no operation may begin any more.
+/// Waits for callbacks, so it must not be called from one; no further operation may start.
 pub(crate) fn stop(aio: Aio, socket: &Socket) {
     aio.cancel();
     aio.wait();
-    // Freeing waits for a timeout that is just being dealt with.
+    // Freeing waits for a timeout that is being handled.
     drop(aio);
     socket.close();
 }
 
-/// Closes lost links, has their peers look for new ones, and calls `sweep` once every `period`.
+/// Closes retired links, reconnects their peers, and calls `sweep` once every `period`.
 ///
-/// Runs until every sender of `rx` is gone.
-pub(crate) fn run_janitor(rx: &Receiver<Lost>, period: Duration, sweep: impl Fn()) {
-    let mut relinks: VecDeque<(Instant, Weak<Peer>)> = VecDeque::new();
+/// Runs until every sender of `rx` is dropped.
+pub(crate) fn run_janitor(rx: &Receiver<RetiredLink>, period: Duration, sweep: impl Fn()) {
+    let mut reconnects: VecDeque<(Instant, Weak<Peer>)> = VecDeque::new();
     let mut next_sweep = Instant::now() + period;
     loop {
         let now = Instant::now();
-        while relinks.front().is_some_and(|(at, _)| *at <= now) {
-            let due = relinks.pop_front();
+        while reconnects.front().is_some_and(|(at, _)| *at <= now) {
+            let due = reconnects.pop_front();
             if let Some(peer) = due.and_then(|(_, peer)| peer.upgrade()) {
-                peer.relink();
+                peer.reconnect();
             }
         }
         if next_sweep <= now {
             sweep();
             next_sweep = now + period;
         }
-        let wake = relinks
+        let wake = reconnects
             .front()
             .map_or(next_sweep, |(at, _)| next_sweep.min(*at));
         match rx.recv_timeout(wake.saturating_duration_since(Instant::now())) {
-            Ok(Lost { peer, link }) => {
+            Ok(RetiredLink { peer, link }) => {
                 drop(link);
-                relinks.push_back((Instant::now() + RELINK_WAIT, peer));
+                reconnects.push_back((Instant::now() + REPLACE_DELAY, peer));
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
--- a/fireflyd/src/request.rs
+++ b/fireflyd/src/request.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's HTTP request into a submission.
+//! Parsing of a caller's HTTP request into a submission.
 
 use std::sync::Arc;
 
@@ -9,27 +9,27 @@
 use poem::http::HeaderMap;
 use serde::Deserialize;
 
-/// Largest body of a request in bytes; it must fit one message.
-pub const MAX_BODY: usize = 768 * 1024;
+/// Largest body of a request in bytes; it must fit into one mailbox message.
+pub const MAX_BODY_BYTES: usize = 768 * 1024;
 /// Most headers of a request.
 pub const MAX_HEADERS: usize = 64;
 /// Most bytes of all headers.
 pub const MAX_HEADER_BYTES: usize = 16 * 1024;
-/// Longest `Idempotency-Key`.
-pub const MAX_IDEMPOTENCY_KEY: usize = 255;
-/// Most tokens of an answer when the caller names none.
+/// Longest `Idempotency-Key` in bytes.
+pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
+/// Token limit of an answer when the caller sets none.
 const DEFAULT_MAX_TOKENS: u32 = 32_768;
-/// Bytes of the prompt whose digest decides on prefix affinity.
+/// Leading bytes of the prompt whose digest is the key of prefix affinity.
 const PREFIX_BYTES: usize = 1024;
-/// Bytes for one token where words are longer than that.
+/// Bytes per token assumed for texts of long words, whose word count is too low an estimate.
 const BYTES_PER_TOKEN: usize = 8;
 
-/// Why a request is refused before the core sees it.
+/// Refusal of a request before it reaches the core.
 #[derive(Debug)]
 pub struct BadRequest {
     /// Result code.
     pub code: Code,
-    /// What is wrong, for the caller.
+    /// Description of the fault for the caller.
     pub detail: String,
 }
 
@@ -42,12 +42,12 @@
     }
 }
 
-/// What the core is given, and what the answer's form needs.
+/// Submission for the core, with the target for the response.
 #[derive(Debug)]
-pub struct Parsed {
-    /// For the core.
+pub struct ParsedRequest {
+    /// Submission for the core.
     pub submission: Submission,
-    /// Model or plain service, for the answer.
+    /// Model or plain service.
     pub target: Name,
 }
 
@@ -68,11 +68,11 @@
     content: String,
 }
 
-/// Checks number and size of the headers.
+/// Checks the number and total size of the headers.
 ///
 /// # Errors
 ///
-/// `HeadersTooLarge`.
+/// Returns `HeadersTooLarge` when there are too many bytes or headers.
 pub fn check_headers(headers: &HeaderMap) -> Result<(), BadRequest> {
     let bytes: usize = headers
         .iter()
@@ -85,13 +85,13 @@
     Ok(())
 }
 
-/// Reads a chat completion.
+/// Parses a chat completion request.
 ///
 /// # Errors
 ///
-/// `BadRequest` or `KeyRefused`, with what is wrong.
-pub fn parse_chat(headers: &HeaderMap, body: Vec<u8>) -> Result<Parsed, BadRequest> {
-    let key_digest = scan_key(headers)?;
+/// Returns `BadRequest` or `KeyRefused` with a description of the fault.
+pub fn parse_chat(headers: &HeaderMap, body: Vec<u8>) -> Result<ParsedRequest, BadRequest> {
+    let key_digest = parse_key(headers)?;
     let chat: ChatRequest = serde_json::from_slice(&body)
         .map_err(|e| BadRequest::new(Code::BadRequest, e.to_string()))?;
     if chat.messages.is_empty() {
@@ -112,34 +112,34 @@
         } else {
             Delivery::Whole
         },
-        idempotency_key: scan_idempotency_key(headers)?,
+        idempotency_key: parse_idempotency_key(headers)?,
         never_retry: false,
-        resume: scan_resume(headers)?,
+        resume: parse_resume_point(headers)?,
         work: Work::Generate {
             body: Arc::from(body),
         },
     };
-    Ok(Parsed { submission, target })
+    Ok(ParsedRequest { submission, target })
 }
 
-/// Reads a call to a plain service.
+/// Parses a call to a plain service.
 ///
 /// # Errors
 ///
-/// `BadRequest` or `KeyRefused`, with what is wrong.
+/// Returns `BadRequest` or `KeyRefused` with a description of the fault.
 pub fn parse_call(
     headers: &HeaderMap,
     method: &str,
     service: &str,
     path: &str,
     body: Vec<u8>,
-) -> Result<Parsed, BadRequest> {
+) -> Result<ParsedRequest, BadRequest> {
     let target = Name::from(service);
     let method = Name::from(method);
     let path = Name::from(path);
-    let content_type = Name::from(scan_header(headers, "content-type").unwrap_or_default());
+    let content_type = Name::from(header_str(headers, "content-type").unwrap_or_default());
     let submission = Submission {
-        key_digest: scan_key(headers)?,
+        key_digest: parse_key(headers)?,
         target: target.clone(),
         method: method.clone(),
         path: path.clone(),
@@ -148,7 +148,7 @@
         max_tokens: 1,
         prefix: Digest::of(&[]),
         delivery: Delivery::Whole,
-        idempotency_key: scan_idempotency_key(headers)?,
+        idempotency_key: parse_idempotency_key(headers)?,
         never_retry: !is_idempotent(&method),
         resume: None,
         work: Work::Call {
@@ -158,20 +158,20 @@
             body: Arc::from(body),
         },
     };
-    Ok(Parsed { submission, target })
+    Ok(ParsedRequest { submission, target })
 }
 
-/// Whether HTTP lets a method be repeated.
+/// Returns whether HTTP defines the method as idempotent.
 fn is_idempotent(method: &str) -> bool {
     matches!(method, "GET" | "HEAD" | "PUT" | "DELETE" | "OPTIONS")
 }
 
-fn scan_header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_str<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn scan_key(headers: &HeaderMap) -> Result<[u8; 32], BadRequest> {
-    let value = scan_header(headers, "authorization");
+fn parse_key(headers: &HeaderMap) -> Result<[u8; 32], BadRequest> {
+    let value = header_str(headers, "authorization");
     let key = value.and_then(|v| v.strip_prefix("Bearer "));
     match key.map(str::trim) {
         Some(key) if !key.is_empty() => Ok(digest_key(key)),
@@ -179,12 +179,12 @@
     }
 }
 
-fn scan_idempotency_key(headers: &HeaderMap) -> Result<Option<Name>, BadRequest> {
+fn parse_idempotency_key(headers: &HeaderMap) -> Result<Option<Name>, BadRequest> {
     let Some(value) = headers.get("idempotency-key") else {
         return Ok(None);
     };
     let key = value.to_str().unwrap_or_default().trim();
-    if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY {
+    if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES {
         return Err(BadRequest::new(
             Code::BadRequest,
             "Idempotency-Key is empty, too long or not ASCII",
@@ -193,7 +193,7 @@
     Ok(Some(Name::from(key)))
 }
 
-fn scan_resume(headers: &HeaderMap) -> Result<Option<ResumePoint>, BadRequest> {
+fn parse_resume_point(headers: &HeaderMap) -> Result<Option<ResumePoint>, BadRequest> {
     let Some(value) = headers.get("last-event-id") else {
         return Ok(None);
     };
@@ -214,10 +214,10 @@
 }
 
 fn digest_prefix(chat: &ChatRequest) -> Digest {
-    let mut head = Vec::with_capacity(PREFIX_BYTES);
+    let mut prefix_bytes = Vec::with_capacity(PREFIX_BYTES);
     for message in &chat.messages {
-        let room = PREFIX_BYTES - head.len();
-        head.extend(message.content.bytes().take(room));
+        let remaining = PREFIX_BYTES - prefix_bytes.len();
+        prefix_bytes.extend(message.content.bytes().take(remaining));
     }
-    Digest::of(&[chat.model.as_bytes(), &head])
+    Digest::of(&[chat.model.as_bytes(), &prefix_bytes])
 }
--- a/fireflyd/src/runner.rs
+++ b/fireflyd/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runs work on the upstream and tells the agent's loop what it does.
+//! Runs work on the upstream and reports its progress to the agent's loop.
 
 use std::time::Duration;
 
@@ -13,38 +13,38 @@
 use crate::agent::AgentInput;
 use crate::upstream::{
     EngineClient, EngineEvent, EngineOrder, EngineStream, FencedOrder, FinishReason,
-    GenerateRequest, Model, ModelState, OrderOutcome, PlainAnswer, PlainClient, UpstreamError,
+    GenerateRequest, Model, ModelState, OrderOutcome, PlainClient, PlainResponse, UpstreamError,
 };
 
-/// Bytes of a plain answer that count as one token.
-const PART_BYTES: usize = 32 * 1024;
-/// Time between two looks at the upstream's health.
-const HEALTH_EVERY: Duration = Duration::from_millis(500);
-/// Time between two looks at the upstream's load.
-const LOAD_EVERY: Duration = Duration::from_millis(100);
-/// Looks that must fail before the upstream counts as down.
+/// Bytes of a plain service's response sent as one token.
+const BYTES_PER_TOKEN: usize = 32 * 1024;
+/// Time between two health checks of the upstream.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two reads of the upstream's load.
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of consecutive failed checks after which the upstream counts as down.
 const HEALTH_FAILURES: u32 = 3;
-/// Wait before a broken stream is taken up again.
-const RESUME_WAIT: Duration = Duration::from_millis(50);
-const NOT_FOUND: u16 = 404;
-/// Time between two looks at the engine's models.
-const MODELS_EVERY: Duration = Duration::from_secs(2);
-/// Time between two looks whether an order took effect.
-const EFFECT_LOOK: Duration = Duration::from_millis(250);
-/// Looks before an order counts as failed; two minutes in all.
-const MAX_EFFECT_LOOKS: u32 = 480;
+/// Delay before resuming a broken stream.
+const RESUME_DELAY: Duration = Duration::from_millis(50);
+const STATUS_NOT_FOUND: u16 = 404;
+/// Time between two reads of the engine's models.
+const MODELS_POLL_INTERVAL: Duration = Duration::from_secs(2);
+/// Time between two checks whether an order took effect.
+const EFFECT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of checks after which an order counts as failed; two minutes in total.
+const MAX_EFFECT_CHECKS: u32 = 480;
 
-/// The upstream behind one agent; cloning shares its connections.
+/// Upstream behind an agent; clones share its connections.
 #[derive(Clone, Debug)]
 pub enum Runner {
     /// A model engine.
     Engine(EngineClient),
-    /// A plain service, with its health looked at by connecting.
+    /// A plain service, healthy if `/health` gets any response.
     Plain(PlainClient),
 }
 
 impl Runner {
-    /// Runs one generation or call to its end.
+    /// Runs a generation or call to its end.
     pub async fn run(
         &self,
         generation: GenerationId,
@@ -76,14 +76,17 @@
                     ("content-type", &*content_type),
                     ("x-request-id", &request.to_string()),
                 ];
-                let kept = if content_type.is_empty() {
+                let sent_headers = if content_type.is_empty() {
                     &headers[1..]
                 } else {
                     &headers[..]
                 };
-                match plain.call(&method, &path, kept, body.to_vec()).await {
+                match plain
+                    .call(&method, &path, sent_headers, body.to_vec())
+                    .await
+                {
                     Ok(answer) => {
-                        give_whole(generation, answer, tx).await;
+                        send_plain_response(generation, answer, tx).await;
                         return;
                     }
                     Err(e) => not_started(generation, &e),
@@ -97,20 +100,21 @@
         send(tx, event).await;
     }
 
-    /// Takes up a broken stream, or says that it is lost.
+    /// Resumes a broken stream, or reports that it is lost.
     pub async fn resume(&self, generation: GenerationId, from: u64, tx: &mpsc::Sender<AgentInput>) {
         let Self::Engine(engine) = self else {
             send(tx, AgentEvent::Lost { generation }).await;
             return;
         };
-        tokio::time::sleep(RESUME_WAIT).await;
+        tokio::time::sleep(RESUME_DELAY).await;
         match engine.resume(&generation.to_string(), from).await {
             Ok(stream) => relay(generation, stream, tx).await,
             Err(UpstreamError::NeverSent(_)) => send(tx, AgentEvent::UpstreamDown).await,
             Err(UpstreamError::Answered {
-                status: NOT_FOUND, ..
+                status: STATUS_NOT_FOUND,
+                ..
             }) => {
-                // The engine answers but has forgotten what ran: it was started anew.
+                // The engine answers but doesn't know the stream: it has restarted.
                 send(tx, AgentEvent::UpstreamDown).await;
                 send(tx, AgentEvent::UpstreamUp).await;
             }
@@ -121,45 +125,45 @@
         }
     }
 
-    /// Stops a generation.
+    /// Cancels a generation.
     pub async fn cancel(&self, generation: GenerationId) {
         if let Self::Engine(engine) = self {
-            // A generation that cannot be cancelled ends by itself.
+            // If cancelling fails, the generation runs to its end.
             let _ = engine.cancel(&generation.to_string()).await;
         }
     }
 
-    /// Carries out an order and waits until the upstream has done so.
-    pub async fn carry_out(&self, order: &Order, tx: &mpsc::Sender<AgentInput>) {
+    /// Executes an order and waits until it has taken effect.
+    pub async fn execute_order(&self, order: &Order, tx: &mpsc::Sender<AgentInput>) {
         let code = match self {
-            Self::Engine(engine) => pass_on(engine, order).await,
+            Self::Engine(engine) => forward_order(engine, order).await,
             Self::Plain(_) => Code::OrderFailed,
         };
         if let Self::Engine(engine) = self {
-            tell_models(engine, tx).await;
+            report_models(engine, tx).await;
         }
         send(tx, AgentEvent::OrderSettled(code)).await;
     }
 
-    /// Tells which models the engine holds, for ever.
+    /// Reports the engine's loaded models periodically; never returns for an engine.
     pub async fn watch_models(self, tx: mpsc::Sender<AgentInput>) {
         let Self::Engine(engine) = self else {
             return;
         };
         loop {
-            tell_models(&engine, &tx).await;
-            tokio::time::sleep(MODELS_EVERY).await;
+            report_models(&engine, &tx).await;
+            tokio::time::sleep(MODELS_POLL_INTERVAL).await;
         }
     }
 
-    /// Looks at the upstream's health for ever.
+    /// Checks the upstream's health periodically; never returns.
     pub async fn watch_health(self, tx: mpsc::Sender<AgentInput>) {
         let mut failures = 0;
         let mut up = false;
         loop {
             if self.is_healthy().await {
                 failures = 0;
-                // Said each time: a failed start may have marked it down.
+                // Sent each time: a failed start may have marked the upstream down.
                 up = true;
                 send(&tx, AgentEvent::UpstreamUp).await;
             } else {
@@ -169,11 +173,11 @@
                     send(&tx, AgentEvent::UpstreamDown).await;
                 }
             }
-            tokio::time::sleep(HEALTH_EVERY).await;
+            tokio::time::sleep(HEALTH_CHECK_INTERVAL).await;
         }
     }
 
-    /// Passes on what the upstream reports of its load, for ever.
+    /// Forwards the engine's load reports periodically; never returns for an engine.
     pub async fn watch_load(self, tx: mpsc::Sender<AgentInput>) {
         let Self::Engine(engine) = self else {
             return;
@@ -187,7 +191,7 @@
                 };
                 send(&tx, AgentEvent::Report(report)).await;
             }
-            tokio::time::sleep(LOAD_EVERY).await;
+            tokio::time::sleep(LOAD_POLL_INTERVAL).await;
         }
     }
 
@@ -205,7 +209,7 @@
     }
 }
 
-async fn pass_on(engine: &EngineClient, order: &Order) -> Code {
+async fn forward_order(engine: &EngineClient, order: &Order) -> Code {
     let model = order.model.clone();
     let fenced = FencedOrder {
         fence: order.fence,
@@ -215,7 +219,7 @@
         },
     };
     match engine.order(&fenced).await {
-        Ok(OrderOutcome::Taken) => wait_for_effect(engine, order).await,
+        Ok(OrderOutcome::Accepted) => wait_for_effect(engine, order).await,
         Ok(OrderOutcome::Fenced { .. }) => Code::OrderFenced,
         Err(e) => {
             log::warn!(event = "order_failed", req:% = order.id, cause:% = e; "");
@@ -224,22 +228,22 @@
     }
 }
 
-/// Waits until the engine holds the model, or holds it no more.
+/// Waits until the engine has loaded or unloaded the model.
 async fn wait_for_effect(engine: &EngineClient, order: &Order) -> Code {
-    let wanted = order.kind == OrderKind::Load;
-    for _ in 0..MAX_EFFECT_LOOKS {
+    let should_be_loaded = order.kind == OrderKind::Load;
+    for _ in 0..MAX_EFFECT_CHECKS {
         if let Ok(list) = engine.models().await {
             let is_loaded = |m: &Model| m.name == order.model && m.state == ModelState::Loaded;
-            if list.models.iter().any(is_loaded) == wanted {
+            if list.models.iter().any(is_loaded) == should_be_loaded {
                 return Code::OrderDone;
             }
         }
-        tokio::time::sleep(EFFECT_LOOK).await;
+        tokio::time::sleep(EFFECT_CHECK_INTERVAL).await;
     }
     Code::OrderFailed
 }
 
-async fn tell_models(engine: &EngineClient, tx: &mpsc::Sender<AgentInput>) {
+async fn report_models(engine: &EngineClient, tx: &mpsc::Sender<AgentInput>) {
     let Ok(list) = engine.models().await else {
         return;
     };
@@ -279,7 +283,7 @@
     }
 }
 
-/// What a call says that gave no stream or answer.
+/// Returns the event for a call that produced no stream or response.
 fn not_started(generation: GenerationId, e: &UpstreamError) -> AgentEvent {
     log::warn!(event = "upstream_call_failed", generation:% = generation, cause:% = e; "");
     let code = match e {
@@ -307,7 +311,7 @@
                 finish: Finish {
                     total: 0,
                     code: Code::Ok,
-                    reason: reason_word(&reason),
+                    reason: reason_name(&reason),
                     status: 0,
                     content_type: Name::from(""),
                     prompt_tokens: u32::try_from(usage.prompt_tokens).unwrap_or(u32::MAX),
@@ -315,8 +319,8 @@
                     crashes: 0,
                 },
             },
-            EngineEvent::Broken { why } => {
-                log::warn!(event = "upstream_stream_broken", generation:% = generation, cause = why; "");
+            EngineEvent::Broken { cause } => {
+                log::warn!(event = "upstream_stream_broken", generation:% = generation, cause = cause; "");
                 AgentEvent::Broken { generation }
             }
         };
@@ -324,17 +328,25 @@
     }
 }
 
-fn reason_word(reason: &FinishReason) -> Name {
+fn reason_name(reason: &FinishReason) -> Name {
     match reason {
         FinishReason::Stop => Name::from("stop"),
         FinishReason::Length => Name::from("length"),
         FinishReason::Cancelled => Name::from("cancelled"),
-        FinishReason::Other(word) => word.clone(),
+        FinishReason::Other(name) => name.clone(),
     }
 }
 
-async fn give_whole(generation: GenerationId, answer: PlainAnswer, tx: &mpsc::Sender<AgentInput>) {
-    let tokens: Vec<Vec<u8>> = answer.body.chunks(PART_BYTES).map(<[u8]>::to_vec).collect();
+async fn send_plain_response(
+    generation: GenerationId,
+    answer: PlainResponse,
+    tx: &mpsc::Sender<AgentInput>,
+) {
+    let tokens: Vec<Vec<u8>> = answer
+        .body
+        .chunks(BYTES_PER_TOKEN)
+        .map(<[u8]>::to_vec)
+        .collect();
     if !tokens.is_empty() {
         send(tx, AgentEvent::Tokens { generation, tokens }).await;
     }
@@ -352,6 +364,6 @@
 }
 
 async fn send(tx: &mpsc::Sender<AgentInput>, event: AgentEvent) {
-    // The loop ends only when nothing runs; its end needs no news.
+    // The loop ends only when nothing is running, so a failed send loses nothing.
     let _ = tx.send(AgentInput::Core(event)).await;
 }
--- a/fireflyd/src/setting_check.rs
+++ b/fireflyd/src/setting_check.rs
@@ -1,4 +1,4 @@
-//! Checking the texts of flags and variables one by one.
+//! Validation of the values of flags and environment variables.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,22 +11,22 @@
 
 use crate::flags::{AGENT_ONLY, CHECK_CONFIG, ENTRY_ONLY, FLAGS, Flag, env_name};
 use crate::settings::{
-    AgentSettings, EntrySettings, Fault, Role, RoleSettings, Settings, Timeouts, TlsFiles,
+    AgentSettings, EntrySettings, Role, RoleSettings, SettingFault, Settings, Timeouts, TlsFiles,
     UpstreamKind,
 };
 
-/// Longest name in bytes.
+/// Maximum length of a name in bytes.
 const MAX_NAME: usize = 63;
-/// Longest timeout in milliseconds: an hour.
+/// Maximum timeout in milliseconds: an hour.
 const MAX_MS: u64 = 3_600_000;
 
-/// The settings that the flags and variables make, or all faults in the order of the flags.
+/// Returns the settings from flags and variables, or all faults in the order of the flags.
 pub(crate) fn check(
     matches: &ArgMatches,
     env: &HashMap<String, String>,
-) -> Result<Settings, Vec<Fault>> {
-    let mut check = Check {
-        texts: texts(matches, env),
+) -> Result<Settings, Vec<SettingFault>> {
+    let mut check = Checker {
+        raw_values: raw_values(matches, env),
         faults: Vec::new(),
     };
     let settings = check.settings(matches);
@@ -38,16 +38,19 @@
     }
 }
 
-/// Text of each flag that has one: as a flag, else as a variable, else by default.
-fn texts(matches: &ArgMatches, env: &HashMap<String, String>) -> HashMap<&'static str, Text> {
+/// Returns the raw value of each setting: from its flag, else its variable, else its default.
+fn raw_values(
+    matches: &ArgMatches,
+    env: &HashMap<String, String>,
+) -> HashMap<&'static str, RawValue> {
     let text = |flag: &Flag| {
         let given = (flag.name != CHECK_CONFIG)
             .then(|| matches.get_one::<String>(flag.name).cloned())
             .flatten()
             .or_else(|| env.get(&env_name(flag.name)).cloned());
         let text = match given {
-            Some(text) => Text { text, given: true },
-            None => Text {
+            Some(text) => RawValue { text, given: true },
+            None => RawValue {
                 text: flag.default?.to_owned(),
                 given: false,
             },
@@ -57,24 +60,24 @@
     FLAGS.iter().filter_map(text).collect()
 }
 
-/// Text of a setting.
-struct Text {
+/// Unparsed value of a setting.
+struct RawValue {
     text: String,
-    /// Whether it was given, by flag or variable.
+    /// Whether the value was given by flag or variable.
     given: bool,
 }
 
-/// Checks the texts and gathers the faults.
-struct Check {
-    texts: HashMap<&'static str, Text>,
-    faults: Vec<Fault>,
+/// Validates the raw values and collects the faults.
+struct Checker {
+    raw_values: HashMap<&'static str, RawValue>,
+    faults: Vec<SettingFault>,
 }
 
-impl Check {
-    /// The settings; when there is a fault, it is gathered and what comes back doesn't count.
+impl Checker {
+    /// Returns the settings; on a fault, the fault is collected and the result must be ignored.
     fn settings(&mut self, matches: &ArgMatches) -> Option<Settings> {
         let role = self.role();
-        // Each part is looked at, whatever is wrong with the ones before it.
+        // Each part is checked, even if earlier ones are invalid.
         let name = self.name("name");
         let data_centre = self.name("data-centre");
         let role = role.and_then(|role| self.role_settings(role));
@@ -133,7 +136,7 @@
         })
     }
 
-    /// Both files; neither of them is no fault.
+    /// Returns both TLS files, or `None` if neither is set; only one of them is a fault.
     fn tls(&mut self) -> Option<TlsFiles> {
         match (self.text("tls-cert-file"), self.text("tls-key-file")) {
             (Some(cert), Some(key)) => Some(TlsFiles {
@@ -171,7 +174,7 @@
         })
     }
 
-    /// The service name, which a plain upstream needs and an engine must not have.
+    /// Returns the service name, required for a plain service and forbidden for an engine.
     fn service(&mut self, kind: Option<UpstreamKind>) -> Option<Arc<str>> {
         match (kind, self.text("service")) {
             (Some(UpstreamKind::Engine), Some(_)) => {
@@ -222,15 +225,15 @@
         self.flag(CHECK_CONFIG)
     }
 
-    /// The text of a setting; an empty one counts as not given.
+    /// Returns the text of a setting; an empty text counts as not given.
     fn text(&self, flag: &'static str) -> Option<String> {
-        let text = &self.texts.get(flag)?.text;
+        let text = &self.raw_values.get(flag)?.text;
         (!text.is_empty()).then(|| text.clone())
     }
 
     fn fault<T>(&mut self, flag: &'static str, allowed: impl Into<String>) -> Option<T> {
-        let given = self.texts.get(flag).map(|text| text.text.clone());
-        self.faults.push(Fault {
+        let given = self.raw_values.get(flag).map(|text| text.text.clone());
+        self.faults.push(SettingFault {
             flag: flag.to_owned(),
             given,
             allowed: allowed.into(),
@@ -240,7 +243,7 @@
 
     fn forbid(&mut self, flags: &[&'static str], allowed: &str) {
         for &flag in flags {
-            if self.texts.get(flag).is_some_and(|text| text.given) {
+            if self.raw_values.get(flag).is_some_and(|text| text.given) {
                 self.fault::<()>(flag, allowed);
             }
         }
@@ -276,8 +279,8 @@
     fn name(&mut self, flag: &'static str) -> Option<Arc<str>> {
         let allowed = format!("1 to {MAX_NAME} letters, digits, '-', '_' or '.'");
         let text = self.required(flag, &allowed)?;
-        let wanted = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-        if text.len() <= MAX_NAME && text.bytes().all(wanted) {
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+        if text.len() <= MAX_NAME && text.bytes().all(is_allowed) {
             Some(text.into())
         } else {
             self.fault(flag, allowed)
@@ -309,10 +312,10 @@
         }
     }
 
-    fn millis(&mut self, flag: &'static str, least: u64) -> Option<Duration> {
-        let allowed = format!("{least} to {MAX_MS} milliseconds");
+    fn millis(&mut self, flag: &'static str, min: u64) -> Option<Duration> {
+        let allowed = format!("{min} to {MAX_MS} milliseconds");
         let millis = self.parsed(flag, &allowed)?;
-        if (least..=MAX_MS).contains(&millis) {
+        if (min..=MAX_MS).contains(&millis) {
             Some(Duration::from_millis(millis))
         } else {
             self.fault(flag, allowed)
@@ -328,7 +331,7 @@
         }
     }
 
-    /// A truth value; false when not given.
+    /// Returns a boolean setting; false when not given.
     fn flag(&mut self, flag: &'static str) -> Option<bool> {
         if self.text(flag).is_none() {
             return Some(false);
--- a/fireflydirect/tests/processes_owners.rs
+++ b/fireflydirect/tests/processes_owners.rs
@@ -90,7 +90,7 @@
             let other_engine = choose_with_replies(&site, second_entry).await;
             assert_ne!(other_engine, busy_engine, "both generations on one engine");
             drop(running);
-            until("the end", || async { site.record.running() == 0 }).await;
+            until("the end", || async { site.record.running_count() == 0 }).await;
         }
     }
 
--- a/fireflydirect/tests/processes_pause.rs
+++ b/fireflydirect/tests/processes_pause.rs
@@ -19,12 +19,12 @@
 /// the first entry.
 async fn start_pause(site: &Site, plain: usize, seconds: &str) -> Instant {
     let upstream = &site.plains[plain];
-    upstream.say(RETRY_AFTER, Some(seconds));
-    upstream.set_fault(AnswerFault::Full);
+    upstream.set_header(RETRY_AFTER, Some(seconds));
+    upstream.set_fault(AnswerFault::Reject);
     until("a request that is turned away", || async {
         let call = site.call(0, "GET", "/fetch/a", &site.id());
         call.send().await.unwrap();
-        upstream.turned_away() > 0
+        upstream.rejected() > 0
     })
     .await;
     Instant::now()
@@ -35,13 +35,13 @@
 async fn requests_in_pause(site: &Site, plain: usize, status: u16) -> usize {
     let started = start_pause(site, plain, "3").await;
     tokio::time::sleep(REACTION_TIME).await;
-    let before = site.plains[plain].turned_away();
+    let before = site.plains[plain].rejected();
     while started.elapsed() < Duration::from_millis(2_800) {
         let call = site.call(0, "GET", "/fetch/a", &site.id());
         assert_eq!(call.send().await.unwrap().status(), status);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    site.plains[plain].turned_away() - before
+    site.plains[plain].rejected() - before
 }
 
 cases! {
@@ -51,7 +51,7 @@
     }
 
     only_upstream_that_asks_for_a_pause_gets_nothing_until_its_end(site: 1) {
-        site.store.put("servers", "p-1", &site.plains[1].entry("records", "draining"));
+        site.store.put("servers", "p-1", &site.plains[1].registration("records", "draining"));
         until("the other upstream's leave notice", || async {
             site.run_fireflyctl(0, &["entries", "upstreams"]).await.1.contains(" leaving ")
         })
--- a/fireflydirect/tests/processes_restored.rs
+++ b/fireflydirect/tests/processes_restored.rs
@@ -33,7 +33,7 @@
 
 fn announce_state(site: &Site, engine: usize, state: &str) {
     let engine = &site.engines[engine];
-    let entry = engine.entry("models", state);
+    let entry = engine.registration("models", state);
     site.store.put("servers", &engine.instance(), &entry);
 }
 
@@ -54,7 +54,7 @@
 
 cases! {
     leaving_said_again_at_a_lower_revision_holds(site: 2) {
-        let copy = site.store.copy();
+        let copy = site.store.snapshot();
         write_many_objects(&site);
         announce_state(&site, 1, "ready");
         for entry in 0..2 {
@@ -74,7 +74,7 @@
     }
 
     upstream_that_left_is_not_believed_to_serve(site: 2) {
-        let copy = site.store.copy();
+        let copy = site.store.snapshot();
         announce_state(&site, 1, "draining");
         for entry in 0..2 {
             until_leaving(&site, entry, "m-1").await;
@@ -87,7 +87,7 @@
     }
 
     engine_that_started_since_the_copy_goes_on(site: 2) {
-        let copy = site.store.copy();
+        let copy = site.store.snapshot();
         site.add_engine(2).await;
         for entry in 0..2 {
             until("the new engine", || serves(&site, entry, "m-2")).await;
@@ -107,13 +107,13 @@
             assert!(serves(&site, entry, "m-2").await, "{}", site.log(entry));
         }
         let engine = &site.engines[2];
-        site.store.put("servers", "m-2", &engine.entry("models", "ready"));
+        site.store.put("servers", "m-2", &engine.registration("models", "ready"));
         assert_eq!(running.text().await.unwrap(), whole_stream(&id, 200));
         assert_eq!(site.record.runs_of(&id).len(), 1, "the run was migrated");
     }
 
     configuration_does_not_go_back(site: 2) {
-        let copy = site.store.copy();
+        let copy = site.store.snapshot();
         site.publish_routes(&[KEY], &[("new", "/new/")]);
         for entry in 0..2 {
             until("the new route", || async {
@@ -137,7 +137,7 @@
     }
 
     entry_cut_off_hears_of_the_era_from_another(site: 3) {
-        let copy = site.store.copy();
+        let copy = site.store.snapshot();
         write_many_objects(&site);
         announce_state(&site, 1, "ready");
         let denied = IpAddr::V4(site.entries[1].ip);
@@ -149,7 +149,7 @@
     }
 
     two_drills_and_an_outage(site: 2) {
-        let copy = site.store.copy();
+        let copy = site.store.snapshot();
         write_many_objects(&site);
         site.store.restore(copy.clone());
         write_many_objects(&site);
--- a/fireflydirect/tests/soak_parts/conditions.rs
+++ b/fireflydirect/tests/soak_parts/conditions.rs
@@ -1,7 +1,7 @@
 //! Rate limits, leave notices and pauses in the responses of a soak's upstreams.
 
 use crate::soak_parts::faults::{DRAIN_TIMES, Soak, Undo};
-use standins::site::{AnswerFault, EngineKind, NamedRate};
+use standins::site::{AnnouncedRate, AnswerFault, EngineKind};
 use std::time::{Duration, Instant};
 
 /// Header of the requests per second that an upstream accepts from all entries.
@@ -30,8 +30,8 @@
             return;
         }
         let per_second = u32::try_from(pick % 4).unwrap();
-        upstream.say(RATE_LIMIT, Some(&per_second.to_string()));
-        self.evidence.rates.push(NamedRate {
+        upstream.set_header(RATE_LIMIT, Some(&per_second.to_string()));
+        self.evidence.rates.push(AnnouncedRate {
             instance,
             per_second,
             span: (now, end),
@@ -40,7 +40,7 @@
     }
 
     pub(super) fn lift_rate_limit(&self, kind: EngineKind, number: usize) {
-        self.upstream(kind, number).say(RATE_LIMIT, None);
+        self.upstream(kind, number).set_header(RATE_LIMIT, None);
     }
 
     /// Adds leave notices to the responses of an engine; the store shows them at `listed_at`.
@@ -51,9 +51,9 @@
         self.announced.insert(engine, true);
         self.replace_engine().await;
         let upstream = &self.site.engines[engine];
-        upstream.say(LEAVING, Some("1"));
+        upstream.set_header(LEAVING, Some("1"));
         let announced = (upstream.instance(), Instant::now());
-        self.evidence.said_leaving.extend([announced]);
+        self.evidence.departing.extend([announced]);
         self.pending_undos
             .push((listed_at, Undo::ListLeaving(engine)));
     }
@@ -72,13 +72,13 @@
     /// Makes a plain upstream reject requests and ask for pauses until `end`.
     pub(super) fn request_pause(&mut self, plain: usize, end: Instant) {
         let upstream = &self.site.plains[plain];
-        upstream.say(RETRY_AFTER, Some(PAUSE_SECONDS));
-        upstream.set_fault(AnswerFault::Full);
+        upstream.set_header(RETRY_AFTER, Some(PAUSE_SECONDS));
+        upstream.set_fault(AnswerFault::Reject);
         self.pending_undos.push((end, Undo::Pause(plain)));
     }
 
     pub(super) fn end_pause(&self, plain: usize) {
-        self.site.plains[plain].say(RETRY_AFTER, None);
+        self.site.plains[plain].set_header(RETRY_AFTER, None);
         self.site.plains[plain].set_fault(AnswerFault::None);
     }
 }
--- a/fireflydirect/tests/soak_parts/plan.rs
+++ b/fireflydirect/tests/soak_parts/plan.rs
@@ -2,7 +2,7 @@
 
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use standins::site::{AnswerFault, Harm};
+use standins::site::{AnswerFault, ProxyFault};
 use std::time::Duration;
 
 /// A fault or an operation on the site.
@@ -31,9 +31,9 @@
     /// The store serves stale reads, then drops its history.
     StaleStore,
     /// A fault on the connections to an upstream.
-    UpstreamConnection(Harm),
+    UpstreamConnection(ProxyFault),
     /// A fault on the connections to the store.
-    StoreConnection(Harm),
+    StoreConnection(ProxyFault),
     /// The store drops its history.
     Compact,
     /// The store is restored from a snapshot made at the fault's start; upstreams and the operator
@@ -156,21 +156,21 @@
 
 fn draw_answer_fault(rng: &mut impl Rng) -> AnswerFault {
     match rng.random_range(0..7) {
-        0 => AnswerFault::Full,
-        1 => AnswerFault::Fails,
-        2 => AnswerFault::Loses,
-        3 => AnswerFault::Tears,
-        4 => AnswerFault::Doubles,
+        0 => AnswerFault::Reject,
+        1 => AnswerFault::Error,
+        2 => AnswerFault::DropAnswer,
+        3 => AnswerFault::Truncate,
+        4 => AnswerFault::Duplicate,
         5 => AnswerFault::Slow,
-        _ => AnswerFault::Hangs,
+        _ => AnswerFault::Hang,
     }
 }
 
-fn draw_connection_fault(rng: &mut impl Rng) -> Harm {
+fn draw_connection_fault(rng: &mut impl Rng) -> ProxyFault {
     match rng.random_range(0..4) {
-        0 => Harm::Delay(Duration::from_millis(rng.random_range(5..200))),
-        1 => Harm::OneWay,
-        2 => Harm::Silence,
-        _ => Harm::Reset,
+        0 => ProxyFault::Delay(Duration::from_millis(rng.random_range(5..200))),
+        1 => ProxyFault::BlockAnswers,
+        2 => ProxyFault::BlockAll,
+        _ => ProxyFault::Reset,
     }
 }
--- a/standins/src/bin/demo-callers.rs
+++ b/standins/src/bin/demo-callers.rs
@@ -1,4 +1,4 @@
-//! The callers of the demo as a program.
+//! Runs the callers of the demo.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,19 +11,22 @@
 #[tokio::main]
 async fn main() -> anyhow::Result<ExitCode> {
     let matches = command().get_matches();
-    let many = |name: &str| {
+    let values_of = |name: &str| {
         let values = matches.get_many::<String>(name).unwrap_or_default();
         values.cloned().collect::<Vec<_>>()
     };
     let cfg = Config {
-        entries: many("entry"),
-        run_logs: many("run-log").into_iter().map(PathBuf::from).collect(),
+        entries: values_of("entry"),
+        run_logs: values_of("run-log")
+            .into_iter()
+            .map(PathBuf::from)
+            .collect(),
         long_tokens: value(&matches, "long-tokens")?,
-        span: Duration::from_secs(value(&matches, "span-s")?),
-        patience: Duration::from_secs(value(&matches, "patience-s")?),
+        duration: Duration::from_secs(value(&matches, "span-s")?),
+        request_timeout: Duration::from_secs(value(&matches, "patience-s")?),
     };
-    let kept = demo::run(&cfg).await?;
-    Ok(if kept {
+    let passed = demo::run(&cfg).await?;
+    Ok(if passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -32,7 +35,7 @@
 
 fn command() -> Command {
     Command::new("demo-callers")
-        .about("Callers with long and short requests, and a check of what they got")
+        .about("Sends long and short requests and checks the responses")
         .arg(
             optional("entry", "Base URL of an entry; may be given several times")
                 .action(ArgAction::Append)
@@ -50,7 +53,7 @@
         .arg(flag(
             "span-s",
             &25,
-            "Seconds for which clerks send short requests",
+            "Seconds during which short requests are sent",
         ))
         .arg(flag(
             "patience-s",
--- a/standins/src/bin/fireflyload.rs
+++ b/standins/src/bin/fireflyload.rs
@@ -1,4 +1,4 @@
-//! The load tool as a program.
+//! Command line of the load tool.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -21,37 +21,33 @@
 
 fn command() -> Command {
     Command::new("fireflyload")
-        .about("Open-loop load on entries or engines")
+        .about("Generates open-loop load on entries or engines")
         .args_conflicts_with_subcommands(true)
-        .arg(targets())
-        .arg(switch("straight", "Targets are engines, not entries"))
+        .arg(target_arg())
+        .arg(switch_arg("straight", "Targets are engines, not entries"))
         .arg(flag(
             "mix",
             "celje",
             "Built-in mix (celje, kerlann) or path of a JSON mix",
         ))
-        .arg(optional("model", "Model to ask for instead of the mix's"))
-        .arg(keys())
-        .arg(flag("rate", &5, "Requests a second, in the model of time"))
+        .arg(optional("model", "Model to request instead of the mix's"))
+        .arg(key_arg())
+        .arg(flag("rate", &5, "Requests per second of simulated time"))
         .arg(flag(
             "duration-s",
             &60,
-            "Seconds of arrivals, in the model of time",
+            "Seconds of arrivals, in simulated time",
         ))
         .arg(flag(
             "drain-s",
             &300,
-            "Seconds to wait for answers after that",
+            "Seconds to wait for answers after the last arrival",
         ))
-        .arg(flag(
-            "time-scale",
-            &1,
-            "How many times faster the engines run",
-        ))
-        .arg(flag("seed", &1, "Seed of the arrivals"))
+        .arg(flag("time-scale", &1, "Speed-up factor of the engines"))
+        .arg(flag("seed", &1, "Seed of the arrival process"))
         .arg(optional(
             "record",
-            "File that receives the record, instead of standard output",
+            "File to write the record to, instead of standard output",
         ))
         .subcommand(report_command())
 }
@@ -64,12 +60,12 @@
                 .required(true)
                 .action(ArgAction::Append)
                 .num_args(1..)
-                .help("Records of runs"),
+                .help("Files with records of runs"),
         )
-        .arg(flag("svg", "report.svg", "File that receives the chart"))
+        .arg(flag("svg", "report.svg", "File to write the chart to"))
 }
 
-fn targets() -> Arg {
+fn target_arg() -> Arg {
     optional(
         "target",
         "Base URL of an entry or engine; may be given several times",
@@ -78,7 +74,7 @@
     .value_delimiter(',')
 }
 
-fn keys() -> Arg {
+fn key_arg() -> Arg {
     optional(
         "key",
         "WORKSPACE=KEY instead of the mix's key; may be given several times",
@@ -87,16 +83,16 @@
     .value_delimiter(',')
 }
 
-fn switch(name: &'static str, help: &'static str) -> Arg {
+fn switch_arg(name: &'static str, help: &'static str) -> Arg {
     optional(name, help).action(ArgAction::SetTrue)
 }
 
 async fn run(matches: &ArgMatches) -> anyhow::Result<()> {
-    cli::start_logs();
+    cli::init_logging();
     let record = load::run(config(matches)?).await?;
     let json = serde_json::to_string_pretty(&record)?;
     if let Some(path) = matches.get_one::<String>("record") {
-        return std::fs::write(path, json).context("--record can't be written");
+        return std::fs::write(path, json).context("can't write the file of --record");
     }
     println!("{json}");
     Ok(())
@@ -107,16 +103,16 @@
     Ok(Config {
         targets: targets.cloned().collect(),
         straight: matches.get_flag("straight"),
-        mix: mix(matches)?,
+        mix: load_mix(matches)?,
         rate: value(matches, "rate")?,
-        duration: seconds(matches, "duration-s")?,
-        drain: seconds(matches, "drain-s")?,
+        duration: parse_seconds(matches, "duration-s")?,
+        drain: parse_seconds(matches, "drain-s")?,
         time_scale: value(matches, "time-scale")?,
         seed: value(matches, "seed")?,
     })
 }
 
-fn mix(matches: &ArgMatches) -> anyhow::Result<Mix> {
+fn load_mix(matches: &ArgMatches) -> anyhow::Result<Mix> {
     let name: String = value(matches, "mix")?;
     let mut mix = match Mix::built_in(&name) {
         Some(mix) => mix,
@@ -143,18 +139,19 @@
         }
     }
     match keys.first_key_value() {
-        Some((workspace, _)) => bail!("--key names no workspace of the mix: {workspace}"),
+        Some((workspace, _)) => bail!("--key: the mix has no workspace {workspace}"),
         None => Ok(()),
     }
 }
 
-fn seconds(matches: &ArgMatches, name: &str) -> anyhow::Result<Duration> {
-    Duration::try_from_secs_f64(value(matches, name)?).with_context(|| format!("--{name} is wrong"))
+fn parse_seconds(matches: &ArgMatches, name: &str) -> anyhow::Result<Duration> {
+    Duration::try_from_secs_f64(value(matches, name)?)
+        .with_context(|| format!("--{name} is not a valid duration"))
 }
 
 fn read_json<T: serde::de::DeserializeOwned>(path: &str) -> anyhow::Result<T> {
     let text = std::fs::read_to_string(path).with_context(|| format!("can't read {path}"))?;
-    serde_json::from_str(&text).with_context(|| format!("can't understand {path}"))
+    serde_json::from_str(&text).with_context(|| format!("can't parse {path}"))
 }
 
 fn report(matches: &ArgMatches) -> anyhow::Result<()> {
--- a/standins/src/caller/events.rs
+++ b/standins/src/caller/events.rs
@@ -1,30 +1,30 @@
-//! Server-sent events with their ids, from the chunks of a body.
+//! Parser of server-sent events with their ids.
 
 use serde_json::Value;
 
-/// One event.
+/// A server-sent event.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Event {
-    /// Id to come back with.
+    /// Value for `Last-Event-ID` on a reconnection.
     pub(super) id: Option<String>,
-    /// Text of its data.
+    /// Contents of the `data` fields.
     pub(super) data: String,
 }
 
-/// What the data of an event says.
+/// Parsed data of an event.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Said {
-    /// Part of the answer, which may be empty.
+pub(super) enum Payload {
+    /// Part of the answer; may be empty.
     Text(String),
-    /// The end of the answer.
+    /// End of the answer.
     Done,
-    /// The system ended the answer with this error.
+    /// Error that ended the answer.
     Error(Value),
-    /// Nothing that a caller understands.
+    /// Data that isn't JSON.
     Unreadable,
 }
 
-/// Splits a body into events.
+/// Incremental splitter of a body into events.
 #[derive(Debug, Default)]
 pub(super) struct Reader {
     buf: Vec<u8>,
@@ -32,16 +32,16 @@
 }
 
 impl Reader {
-    /// Takes in a chunk.
+    /// Appends a chunk of the body.
     pub(super) fn push(&mut self, chunk: &[u8]) {
         self.buf.extend_from_slice(chunk);
     }
 
-    /// The next whole event.
+    /// Returns the next complete event, if there is one.
     pub(super) fn next(&mut self) -> Option<Event> {
         loop {
-            let end = self.buf.iter().position(|byte| *byte == b'\n')?;
-            let line: Vec<u8> = self.buf.drain(..=end).collect();
+            let line_end = self.buf.iter().position(|byte| *byte == b'\n')?;
+            let line: Vec<u8> = self.buf.drain(..=line_end).collect();
             let line = String::from_utf8_lossy(&line);
             if let Some(event) = self.line(line.trim_end_matches(['\r', '\n'])) {
                 return Some(event);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes in a line; an empty one ends an event.
+    /// Processes a line; an empty one ends an event.
     fn line(&mut self, line: &str) -> Option<Event> {
         if line.is_empty() {
             let event = std::mem::take(&mut self.event);
@@ -65,18 +65,18 @@
 }
 
 impl Event {
-    /// What it says.
-    pub(super) fn said(&self) -> Said {
+    /// Parses the data.
+    pub(super) fn payload(&self) -> Payload {
         if self.data == "[DONE]" {
-            return Said::Done;
+            return Payload::Done;
         }
         match serde_json::from_str::<Value>(&self.data) {
-            Ok(value) if value.get("error").is_some() => Said::Error(value),
+            Ok(value) if value.get("error").is_some() => Payload::Error(value),
             Ok(value) => {
                 let content = &value["choices"][0]["delta"]["content"];
-                Said::Text(content.as_str().unwrap_or_default().to_owned())
+                Payload::Text(content.as_str().unwrap_or_default().to_owned())
             }
-            Err(_) => Said::Unreadable,
+            Err(_) => Payload::Unreadable,
         }
     }
 }
--- a/standins/src/demo/mod.rs
+++ b/standins/src/demo/mod.rs
@@ -1,7 +1,7 @@
-//! The demo's callers: long and short requests at once, live progress, a table
-//! of what each got, and the oracle's judgement.
+//! Callers of the demo: concurrent long and short requests, live progress, a
+//! table of the results, and the oracle's verdict.
 
-mod cast;
+mod callers;
 mod table;
 
 use std::path::PathBuf;
@@ -10,13 +10,13 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-use crate::caller::{Caller, Got};
-use crate::oracle::{Runs, judge};
+use crate::caller::{Caller, RequestOutcome};
+use crate::oracle::{Runs, find_breaches};
 
-/// Time between two lines of progress.
-const PROGRESS: Duration = Duration::from_secs(1);
+/// Time between two progress lines.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a demo is told.
+/// Configuration of a demo.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Base URLs of the entries.
@@ -25,56 +25,59 @@
     pub run_logs: Vec<PathBuf>,
     /// Tokens of a long answer.
     pub long_tokens: u64,
-    /// For how long clerks send short requests.
-    pub span: Duration,
+    /// Time during which short requests are sent.
+    pub duration: Duration,
     /// Time after which a request counts as hung.
-    pub patience: Duration,
+    pub request_timeout: Duration,
 }
 
-/// Runs all callers and prints what they got; true when every promise held.
+/// Runs all callers and prints their results; returns whether every guarantee held.
 ///
 /// # Errors
 ///
-/// When a run log can't be read.
+/// Fails when the HTTP client can't be built or a run log can't be read.
 pub async fn run(cfg: &Config) -> anyhow::Result<bool> {
-    let caller = Caller::new(cfg.entries.iter().cloned(), cfg.patience)?;
+    let caller = Caller::new(cfg.entries.iter().cloned(), cfg.request_timeout)?;
     let mut tasks = JoinSet::new();
-    cast::start(&mut tasks, &caller, cfg);
-    let mut all = watch(&mut tasks, &caller).await;
+    callers::start(&mut tasks, &caller, cfg);
+    let mut all = await_callers(&mut tasks, &caller).await;
     all.sort_by(|a, b| a.request.mark.cmp(&b.request.mark));
     print!("{}", table::table(&all));
     let runs = Runs::read(&cfg.run_logs)?;
-    let breaches = judge(&runs, &all);
-    for breach in &breaches {
-        println!("BROKEN {breach}");
+    let violations = find_breaches(&runs, &all);
+    for violation in &violations {
+        println!("BROKEN {violation}");
     }
     print!("{}", table::summary(&runs, &all));
     println!(
-        "promises {}",
-        if breaches.is_empty() {
+        "guarantees {}",
+        if violations.is_empty() {
             "held"
         } else {
             "BROKEN"
         }
     );
-    Ok(breaches.is_empty())
+    Ok(violations.is_empty())
 }
 
-/// Waits for all callers and prints a line of progress now and then.
-async fn watch(tasks: &mut JoinSet<Vec<Got>>, caller: &Caller) -> Vec<Got> {
+/// Waits for all callers, printing a progress line every [`PROGRESS_INTERVAL`].
+async fn await_callers(
+    tasks: &mut JoinSet<Vec<RequestOutcome>>,
+    caller: &Caller,
+) -> Vec<RequestOutcome> {
     let start = Instant::now();
-    let mut ticks = interval(PROGRESS);
+    let mut ticks = interval(PROGRESS_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
-    let mut all: Vec<Got> = Vec::new();
+    let mut all: Vec<RequestOutcome> = Vec::new();
     loop {
         tokio::select! {
             done = tasks.join_next() => match done {
                 Some(Ok(got)) => all.extend(got),
-                Some(Err(e)) => println!("a caller failed: {e}"),
+                Some(Err(e)) => println!("caller task failed: {e}"),
                 None => return all,
             },
             _ = ticks.tick() => println!(
-                "{:>3} s  {:>2} callers at work  {:>6} tokens",
+                "{:>3} s  {:>2} callers active  {:>6} tokens",
                 start.elapsed().as_secs(),
                 tasks.len(),
                 caller.tokens(),
--- a/standins/src/engine/core.rs
+++ b/standins/src/engine/core.rs
@@ -1,21 +1,21 @@
-//! The scheduler together with the streams that it feeds.
+//! The scheduler and the streams that receive its tokens.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::batch::{Batch, Committed, Limits, Plan, SeqKey, Sequence};
+use super::batch::{Batch, Limits, SeqKey, Sequence, StepPlan, StepResult};
 use super::cache::{CacheChange, PrefixCache};
 use super::config::Config;
 use super::length;
 use super::load::Load;
 use super::log::RunEvent;
 use super::prompt::Prompt;
-use super::stream::{Reader, Reason, Stream, StreamParts};
+use super::stream::{EndReason, Reader, Stream, StreamParts};
 use super::text::TokenText;
 
-/// A request that passed the checks of its form.
+/// A parsed generation request.
 #[derive(Debug)]
 pub(super) struct Submission {
     pub(super) model: Arc<str>,
@@ -26,18 +26,18 @@
     pub(super) request_id: Option<Arc<str>>,
 }
 
-/// Why a request isn't taken.
+/// The reason for rejecting a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Refusal {
+pub(super) enum SubmitError {
     /// The model isn't loaded.
     UnknownModel,
-    /// The prompt is longer than the engine can hold.
+    /// The prompt exceeds the length limit or the memory.
     PromptTooLong,
-    /// A generation in progress has the stream id.
+    /// A generation in progress uses the stream id.
     StreamIdTaken,
 }
 
-/// The scheduler with the streams it feeds.
+/// The scheduler, the prefix cache and the streams.
 #[derive(Debug)]
 pub(super) struct Core {
     batch: Batch,
@@ -46,7 +46,7 @@
     by_id: HashMap<Arc<str>, Arc<Stream>>,
     next_key: SeqKey,
     nonces: RandomState,
-    step: Duration,
+    step_duration: Duration,
 }
 
 impl Core {
@@ -61,28 +61,28 @@
             by_id: HashMap::new(),
             next_key: 1,
             nonces: RandomState::new(),
-            step: Duration::ZERO,
+            step_duration: Duration::ZERO,
         }
     }
 
-    /// Takes a request into the waiting queue.
+    /// Adds a request to the waiting queue.
     pub(super) fn submit(
         &mut self,
         cfg: &Config,
         submission: Submission,
-    ) -> Result<Reader, Refusal> {
+    ) -> Result<Reader, SubmitError> {
         let key = self.next_key;
         let id = submission
             .stream_id
             .clone()
             .unwrap_or_else(|| format!("s{key}").into());
-        if self.in_progress(&id) {
-            return Err(Refusal::StreamIdTaken);
+        if self.is_in_progress(&id) {
+            return Err(SubmitError::StreamIdTaken);
         }
         self.next_key += 1;
         let stream = Arc::new(self.new_stream(cfg, key, id, &submission));
         let reader = stream.attach();
-        tell_started(cfg, &stream, &submission);
+        log_started(cfg, &stream, &submission);
         self.streams.insert(key, Arc::clone(&stream));
         self.by_id
             .insert(Arc::clone(&stream.id), Arc::clone(&stream));
@@ -90,7 +90,7 @@
         Ok(reader)
     }
 
-    fn in_progress(&self, id: &str) -> bool {
+    fn is_in_progress(&self, id: &str) -> bool {
         let stream = self.by_id.get(id);
         stream.is_some_and(|stream| stream.progress().end.is_none())
     }
@@ -119,8 +119,8 @@
         })
     }
 
-    /// Decides who runs in the next step and tells of those who don't.
-    pub(super) fn plan(&mut self, cfg: &Config) -> Plan {
+    /// Plans the next step; logs preemptions and ends sequences that exceed the memory.
+    pub(super) fn plan(&mut self, cfg: &Config) -> StepPlan {
         let plan = self.batch.plan(&mut self.cache);
         for key in &plan.preempted {
             if let Some(stream) = self.streams.get(key) {
@@ -130,21 +130,21 @@
                 cfg.run_log.append(&RunEvent::Preempted { id, tokens });
             }
         }
-        for key in &plan.overgrown {
+        for key in &plan.out_of_memory {
             let generated = self
                 .streams
                 .get(key)
                 .map(|stream| stream.progress().generated);
-            self.finish(cfg, *key, generated.unwrap_or_default(), Reason::Length);
+            self.finish(cfg, *key, generated.unwrap_or_default(), EndReason::Length);
         }
         plan
     }
 
-    /// Hands out the tokens of a step; returns whether the engine crashed.
+    /// Delivers the tokens of a step; returns whether the engine crashed.
     pub(super) fn commit(&mut self, cfg: &Config) -> bool {
         let committed = self.batch.commit();
         for (key, generated) in &committed.tokens {
-            self.hand_out(cfg, *key, *generated, &committed);
+            self.deliver_token(cfg, *key, *generated, &committed);
         }
         let crashed = committed.crashed.and_then(|key| self.streams.get(&key));
         if let Some(stream) = crashed {
@@ -156,8 +156,8 @@
         committed.crashed.is_some()
     }
 
-    /// Shows a token to the readers, together with the end if it is the last.
-    fn hand_out(&mut self, cfg: &Config, key: SeqKey, generated: u64, committed: &Committed) {
+    /// Delivers a token to the readers, together with the end if it is the last.
+    fn deliver_token(&mut self, cfg: &Config, key: SeqKey, generated: u64, committed: &StepResult) {
         let Some(stream) = self.streams.get(&key) else {
             return;
         };
@@ -173,7 +173,7 @@
         }
     }
 
-    fn finish(&mut self, cfg: &Config, key: SeqKey, tokens: u64, reason: Reason) {
+    fn finish(&mut self, cfg: &Config, key: SeqKey, tokens: u64, reason: EndReason) {
         let Some(stream) = self.streams.remove(&key) else {
             return;
         };
@@ -185,7 +185,7 @@
         stream.finish(tokens, reason);
     }
 
-    /// Ends a generation in progress.
+    /// Cancels a generation in progress.
     pub(super) fn cancel(&mut self, cfg: &Config, stream: &Stream) {
         let Some(tokens) = self.batch.remove(stream.key) else {
             return;
@@ -196,16 +196,16 @@
             stream_id: &stream.id,
             tokens,
         });
-        stream.finish(tokens, Reason::Cancelled);
+        stream.finish(tokens, EndReason::Cancelled);
     }
 
-    /// Cancels streams without a reader for the window, and forgets ended ones.
+    /// Cancels streams that had no reader for `window`, and drops ended ones.
     ///
-    /// Returns whether there were any.
+    /// Returns whether there were any such streams.
     pub(super) fn sweep(&mut self, cfg: &Config, window: Duration) -> bool {
         let streams = self.by_id.values();
         let idle: Vec<_> = streams
-            .filter(|stream| stream.idle(window))
+            .filter(|stream| stream.is_idle(window))
             .cloned()
             .collect();
         for stream in &idle {
@@ -218,22 +218,22 @@
         !idle.is_empty()
     }
 
-    /// A stream by its id.
+    /// Returns a stream by its id.
     pub(super) fn stream(&self, id: &str) -> Option<Arc<Stream>> {
         self.by_id.get(id).cloned()
     }
 
-    /// The changes of the cache since the last call.
+    /// Returns the cache changes since the last call.
     pub(super) fn take_cache_changes(&mut self) -> Vec<(CacheChange, u64)> {
         self.cache.take_changes()
     }
 
-    /// Notes how long the step in progress lasts.
-    pub(super) fn set_step(&mut self, step: Duration) {
-        self.step = step;
+    /// Records the duration of the current step.
+    pub(super) fn set_step_duration(&mut self, step_duration: Duration) {
+        self.step_duration = step_duration;
     }
 
-    /// The load of now.
+    /// Returns the current load.
     pub(super) fn load(&self, cfg: &Config) -> Load {
         Load {
             running: self.batch.running(),
@@ -242,24 +242,24 @@
             capacity_tokens: cfg.capacity_tokens,
             max_batch: cfg.max_batch,
             preemptions_total: self.batch.preemptions(),
-            step_ms: self.step.as_secs_f64() * 1e3,
+            step_ms: self.step_duration.as_secs_f64() * 1e3,
         }
     }
 }
 
 impl Submission {
-    /// Tokens until the model would stop by itself.
+    /// Returns the output length without a token limit.
     fn length(&self, cfg: &Config) -> u64 {
         let drawn = || length::draw(cfg.seed, self.prompt.digest);
         self.prompt.directives.len.unwrap_or_else(drawn).max(1)
     }
 
-    /// Why the generation ends when nothing gets into its way.
-    fn natural_end(&self, cfg: &Config) -> Reason {
+    /// Returns the end reason of an uninterrupted generation.
+    fn natural_end(&self, cfg: &Config) -> EndReason {
         if self.length(cfg) > self.max_tokens {
-            Reason::Length
+            EndReason::Length
         } else {
-            Reason::Stop
+            EndReason::Stop
         }
     }
 }
@@ -276,7 +276,7 @@
     }
 }
 
-fn tell_started(cfg: &Config, stream: &Stream, submission: &Submission) {
+fn log_started(cfg: &Config, stream: &Stream, submission: &Submission) {
     cfg.run_log.append(&RunEvent::Started {
         id: &stream.request,
         stream_id: &stream.id,
--- a/standins/src/engine/prompt.rs
+++ b/standins/src/engine/prompt.rs
@@ -1,7 +1,7 @@
-//! The prompt: its tokens and the directives hidden in its text.
+//! Prompt parsing: tokens, and directives embedded in the text.
 //!
-//! A token is a word, counted by its digest. Directives stand in double square
-//! brackets anywhere in a message and are no tokens themselves.
+//! A token is a word, represented by its digest. Directives stand in double
+//! square brackets anywhere in a message and don't count as tokens.
 
 use std::sync::Arc;
 
@@ -10,45 +10,45 @@
 /// Tokens in a block of the prefix cache.
 pub(super) const BLOCK_TOKENS: usize = 32;
 
-/// A prompt as the engine runs it.
+/// A parsed prompt.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Prompt {
     /// Number of tokens, at least 1.
     pub(super) tokens: u64,
-    /// Digests of the prefixes that end with a whole block.
+    /// Digests of the prefixes that end at a block boundary.
     pub(super) prefixes: Arc<[u64]>,
-    /// Digest of the text.
+    /// Digest of the text without directives.
     pub(super) digest: u64,
-    /// What the directives ask for.
+    /// Settings from the directives.
     pub(super) directives: Directives,
 }
 
-/// What the directives of a prompt ask for.
+/// Settings from the directives of a prompt.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Directives {
-    /// Tokens until the model would stop by itself.
+    /// Output length without a token limit, in tokens.
     pub(super) len: Option<u64>,
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt, in tokens.
     pub(super) prompt: Option<u64>,
-    /// Name and length in tokens of a shared prefix before the text.
+    /// Name and length, in tokens, of a shared prefix before the text.
     pub(super) prefix: Option<(Arc<str>, u64)>,
-    /// The caller's tag.
+    /// Tag set by the caller.
     pub(super) mark: Option<Arc<str>>,
-    /// Whether the engine crashes.
+    /// Whether the prompt crashes the engine.
     crash: bool,
-    /// Tokens produced before it does.
+    /// Generated tokens before the crash.
     crash_after: u64,
-    /// Whether tokens are words.
+    /// Whether the output consists of words instead of checkable tokens.
     pub(super) words: bool,
 }
 
 impl Directives {
-    /// Tokens after which the engine crashes, if it does.
+    /// Returns the generated tokens after which the engine crashes, if it does.
     pub(super) fn crash_after(&self) -> Option<u64> {
         self.crash.then_some(self.crash_after)
     }
 
-    /// Takes over one directive; an unknown one is ignored.
+    /// Applies a directive, ignoring an unknown one.
     fn apply(&mut self, text: &str) {
         let (name, value) = text.split_once('=').unwrap_or((text, ""));
         match name {
@@ -64,19 +64,19 @@
     }
 }
 
-/// The name and length of a shared prefix, as in `NAME/TOKENS`.
+/// Parses a shared prefix of the form `NAME/TOKENS`.
 fn prefix(value: &str) -> Option<(Arc<str>, u64)> {
     let (name, tokens) = value.split_once('/')?;
     Some((Arc::from(name), tokens.parse().ok()?))
 }
 
 impl Prompt {
-    /// Reads the messages of a request.
+    /// Parses the messages of a request.
     pub(super) fn parse<'a>(messages: impl IntoIterator<Item = &'a str>) -> Self {
         let mut directives = Directives::default();
         let mut text = String::new();
         for message in messages {
-            strip(message, &mut text, &mut directives);
+            strip_directives(message, &mut text, &mut directives);
             text.push(' ');
         }
         let digest = hash::fnv(text.as_bytes());
@@ -90,44 +90,44 @@
     }
 }
 
-/// Appends the text of a message without its directives, which it applies.
-fn strip(message: &str, text: &mut String, directives: &mut Directives) {
+/// Appends the text of a message without its directives, and applies those.
+fn strip_directives(message: &str, text: &mut String, directives: &mut Directives) {
     let mut rest = message;
     while let Some((before, after)) = rest.split_once("[[") {
-        let Some((directive, behind)) = after.split_once("]]") else {
+        let Some((directive, after_directive)) = after.split_once("]]") else {
             break;
         };
         text.push_str(before);
         directives.apply(directive);
-        rest = behind;
+        rest = after_directive;
     }
     text.push_str(rest);
 }
 
-/// The digest of each token: shared prefix, words, then filling.
+/// Returns the digest of each token: shared prefix, words, then padding.
 fn tokens(text: &str, digest: u64, directives: &Directives) -> Vec<u64> {
     let mut tokens = Vec::new();
     if let Some((name, length)) = &directives.prefix {
-        fill(&mut tokens, hash::fnv(name.as_bytes()), *length);
+        pad_tokens(&mut tokens, hash::fnv(name.as_bytes()), *length);
     }
     tokens.extend(
         text.split_whitespace()
             .map(|word| hash::fnv(word.as_bytes())),
     );
-    let wanted = directives.prompt.unwrap_or(tokens.len() as u64).max(1);
-    fill(&mut tokens, digest, wanted);
-    tokens.truncate(usize::try_from(wanted).unwrap_or(usize::MAX));
+    let target_len = directives.prompt.unwrap_or(tokens.len() as u64).max(1);
+    pad_tokens(&mut tokens, digest, target_len);
+    tokens.truncate(usize::try_from(target_len).unwrap_or(usize::MAX));
     tokens
 }
 
-/// Adds tokens derived from `digest` until there are `wanted`.
-fn fill(tokens: &mut Vec<u64>, digest: u64, wanted: u64) {
-    for index in tokens.len() as u64..wanted {
+/// Appends tokens derived from `digest` up to a length of `target_len`.
+fn pad_tokens(tokens: &mut Vec<u64>, digest: u64, target_len: u64) {
+    for index in tokens.len() as u64..target_len {
         tokens.push(hash::extend(digest, &index.to_le_bytes()));
     }
 }
 
-/// The digest of each prefix that ends with a whole block.
+/// Returns the digest of each prefix that ends at a block boundary.
 fn prefixes(tokens: &[u64]) -> Arc<[u64]> {
     tokens
         .chunks_exact(BLOCK_TOKENS)
--- a/standins/src/engine/state.rs
+++ b/standins/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What the calls and the steps of an engine share.
+//! Shared state of the endpoints and the steps of an engine.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -7,24 +7,24 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use super::batch::Plan;
+use super::batch::StepPlan;
 use super::config::Config;
-use super::core::{Core, Refusal, Submission};
+use super::core::{Core, Submission, SubmitError};
 use super::events::EventLog;
 use super::load::LoadHistory;
 use super::log::RunEvent;
-use super::orders::{Fenced, FencedOrder, Orders};
+use super::orders::{FencedOrder, Orders, StaleFence};
 use super::stream::{Reader, Stream};
 use crate::server::Stop;
 use crate::sync::lock;
 
-/// A change of the faults; fields left out stay as they are.
+/// A change of the faults; omitted fields keep their values.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(super) struct FaultPatch {
-    /// How many times slower than usual the steps are.
+    /// Multiplier of step durations.
     pub(super) slow_factor: Option<f64>,
-    /// Milliseconds on the clock for which the engine does nothing at all.
+    /// Clock time for which the engine is frozen, in milliseconds.
     pub(super) freeze_ms: Option<u64>,
 }
 
@@ -36,12 +36,12 @@
     pub(super) events: EventLog,
     pub(super) load: LoadHistory,
     pub(super) stop: Stop,
-    pub(super) work: Notify,
+    pub(super) work_added: Notify,
     core: Mutex<Core>,
     pace: Mutex<PaceFaults>,
 }
 
-/// Faults of the engine's speed.
+/// Faults that affect the engine's pace.
 #[derive(Clone, Copy, Debug)]
 struct PaceFaults {
     slow_factor: f64,
@@ -51,7 +51,7 @@
 impl State {
     pub(super) fn new(cfg: Config, stop: Stop) -> Self {
         let core = Core::new(&cfg);
-        let first = core.load(&cfg);
+        let initial_load = core.load(&cfg);
         Self {
             orders: Mutex::new(Orders::new(
                 &cfg.models,
@@ -59,9 +59,9 @@
                 cfg.scaled(cfg.load_time),
             )),
             events: EventLog::new(cfg.scaled(cfg.event_lag), cfg.event_gap),
-            load: LoadHistory::new(cfg.scaled(cfg.load_lag), first),
+            load: LoadHistory::new(cfg.scaled(cfg.load_lag), initial_load),
             stop,
-            work: Notify::new(),
+            work_added: Notify::new(),
             core: Mutex::new(core),
             pace: Mutex::new(PaceFaults {
                 slow_factor: cfg.slow_factor,
@@ -71,33 +71,33 @@
         }
     }
 
-    /// Takes a request into the waiting queue and begins to read its stream.
-    pub(super) fn submit(&self, submission: Submission) -> Result<Reader, Refusal> {
+    /// Adds a request to the waiting queue and attaches a reader to its stream.
+    pub(super) fn submit(&self, submission: Submission) -> Result<Reader, SubmitError> {
         if !lock(&self.orders).serves(&submission.model) {
-            return Err(Refusal::UnknownModel);
+            return Err(SubmitError::UnknownModel);
         }
         let longest = self.cfg.max_prompt_tokens.min(self.cfg.capacity_tokens - 1);
         if submission.prompt.tokens > longest {
-            return Err(Refusal::PromptTooLong);
+            return Err(SubmitError::PromptTooLong);
         }
         let reader = lock(&self.core).submit(&self.cfg, submission)?;
         self.record_load();
-        self.work.notify_one();
+        self.work_added.notify_one();
         Ok(reader)
     }
 
-    /// A stream by its id.
+    /// Returns a stream by its id.
     pub(super) fn stream(&self, id: &str) -> Option<Arc<Stream>> {
         lock(&self.core).stream(id)
     }
 
-    /// Ends a generation in progress.
+    /// Cancels a generation in progress.
     pub(super) fn cancel(&self, stream: &Stream) {
         lock(&self.core).cancel(&self.cfg, stream);
         self.record_load();
     }
 
-    /// Cancels streams that nobody came back for and forgets those that ended.
+    /// Cancels idle streams in progress and drops idle ended ones.
     pub(super) fn sweep(&self) {
         let window = self.cfg.scaled(self.cfg.resume_window);
         if lock(&self.core).sweep(&self.cfg, window) {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Plans a step; returns how long it lasts, or none when there is no work.
+    /// Plans a step; returns its duration, or `None` if there is no work.
     pub(super) fn begin_step(&self) -> Option<Duration> {
         let mut core = lock(&self.core);
         let plan = core.plan(&self.cfg);
@@ -114,19 +114,19 @@
             return None;
         }
         let step = self.step_time(&plan);
-        core.set_step(step);
+        core.set_step_duration(step);
         Some(step)
     }
 
-    /// Hands out the tokens of a step; returns whether the engine crashed.
+    /// Delivers the tokens of a step; returns whether the engine crashed.
     pub(super) fn end_step(&self) -> bool {
         let crashed = lock(&self.core).commit(&self.cfg);
         self.record_load();
         crashed
     }
 
-    /// Carries out an order, and tells the run log either way.
-    pub(super) fn order(&self, order: &FencedOrder) -> Result<(), Fenced> {
+    /// Applies an order and logs it, accepted or not.
+    pub(super) fn apply_order(&self, order: &FencedOrder) -> Result<(), StaleFence> {
         let mut orders = lock(&self.orders);
         let result = orders.apply(order);
         self.cfg.run_log.append(&RunEvent::Order {
@@ -136,7 +136,7 @@
         result
     }
 
-    /// Puts new faults in force.
+    /// Applies a change of the faults.
     pub(super) fn patch_faults(&self, patch: FaultPatch) {
         let mut pace = lock(&self.pace);
         if let Some(factor) = patch.slow_factor {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Until when the engine does nothing.
+    /// Returns the end of the latest freeze.
     pub(super) fn frozen_until(&self) -> Instant {
         lock(&self.pace).frozen_until
     }
@@ -158,7 +158,7 @@
     }
 
     #[expect(clippy::cast_precision_loss, reason = "counts stay small")]
-    fn step_time(&self, plan: &Plan) -> Duration {
+    fn step_time(&self, plan: &StepPlan) -> Duration {
         let cfg = &self.cfg;
         let ms = cfg.step_base_ms
             + cfg.step_per_seq_ms * plan.batch as f64
--- a/standins/src/load/run.rs
+++ b/standins/src/load/run.rs
@@ -1,4 +1,4 @@
-//! A run: arrivals at their times, and the outcomes added up.
+//! Runs the load: sends requests on schedule and adds up their outcomes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,48 +14,48 @@
 use super::mix::{Class, Mix};
 use super::plan::{Arrival, arrivals};
 use super::progress::Progress;
+use super::prompt;
 use super::record::{Record, Settings, WorkspaceRecord};
 use super::tally::Tally;
-use super::words;
 use crate::clock::wait_until;
 
-/// Path of the call.
-const PATH: &str = "/v1/chat/completions";
+/// Path of chat completions.
+const COMPLETIONS_PATH: &str = "/v1/chat/completions";
 
-/// Largest answer that requests allow, in tokens.
+/// Limit on the answer length in requests, in tokens.
 const MAX_TOKENS: u64 = 16_384;
 
-/// Priority of interactive requests sent straight to engines.
+/// Priority of interactive requests sent directly to engines.
 const INTERACTIVE_PRIORITY: i64 = 10;
 
-/// Priority of batch requests sent straight to engines.
+/// Priority of batch requests sent directly to engines.
 const BATCH_PRIORITY: i64 = 0;
 
-/// Settings of a run. Times are in the model of time.
+/// Settings of a run. Times are simulated.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Base URLs asked in turn.
+    /// Base URLs of the targets, used in turn.
     pub targets: Vec<String>,
-    /// Whether they are engines, which know priorities but no classes.
+    /// Whether the targets are engines, which take priorities instead of classes.
     pub straight: bool,
-    /// What is asked.
+    /// Request mix.
     pub mix: Mix,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long requests arrive.
+    /// Time during which requests arrive.
     pub duration: Duration,
-    /// How long answers in progress are waited for after that.
+    /// Time to wait for answers in progress after `duration`.
     pub drain: Duration,
-    /// How many times faster the clock runs.
+    /// Speed-up factor of simulated time over real time.
     pub time_scale: f64,
-    /// Seed of the arrivals.
+    /// Seed of the arrival process.
     pub seed: u64,
 }
 
-/// How each workspace fared so far.
-type Workspaces = BTreeMap<Arc<str>, WorkspaceRecord>;
+/// Results by workspace so far.
+type WorkspaceRecords = BTreeMap<Arc<str>, WorkspaceRecord>;
 
-/// What the requests of a run share.
+/// State shared by the requests of a run.
 struct Run {
     cfg: Config,
     client: Client,
@@ -64,24 +64,25 @@
     deadline: Instant,
 }
 
-/// Runs the load to its end.
+/// Runs the load to its end and returns the record.
 ///
 /// # Errors
 ///
-/// Fails without targets, or when the client can't be set up.
+/// Fails without targets, when the HTTP client or a histogram can't be created, or
+/// when the task of a request panics.
 pub async fn run(cfg: Config) -> anyhow::Result<Record> {
-    anyhow::ensure!(!cfg.targets.is_empty(), "no target");
+    anyhow::ensure!(!cfg.targets.is_empty(), "no target given");
     let run = Arc::new(Run::new(cfg)?);
     let mut background = JoinSet::new();
     let shared = Arc::clone(&run);
     background.spawn(async move { shared.progress.report().await });
-    let (tallies, workspaces) = run.drive().await?;
+    let (tallies, workspaces) = run.send_all().await?;
     let duration = run.cfg.duration;
     Ok(Record {
         settings: run.settings(),
         classes: tallies
             .into_iter()
-            .map(|(class, tally)| (class, tally.record(duration)))
+            .map(|(class, tally)| (class, tally.into_record(duration)))
             .collect(),
         workspaces,
     })
@@ -93,7 +94,7 @@
         let start = Instant::now();
         let end = (cfg.duration + cfg.drain).div_f64(cfg.time_scale);
         Ok(Self {
-            client: client.context("no client")?,
+            client: client.context("can't create the HTTP client")?,
             progress: Progress::default(),
             start,
             deadline: start + end,
@@ -101,44 +102,47 @@
         })
     }
 
-    /// Sends each request at its time and adds up the outcomes by class.
-    async fn drive(self: &Arc<Self>) -> anyhow::Result<(BTreeMap<Class, Tally>, Workspaces)> {
+    /// Sends each request at its scheduled time and adds up the outcomes by class and
+    /// by workspace.
+    async fn send_all(
+        self: &Arc<Self>,
+    ) -> anyhow::Result<(BTreeMap<Class, Tally>, WorkspaceRecords)> {
         let mut tallies = BTreeMap::new();
-        let mut workspaces = Workspaces::new();
+        let mut workspaces = WorkspaceRecords::new();
         for class in Class::ALL {
             tallies.insert(class, Tally::new()?);
         }
         let mut calls = JoinSet::new();
         let cfg = &self.cfg;
         for arrival in arrivals(&cfg.mix, cfg.rate, cfg.duration, cfg.seed) {
-            wait_until(self.instant(&arrival)).await;
+            wait_until(self.scheduled_at(&arrival)).await;
             self.progress.add_sent();
             let run = Arc::clone(self);
-            calls.spawn(async move { (arrival, run.send(&arrival).await) });
+            calls.spawn(async move { (arrival, run.send_request(&arrival).await) });
             while let Some(done) = calls.try_join_next() {
-                self.add(&mut tallies, &mut workspaces, &done?);
+                self.add_outcome(&mut tallies, &mut workspaces, &done?);
             }
         }
         while let Some(done) = calls.join_next().await {
-            self.add(&mut tallies, &mut workspaces, &done?);
+            self.add_outcome(&mut tallies, &mut workspaces, &done?);
         }
         Ok((tallies, workspaces))
     }
 
-    async fn send(&self, arrival: &Arrival) -> Outcome {
+    async fn send_request(&self, arrival: &Arrival) -> Outcome {
         let class = self.cfg.mix.kinds[arrival.kind].class;
         let goal = self.cfg.mix.goal(class);
-        let meter = Meter::new(goal, self.cfg.time_scale, self.instant(arrival));
-        let call = self.call(arrival);
+        let meter = Meter::new(goal, self.cfg.time_scale, self.scheduled_at(arrival));
+        let call = self.build_call(arrival);
         let outcome = call.run(&self.client, meter, &self.progress).await;
         self.progress.add_end(&outcome.end);
         outcome
     }
 
-    fn add(
+    fn add_outcome(
         &self,
         tallies: &mut BTreeMap<Class, Tally>,
-        workspaces: &mut Workspaces,
+        workspaces: &mut WorkspaceRecords,
         (arrival, outcome): &(Arrival, Outcome),
     ) {
         let mix = &self.cfg.mix;
@@ -154,29 +158,29 @@
         }
     }
 
-    fn call(&self, arrival: &Arrival) -> Call {
+    fn build_call(&self, arrival: &Arrival) -> Call {
         let mix = &self.cfg.mix;
         let mark = format!("{}-{}", self.cfg.seed, arrival.number);
         Call {
-            url: format!("{}{PATH}", self.target(arrival.number)),
+            url: format!("{}{COMPLETIONS_PATH}", self.target(arrival.number)),
             key: mix.workspaces[arrival.workspace].key.to_string(),
-            body: self.body(arrival, &mark),
+            body: self.build_body(arrival, &mark),
             mark,
             output_tokens: arrival.output_tokens,
             deadline: self.deadline,
         }
     }
 
-    fn body(&self, arrival: &Arrival, mark: &str) -> Body {
+    fn build_body(&self, arrival: &Arrival, mark: &str) -> Body {
         let mix = &self.cfg.mix;
         let kind = &mix.kinds[arrival.kind];
         let system = Message {
             role: "system",
-            content: words::shared(mix, arrival),
+            content: prompt::shared_prefix(mix, arrival),
         };
         let user = Message {
             role: "user",
-            content: words::own(kind, arrival, mark),
+            content: prompt::user_prompt(kind, arrival, mark),
         };
         Body {
             model: mix.model.to_string(),
@@ -184,19 +188,19 @@
             max_tokens: MAX_TOKENS,
             stream: true,
             priority_class: (!self.cfg.straight).then_some(kind.class),
-            priority: self.cfg.straight.then(|| priority(kind.class)),
+            priority: self.cfg.straight.then(|| engine_priority(kind.class)),
         }
     }
 
     fn target(&self, number: u64) -> &str {
         let targets = &self.cfg.targets;
-        let place = number % targets.len() as u64;
-        let place = usize::try_from(place).unwrap_or_default();
-        targets[place].trim_end_matches('/')
+        let index = number % targets.len() as u64;
+        let index = usize::try_from(index).unwrap_or_default();
+        targets[index].trim_end_matches('/')
     }
 
-    /// When a request is meant to arrive, on the clock.
-    fn instant(&self, arrival: &Arrival) -> Instant {
+    /// Returns the scheduled arrival of a request in real time.
+    fn scheduled_at(&self, arrival: &Arrival) -> Instant {
         self.start + arrival.at.div_f64(self.cfg.time_scale)
     }
 
@@ -216,7 +220,7 @@
     }
 }
 
-fn priority(class: Class) -> i64 {
+fn engine_priority(class: Class) -> i64 {
     match class {
         Class::Interactive => INTERACTIVE_PRIORITY,
         Class::Batch => BATCH_PRIORITY,
--- a/standins/src/plain/api.rs
+++ b/standins/src/plain/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP calls of the plain service.
+//! HTTP endpoints of the plain service.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,16 +12,16 @@
 use super::{CrashPoint, State};
 use crate::{hash, reply};
 
-/// Header that names the request across systems.
-const REQUEST_ID: &str = "x-request-id";
+/// Header of the request id shared by all systems.
+const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Header by which a caller marks the repeats of one request.
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
+/// Header of the key shared by all attempts of one request.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Marks a caller's tag in a body.
-const MARK: &str = "[[mark=";
+/// Start of a directive with the caller's tag in a body.
+const MARK_DIRECTIVE: &str = "[[mark=";
 
-/// A record, the same for each read of an id.
+/// A record with content derived from its id.
 #[derive(Serialize)]
 struct Record {
     id: String,
@@ -29,14 +29,14 @@
     pages: u64,
 }
 
-/// The answer to a call that ran.
+/// The response to a completed call.
 #[derive(Serialize)]
 struct Receipt {
     number: u64,
     echo: String,
 }
 
-/// Calls run so far, by path.
+/// Number of completed calls by path.
 #[derive(Serialize)]
 struct Counts {
     filed: u64,
@@ -44,11 +44,11 @@
     read: u64,
 }
 
-/// What the run log tells.
+/// An event in the run log.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum RunEvent<'a> {
-    /// A call that took effect.
+    /// A call took effect.
     Ran {
         path: &'a str,
         number: u64,
@@ -57,11 +57,11 @@
         digest: String,
         mark: Option<&'a str>,
     },
-    /// The end of the service by the crash text.
+    /// The crash text stopped the service.
     Crashed { path: &'a str },
 }
 
-/// A call with what the run log needs of it.
+/// A call with the fields for the run log.
 struct Call {
     path: String,
     body: String,
@@ -69,7 +69,7 @@
     idempotency_key: Option<String>,
 }
 
-/// The routes of the plain service.
+/// Returns the routes of the plain service.
 pub(super) fn endpoint(state: Arc<State>) -> impl IntoEndpoint<Endpoint: 'static> {
     Route::new()
         .at("/records/:id", get(record))
@@ -94,18 +94,18 @@
             pages: 1 + hash::fnv(id.as_bytes()) % 40,
             id,
         }),
-        None => gone(),
+        None => crashed_response(),
     }
 }
 
 #[handler]
 async fn file(Data(state): Data<&Arc<State>>, headers: &HeaderMap, body: String) -> Response {
-    post_once(state, "/file", headers, body, |state| &state.filed).await
+    run_post(state, "/file", headers, body, |state| &state.filed).await
 }
 
 #[handler]
 async fn grade(Data(state): Data<&Arc<State>>, headers: &HeaderMap, body: String) -> Response {
-    post_once(state, "/grade", headers, body, |state| &state.graded).await
+    run_post(state, "/grade", headers, body, |state| &state.graded).await
 }
 
 #[handler]
@@ -123,7 +123,7 @@
     })
 }
 
-async fn post_once(
+async fn run_post(
     state: &Arc<State>,
     path: &str,
     headers: &HeaderMap,
@@ -133,23 +133,23 @@
     let call = Call::new(path.to_owned(), body.clone(), headers);
     match run(state, call, counter).await {
         Some(number) => reply::ok(&Receipt { number, echo: body }),
-        None => gone(),
+        None => crashed_response(),
     }
 }
 
-/// The answer of a service that is going down; its connection is cut.
-fn gone() -> Response {
+/// Returns the response of a crashing service, whose connection is cut.
+fn crashed_response() -> Response {
     reply::failure(StatusCode::INTERNAL_SERVER_ERROR, "crashed")
 }
 
-/// Runs a call to its end, even when the caller goes away meanwhile.
+/// Runs a call to completion, even if the caller disconnects.
 async fn run(state: &Arc<State>, call: Call, counter: fn(&State) -> &AtomicU64) -> Option<u64> {
     let state = Arc::clone(state);
-    let task = tokio::spawn(async move { run_now(&state, &call, counter).await });
+    let task = tokio::spawn(async move { execute(&state, &call, counter).await });
     task.await.ok().flatten()
 }
 
-async fn run_now(state: &State, call: &Call, counter: fn(&State) -> &AtomicU64) -> Option<u64> {
+async fn execute(state: &State, call: &Call, counter: fn(&State) -> &AtomicU64) -> Option<u64> {
     sleep(state.cfg.delay).await;
     let crash_on = state.cfg.crash_on.as_deref();
     let crashes = crash_on.is_some_and(|text| call.body.contains(text));
@@ -157,14 +157,14 @@
         return crash(state, call).await;
     }
     let number = counter(state).fetch_add(1, Ordering::Relaxed) + 1;
-    call.tell(state, number);
+    call.log_run(state, number);
     if crashes {
         return crash(state, call).await;
     }
     Some(number)
 }
 
-/// Brings the service down; the call is never answered.
+/// Crashes the service without a response to the call.
 async fn crash(state: &State, call: &Call) -> Option<u64> {
     state
         .cfg
@@ -186,12 +186,12 @@
         Self {
             path,
             body,
-            request_id: text(REQUEST_ID),
-            idempotency_key: text(IDEMPOTENCY_KEY),
+            request_id: text(REQUEST_ID_HEADER),
+            idempotency_key: text(IDEMPOTENCY_KEY_HEADER),
         }
     }
 
-    fn tell(&self, state: &State, number: u64) {
+    fn log_run(&self, state: &State, number: u64) {
         state.cfg.run_log.append(&RunEvent::Ran {
             path: &self.path,
             number,
@@ -203,8 +203,8 @@
     }
 }
 
-/// The caller's tag in a body.
+/// Returns the caller's tag in a body.
 fn mark(body: &str) -> Option<&str> {
-    let (_, rest) = body.split_once(MARK)?;
+    let (_, rest) = body.split_once(MARK_DIRECTIVE)?;
     rest.split_once("]]").map(|(mark, _)| mark)
 }
--- a/standins/tests/measures.rs
+++ b/standins/tests/measures.rs
@@ -1,11 +1,11 @@
-//! Tests of what the load tool plans, checks and measures, without sockets.
+//! Tests of the arrivals, token checks and meters of the load tool, without sockets.
 
 use std::time::Duration;
 
 use standins::load::{Goal, Meter, Mix, TokenCheck, Violation, arrivals};
 use tokio::time::Instant;
 
-/// Names each case and gives it the call that checks it.
+/// Generates a test for each case from its name and the call that checks it.
 macro_rules! cases {
     ($($name:ident => $check:ident($($arg:expr),* $(,)?);)*) => {
         mod cases {
@@ -61,18 +61,19 @@
 fn check(texts: &[&str], expected: u64, violation: Option<Violation>) {
     let mut check = TokenCheck::new("m");
     for text in texts {
-        check.text(text);
+        check.push_text(text);
     }
     check.complete(expected);
     assert_eq!(check.violation(), violation);
 }
 
-/// Tokens at these milliseconds after the arrival stall so long.
+/// Checks the stall time and the goal of tokens at these milliseconds after the
+/// arrival.
 fn meter(tokens: &[u64], stall_ms: f64, met_goal: bool) {
     let arrival = Instant::now();
     let mut meter = Meter::new(GOAL, 1.0, arrival);
     for token in tokens {
-        meter.token(arrival + Duration::from_millis(*token));
+        meter.record_token(arrival + Duration::from_millis(*token));
     }
     assert!((meter.stall_ms() - stall_ms).abs() < 1e-6);
     assert_eq!(meter.met_goal(), met_goal);
@@ -82,7 +83,7 @@
 fn meter_scales_time(scale: f64) {
     let arrival = Instant::now();
     let mut meter = Meter::new(GOAL, scale, arrival);
-    meter.token(arrival + Duration::from_millis(9));
+    meter.record_token(arrival + Duration::from_millis(9));
     let first = meter.first_token_ms().unwrap();
     assert!((first - 90.0).abs() < 1e-6);
 }
@@ -90,7 +91,7 @@
 fn meter_counts_cut() {
     let arrival = Instant::now();
     let mut meter = Meter::new(GOAL, 1.0, arrival);
-    meter.cut(arrival + Duration::from_millis(300));
+    meter.record_cut(arrival + Duration::from_millis(300));
     assert!((meter.stall_ms() - 200.0).abs() < 1e-6);
     assert_eq!(meter.first_token_ms(), None);
 }
